--- a/fleet/loads.go
+++ b/fleet/loads.go
@@ -44,7 +44,7 @@
 	next.Loads = m.unfinished(state.Loads)
 	placement := scale.Place(scale.PlaceInput{
 		Hosts: m.hosts(servers, next.Loads), Needs: m.needs(servers),
-		Rate: m.cfg.WeightRate, LoadRate: m.cfg.LoadRate, Loading: len(next.Loads),
+		StoreRate: m.cfg.WeightRate, MinLoadRate: m.cfg.LoadRate, LoadsInProgress: len(next.Loads),
 	})
 	before := len(next.Loads)
 	for _, l := range placement.Loads {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return next, err
 	}
-	return m.orderLoads(ctx, next, next.Loads[before:], placement.Paced)
+	return m.orderLoads(ctx, next, next.Loads[before:], placement.Deferred)
 }
 
 // unfinished returns the loads whose servers still have to finish them.
@@ -123,7 +123,7 @@
 		case loading >= 0:
 			h.Loaded = []scale.Artifact{artifact(loads[loading].Model)}
 		default:
-			h.Room = 1
+			h.FreeBytes = 1
 		}
 		out = append(out, h)
 	}
--- a/fleet/manager.go
+++ b/fleet/manager.go
@@ -304,7 +304,7 @@
 	for _, s := range plan.Starts {
 		event.Log(ctx, m.deps.Logger, slog.LevelInfo, event.PlacementChosen, slog.String("start", s.Token),
 			slog.String("reason", s.Reason.String()), slog.Float64("demand", in.Demand), slog.Float64("wanted", plan.Wanted),
-			slog.Float64("short", plan.Short), slog.Int("fleet", len(in.Fleet)))
+			slog.Float64("short", plan.Shortfall), slog.Int("fleet", len(in.Fleet)))
 	}
 	for _, s := range plan.Stops {
 		event.Log(ctx, m.deps.Logger, slog.LevelInfo, event.PlacementChosen, slog.String("stop", s.ID),
--- a/policy/scale/place.go
+++ b/policy/scale/place.go
@@ -14,7 +14,7 @@
 	Bytes   int64
 }
 
-func (a Artifact) is(b Artifact) bool {
+func (a Artifact) sameAs(b Artifact) bool {
 	return a.Model == b.Model && a.Version == b.Version && a.Adapter == b.Adapter
 }
 
@@ -27,21 +27,21 @@
 
 // Host is a backend server that can load artifacts.
 type Host struct {
-	ID         string
-	DataCentre string
-	Leaving    bool
-	Load       float64    // part of its capacity in use, 0..1
-	Loaded     []Artifact // or being loaded
-	Room       int64      // bytes left for more
+	ID          string
+	DataCentre  string
+	Leaving     bool
+	Utilization float64    // part of its capacity in use, 0..1
+	Loaded      []Artifact // or being loaded
+	FreeBytes   int64      // bytes left for more
 }
 
 // PlaceInput is what Place looks at.
 type PlaceInput struct {
-	Hosts    []Host
-	Needs    []Need
-	Rate     float64 // of the weight store, bytes per second
-	Loading  int     // loads under way
-	LoadRate float64 // the least rate at which one load is worth starting, bytes per second
+	Hosts           []Host
+	Needs           []Need
+	StoreRate       float64 // of the weight store, bytes per second
+	LoadsInProgress int     // loads under way
+	MinLoadRate     float64 // the least rate at which one load is worth starting, bytes per second
 }
 
 // Load is an order to load an artifact.
@@ -53,10 +53,10 @@
 // Placement is the verdict of Place.
 type Placement struct {
 	Loads []Load
-	// Paced counts loads put off because the weight store is busy, and NoRoom
+	// Deferred counts loads put off because the weight store is busy, and NoRoom
 	// those for which no server has room.
-	Paced  int
-	NoRoom int
+	Deferred int
+	NoSpace  int
 }
 
 // Place decides which artifacts to load where. The artifact with the most
@@ -74,10 +74,10 @@
 		hosts[i].Loaded = slices.Clone(hosts[i].Loaded)
 	}
 	var result Placement
-	parallel := max(int(in.Rate/max(in.LoadRate, 1)), 1)
+	maxLoads := max(int(in.StoreRate/max(in.MinLoadRate, 1)), 1)
 	needs := slices.Clone(in.Needs)
 	for {
-		i := neediest(needs, hosts)
+		i := mostUrgent(needs, hosts)
 		if i < 0 {
 			return result
 		}
@@ -85,30 +85,30 @@
 		host := bestHost(hosts, need.Artifact)
 		switch {
 		case host == nil:
-			result.NoRoom += need.Servers - copies(hosts, need.Artifact)
+			result.NoSpace += need.Servers - copies(hosts, need.Artifact)
 			need.Servers = 0
-		case in.Loading+len(result.Loads) >= parallel:
-			result.Paced += need.Servers - copies(hosts, need.Artifact)
+		case in.LoadsInProgress+len(result.Loads) >= maxLoads:
+			result.Deferred += need.Servers - copies(hosts, need.Artifact)
 			need.Servers = 0
 		default:
 			host.Loaded = append(host.Loaded, need.Artifact)
-			host.Room -= need.Artifact.Bytes
+			host.FreeBytes -= need.Artifact.Bytes
 			result.Loads = append(result.Loads, Load{host.ID, need.Artifact})
 		}
 	}
 }
 
-// neediest returns the need with the most demand per copy among those that lack
+// mostUrgent returns the need with the most demand per copy among those that lack
 // copies, -1 if none does.
-func neediest(needs []Need, hosts []Host) int {
-	best, most := -1, 0.0
+func mostUrgent(needs []Need, hosts []Host) int {
+	best, highest := -1, 0.0
 	for i, need := range needs {
-		have := copies(hosts, need.Artifact)
-		if have >= need.Servers {
+		loaded := copies(hosts, need.Artifact)
+		if loaded >= need.Servers {
 			continue
 		}
-		if urgency := need.Demand / (float64(have) + 0.1); best < 0 || urgency > most {
-			best, most = i, urgency
+		if urgency := need.Demand / (float64(loaded) + 0.1); best < 0 || urgency > highest {
+			best, highest = i, urgency
 		}
 	}
 	return best
@@ -125,20 +125,20 @@
 }
 
 func (h *Host) holds(a Artifact) bool {
-	return !h.Leaving && slices.ContainsFunc(h.Loaded, a.is)
+	return !h.Leaving && slices.ContainsFunc(h.Loaded, a.sameAs)
 }
 
 // fits reports whether the host can load the artifact: an adapter goes where its
 // model is.
 func (h *Host) fits(a Artifact) bool {
-	if h.Leaving || h.Room < a.Bytes || h.holds(a) {
+	if h.Leaving || h.FreeBytes < a.Bytes || h.holds(a) {
 		return false
 	}
 	return a.Adapter == "" || h.holds(Artifact{Model: a.Model, Version: a.Version})
 }
 
 func bestHost(hosts []Host, a Artifact) *Host {
-	near := func(h *Host) int {
+	copiesInCentre := func(h *Host) int {
 		n := 0
 		for i := range hosts {
 			if hosts[i].DataCentre == h.DataCentre && hosts[i].holds(a) {
@@ -153,7 +153,7 @@
 		if !h.fits(a) {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(near(h), near(best)), cmp.Compare(h.Load, best.Load), cmp.Compare(h.ID, best.ID)) < 0 {
+		if best == nil || cmp.Or(cmp.Compare(copiesInCentre(h), copiesInCentre(best)), cmp.Compare(h.Utilization, best.Utilization), cmp.Compare(h.ID, best.ID)) < 0 {
 			best = h
 		}
 	}
--- a/policy/scale/scale.go
+++ b/policy/scale/scale.go
@@ -90,11 +90,11 @@
 
 // Plan is a decision.
 type Plan struct {
-	Starts []Start
-	Stops  []Stop
-	Reason Reason  // of the capacity held
-	Wanted float64 // work per second to be there without any one data centre
-	Short  float64 // what is still missing of it once all starts serve
+	Starts    []Start
+	Stops     []Stop
+	Reason    Reason  // of the capacity held
+	Wanted    float64 // work per second to be there without any one data centre
+	Shortfall float64 // what is still missing of it once all starts serve
 }
 
 // Scaler decides on the fleet of one service, or of services that share it.
@@ -115,24 +115,24 @@
 // Decide returns what to start and stop now, and the State for the next
 // decision. Call it every minute or so and after each notice or refusal.
 func (s *Scaler) Decide(state State, in Input) (State, Plan) {
-	reason := s.cfg.hold(&state, in.Demand, in.Now)
+	reason := s.cfg.updateTarget(&state, in.Demand, in.Now)
 	p := s.newPlanner(&state, &in)
 	p.plan = Plan{Reason: reason, Wanted: state.Capacity}
-	p.fillParts()
-	p.fillAnywhere()
+	p.fillShares()
+	p.fillRemaining()
 	p.swap()
-	p.stop()
-	p.plan.Short = max(p.wanted-p.all.survives(), 0)
+	p.stopSurplus()
+	p.plan.Shortfall = max(p.wanted-p.planned.withoutLargest(), 0)
 	return state, p.plan
 }
 
 // offer is an Option with its price.
 type offer struct {
 	Option
-	centre   int     // index of the data centre
-	capacity float64 // work per second
-	price    float64 // currency units an hour, with the risk of a reclaim
-	open     bool    // starts are not backing off
+	centre    int     // index of the data centre
+	capacity  float64 // work per second
+	price     float64 // currency units an hour, with the risk of a reclaim
+	startable bool    // starts are not backing off
 }
 
 // planner holds one decision on its way.
@@ -142,25 +142,25 @@
 	in      *Input
 	offers  []offer
 	wanted  float64
-	all     parts // capacity by data centre, starting or serving
-	serving parts
+	planned centreCapacity // capacity by data centre, starting or serving
+	serving centreCapacity
 	plan    Plan
 }
 
 func (s *Scaler) newPlanner(state *State, in *Input) *planner {
 	p := &planner{s: s, state: state, in: in, wanted: state.Capacity}
 	centres := dataCentres(in.Zones)
-	p.all = make(parts, len(centres))
-	p.serving = make(parts, len(centres))
+	p.planned = make(centreCapacity, len(centres))
+	p.serving = make(centreCapacity, len(centres))
 	for i := range in.Zones {
 		p.addOffers(&in.Zones[i], slices.Index(centres, in.Zones[i].DataCentre))
 	}
 	for _, instance := range in.Fleet {
-		o := p.offer(instance.Option)
+		o := p.findOffer(instance.Option)
 		if o == nil || instance.Phase == PhaseLeaving {
 			continue
 		}
-		p.all[o.centre] += o.capacity
+		p.planned[o.centre] += o.capacity
 		if instance.Phase == PhaseServing {
 			p.serving[o.centre] += o.capacity
 		}
@@ -186,15 +186,15 @@
 				continue
 			}
 			if market == zone.Reclaimable {
-				price += p.risk(z.Name) * p.s.cfg.ReclaimCost
+				price += p.reclaimsPerHour(z.Name) * p.s.cfg.ReclaimCost
 			}
 			option := Option{z.Name, class.Name, market}
-			p.offers = append(p.offers, offer{option, centre, class.Capacity, price, p.state.open(option, p.in.Now)})
+			p.offers = append(p.offers, offer{option, centre, class.Capacity, price, p.state.startable(option, p.in.Now)})
 		}
 	}
 }
 
-func (p *planner) risk(name string) float64 {
+func (p *planner) reclaimsPerHour(name string) float64 {
 	for _, r := range p.in.Risks {
 		if r.Zone == name {
 			return r.PerHour
@@ -203,7 +203,7 @@
 	return 0
 }
 
-func (p *planner) offer(option Option) *offer {
+func (p *planner) findOffer(option Option) *offer {
 	for i := range p.offers {
 		if p.offers[i].Option == option {
 			return &p.offers[i]
@@ -231,13 +231,13 @@
 	return best
 }
 
-// fillParts starts, in each data centre that has a part of the capacity, what it
+// fillShares starts, in each data centre that has a part of the capacity, what it
 // lacks of it.
-func (p *planner) fillParts() {
-	for centre, part := range p.parts() {
-		for p.all[centre] < part && !p.met() {
-			o := p.cheapest(part-p.all[centre], func(o *offer) bool {
-				return o.centre == centre && o.open && o.Market == zone.Reclaimable
+func (p *planner) fillShares() {
+	for centre, share := range p.targetShares() {
+		for p.planned[centre] < share && !p.wantedMet() {
+			o := p.cheapest(share-p.planned[centre], func(o *offer) bool {
+				return o.centre == centre && o.startable && o.Market == zone.Reclaimable
 			})
 			if o == nil || !p.start(o, ReasonSpread) {
 				break
@@ -246,21 +246,21 @@
 	}
 }
 
-// parts returns the capacity that each data centre should have: equal parts in
+// targetShares returns the capacity that each data centre should have: equal targetShares in
 // the cheapest k of them, for the k with the lowest price in all.
-func (p *planner) parts() parts {
-	type ranked struct {
+func (p *planner) targetShares() centreCapacity {
+	type centrePrice struct {
 		centre int
 		price  float64 // of a unit of work per second
 	}
-	var order []ranked
-	for centre := range p.all {
+	var ranked []centrePrice
+	for centre := range p.planned {
 		o := p.cheapest(p.wanted, func(o *offer) bool { return o.centre == centre && o.Market == zone.Reclaimable })
 		if o != nil {
-			order = append(order, ranked{centre, o.price / o.capacity})
+			ranked = append(ranked, centrePrice{centre, o.price / o.capacity})
 		}
 	}
-	slices.SortStableFunc(order, func(a, b ranked) int {
+	slices.SortStableFunc(ranked, func(a, b centrePrice) int {
 		if a.price < b.price {
 			return -1
 		}
@@ -269,29 +269,29 @@
 		}
 		return 0
 	})
-	best, bestPrice, sum := 0, 0.0, 0.0
-	for i, r := range order {
-		sum += r.price
-		if price := sum / float64(i); i > 0 && (best == 0 || price < bestPrice) {
-			best, bestPrice = i+1, price
+	bestCount, bestPrice, priceSum := 0, 0.0, 0.0
+	for i, r := range ranked {
+		priceSum += r.price
+		if price := priceSum / float64(i); i > 0 && (bestCount == 0 || price < bestPrice) {
+			bestCount, bestPrice = i+1, price
 		}
 	}
-	result := make(parts, len(p.all))
-	for _, r := range order[:best] {
-		result[r.centre] = p.wanted / float64(best-1)
+	shares := make(centreCapacity, len(p.planned))
+	for _, r := range ranked[:bestCount] {
+		shares[r.centre] = p.wanted / float64(bestCount-1)
 	}
-	return result
+	return shares
 }
 
-// fillAnywhere starts what the spread rule still lacks: in other data centres,
+// fillRemaining starts what the spread rule still lacks: in other data centres,
 // and on demand if all that is reclaimable is refused.
-func (p *planner) fillAnywhere() {
-	for !p.met() {
-		need := p.wanted - p.all.survives()
-		o := p.filler(need, zone.Reclaimable)
+func (p *planner) fillRemaining() {
+	for !p.wantedMet() {
+		need := p.wanted - p.planned.withoutLargest()
+		o := p.bestAddition(need, zone.Reclaimable)
 		reason := ReasonElsewhere
 		if o == nil {
-			o = p.filler(need, zone.OnDemand)
+			o = p.bestAddition(need, zone.OnDemand)
 			reason = ReasonLastResort
 		}
 		if o == nil || !p.start(o, reason) {
@@ -300,43 +300,43 @@
 	}
 }
 
-// filler returns the cheapest open offer that raises what survives a loss. In
+// bestAddition returns the cheapest open offer that raises what survives a loss. In
 // the largest data centre nothing does; where two are equally large, one must
 // grow before the other, and the smallest is taken.
-func (p *planner) filler(need float64, market zone.Market) *offer {
-	open := func(o *offer) bool { return o.open && o.Market == market }
-	before := p.all.survives()
-	if o := p.cheapest(need, func(o *offer) bool { return open(o) && p.all.with(o) > before }); o != nil {
+func (p *planner) bestAddition(need float64, market zone.Market) *offer {
+	startable := func(o *offer) bool { return o.startable && o.Market == market }
+	current := p.planned.withoutLargest()
+	if o := p.cheapest(need, func(o *offer) bool { return startable(o) && p.planned.withoutLargestAfter(o) > current }); o != nil {
 		return o
 	}
 	var smallest *offer
-	usable := 0
+	usableCentres := 0
 	for i := range p.offers {
 		o := &p.offers[i]
-		if !open(o) {
+		if !startable(o) {
 			continue
 		}
 		if smallest == nil || o.centre != smallest.centre {
-			usable++
+			usableCentres++
 		}
-		if smallest == nil || p.all[o.centre] < p.all[smallest.centre] {
+		if smallest == nil || p.planned[o.centre] < p.planned[smallest.centre] {
 			smallest = o
 		}
 	}
-	if usable < 2 {
+	if usableCentres < 2 {
 		return nil // a single data centre cannot survive its own loss, however large
 	}
 	return smallest
 }
 
-func (p *planner) met() bool { return p.all.survives() >= p.wanted-epsilon }
+func (p *planner) wantedMet() bool { return p.planned.withoutLargest() >= p.wanted-epsilon }
 
 // start adds a start to the plan, unless the plan is full.
 func (p *planner) start(o *offer, reason Reason) bool {
 	if len(p.plan.Starts) >= p.s.cfg.MaxStarts {
 		return false
 	}
-	ordinal := p.state.next(o.Option)
+	ordinal := p.state.nextOrdinal(o.Option)
 	for _, earlier := range p.plan.Starts {
 		if earlier.Option == o.Option {
 			ordinal++
@@ -344,7 +344,7 @@
 	}
 	token := fmt.Sprintf("%s/%s/%s/%s/%d", p.s.site, o.Zone, o.Class, o.Market, ordinal)
 	p.plan.Starts = append(p.plan.Starts, Start{token, o.Option, ordinal, reason})
-	p.all[o.centre] += o.capacity
+	p.planned[o.centre] += o.capacity
 	return true
 }
 
@@ -359,29 +359,29 @@
 	if !onDemand || starting || len(p.plan.Starts) > 0 || p.in.Now.Sub(p.state.LastSwap) < p.s.cfg.SwapEvery {
 		return
 	}
-	if o := p.filler(p.wanted, zone.Reclaimable); o != nil && p.start(o, ReasonSwap) {
+	if o := p.bestAddition(p.wanted, zone.Reclaimable); o != nil && p.start(o, ReasonSwap) {
 		p.state.LastSwap = p.in.Now
 	}
 }
 
-// stop ends the dearest instances for as long as those that serve without them
+// stopSurplus ends the dearest instances for as long as those that serve without them
 // meet the spread rule. Starting ones do not count: they may never come.
-func (p *planner) stop() {
+func (p *planner) stopSurplus() {
 	fleet := slices.Clone(p.in.Fleet)
 	slices.SortStableFunc(fleet, func(a, b Instance) int {
-		return -compareUnitPrice(p.offer(a.Option), p.offer(b.Option))
+		return -compareUnitPrice(p.findOffer(a.Option), p.findOffer(b.Option))
 	})
 	for _, instance := range fleet {
-		o := p.offer(instance.Option)
+		o := p.findOffer(instance.Option)
 		if o == nil || instance.Phase != PhaseServing {
 			continue
 		}
 		p.serving[o.centre] -= o.capacity
-		if p.serving.survives() < p.wanted {
+		if p.serving.withoutLargest() < p.wanted {
 			p.serving[o.centre] += o.capacity
 			continue
 		}
-		p.all[o.centre] -= o.capacity
+		p.planned[o.centre] -= o.capacity
 		p.plan.Stops = append(p.plan.Stops, Stop{instance.ID, ReasonSpare})
 	}
 }
@@ -406,26 +406,26 @@
 // epsilon is rounding error of sums of capacities, in work per second.
 const epsilon = 1e-6
 
-// parts is a capacity by data centre.
-type parts []float64
+// centreCapacity is a capacity by data centre.
+type centreCapacity []float64
 
-// survives returns what is left without the largest data centre. With a single
+// withoutLargest returns what is left without the largest data centre. With a single
 // one there is nothing to survive its loss, and all of it counts.
-func (c parts) survives() float64 {
+func (c centreCapacity) withoutLargest() float64 {
 	if len(c) == 1 {
 		return c[0]
 	}
-	sum, most := 0.0, 0.0
+	total, largest := 0.0, 0.0
 	for _, v := range c {
-		sum += v
-		most = max(most, v)
+		total += v
+		largest = max(largest, v)
 	}
-	return sum - most
+	return total - largest
 }
 
-// with is survives with one more instance of the offer.
-func (c parts) with(o *offer) float64 {
+// withoutLargestAfter is survives withoutLargestAfter one more instance of the offer.
+func (c centreCapacity) withoutLargestAfter(o *offer) float64 {
 	c[o.centre] += o.capacity
 	defer func() { c[o.centre] -= o.capacity }()
-	return c.survives()
+	return c.withoutLargest()
 }
--- a/policy/scale/scale_test.go
+++ b/policy/scale/scale_test.go
@@ -35,22 +35,22 @@
 // cloud starts instances after three minutes and refuses reclaimable ones in
 // zones that are under a wave.
 type cloud struct {
-	t       require.TestingT
-	scaler  *Scaler
-	state   State
-	fleet   []Instance
-	ready   map[string]time.Time
-	lost    map[string]bool // zones under a wave
-	refuse  func(Option) bool
-	starts  int
-	stops   int
-	refused int
+	t         require.TestingT
+	scaler    *Scaler
+	state     State
+	fleet     []Instance
+	ready     map[string]time.Time
+	reclaimed map[string]bool // zones under a wave
+	refuse    func(Option) bool
+	starts    int
+	stops     int
+	refused   int
 }
 
 func newCloud(t require.TestingT) *cloud {
 	scaler, err := New("site", DefaultConfig())
 	require.NoError(t, err)
-	return &cloud{t: t, scaler: scaler, ready: map[string]time.Time{}, lost: map[string]bool{}}
+	return &cloud{t: t, scaler: scaler, ready: map[string]time.Time{}, reclaimed: map[string]bool{}}
 }
 
 // step decides until nothing is refused, as a caller does.
@@ -76,7 +76,7 @@
 	c.state = state
 	for _, start := range plan.Starts {
 		o := start.Option
-		if o.Market == zone.Reclaimable && c.lost[o.Zone] || c.refuse != nil && c.refuse(o) {
+		if o.Market == zone.Reclaimable && c.reclaimed[o.Zone] || c.refuse != nil && c.refuse(o) {
 			c.state = c.scaler.Refused(c.state, o, now)
 			c.refused++
 			continue
@@ -95,7 +95,7 @@
 }
 
 func (c *cloud) reclaim(zoneName string) {
-	c.lost[zoneName] = true
+	c.reclaimed[zoneName] = true
 	c.fleet = slices.DeleteFunc(c.fleet, func(i Instance) bool {
 		return i.Option.Zone == zoneName && i.Option.Market == zone.Reclaimable
 	})
@@ -133,8 +133,8 @@
 func TestCostThroughAMorningSurgeWithAZoneReclaimed(t *testing.T) {
 	c := newCloud(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	var short [2]int
-	cost, bare, spread := 0.0, 0.0, 0.0
+	var shortMinutes [2]int
+	cost, onDemandCost, onDemandSpareCost := 0.0, 0.0, 0.0
 	for minute := range 2 * 24 * 60 {
 		now := epoch.Add(time.Duration(minute) * time.Minute)
 		demand := dayDemand(minute%(24*60)) * (1 + 0.05*rng.NormFloat64())
@@ -142,24 +142,24 @@
 			c.reclaim("zone-0")
 		}
 		if minute%(24*60) == 11*60 {
-			c.lost = map[string]bool{}
+			c.reclaimed = map[string]bool{}
 		}
 		c.step(now, demand)
 		if minute > 10 && c.serving() < demand {
-			short[minute/(24*60)]++
+			shortMinutes[minute/(24*60)]++
 		}
 		cost += c.price() / 60
 		// On demand in one zone, sized by the same rule for ups and downs: with no
 		// spare at all, and with a spare data centre of five.
-		bare += math.Ceil(c.state.Capacity/4000) * 8 / 60
-		spread += math.Ceil(c.state.Capacity*1.25/4000) * 8 / 60
+		onDemandCost += math.Ceil(c.state.Capacity/4000) * 8 / 60
+		onDemandSpareCost += math.Ceil(c.state.Capacity*1.25/4000) * 8 / 60
 	}
 	t.Logf("cost %.0f; all on demand %.0f without spare (%.0f%% below), %.0f with one data centre of five as spare (%.0f%% below)",
-		cost, bare, 100*(1-cost/bare), spread, 100*(1-cost/spread))
-	t.Logf("%d starts, %d refused, %d stops; minutes short of the demand by day: %v", c.starts, c.refused, c.stops, short)
-	require.LessOrEqual(t, short[0], 3)
-	require.Zero(t, short[1])
-	require.Less(t, cost, 0.6*bare)
+		cost, onDemandCost, 100*(1-cost/onDemandCost), onDemandSpareCost, 100*(1-cost/onDemandSpareCost))
+	t.Logf("%d starts, %d refused, %d stops; minutes short of the demand by day: %v", c.starts, c.refused, c.stops, shortMinutes)
+	require.LessOrEqual(t, shortMinutes[0], 3)
+	require.Zero(t, shortMinutes[1])
+	require.Less(t, cost, 0.6*onDemandCost)
 }
 
 // dayDemand is work per second by minute of the day.
@@ -179,24 +179,24 @@
 // The load swings by a tenth around its level. A fleet that followed it would
 // start and stop instances all day, each start three minutes of nothing for its
 // price. Breaks without DownAfter in hold.
-func TestNoiseStartsAndStopsNothing(t *testing.T) {
+func TestNoiseCausesNoStartsOrStops(t *testing.T) {
 	c := newCloud(t)
 	rng := rand.New(rand.NewPCG(5, 6))
-	started := 0
+	initialStarts := 0
 	for minute := range 600 {
 		c.step(epoch.Add(time.Duration(minute)*time.Minute), 100_000*(0.9+0.2*rng.Float64()))
 		if minute == 60 {
-			started = c.starts
+			initialStarts = c.starts
 		}
 	}
-	t.Logf("first hour: %d starts; nine hours of noise after it: %d starts, %d stops", started, c.starts-started, c.stops)
-	require.Less(t, c.starts-started+c.stops, started)
+	t.Logf("first hour: %d starts; nine hours of noise after it: %d starts, %d stops", initialStarts, c.starts-initialStarts, c.stops)
+	require.Less(t, c.starts-initialStarts+c.stops, initialStarts)
 }
 
 // A wave takes a data centre and the cloud refuses all that is reclaimable,
 // everywhere. The fleet must not be left short, nor ask without end, nor stay on
 // demand for good when the wave is over.
-func TestRefusedStartsMoveOnAndBackOff(t *testing.T) {
+func TestRefusedStartsFallBackToOnDemandAndBackOff(t *testing.T) {
 	c := newCloud(t)
 	minute := 0
 	run := func(minutes int) (last Plan) {
@@ -220,14 +220,14 @@
 	c.refuse = func(o Option) bool { return o.Market == zone.Reclaimable }
 	c.reclaim("zone-1")
 	plan := run(10)
-	require.Zero(t, plan.Short)
+	require.Zero(t, plan.Shortfall)
 	require.Positive(t, onDemand())
 	refused := c.refused
 	run(60)
 	t.Logf("refused in the first 10 min %d, in the next hour %d; on demand %d", refused, c.refused-refused, onDemand())
 	require.Less(t, c.refused-refused, 200)
 	c.refuse = nil
-	c.lost = map[string]bool{}
+	c.reclaimed = map[string]bool{}
 	run(240)
 	require.Zero(t, onDemand())
 }
@@ -235,7 +235,7 @@
 // The leader asks the cloud for starts and is lost before it could note them.
 // The next leader decides again from the State that was noted. With tokens of
 // its own the cloud would run, and charge, everything twice.
-func TestNewLeaderRepeatsTokens(t *testing.T) {
+func TestNewLeaderReusesStartTokens(t *testing.T) {
 	scaler, err := New("site", DefaultConfig())
 	require.NoError(t, err)
 	in := Input{Now: epoch, Demand: 50_000, Classes: testClasses(), Zones: testZones()}
@@ -256,7 +256,7 @@
 // Whatever the fleet, demand and refusals: a plan whose starts all come leaves
 // enough without any one data centre, or says what is short; and its stops leave
 // enough among those that serve.
-func TestPlanProperties(t *testing.T) {
+func TestPlanSurvivesTheLossOfADataCentre(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCloud(t)
 		now := epoch
@@ -267,18 +267,18 @@
 			}
 			stops := c.stops
 			plan := c.step(now, rapid.Float64Range(0, 200_000).Draw(t, "demand"))
-			all, serving := make(parts, 5), make(parts, 5)
+			planned, serving := make(centreCapacity, 5), make(centreCapacity, 5)
 			for _, i := range c.fleet {
 				centre := i.Option.Zone[len(i.Option.Zone)-1] - '0'
 				capacity := map[string]float64{"large": 4000, "small": 1000}[i.Option.Class]
-				all[centre] += capacity
+				planned[centre] += capacity
 				if i.Phase == PhaseServing {
 					serving[centre] += capacity
 				}
 			}
-			require.GreaterOrEqual(t, all.survives()+plan.Short, plan.Wanted-1)
+			require.GreaterOrEqual(t, planned.withoutLargest()+plan.Shortfall, plan.Wanted-1)
 			if c.stops > stops {
-				require.GreaterOrEqual(t, serving.survives(), plan.Wanted-1)
+				require.GreaterOrEqual(t, serving.withoutLargest(), plan.Wanted-1)
 			}
 		}
 	})
@@ -287,17 +287,17 @@
 func TestPlacePacesSpreadsAndKeepsAdaptersWithModels(t *testing.T) {
 	model := Artifact{Model: "m", Version: "1", Bytes: 10}
 	adapter := Artifact{Model: "m", Version: "1", Adapter: "a", Bytes: 1}
-	in := PlaceInput{Rate: 20, LoadRate: 10, Needs: []Need{{adapter, 1, 9}, {model, 2, 5}}}
+	in := PlaceInput{StoreRate: 20, MinLoadRate: 10, Needs: []Need{{adapter, 1, 9}, {model, 2, 5}}}
 	for i := range 6 {
-		in.Hosts = append(in.Hosts, Host{ID: fmt.Sprint(i), DataCentre: fmt.Sprint(i / 3), Room: 100, Leaving: i == 0})
+		in.Hosts = append(in.Hosts, Host{ID: fmt.Sprint(i), DataCentre: fmt.Sprint(i / 3), FreeBytes: 100, Leaving: i == 0})
 	}
 	in.Hosts[1].Loaded = []Artifact{model}
 	got := Place(in)
 	require.Equal(t, []Load{{"1", adapter}, {"3", model}}, got.Loads)
-	in.Loading = 1
+	in.LoadsInProgress = 1
 	got = Place(in)
 	require.Len(t, got.Loads, 1)
-	require.Equal(t, 1, got.Paced)
+	require.Equal(t, 1, got.Deferred)
 }
 
 func TestConfigNamesTheField(t *testing.T) {
--- a/policy/scale/state.go
+++ b/policy/scale/state.go
@@ -80,13 +80,13 @@
 	return state
 }
 
-func (s *State) open(option Option, now time.Time) bool {
+func (s *State) startable(option Option, now time.Time) bool {
 	return !slices.ContainsFunc(s.Backoffs, func(b Backoff) bool {
 		return b.Option == option && now.Before(b.Until)
 	})
 }
 
-func (s *State) next(option Option) uint64 {
+func (s *State) nextOrdinal(option Option) uint64 {
 	for _, o := range s.Ordinals {
 		if o.Option == option {
 			return o.Next
@@ -95,23 +95,23 @@
 	return 0
 }
 
-// hold moves the capacity held towards what the demand wants: up at once, down
+// updateTarget moves the capacity held towards what the demand wants: up at once, down
 // late and in steps.
-func (c *Config) hold(s *State, demand float64, now time.Time) Reason {
-	if passed := now.Sub(s.At).Seconds(); !s.At.IsZero() && passed > 0 {
-		s.Slope += slopeWeight * ((demand-s.Demand)/passed - s.Slope)
+func (c *Config) updateTarget(s *State, demand float64, now time.Time) Reason {
+	if elapsed := now.Sub(s.At).Seconds(); !s.At.IsZero() && elapsed > 0 {
+		s.Slope += slopeWeight * ((demand-s.Demand)/elapsed - s.Slope)
 	}
-	s.remember(demand, now)
+	s.recordDemand(demand, now)
 	s.Demand = demand
 	s.At = now
-	ahead := demand + max(s.Slope, 0)*c.Lead.Seconds()
-	want := max(ahead, s.expected(now, c.Lead)) * c.Headroom
-	if want >= s.Capacity {
-		s.Capacity = want
+	extrapolated := demand + max(s.Slope, 0)*c.Lead.Seconds()
+	target := max(extrapolated, s.forecast(now, c.Lead)) * c.Headroom
+	if target >= s.Capacity {
+		s.Capacity = target
 		s.LowSince = time.Time{}
 		return ReasonUp
 	}
-	if want >= s.Capacity*c.DownBelow {
+	if target >= s.Capacity*c.DownBelow {
 		s.LowSince = time.Time{}
 		return ReasonHold
 	}
@@ -121,7 +121,7 @@
 	if now.Sub(s.LowSince) < c.DownAfter || now.Sub(s.LastDown) < c.DownEvery {
 		return ReasonHold
 	}
-	s.Capacity = max(want, s.Capacity*(1-c.DownStep))
+	s.Capacity = max(target, s.Capacity*(1-c.DownStep))
 	s.LastDown = now
 	return ReasonDown
 }
@@ -130,38 +130,38 @@
 // With decisions a minute apart, a surge counts for half after the first.
 const slopeWeight = 0.5
 
-// dayBucket divides the day for remembering the demand.
-const dayBucket = 5 * time.Minute
+// dayBucketLength divides the day for remembering the demand.
+const dayBucketLength = 5 * time.Minute
 
-const dayBuckets = int(24 * time.Hour / dayBucket)
+const bucketsPerDay = int(24 * time.Hour / dayBucketLength)
 
-func bucketOf(t time.Time) int {
-	return int(t.Unix()/int64(dayBucket.Seconds())) % dayBuckets
+func dayBucketIndex(t time.Time) int {
+	return int(t.Unix()/int64(dayBucketLength.Seconds())) % bucketsPerDay
 }
 
-// remember notes the demand for the next day.
-func (s *State) remember(demand float64, now time.Time) {
-	if len(s.Day) != dayBuckets || now.Sub(s.At) >= 24*time.Hour {
-		s.Day = make([]float64, dayBuckets)
+// recordDemand notes the demand for the next day.
+func (s *State) recordDemand(demand float64, now time.Time) {
+	if len(s.Day) != bucketsPerDay || now.Sub(s.At) >= 24*time.Hour {
+		s.Day = make([]float64, bucketsPerDay)
 	} else {
 		s.Day = slices.Clone(s.Day)
 	}
-	i := bucketOf(now)
-	if i != bucketOf(s.At) {
+	i := dayBucketIndex(now)
+	if i != dayBucketIndex(s.At) {
 		s.Day[i] = 0
 	}
 	s.Day[i] = max(s.Day[i], demand)
 }
 
-// expected returns the highest demand of the day before within the lead time
+// forecast returns the highest demand of the day before within the lead time
 // from now. Brokers call in at the same hour each morning, and their demand
 // doubles within the time that a start takes: by the time it shows, it is too
 // late. A surge that came once is paid for once more a day later, for as long as
 // it lasted.
-func (s *State) expected(now time.Time, lead time.Duration) float64 {
-	most := 0.0
-	for ahead := dayBucket; ahead <= lead+dayBucket; ahead += dayBucket {
-		most = max(most, s.Day[bucketOf(now.Add(ahead))])
+func (s *State) forecast(now time.Time, lead time.Duration) float64 {
+	peak := 0.0
+	for offset := dayBucketLength; offset <= lead+dayBucketLength; offset += dayBucketLength {
+		peak = max(peak, s.Day[dayBucketIndex(now.Add(offset))])
 	}
-	return most
+	return peak
 }
