--- a/policy/scale/config.go
+++ b/policy/scale/config.go
@@ -8,39 +8,32 @@
 
 // Config holds the thresholds of a Scaler. Start from DefaultConfig.
 type Config struct {
-	// Headroom is the capacity wanted over the demand, 1 or more.
+	// Headroom is the ratio of target capacity to demand, 1 or more.
 	Headroom float64
-	// Lead is the time from a start to serving: the demand is extrapolated by it.
+	// Lead is the time from a start until the instance serves. Demand is
+	// extrapolated by it.
 	Lead time.Duration
-	// DownBelow, DownAfter, DownEvery and DownStep: when less than DownBelow of
-	// the capacity held is wanted for DownAfter, it falls by DownStep of itself
-	// at most once per DownEvery.
+	// When the target is below DownBelow of the capacity for DownAfter, the capacity
+	// is reduced by the ratio DownStep, at most once per DownEvery.
 	DownBelow float64
 	DownAfter time.Duration
 	DownEvery time.Duration
 	DownStep  float64
-	// BackoffMin is the time without starts of an option after a refusal; it
-	// doubles with each refusal in a row up to BackoffMax.
+	// BackoffMin is how long an option is not started after a refusal. It doubles
+	// with each consecutive refusal, up to BackoffMax.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
-	// ReclaimCost is what one reclaimed instance costs in recomputed work, in the
-	// currency of the prices.
+	// ReclaimCost is the cost of recomputing the work that one reclaim interrupts, in
+	// the currency of the prices.
 	ReclaimCost float64
-	// SwapEvery is the least time between starts that replace an on-demand
-	// instance by a reclaimable one.
+	// SwapEvery is the minimum interval between starts that replace an on-demand
+	// instance with a reclaimable one.
 	SwapEvery time.Duration
-	// MaxStarts bounds the starts of one plan.
+	// MaxStarts limits the starts of one plan.
 	MaxStarts int
 }
 
-// DefaultConfig returns the thresholds. Headroom 1.2 keeps queues short at the
-// demand (the wait at a load of 0.83 is about that of one request in five).
-// Lead 3 min is the usual time to boot and to load weights. Up at once and down
-// by a tenth every 2 min after 10 min: a surge of brokers calling in has lulls of
-// minutes, and a start costs Lead of capacity that is paid for and does not
-// serve. The tests print the number of starts under noise. BackoffMax 10 min:
-// waves last tens of minutes, and asking less often than that finds returned
-// capacity late.
+// DefaultConfig returns the default thresholds.
 func DefaultConfig() Config {
 	return Config{
 		Headroom:    1.2,
--- a/policy/scale/doc.go
+++ b/policy/scale/doc.go
@@ -1,21 +1,21 @@
-// Package scale decides how many instances of which machine class run in which
+// Package scale decides how many instances of each machine class run in each
 // zone, and which models and adapters they load.
 //
-// Load patterns answered: a surge each morning that grows fivefold in minutes,
-// noise around a level, a wave that takes a data centre's worth of reclaimable
-// instances at once, and a cloud that refuses replacement starts just then.
+// Load pattern: a morning surge that grows fivefold within minutes, noise around
+// a level, a wave that reclaims a whole data centre's reclaimable instances, and a
+// cloud that refuses replacement starts during the wave.
 //
-// Without it: on-demand instances everywhere, at about three times the price; or
-// reclaimable ones in the cheapest zone, all gone in one wave; or a fleet that
-// follows each dip of the load and is too small when it returns minutes later;
-// or starts that are asked for over and over where they are refused.
+// Without it: an on-demand fleet costs about three times as much; a fleet of
+// reclaimable instances in the cheapest zone is lost in one wave; a fleet that
+// follows each dip is too small when the load returns minutes later; and refused
+// starts are repeated without backoff.
 //
-// The rule that the size follows is: without any one data centre, the rest
-// still serves the demand. With equal parts in k data centres this takes
-// 1/(k-1) more than the demand; more data centres need less spare but are dearer
-// from one to the next, and Decide takes the cheapest k. Each region is decided
-// on its own: regions lose each other, and one must not rely on the other.
+// Sizing rule: the fleet without any one data centre still serves the demand.
+// With equal shares in k data centres the fleet needs k/(k-1) of the demand. More
+// data centres need less spare capacity, but each further one is more expensive;
+// Decide chooses the cheapest k. Each region is sized on its own, so that none
+// relies on the capacity of another.
 //
-// The package does no I/O and reads no clock. Decide is a pure function; its
-// State is to be kept where a new leader finds it.
+// The package does no I/O and reads no clock. Decide is a pure function; the
+// caller stores its State where the next leader can read it.
 package scale
--- a/policy/scale/place.go
+++ b/policy/scale/place.go
@@ -5,12 +5,11 @@
 	"slices"
 )
 
-// Artifact is something to load from the weight store: a model, or an adapter
-// for one.
+// Artifact is a model, or an adapter for a model, in the weight store.
 type Artifact struct {
 	Model   string
 	Version string
-	Adapter string // empty: the model itself
+	Adapter string // empty for the model itself
 	Bytes   int64
 }
 
@@ -18,11 +17,11 @@
 	return a.Model == b.Model && a.Version == b.Version && a.Adapter == b.Adapter
 }
 
-// Need says on how many servers an artifact should be loaded.
+// Need is the number of servers that should load an artifact.
 type Need struct {
 	Artifact Artifact
 	Servers  int
-	Demand   float64 // work per second that needs it
+	Demand   float64 // work per second that requires the artifact
 }
 
 // Host is a backend server that can load artifacts.
@@ -30,44 +29,43 @@
 	ID          string
 	DataCentre  string
 	Leaving     bool
-	Utilization float64    // part of its capacity in use, 0..1
-	Loaded      []Artifact // or being loaded
-	FreeBytes   int64      // bytes left for more
+	Utilization float64    // ratio of capacity in use, 0..1
+	Loaded      []Artifact // includes artifacts being loaded
+	FreeBytes   int64      // for further artifacts
 }
 
-// PlaceInput is what Place looks at.
+// PlaceInput is the input of Place.
 type PlaceInput struct {
 	Hosts           []Host
 	Needs           []Need
-	StoreRate       float64 // of the weight store, bytes per second
-	LoadsInProgress int     // loads under way
-	MinLoadRate     float64 // the least rate at which one load is worth starting, bytes per second
+	StoreRate       float64 // throughput of the weight store, bytes per second
+	LoadsInProgress int
+	MinLoadRate     float64 // minimum throughput per load, bytes per second
 }
 
-// Load is an order to load an artifact.
+// Load is an order to a host to load an artifact.
 type Load struct {
 	Host     string
 	Artifact Artifact
 }
 
-// Placement is the verdict of Place.
+// Placement is the result of Place.
 type Placement struct {
 	Loads []Load
-	// Deferred counts loads put off because the weight store is busy, and NoRoom
-	// those for which no server has room.
+	// Deferred counts the loads postponed because the weight store is busy, NoSpace those
+	// that no server has space for.
 	Deferred int
 	NoSpace  int
 }
 
-// Place decides which artifacts to load where. The artifact with the most
-// demand per copy it has goes first, to the data centre with the fewest copies
-// of it, on the least loaded server there.
+// Place decides which artifacts to load on which hosts. The artifact with the most
+// demand per copy goes first, to the data centre with the fewest copies of it, on
+// the least utilized host there.
 //
-// Load pattern answered: a wave or a surge after which many servers need weights
-// at once from a store with a fixed rate. Without pacing all loads share the
-// rate and all end at the very end: n loads begun together are served at 1/n of
-// the rate each, so the first server is ready after the time of all n. At most
-// Rate/LoadRate run at a time, and the first is ready after that part of it.
+// Load pattern: after a wave or a surge many servers load weights from a store with
+// a fixed throughput. Without a limit n concurrent loads each get 1/n of it, and the
+// first server is ready only when all of them are. Place limits concurrent loads to
+// StoreRate/MinLoadRate.
 func Place(in PlaceInput) Placement {
 	hosts := slices.Clone(in.Hosts)
 	for i := range hosts {
@@ -98,8 +96,8 @@
 	}
 }
 
-// mostUrgent returns the need with the most demand per copy among those that lack
-// copies, -1 if none does.
+// mostUrgent returns the index of the need with the most demand per copy among those
+// that lack copies, or -1.
 func mostUrgent(needs []Need, hosts []Host) int {
 	best, highest := -1, 0.0
 	for i, need := range needs {
@@ -128,8 +126,8 @@
 	return !h.Leaving && slices.ContainsFunc(h.Loaded, a.sameAs)
 }
 
-// fits reports whether the host can load the artifact: an adapter goes where its
-// model is.
+// fits reports whether the host can load the artifact. An adapter requires its model on
+// the same host.
 func (h *Host) fits(a Artifact) bool {
 	if h.Leaving || h.FreeBytes < a.Bytes || h.holds(a) {
 		return false
@@ -137,6 +135,8 @@
 	return a.Adapter == "" || h.holds(Artifact{Model: a.Model, Version: a.Version})
 }
 
+// bestHost returns the host that fits and has the fewest copies in its data centre, then
+// the lowest utilization and ID. It returns nil if no host fits.
 func bestHost(hosts []Host, a Artifact) *Host {
 	copiesInCentre := func(h *Host) int {
 		n := 0
--- a/policy/scale/scale.go
+++ b/policy/scale/scale.go
@@ -8,20 +8,20 @@
 	"savoryreel.example/savoryreel/zone"
 )
 
-// Class is a machine class and what it serves within the latency target.
+// Class is a machine class and its capacity within the latency target.
 type Class struct {
 	Name     string
-	Capacity float64 // work per second, such as generated tokens
+	Capacity float64 // work per second, for example generated tokens
 }
 
-// Phase is where an instance of the fleet stands.
+// Phase is the lifecycle phase of an instance.
 type Phase uint8
 
 // The phases.
 const (
 	PhaseStarting Phase = iota // accepted by the cloud, not serving yet
 	PhaseServing
-	PhaseLeaving // under notice, or stopping
+	PhaseLeaving // has a reclaim notice, or is stopping
 )
 
 // Instance is one instance of the fleet.
@@ -31,36 +31,36 @@
 	Phase  Phase
 }
 
-// Risk is how often instances of a zone are reclaimed.
+// Risk is the reclaim rate of a zone.
 type Risk struct {
 	Zone    string
 	PerHour float64 // reclaims per instance and hour
 }
 
-// Input is what a decision looks at: one region's demand, offers and fleet. An
-// accepted start must be in Fleet from the moment it is accepted.
+// Input is the demand, offers and fleet of one region. Fleet must contain every
+// accepted start, also those that the cloud does not list yet.
 type Input struct {
 	Now     time.Time
-	Demand  float64 // work per second that callers want
+	Demand  float64 // work per second
 	Classes []Class
 	Zones   []zone.Zone
 	Risks   []Risk
 	Fleet   []Instance
 }
 
-// Reason says why something is started or stopped.
+// Reason is the reason for a change of the target, a start or a stop.
 type Reason uint8
 
 // The reasons.
 const (
-	ReasonHold       Reason = iota // the capacity held stays
-	ReasonUp                       // demand, with its slope, has reached the capacity held
-	ReasonDown                     // demand has been lower for long
-	ReasonSpread                   // start: its data centre's part under the spread rule
-	ReasonElsewhere                // start: where it belongs, starts are refused
-	ReasonLastResort               // start: on demand, as all that is reclaimable is refused
-	ReasonSwap                     // start: to take the place of an on-demand instance
-	ReasonSpare                    // stop: not needed by the spread rule
+	ReasonHold       Reason = iota // target unchanged
+	ReasonUp                       // target raised: the extrapolated or forecast demand exceeds it
+	ReasonDown                     // target lowered: demand was below it for Config.DownAfter
+	ReasonSpread                   // start: the data centre has less than its share
+	ReasonElsewhere                // start: in another data centre, as starts in the preferred one are refused
+	ReasonLastResort               // start: on demand, as all reclaimable options are refused
+	ReasonSwap                     // start: reclaimable, to replace an on-demand instance
+	ReasonSpare                    // stop: more capacity than the target requires
 )
 
 // String returns the reason in lower case with underscores, for logs.
@@ -73,7 +73,7 @@
 }
 
 // Start is an instance to start. Token is the client token for the cloud API: a
-// new leader that decides the same start again sends the same token and gets
+// new leader that repeats the decision sends the same token, and the cloud returns
 // the same instance.
 type Start struct {
 	Token   string
@@ -88,23 +88,23 @@
 	Reason Reason
 }
 
-// Plan is a decision.
+// Plan lists the starts and stops of one decision.
 type Plan struct {
 	Starts    []Start
 	Stops     []Stop
-	Reason    Reason  // of the capacity held
-	Wanted    float64 // work per second to be there without any one data centre
-	Shortfall float64 // what is still missing of it once all starts serve
+	Reason    Reason  // for the change of the target capacity
+	Wanted    float64 // work per second that must remain after the loss of any one data centre
+	Shortfall float64 // missing part of Wanted after all starts, in work per second
 }
 
-// Scaler decides on the fleet of one service, or of services that share it.
+// Scaler sizes the fleet of one service, or of several that share a fleet.
 type Scaler struct {
 	site string
 	cfg  Config
 }
 
-// New returns a Scaler; site goes into the client tokens, so that two sites with
-// one cloud account do not share them. The error is a *policy.ConfigError.
+// New returns a Scaler. site is part of the client tokens, so that two sites with
+// one cloud account use different tokens. The error is a *policy.ConfigError.
 func New(site string, cfg Config) (*Scaler, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -112,8 +112,8 @@
 	return &Scaler{site: site, cfg: cfg}, nil
 }
 
-// Decide returns what to start and stop now, and the State for the next
-// decision. Call it every minute or so and after each notice or refusal.
+// Decide returns the instances to start and stop now, and the State for the next
+// call. Call it about every minute and after each reclaim notice or refusal.
 func (s *Scaler) Decide(state State, in Input) (State, Plan) {
 	reason := s.cfg.updateTarget(&state, in.Demand, in.Now)
 	p := s.newPlanner(&state, &in)
@@ -126,23 +126,23 @@
 	return state, p.plan
 }
 
-// offer is an Option with its price.
+// offer is an Option with its capacity and price.
 type offer struct {
 	Option
 	centre    int     // index of the data centre
 	capacity  float64 // work per second
-	price     float64 // currency units an hour, with the risk of a reclaim
-	startable bool    // starts are not backing off
+	price     float64 // currency units per hour, including the expected cost of reclaims
+	startable bool    // not in backoff
 }
 
-// planner holds one decision on its way.
+// planner holds the intermediate state of one Decide call.
 type planner struct {
 	s       *Scaler
 	state   *State
 	in      *Input
 	offers  []offer
 	wanted  float64
-	planned centreCapacity // capacity by data centre, starting or serving
+	planned centreCapacity // by data centre, starting or serving
 	serving centreCapacity
 	plan    Plan
 }
@@ -212,9 +212,9 @@
 	return nil
 }
 
-// cheapest returns the offer with the lowest price for the need that it can
-// fill, among those that ok accepts, or nil. Capacity beyond the need counts for
-// nothing, so a small rest takes a small machine.
+// cheapest returns the accepted offer with the lowest price per useful capacity, or
+// nil. Capacity above need is not useful, so a small remainder is filled with a
+// small machine.
 func (p *planner) cheapest(need float64, ok func(o *offer) bool) *offer {
 	var best *offer
 	var bestPrice float64
@@ -231,8 +231,7 @@
 	return best
 }
 
-// fillShares starts, in each data centre that has a part of the capacity, what it
-// lacks of it.
+// fillShares starts reclaimable instances in each data centre up to its share.
 func (p *planner) fillShares() {
 	for centre, share := range p.targetShares() {
 		for p.planned[centre] < share && !p.wantedMet() {
@@ -246,12 +245,12 @@
 	}
 }
 
-// targetShares returns the capacity that each data centre should have: equal targetShares in
-// the cheapest k of them, for the k with the lowest price in all.
+// targetShares returns the target capacity of each data centre: equal shares in the
+// k cheapest ones, for the k with the lowest total price.
 func (p *planner) targetShares() centreCapacity {
 	type centrePrice struct {
 		centre int
-		price  float64 // of a unit of work per second
+		price  float64 // per unit of work per second
 	}
 	var ranked []centrePrice
 	for centre := range p.planned {
@@ -283,8 +282,8 @@
 	return shares
 }
 
-// fillRemaining starts what the spread rule still lacks: in other data centres,
-// and on demand if all that is reclaimable is refused.
+// fillRemaining starts what is missing after fillShares: in any data centre, and on
+// demand if no reclaimable option can be started.
 func (p *planner) fillRemaining() {
 	for !p.wantedMet() {
 		need := p.wanted - p.planned.withoutLargest()
@@ -300,9 +299,9 @@
 	}
 }
 
-// bestAddition returns the cheapest open offer that raises what survives a loss. In
-// the largest data centre nothing does; where two are equally large, one must
-// grow before the other, and the smallest is taken.
+// bestAddition returns the cheapest startable offer that increases the capacity
+// without the largest data centre. If none does, because the largest ones are
+// equal in size, it returns an offer in the smallest data centre.
 func (p *planner) bestAddition(need float64, market zone.Market) *offer {
 	startable := func(o *offer) bool { return o.startable && o.Market == market }
 	current := p.planned.withoutLargest()
@@ -324,14 +323,14 @@
 		}
 	}
 	if usableCentres < 2 {
-		return nil // a single data centre cannot survive its own loss, however large
+		return nil // a single data centre cannot survive its own loss
 	}
 	return smallest
 }
 
 func (p *planner) wantedMet() bool { return p.planned.withoutLargest() >= p.wanted-epsilon }
 
-// start adds a start to the plan, unless the plan is full.
+// start adds a start to the plan and reports false if the plan is full.
 func (p *planner) start(o *offer, reason Reason) bool {
 	if len(p.plan.Starts) >= p.s.cfg.MaxStarts {
 		return false
@@ -348,9 +347,9 @@
 	return true
 }
 
-// swap starts one reclaimable instance to take the place of an on-demand one.
-// The latter stops when the former serves. One at a time, since the wave that
-// made on-demand instances necessary may not be over.
+// swap starts one reclaimable instance to replace an on-demand one, which stopSurplus
+// stops once the new one serves. It starts one at a time, as the wave may not be
+// over.
 func (p *planner) swap() {
 	onDemand := slices.ContainsFunc(p.in.Fleet, func(i Instance) bool {
 		return i.Phase == PhaseServing && i.Option.Market == zone.OnDemand
@@ -364,8 +363,8 @@
 	}
 }
 
-// stopSurplus ends the dearest instances for as long as those that serve without them
-// meet the spread rule. Starting ones do not count: they may never come.
+// stopSurplus stops the most expensive instances while the remaining serving ones
+// still meet the target. Starting instances do not count, as their start may fail.
 func (p *planner) stopSurplus() {
 	fleet := slices.Clone(p.in.Fleet)
 	slices.SortStableFunc(fleet, func(a, b Instance) int {
@@ -403,14 +402,14 @@
 	}
 }
 
-// epsilon is rounding error of sums of capacities, in work per second.
+// epsilon allows for rounding errors in sums of capacities, in work per second.
 const epsilon = 1e-6
 
-// centreCapacity is a capacity by data centre.
+// centreCapacity is the capacity of each data centre, in work per second.
 type centreCapacity []float64
 
-// withoutLargest returns what is left without the largest data centre. With a single
-// one there is nothing to survive its loss, and all of it counts.
+// withoutLargest returns the capacity that remains after the loss of the largest data
+// centre. With a single data centre it returns the whole capacity.
 func (c centreCapacity) withoutLargest() float64 {
 	if len(c) == 1 {
 		return c[0]
@@ -423,7 +422,7 @@
 	return total - largest
 }
 
-// withoutLargestAfter is survives withoutLargestAfter one more instance of the offer.
+// withoutLargestAfter returns withoutLargest with one more instance of the offer.
 func (c centreCapacity) withoutLargestAfter(o *offer) float64 {
 	c[o.centre] += o.capacity
 	defer func() { c[o.centre] -= o.capacity }()
--- a/policy/scale/scale_test.go
+++ b/policy/scale/scale_test.go
@@ -17,8 +17,8 @@
 
 var epoch = time.Unix(1_800_000_000, 0).Truncate(24 * time.Hour)
 
-// testZones are five data centres. Reclaimable machines cost 30 to 40 in 100 of
-// on-demand ones, an assumption: clouds list discounts of 60 to 90 in 100.
+// testZones returns five data centres in which reclaimable instances cost 30% to 40% of the
+// on-demand price.
 func testZones() []zone.Zone {
 	var zones []zone.Zone
 	for i, discount := range []float64{0.30, 0.32, 0.35, 0.38, 0.40} {
@@ -32,8 +32,8 @@
 
 func testClasses() []Class { return []Class{{"large", 4000}, {"small", 1000}} }
 
-// cloud starts instances after three minutes and refuses reclaimable ones in
-// zones that are under a wave.
+// cloud simulates a cloud: instances serve three minutes after their start, and reclaimable
+// ones are refused in zones under a wave.
 type cloud struct {
 	t         require.TestingT
 	scaler    *Scaler
@@ -53,7 +53,7 @@
 	return &cloud{t: t, scaler: scaler, ready: map[string]time.Time{}, reclaimed: map[string]bool{}}
 }
 
-// step decides until nothing is refused, as a caller does.
+// step decides until no start is refused.
 func (c *cloud) step(now time.Time, demand float64) Plan {
 	for range 100 {
 		refused := c.refused
@@ -61,7 +61,7 @@
 			return plan
 		}
 	}
-	require.Fail(c.t, "refused without end")
+	require.Fail(c.t, "starts are refused without backoff")
 	return Plan{}
 }
 
@@ -125,11 +125,9 @@
 	return sum
 }
 
-// Brokers call in from eight o'clock, the demand grows fivefold in six minutes,
-// and at its top the cloud takes the cheapest data centre away for two hours and
-// refuses to start there. Callers must not notice. On the first day the surge
-// outruns the starts for a moment; on the second it is expected. Breaks without
-// the loss in survives, the slope in hold and expected.
+// Guards against a shortage in a morning surge during which the cheapest data centre is
+// reclaimed and refuses starts for two hours. The first surge may exceed the capacity for a
+// few minutes; the second is forecast.
 func TestCostThroughAMorningSurgeWithAZoneReclaimed(t *testing.T) {
 	c := newCloud(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -149,20 +147,20 @@
 			shortMinutes[minute/(24*60)]++
 		}
 		cost += c.price() / 60
-		// On demand in one zone, sized by the same rule for ups and downs: with no
-		// spare at all, and with a spare data centre of five.
+		// On demand in one zone for the same target: without spare capacity, and with a spare
+		// data centre out of five.
 		onDemandCost += math.Ceil(c.state.Capacity/4000) * 8 / 60
 		onDemandSpareCost += math.Ceil(c.state.Capacity*1.25/4000) * 8 / 60
 	}
-	t.Logf("cost %.0f; all on demand %.0f without spare (%.0f%% below), %.0f with one data centre of five as spare (%.0f%% below)",
+	t.Logf("cost %.0f; on demand without spare %.0f (%.0f%% saved), with one spare data centre of five %.0f (%.0f%% saved)",
 		cost, onDemandCost, 100*(1-cost/onDemandCost), onDemandSpareCost, 100*(1-cost/onDemandSpareCost))
-	t.Logf("%d starts, %d refused, %d stops; minutes short of the demand by day: %v", c.starts, c.refused, c.stops, shortMinutes)
+	t.Logf("%d starts, %d refused, %d stops; minutes with less capacity than demand, by day: %v", c.starts, c.refused, c.stops, shortMinutes)
 	require.LessOrEqual(t, shortMinutes[0], 3)
 	require.Zero(t, shortMinutes[1])
 	require.Less(t, cost, 0.6*onDemandCost)
 }
 
-// dayDemand is work per second by minute of the day.
+// dayDemand returns work per second by minute of the day.
 func dayDemand(minute int) float64 {
 	switch {
 	case minute < 8*60:
@@ -176,9 +174,8 @@
 	}
 }
 
-// The load swings by a tenth around its level. A fleet that followed it would
-// start and stop instances all day, each start three minutes of nothing for its
-// price. Breaks without DownAfter in hold.
+// Guards against starts and stops when the load varies by 10% around a constant level: each
+// start costs three minutes without service.
 func TestNoiseCausesNoStartsOrStops(t *testing.T) {
 	c := newCloud(t)
 	rng := rand.New(rand.NewPCG(5, 6))
@@ -193,9 +190,8 @@
 	require.Less(t, c.starts-initialStarts+c.stops, initialStarts)
 }
 
-// A wave takes a data centre and the cloud refuses all that is reclaimable,
-// everywhere. The fleet must not be left short, nor ask without end, nor stay on
-// demand for good when the wave is over.
+// Guards against three failures when the cloud refuses all reclaimable starts: a shortage,
+// retries without backoff, and a fleet that stays on demand after the wave.
 func TestRefusedStartsFallBackToOnDemandAndBackOff(t *testing.T) {
 	c := newCloud(t)
 	minute := 0
@@ -232,9 +228,8 @@
 	require.Zero(t, onDemand())
 }
 
-// The leader asks the cloud for starts and is lost before it could note them.
-// The next leader decides again from the State that was noted. With tokens of
-// its own the cloud would run, and charge, everything twice.
+// Guards against duplicate instances after a leader is lost between requesting starts and
+// storing their acceptance: the next leader must send the same tokens.
 func TestNewLeaderReusesStartTokens(t *testing.T) {
 	scaler, err := New("site", DefaultConfig())
 	require.NoError(t, err)
@@ -253,9 +248,8 @@
 	}
 }
 
-// Whatever the fleet, demand and refusals: a plan whose starts all come leaves
-// enough without any one data centre, or says what is short; and its stops leave
-// enough among those that serve.
+// Guards against plans that, after all starts, neither survive the loss of any one data
+// centre nor report the shortfall, and against stops that leave too few serving instances.
 func TestPlanSurvivesTheLossOfADataCentre(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCloud(t)
@@ -284,6 +278,8 @@
 	})
 }
 
+// Guards against too many concurrent loads, copies in one data centre only, and adapters on
+// hosts without their model.
 func TestPlacePacesSpreadsAndKeepsAdaptersWithModels(t *testing.T) {
 	model := Artifact{Model: "m", Version: "1", Bytes: 10}
 	adapter := Artifact{Model: "m", Version: "1", Adapter: "a", Bytes: 1}
@@ -300,6 +296,7 @@
 	require.Equal(t, 1, got.Deferred)
 }
 
+// Guards against a configuration error that does not name the invalid field.
 func TestConfigNamesTheField(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.DownStep = 0
--- a/policy/scale/state.go
+++ b/policy/scale/state.go
@@ -7,37 +7,36 @@
 	"savoryreel.example/savoryreel/zone"
 )
 
-// Option is one way to have an instance.
+// Option is a combination of zone, machine class and market.
 type Option struct {
 	Zone   string      `msgpack:"zone"`
 	Class  string      `msgpack:"class"`
 	Market zone.Market `msgpack:"market"`
 }
 
-// State is what Decide remembers from one decision to the next. The zero State
-// is that of a fleet not decided on before. It belongs into the replicated log:
-// with a State of its own, a new leader would give the starts of the old one
-// new tokens, and the cloud would run each of them twice.
+// State carries data from one Decide call to the next. The zero State is that of a
+// new fleet. It must be stored in the replicated log: a leader without the previous
+// State would use new tokens for pending starts, and the cloud would run each twice.
 type State struct {
-	Capacity float64   `msgpack:"cap"` // held, in work per second
-	Demand   float64   `msgpack:"dem"` // at the last decision
-	Slope    float64   `msgpack:"slope"`
-	At       time.Time `msgpack:"at"` // of the last decision
-	LowSince time.Time `msgpack:"low"`
+	Capacity float64   `msgpack:"cap"`   // target, in work per second
+	Demand   float64   `msgpack:"dem"`   // at the last decision
+	Slope    float64   `msgpack:"slope"` // of the demand, in work per second per second
+	At       time.Time `msgpack:"at"`    // time of the last decision
+	LowSince time.Time `msgpack:"low"`   // since when the target is below DownBelow of Capacity; zero if it is not
 	LastDown time.Time `msgpack:"down"`
 	LastSwap time.Time `msgpack:"swap"`
 
-	// Day is the highest demand in each dayBucket of the last 24 hours, by time of day.
+	// Day is the peak demand of each dayBucketLength of the last 24 hours, by time of day.
 	Day []float64 `msgpack:"day"`
 
 	Backoffs []Backoff `msgpack:"backoffs"`
 	Ordinals []Ordinal `msgpack:"ordinals"`
 }
 
-// Backoff says that starts of an option were refused.
+// Backoff is the backoff of an option whose starts were refused.
 type Backoff struct {
 	Option   Option    `msgpack:"opt"`
-	Refusals int       `msgpack:"n"` // in a row
+	Refusals int       `msgpack:"n"` // consecutive
 	Until    time.Time `msgpack:"until"`
 }
 
@@ -47,7 +46,7 @@
 	Next   uint64 `msgpack:"next"`
 }
 
-// Refused notes that the cloud refused a start of the option.
+// Refused returns the state after the cloud refused a start of the option.
 func (s *Scaler) Refused(state State, option Option, now time.Time) State {
 	state.Backoffs = slices.Clone(state.Backoffs)
 	i := slices.IndexFunc(state.Backoffs, func(b Backoff) bool { return b.Option == option })
@@ -57,7 +56,7 @@
 	}
 	b := &state.Backoffs[i]
 	if now.Before(b.Until) {
-		return state // several starts of one plan were refused: one refusal
+		return state // further refusals of the same plan count once
 	}
 	b.Refusals++
 	wait := s.cfg.BackoffMin << min(b.Refusals-1, 16)
@@ -65,8 +64,8 @@
 	return state
 }
 
-// Accepted notes that the cloud accepted a start. Until it is called, Decide
-// gives the same start the same token again.
+// Accepted returns the state after the cloud accepted the start. Until then Decide
+// repeats the start with the same token.
 func (s *Scaler) Accepted(state State, start Start) State {
 	state.Backoffs = slices.DeleteFunc(slices.Clone(state.Backoffs), func(b Backoff) bool { return b.Option == start.Option })
 	state.Ordinals = slices.Clone(state.Ordinals)
@@ -80,6 +79,7 @@
 	return state
 }
 
+// startable reports whether the option is not in backoff.
 func (s *State) startable(option Option, now time.Time) bool {
 	return !slices.ContainsFunc(s.Backoffs, func(b Backoff) bool {
 		return b.Option == option && now.Before(b.Until)
@@ -95,8 +95,8 @@
 	return 0
 }
 
-// updateTarget moves the capacity held towards what the demand wants: up at once, down
-// late and in steps.
+// updateTarget moves the target capacity towards the demand: up immediately, down in
+// steps after a delay.
 func (c *Config) updateTarget(s *State, demand float64, now time.Time) Reason {
 	if elapsed := now.Sub(s.At).Seconds(); !s.At.IsZero() && elapsed > 0 {
 		s.Slope += slopeWeight * ((demand-s.Demand)/elapsed - s.Slope)
@@ -126,11 +126,10 @@
 	return ReasonDown
 }
 
-// slopeWeight is the weight of the newest change of the demand in its slope.
-// With decisions a minute apart, a surge counts for half after the first.
+// slopeWeight is the weight of the newest sample in the moving average of the slope.
 const slopeWeight = 0.5
 
-// dayBucketLength divides the day for remembering the demand.
+// dayBucketLength is the resolution of State.Day.
 const dayBucketLength = 5 * time.Minute
 
 const bucketsPerDay = int(24 * time.Hour / dayBucketLength)
@@ -139,7 +138,8 @@
 	return int(t.Unix()/int64(dayBucketLength.Seconds())) % bucketsPerDay
 }
 
-// recordDemand notes the demand for the next day.
+// recordDemand updates the peak of the current bucket of Day. It clears all buckets
+// after a gap of 24 hours or more.
 func (s *State) recordDemand(demand float64, now time.Time) {
 	if len(s.Day) != bucketsPerDay || now.Sub(s.At) >= 24*time.Hour {
 		s.Day = make([]float64, bucketsPerDay)
@@ -153,11 +153,9 @@
 	s.Day[i] = max(s.Day[i], demand)
 }
 
-// forecast returns the highest demand of the day before within the lead time
-// from now. Brokers call in at the same hour each morning, and their demand
-// doubles within the time that a start takes: by the time it shows, it is too
-// late. A surge that came once is paid for once more a day later, for as long as
-// it lasted.
+// forecast returns the peak demand of 24 hours ago within the next lead. A recurring
+// surge grows faster than instances start, so starting on the current demand would be
+// too late.
 func (s *State) forecast(now time.Time, lead time.Duration) float64 {
 	peak := 0.0
 	for offset := dayBucketLength; offset <= lead+dayBucketLength; offset += dayBucketLength {
