--- a/policy/supply/need_test.go
+++ b/policy/supply/need_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// watch feeds a demand with the same load for a while and returns the time then.
-func watch(d *Demand, u Use, from time.Time, long time.Duration) time.Time {
-	const every = 250 * time.Millisecond
-	for ; long > 0; long -= every {
-		from = from.Add(every)
-		d.Note(u, from)
+// feed feeds a demand with the same load for a while and returns the time then.
+func feed(d *Demand, u Use, start time.Time, duration time.Duration) time.Time {
+	const interval = 250 * time.Millisecond
+	for ; duration > 0; duration -= interval {
+		start = start.Add(interval)
+		d.Note(u, start)
 	}
-	return from
+	return start
 }
 
 // The operators sized a service for its busiest hour. On a quiet day a quarter of its
@@ -22,20 +22,20 @@
 //
 // It breaks if the need is what the service began with; a new process that has seen
 // nothing yet must not take that for an empty load.
-func TestNeedFollowsAQuietLoad(t *testing.T) {
+func TestNeedFallsWithALowLoad(t *testing.T) {
 	var d Demand
 	now := time.Unix(0, 0)
 	require.Equal(t, 12, d.Need(12, 1), "nothing is known")
-	now = watch(&d, Use{Tokens: 4.9 * targetUse}, now, 4*time.Second)
+	now = feed(&d, Use{Tokens: 4.9 * targetUtilization}, now, 4*time.Second)
 	require.Equal(t, 12, d.Need(12, 1), "seen for too short")
-	now = watch(&d, Use{Tokens: 4.9 * targetUse}, now, 6*time.Second)
+	now = feed(&d, Use{Tokens: 4.9 * targetUtilization}, now, 6*time.Second)
 	require.Equal(t, 6, d.Need(12, 1))
 	require.Equal(t, 12, d.Need(12, 0), "it is not known what a server reads")
-	now = watch(&d, Use{Tokens: 9.9 * targetUse}, now, 20*time.Second)
+	now = feed(&d, Use{Tokens: 9.9 * targetUtilization}, now, 20*time.Second)
 	require.Equal(t, 10, d.Need(12, 1))
-	now = watch(&d, Use{Tokens: 1}, now, 10*time.Second)
+	now = feed(&d, Use{Tokens: 1}, now, 10*time.Second)
 	require.Greater(t, d.Need(12, 1), 6, "the load was higher seconds ago")
-	watch(&d, Use{Tokens: 1}, now, 2*time.Minute)
+	feed(&d, Use{Tokens: 1}, now, 2*time.Minute)
 	require.LessOrEqual(t, d.Need(12, 1), 7)
 	require.GreaterOrEqual(t, d.Need(12, 1), 6, "half of what the operators chose stays")
 }
@@ -44,23 +44,23 @@
 // Servers take seconds to boot: the need must show within a few, or callers wait.
 //
 // It breaks if the need is bounded by what the service began with.
-func TestNeedFollowsASurge(t *testing.T) {
+func TestNeedExceedsInitialServersInASurge(t *testing.T) {
 	var d Demand
-	now := watch(&d, Use{Tokens: 4}, time.Unix(0, 0), 10*time.Second)
-	now = watch(&d, Use{Tokens: 24}, now, 250*time.Millisecond)
+	now := feed(&d, Use{Tokens: 4}, time.Unix(0, 0), 10*time.Second)
+	now = feed(&d, Use{Tokens: 24}, now, 250*time.Millisecond)
 	require.LessOrEqual(t, d.Need(12, 1), 12, "a single burst of arrivals")
-	watch(&d, Use{Tokens: 24}, now, 4*time.Second)
+	feed(&d, Use{Tokens: 24}, now, 4*time.Second)
 	require.GreaterOrEqual(t, d.Need(12, 1), 22)
 }
 
 // The load breathes by a tenth. Servers that come and go with it would lose their caches
 // each time.
-func TestNeedIsSteady(t *testing.T) {
+func TestNeedIgnoresSmallFluctuations(t *testing.T) {
 	var d Demand
-	now := watch(&d, Use{Tokens: 4}, time.Unix(0, 0), 30*time.Second)
+	now := feed(&d, Use{Tokens: 4}, time.Unix(0, 0), 30*time.Second)
 	need := d.Need(8, 1)
 	for i := range 20 {
-		now = watch(&d, Use{Tokens: 4 - 0.4*float64(i%2)}, now, 2*time.Second)
+		now = feed(&d, Use{Tokens: 4 - 0.4*float64(i%2)}, now, 2*time.Second)
 		require.Equal(t, need, d.Need(8, 1))
 	}
 }
@@ -68,9 +68,9 @@
 // Long answers to short questions: hardly anything is to be read, but the slots are full.
 //
 // It breaks if only prompts are counted.
-func TestNeedForLongAnswers(t *testing.T) {
+func TestNeedCountsOccupiedSlots(t *testing.T) {
 	var d Demand
-	watch(&d, Use{Running: 8 * 16, Slots: 16}, time.Unix(0, 0), 20*time.Second)
+	feed(&d, Use{Running: 8 * 16, Slots: 16}, time.Unix(0, 0), 20*time.Second)
 	require.Equal(t, 16, d.Need(12, 1), "half of the slots stay free")
 }
 
@@ -79,13 +79,13 @@
 // peak was.
 //
 // It breaks if the load of the moment is reckoned at full use.
-func TestLoadOfTheMoment(t *testing.T) {
+func TestCurrentNeedIgnoresThePeak(t *testing.T) {
 	var d Demand
 	require.Zero(t, d.Load(1), "nothing is known")
-	now := watch(&d, Use{Tokens: 9.9 * targetUse}, time.Unix(0, 0), 20*time.Second)
+	now := feed(&d, Use{Tokens: 9.9 * targetUtilization}, time.Unix(0, 0), 20*time.Second)
 	require.Equal(t, 10, d.Load(1))
 	require.Zero(t, d.Load(0), "it is not known what a server reads")
-	watch(&d, Use{Tokens: 4.9 * targetUse}, now, 10*time.Second)
+	feed(&d, Use{Tokens: 4.9 * targetUtilization}, now, 10*time.Second)
 	require.Equal(t, 5, d.Load(1))
 	require.Greater(t, d.Need(12, 1), 6)
 }
--- a/policy/supply/supply.go
+++ b/policy/supply/supply.go
@@ -70,24 +70,24 @@
 	Count int
 }
 
-// worthSpot is the highest price of a reclaimable server, as a part of an
+// maxSpotPriceFraction is the highest price of a reclaimable server, as a part of an
 // on-demand one's, at which the spare ones pay for themselves in three zones:
 // there half as many again are ordered.
-const worthSpot = 2.0 / 3
+const maxSpotPriceFraction = 2.0 / 3
 
-// cheapSpot is the highest price at which it pays to have two zones to spare. In three
+// twoSpareZonesPriceFraction is the highest price at which it pays to have two zones to spare. In three
 // zones that is half as many reclaimable servers again, all the time, in place of as many
 // on-demand ones for the quarter of the time or more that waves last.
-const cheapSpot = 0.25
+const twoSpareZonesPriceFraction = 0.25
 
 // Plan returns the number wanted of every kind, by zone.
 func Plan(in Input) []Order {
 	zones := slices.Clone(in.Zones)
 	slices.SortFunc(zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	spot := make(map[string]int, len(zones))
-	if in.SpotPrice > 0 && in.SpotPrice <= worthSpot {
+	if in.SpotPrice > 0 && in.SpotPrice <= maxSpotPriceFraction {
 		for _, z := range zones {
-			spot[z.Name] = clamp(perZone(in.Need, len(zones), in.spare()), in.Min, in.room(z.Name))
+			spot[z.Name] = clamp(serversPerZone(in.Need, len(zones), in.spareZones()), in.Min, in.spotLimit(z.Name))
 		}
 	}
 	onDemand := in.onDemand(zones, spot)
@@ -100,10 +100,10 @@
 	return orders
 }
 
-// expected is how many reclaimable servers take up room in each zone: those that
+// spotOccupancy is how many reclaimable servers take up room in each zone: those that
 // are ordered, and where none are to be had, those that are there. Room kept for
 // servers that do not come would leave a zone empty for as long as a wave lasts.
-func (in *Input) expected(zones []Zone, wanted map[string]int) map[string]int {
+func (in *Input) spotOccupancy(zones []Zone, wanted map[string]int) map[string]int {
 	out := make(map[string]int, len(zones))
 	for _, z := range zones {
 		kind := Kind{z.Name, true}
@@ -115,33 +115,33 @@
 	return out
 }
 
-// room is how many reclaimable servers a zone may have beside the on-demand ones
+// spotLimit is how many reclaimable servers a zone may have beside the on-demand ones
 // that are there. An order above a zone's bound is filled up to the bound, and not
-// looked at again when there is room.
-func (in *Input) room(zone string) int {
+// looked at again when there is spotLimit.
+func (in *Input) spotLimit(zone string) int {
 	return max(in.Max-in.Present[Kind{zone, false}], min(in.Min, in.Max), 0)
 }
 
-// spare is how many zones may be lost with the load still served by reclaimable
-// servers. Waves come in pairs, seconds apart; with two zones to spare on-demand
+// spareZones is how many zones may be lost with the load still served by reclaimable
+// servers. Waves come in pairs, seconds apart; with two zones to spareZones on-demand
 // servers need not stand in for the second one after the first, and are only ordered
 // if a third one may follow.
-func (in *Input) spare() int {
-	if in.SpotPrice <= cheapSpot {
+func (in *Input) spareZones() int {
+	if in.SpotPrice <= twoSpareZonesPriceFraction {
 		return 2
 	}
 	return 1
 }
 
-// perZone is how many servers a zone has so that the others serve the need without
+// serversPerZone is how many servers a zone has so that the others serve the need without
 // spare of them. The last zone can't be spared.
-func perZone(need, zones, spare int) int {
-	return int(math.Ceil(float64(need) / float64(max(zones-spare, 1))))
+func serversPerZone(need, zones, spareZones int) int {
+	return int(math.Ceil(float64(need) / float64(max(zones-spareZones, 1))))
 }
 
 func clamp(n, lo, hi int) int { return min(max(n, lo), max(hi, 0)) }
 
-// surviving is how many reclaimable servers would still serve after the next wave.
+// survivors is how many reclaimable servers would still serve after the next wave.
 // Waves come in pairs: one that found the fleet with a single zone's servers left
 // would leave the load without any for as long as servers boot.
 //
@@ -149,34 +149,34 @@
 // on-demand servers for the whole need would cost more than they bring on the many
 // days on which no third wave comes. Then those that serve the load of the moment
 // are enough.
-func (in *Input) surviving(zones []Zone, wanted map[string]int) (servers int, spread bool) {
-	total, most, with := 0, 0, 0
+func (in *Input) survivors(zones []Zone, wanted map[string]int) (servers int, spread bool) {
+	total, largest, servingZones := 0, 0, 0
 	for _, z := range zones {
 		// More than what is wanted of them is about to go.
 		n := min(in.Serving[Kind{z.Name, true}], wanted[z.Name])
 		total += n
-		most = max(most, n)
+		largest = max(largest, n)
 		if n > 0 {
-			with++
+			servingZones++
 		}
 	}
-	if with < 2 {
+	if servingZones < 2 {
 		return total, false
 	}
-	return total - most, true
+	return total - largest, true
 }
 
 // onDemand splits what reclaimable servers do not serve among the zones: first to
 // servers that are there or boot, then to the cheapest zones.
 func (in *Input) onDemand(zones []Zone, wanted map[string]int) map[string]int {
 	out := make(map[string]int, len(zones))
-	spot := in.expected(zones, wanted)
-	surviving, spread := in.surviving(zones, wanted)
+	spot := in.spotOccupancy(zones, wanted)
+	survivors, spread := in.survivors(zones, wanted)
 	need := in.Need
 	if in.Began > 0 {
 		need = min(need, in.Began)
 	}
-	missing := need - surviving
+	missing := need - survivors
 	if !spread {
 		missing = max(missing, min(in.Load, need))
 	}
@@ -186,10 +186,10 @@
 	}
 	for _, z := range zones {
 		kind := Kind{z.Name, false}
-		have := min(max(in.Serving[kind], in.Ordered[kind]), in.Max-spot[z.Name])
-		keep := clamp(have-out[z.Name], 0, max(missing, 0))
-		out[z.Name] += keep
-		missing -= keep
+		available := min(max(in.Serving[kind], in.Ordered[kind]), in.Max-spot[z.Name])
+		retained := clamp(available-out[z.Name], 0, max(missing, 0))
+		out[z.Name] += retained
+		missing -= retained
 	}
 	byPrice := slices.Clone(zones)
 	slices.SortStableFunc(byPrice, func(a, b Zone) int { return cmp.Compare(a.Price, b.Price) })
--- a/policy/supply/supply_test.go
+++ b/policy/supply/supply_test.go
@@ -30,7 +30,7 @@
 
 // The day begins with on-demand servers. They stay until reclaimable ones serve,
 // and the zone's bound holds for both together meanwhile.
-func TestOnDemandServersStayUntilOthersServe(t *testing.T) {
+func TestOnDemandServersStayUntilReclaimableOnesServe(t *testing.T) {
 	in := threeZones()
 	in.Need = 12
 	for _, z := range in.Zones {
@@ -56,7 +56,7 @@
 //
 // It breaks without Input.surviving: with the second wave the load would be left
 // with half of the servers it needs for as long as a boot takes.
-func TestWaves(t *testing.T) {
+func TestOnDemandServersReplaceAReclaimedZone(t *testing.T) {
 	in := threeZones()
 	in.Serving = map[Kind]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
 	_, onDemand := counts(Plan(in))
@@ -89,7 +89,7 @@
 // a boot takes. A load that needs no more than is there costs nothing.
 //
 // It breaks if all reclaimable servers of the last zone are counted on.
-func TestThirdWave(t *testing.T) {
+func TestLastZoneIsBackedByOnDemandServers(t *testing.T) {
 	in := threeZones()
 	in.Serving = map[Kind]int{{"a", true}: 4, {"b", false}: 4}
 	in.Closed = map[Kind]bool{{"b", true}: true, {"c", true}: true}
@@ -108,7 +108,7 @@
 // load that needs all the room that the zones have is served on demand meanwhile.
 //
 // It breaks without Input.Closed.
-func TestWavesInAllZones(t *testing.T) {
+func TestUnavailableServersAreOrderedOnDemand(t *testing.T) {
 	in := threeZones()
 	in.Need = 20
 	in.Closed = map[Kind]bool{{"a", true}: true, {"b", true}: true, {"c", true}: true}
@@ -116,7 +116,7 @@
 	require.Equal(t, 20, onDemand)
 }
 
-func TestNoReclaimableServersAreSold(t *testing.T) {
+func TestOnlyOnDemandServersWithoutASpotPrice(t *testing.T) {
 	in := threeZones()
 	in.SpotPrice = 0
 	spot, onDemand := counts(Plan(in))
@@ -126,7 +126,7 @@
 
 // Whatever is served now, each zone stays within its bounds, and what is wanted
 // covers the need if the bounds allow.
-func TestPlanKeepsItsBounds(t *testing.T) {
+func TestPlanStaysWithinZoneBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := threeZones()
 		in.Zones = in.Zones[:rapid.IntRange(1, 3).Draw(t, "zones")]
@@ -159,7 +159,7 @@
 // five times the price in between.
 //
 // It breaks if only one zone is spared whatever the price.
-func TestCheapServersSpareTwoZones(t *testing.T) {
+func TestCheapReclaimableServersCoverTheLossOfTwoZones(t *testing.T) {
 	in := threeZones()
 	in.SpotPrice, in.Min = 0.2, 0
 	spot, _ := counts(Plan(in))
@@ -178,7 +178,7 @@
 // for long after it.
 //
 // It breaks without Input.Began.
-func TestSurgeIsLeftToReclaimableServers(t *testing.T) {
+func TestSurgeAddsNoOnDemandServers(t *testing.T) {
 	in := threeZones()
 	in.Need, in.Began = 18, 12
 	in.Serving = map[Kind]int{{"a", true}: 6, {"b", true}: 6, {"c", true}: 6}
