--- a/policy/supply/need.go
+++ b/policy/supply/need.go
@@ -5,60 +5,56 @@
 	"time"
 )
 
-// Use is what the load makes of a service's servers at a moment.
+// Usage is a sample of the load on the servers of a service.
 type Use struct {
-	Tokens  float64 // prompt tokens a second that arrive to be read
-	Running float64 // requests that run
-	Slots   int     // requests that a server runs at once
+	Tokens  float64 // prompt tokens that arrive per second
+	Running float64 // running requests
+	Slots   int     // requests that one server runs concurrently
 }
 
 const (
-	// targetUtilization is the part of its time that a server should be reading prompts, by what
-	// the entries count: they also count parts that a server caches unknown to them. A
-	// prompt that finds another one in front waits for all of it, and the longest take
-	// as long as a whole objective. On played days with waves, servers for a use of 0.57
-	// answered as many in time as half as many again did, and those for 0.8 a sixth fewer.
+	// targetUtilization is the fraction of time that a server reads prompts at which answers
+	// meet their latency objective. It is low because a prompt waits for the whole prompt
+	// ahead of it. The load includes prompt tokens that the server has cached.
 	targetUtilization = 0.57
-	// maxUtilization is the use at which a server still serves, with many answers late. Beyond
-	// what a service began with, servers are only added for this.
+	// maxUtilization is the utilization at which a server still serves, with many late
+	// answers. It is the target beyond the initial number of servers.
 	maxUtilization = 0.7
-	// targetSlotFraction is the part of their slots that servers may use: answers slow down as
-	// slots fill up, and a surge takes the rest.
+	// targetSlotFraction leaves slots free for surges; answers slow down as slots fill up.
 	targetSlotFraction = 0.5
-	// minSizeFraction is the part of the servers that a service began with that is kept
-	// whatever the load: the operators sized it for more than has been seen.
+	// minSizeFraction is the fraction of the initial servers that is kept at any load.
 	minSizeFraction = 0.5
 
-	// smoothingTime is the time constant with which the load is followed: longer than a
-	// single burst of arrivals, shorter than a server takes to boot.
+	// smoothingTime is the time constant of the moving average of the load: longer than a
+	// burst of arrivals, shorter than a server takes to boot.
 	smoothingTime = 2 * time.Second
-	// peakDecayTime is the time constant with which a past peak is forgotten. Loads swing
-	// within tens of seconds, and servers that are given up lose their caches.
+	// peakDecayTime is the time constant with which a past peak decays. It prevents servers
+	// from being stopped, and their caches lost, in a short dip.
 	peakDecayTime = 20 * time.Second
-	// warmUpTime is for how long a load is watched before it is believed.
+	// warmUpTime is how long the load is observed before it replaces the initial size.
 	warmUpTime = 8 * time.Second
-	// lowerHysteresisServers is by how many servers the need must lie below the one in force before
-	// that is lowered. Without it servers would come and go with each breath of load.
+	// lowerHysteresisServers is by how many servers, beyond rounding, the need must fall
+	// before the result is lowered.
 	lowerHysteresisServers = 0.5
 )
 
-// Demand learns from the load how many servers a service needs.
+// Demand estimates from the load how many servers a service needs.
 //
-// Load pattern answered: a load well below, or above, the one that the operators
-// sized the service for, which swings and surges.
+// Load pattern: a load far below or above the one that the service was sized for, with
+// surges.
 //
-// Without it as many servers are paid as the service began with, at all loads.
+// Without it the service keeps its initial number of servers at any load.
 type Demand struct {
-	firstSample, lastSample time.Time // when the load was known first, and last
-	promptTokens            loadLevel // prompt tokens a second
-	occupiedServers         loadLevel // servers whose slots are all in use
-	lastNeed                int       // in force
+	firstSample, lastSample time.Time // times of the first sample with load and of the last sample
+	promptTokens            loadLevel // per second
+	occupiedServers         loadLevel // running requests, in servers with all slots in use
+	lastNeed                int       // last result of ServersNeeded
 }
 
-// loadLevel is a figure of the load.
+// loadLevel is a smoothed load and its recent peak.
 type loadLevel struct {
-	current float64 // smoothed
-	peak    float64 // the most of late
+	current float64 // moving average
+	peak    float64 // decaying maximum of current
 }
 
 func (l *loadLevel) update(x float64, elapsed time.Duration) {
@@ -66,12 +62,12 @@
 	l.peak = max(l.current, l.current+(l.peak-l.current)*math.Exp(-elapsed.Seconds()/peakDecayTime.Seconds()))
 }
 
-// Note takes the load of a moment.
+// Observe records a sample of the load.
 func (d *Demand) Note(u Use, now time.Time) {
 	occupied := u.Running / float64(max(u.Slots, 1))
 	if d.firstSample.IsZero() {
 		if u.Tokens == 0 && u.Running == 0 {
-			return // nobody calls yet
+			return // no load yet
 		}
 		d.firstSample = now
 		d.promptTokens = loadLevel{u.Tokens, u.Tokens}
@@ -82,9 +78,10 @@
 	d.lastSample = now
 }
 
-// Need returns how many servers serve the load in time. began is how many the service
-// began with, and rate how many tokens a server reads in a second; 0: it is not known.
-// Until the load is known the service needs what it began with.
+// ServersNeeded returns how many servers the recent peak load needs. initialServers is the
+// number that the service started with, tokensPerSecond the prompt tokens that one server
+// reads per second, 0 if unknown. It returns initialServers while the load or the rate is
+// unknown.
 func (d *Demand) Need(initialServers int, tokensPerSecond float64) int {
 	if d.firstSample.IsZero() || d.lastSample.Sub(d.firstSample) < warmUpTime || d.promptTokens.peak > 0 && tokensPerSecond <= 0 {
 		return initialServers
@@ -98,9 +95,8 @@
 	return d.lastNeed
 }
 
-// Load returns how many servers serve the load of the moment, 0 where it is not known.
-// It lies below Need, which goes by the peak of late. A smaller number, with which most
-// answers are late, cost more on days with three waves than it saved on those with two.
+// ServersForCurrentLoad returns how many servers the current load needs within its latency
+// objective, 0 if unknown. Unlike ServersNeeded it ignores the recent peak.
 func (d *Demand) Load(tokensPerSecond float64) int {
 	if d.promptTokens.current > 0 && tokensPerSecond <= 0 {
 		return 0
@@ -108,7 +104,7 @@
 	return int(math.Ceil(max(d.promptTokens.servers(tokensPerSecond).current/targetUtilization, d.occupiedServers.current/targetSlotFraction)))
 }
 
-// servers returns how many servers are busy with reading so many tokens a second.
+// servers converts a load in tokens per second into busy servers.
 func (l loadLevel) servers(tokensPerSecond float64) loadLevel {
 	if tokensPerSecond <= 0 {
 		return loadLevel{}
--- a/policy/supply/need_test.go
+++ b/policy/supply/need_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// feed feeds a demand with the same load for a while and returns the time then.
+// feed observes the same load for a duration and returns the time at its end.
 func feed(d *Demand, u Use, start time.Time, duration time.Duration) time.Time {
 	const interval = 250 * time.Millisecond
 	for ; duration > 0; duration -= interval {
@@ -17,33 +17,28 @@
 	return start
 }
 
-// The operators sized a service for its busiest hour. On a quiet day a quarter of its
-// servers would do, and all of them are paid.
-//
-// It breaks if the need is what the service began with; a new process that has seen
-// nothing yet must not take that for an empty load.
+// Guards against paying for the initial number of servers at a low load, and against taking
+// the missing samples of a new process for an idle service.
 func TestNeedFallsWithALowLoad(t *testing.T) {
 	var d Demand
 	now := time.Unix(0, 0)
-	require.Equal(t, 12, d.Need(12, 1), "nothing is known")
+	require.Equal(t, 12, d.Need(12, 1), "no samples")
 	now = feed(&d, Use{Tokens: 4.9 * targetUtilization}, now, 4*time.Second)
-	require.Equal(t, 12, d.Need(12, 1), "seen for too short")
+	require.Equal(t, 12, d.Need(12, 1), "shorter than warmUpTime")
 	now = feed(&d, Use{Tokens: 4.9 * targetUtilization}, now, 6*time.Second)
 	require.Equal(t, 6, d.Need(12, 1))
-	require.Equal(t, 12, d.Need(12, 0), "it is not known what a server reads")
+	require.Equal(t, 12, d.Need(12, 0), "unknown tokens per second")
 	now = feed(&d, Use{Tokens: 9.9 * targetUtilization}, now, 20*time.Second)
 	require.Equal(t, 10, d.Need(12, 1))
 	now = feed(&d, Use{Tokens: 1}, now, 10*time.Second)
-	require.Greater(t, d.Need(12, 1), 6, "the load was higher seconds ago")
+	require.Greater(t, d.Need(12, 1), 6, "the recent peak was higher")
 	feed(&d, Use{Tokens: 1}, now, 2*time.Minute)
 	require.LessOrEqual(t, d.Need(12, 1), 7)
-	require.GreaterOrEqual(t, d.Need(12, 1), 6, "half of what the operators chose stays")
+	require.GreaterOrEqual(t, d.Need(12, 1), 6, "half of the initial servers")
 }
 
-// A workspace surges, within its limit, to twice the load that the service was sized for.
-// Servers take seconds to boot: the need must show within a few, or callers wait.
-//
-// It breaks if the need is bounded by what the service began with.
+// Guards against a need that is limited to the initial number of servers, or that rises too
+// late in a surge.
 func TestNeedExceedsInitialServersInASurge(t *testing.T) {
 	var d Demand
 	now := feed(&d, Use{Tokens: 4}, time.Unix(0, 0), 10*time.Second)
@@ -53,8 +48,7 @@
 	require.GreaterOrEqual(t, d.Need(12, 1), 22)
 }
 
-// The load breathes by a tenth. Servers that come and go with it would lose their caches
-// each time.
+// Guards against stopping servers, and losing their caches, on 10% fluctuations of the load.
 func TestNeedIgnoresSmallFluctuations(t *testing.T) {
 	var d Demand
 	now := feed(&d, Use{Tokens: 4}, time.Unix(0, 0), 30*time.Second)
@@ -65,26 +59,22 @@
 	}
 }
 
-// Long answers to short questions: hardly anything is to be read, but the slots are full.
-//
-// It breaks if only prompts are counted.
+// Guards against too few servers for short prompts with long answers, when slots rather than
+// prompts are the limit.
 func TestNeedCountsOccupiedSlots(t *testing.T) {
 	var d Demand
 	feed(&d, Use{Running: 8 * 16, Slots: 16}, time.Unix(0, 0), 20*time.Second)
-	require.Equal(t, 16, d.Need(12, 1), "half of the slots stay free")
+	require.Equal(t, 16, d.Need(12, 1), "half of the slots are kept free")
 }
 
-// Two waves have left a single zone, and a third one may follow. What stands in for it is
-// to serve the load in time, not just to bear it: as many as are needed now, whatever the
-// peak was.
-//
-// It breaks if the load of the moment is reckoned at full use.
+// Guards against sizing the servers for the current load at maxUtilization, at which
+// answers are late, or for the past peak.
 func TestCurrentNeedIgnoresThePeak(t *testing.T) {
 	var d Demand
-	require.Zero(t, d.Load(1), "nothing is known")
+	require.Zero(t, d.Load(1), "no samples")
 	now := feed(&d, Use{Tokens: 9.9 * targetUtilization}, time.Unix(0, 0), 20*time.Second)
 	require.Equal(t, 10, d.Load(1))
-	require.Zero(t, d.Load(0), "it is not known what a server reads")
+	require.Zero(t, d.Load(0), "unknown tokens per second")
 	feed(&d, Use{Tokens: 4.9 * targetUtilization}, now, 10*time.Second)
 	require.Equal(t, 5, d.Load(1))
 	require.Greater(t, d.Need(12, 1), 6)
--- a/policy/supply/supply.go
+++ b/policy/supply/supply.go
@@ -1,20 +1,18 @@
-// Package supply decides how many backend servers of each kind to order in each
-// zone.
+// Package supply decides how many backend servers to order in each capacity pool, which
+// is a zone and a market: reclaimable or on demand.
 //
-// Load pattern answered: a steady load with bursts of seconds, on servers that
-// take seconds to boot, of which the cheap ones are taken away a zone at a time
-// and then are not to be had for a while.
+// Load pattern: a steady load with bursts of seconds, on servers that take seconds to
+// boot. Waves reclaim the reclaimable servers of a whole zone, and new ones are then
+// unavailable for some time.
 //
-// Without it all servers are on demand, at several times the price; or, with
-// reclaimable ones just for the load, a wave takes a zone's share of them, the
-// others queue, and callers see late first tokens until the wave is over.
+// Without it: an on-demand fleet costs several times as much; a reclaimable fleet without
+// spare servers loses a zone's servers in a wave, and first tokens are late until the wave
+// is over.
 //
-// The rule: reclaimable servers in all zones, so many that the load is served
-// without any one zone, or without any two where they are cheap; on-demand servers
-// for what reclaimable ones would not serve after one more wave. A reclaimable server
-// at a fifth of the price pays even though two of three are spare, and on-demand ones
-// are there only while a wave lasts. How many servers the load takes is learnt from it
-// (Demand).
+// Sizing rule: reclaimable servers in all zones, so that the load is served without any one
+// zone, or without any two at a low reclaimable price; and on-demand servers for what the
+// reclaimable ones could not serve after one more wave. Demand estimates the number of
+// servers that the load needs.
 //
 // The package does no I/O and reads no clock. Plan is a pure function.
 package supply
@@ -25,62 +23,59 @@
 	"slices"
 )
 
-// Kind is one way to have a server.
+// CapacityPool is a zone and a market.
 type Kind struct {
 	Zone        string
 	Reclaimable bool
 }
 
-// Zone is a zone with the price of a server there.
+// Zone is a zone and its on-demand price.
 type Zone struct {
 	Name  string
-	Price float64 // of an on-demand server for a unit of time
+	Price float64 // of an on-demand server per unit of time
 }
 
-// Input is what a plan is made from.
+// Input is the input of Plan, for one service.
 type Input struct {
 	Zones []Zone
-	// Min and Max bound the servers of both kinds together in one zone.
+	// Min and Max bound the number of servers in one zone, reclaimable and on demand together.
 	Min, Max int
-	// SpotPrice is the price of a reclaimable server as a part of an on-demand
-	// one's; 0: there are none.
+	// SpotPrice is the price of a reclaimable server as a fraction of the on-demand price;
+	// 0: there are no reclaimable servers.
 	SpotPrice float64
-	// Need is how many servers the load takes.
+	// Need is the number of servers that the recent peak load needs.
 	Need int
-	// Began is how many servers the service began with. On-demand ones make up for no
-	// more than that: what a surge takes beyond it is left to reclaimable ones, since the
-	// surge is mostly over before on-demand ones have paid for themselves. 0: no bound.
+	// InitialServers is the number of servers that the service started with. On-demand
+	// servers are ordered only up to this number: a surge above it is usually too short for
+	// them to pay off. 0: no bound.
 	Began int
-	// Load is how many servers the load of the moment takes, where Need goes by its peak
-	// of late. 0: it is not known.
+	// Load is the number of servers that the current load needs. 0: unknown.
 	Load int
-	// Serving counts the servers that serve and have not been told to leave, and
-	// Present also those that are about to go.
+	// Serving counts the servers that serve and are not leaving; Present also counts those
+	// that are leaving.
 	Serving map[Kind]int
 	Present map[Kind]int
-	// Ordered counts the servers that were ordered last, which may still boot.
+	// Ordered is the last accepted order of each pool; its servers may still be booting.
 	Ordered map[Kind]int
-	// Closed holds the kinds that are not to be had at the moment.
+	// Unavailable contains the pools whose last order was refused recently.
 	Closed map[Kind]bool
 }
 
-// Order is the number of servers wanted of a kind.
+// Order is the wanted number of servers of a capacity pool.
 type Order struct {
 	Kind
 	Count int
 }
 
-// maxSpotPriceFraction is the highest price of a reclaimable server, as a part of an
-// on-demand one's, at which the spare ones pay for themselves in three zones:
-// there half as many again are ordered.
+// maxSpotPriceFraction is the highest SpotPrice at which reclaimable servers are used. Three
+// zones with one spare need 1.5 times the servers, which costs as much as on-demand ones.
 const maxSpotPriceFraction = 2.0 / 3
 
-// twoSpareZonesPriceFraction is the highest price at which it pays to have two zones to spare. In three
-// zones that is half as many reclaimable servers again, all the time, in place of as many
-// on-demand ones for the quarter of the time or more that waves last.
+// twoSpareZonesPriceFraction is the highest SpotPrice at which the reclaimable servers
+// are sized for the loss of two zones.
 const twoSpareZonesPriceFraction = 0.25
 
-// Plan returns the number wanted of every kind, by zone.
+// Plan returns the wanted number of servers of every pool, ordered by zone name.
 func Plan(in Input) []Order {
 	zones := slices.Clone(in.Zones)
 	slices.SortFunc(zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
@@ -100,9 +95,9 @@
 	return orders
 }
 
-// spotOccupancy is how many reclaimable servers take up room in each zone: those that
-// are ordered, and where none are to be had, those that are there. Room kept for
-// servers that do not come would leave a zone empty for as long as a wave lasts.
+// spotOccupancy returns how many reclaimable servers take up capacity in each zone: the
+// wanted number or, in an unavailable pool, at most the present one. Capacity reserved for
+// servers that cannot be started would stay unused during a wave.
 func (in *Input) spotOccupancy(zones []Zone, wanted map[string]int) map[string]int {
 	out := make(map[string]int, len(zones))
 	for _, z := range zones {
@@ -115,17 +110,16 @@
 	return out
 }
 
-// spotLimit is how many reclaimable servers a zone may have beside the on-demand ones
-// that are there. An order above a zone's bound is filled up to the bound, and not
-// looked at again when there is spotLimit.
+// spotLimit returns how many reclaimable servers a zone can have next to its present
+// on-demand ones. The cloud fills an order above the zone's bound only up to the bound and
+// does not complete it later.
 func (in *Input) spotLimit(zone string) int {
 	return max(in.Max-in.Present[Kind{zone, false}], min(in.Min, in.Max), 0)
 }
 
-// spareZones is how many zones may be lost with the load still served by reclaimable
-// servers. Waves come in pairs, seconds apart; with two zones to spareZones on-demand
-// servers need not stand in for the second one after the first, and are only ordered
-// if a third one may follow.
+// spareZones returns the number of zones whose loss the reclaimable servers must
+// tolerate. Waves often come in pairs, seconds apart: with two spare zones on-demand
+// servers are ordered only ahead of a third wave.
 func (in *Input) spareZones() int {
 	if in.SpotPrice <= twoSpareZonesPriceFraction {
 		return 2
@@ -133,26 +127,22 @@
 	return 1
 }
 
-// serversPerZone is how many servers a zone has so that the others serve the need without
-// spare of them. The last zone can't be spared.
+// serversPerZone returns the number of servers per zone with which the load is served
+// after the loss of spareZones zones. At least one zone is counted as remaining.
 func serversPerZone(need, zones, spareZones int) int {
 	return int(math.Ceil(float64(need) / float64(max(zones-spareZones, 1))))
 }
 
 func clamp(n, lo, hi int) int { return min(max(n, lo), max(hi, 0)) }
 
-// survivors is how many reclaimable servers would still serve after the next wave.
-// Waves come in pairs: one that found the fleet with a single zone's servers left
-// would leave the load without any for as long as servers boot.
-//
-// With a single zone left there is nothing to spread over, and all of it counts:
-// on-demand servers for the whole need would cost more than they bring on the many
-// days on which no third wave comes. Then those that serve the load of the moment
-// are enough.
+// survivors returns how many reclaimable servers still serve after the loss of the zone
+// with the most of them. spread is false if at most one zone has any. Then servers counts
+// all of them: replacing the whole last zone with on-demand servers costs more than a third
+// wave is likely to, so onDemand only covers the current load.
 func (in *Input) survivors(zones []Zone, wanted map[string]int) (servers int, spread bool) {
 	total, largest, servingZones := 0, 0, 0
 	for _, z := range zones {
-		// More than what is wanted of them is about to go.
+		// Servers above the wanted number are about to be stopped.
 		n := min(in.Serving[Kind{z.Name, true}], wanted[z.Name])
 		total += n
 		largest = max(largest, n)
@@ -166,8 +156,8 @@
 	return total - largest, true
 }
 
-// onDemand splits what reclaimable servers do not serve among the zones: first to
-// servers that are there or boot, then to the cheapest zones.
+// onDemand distributes the servers that reclaimable ones cannot provide over the zones:
+// first to zones with on-demand servers that serve or boot, then to the cheapest zones.
 func (in *Input) onDemand(zones []Zone, wanted map[string]int) map[string]int {
 	out := make(map[string]int, len(zones))
 	spot := in.spotOccupancy(zones, wanted)
@@ -203,7 +193,7 @@
 			}
 		}
 		if !placed {
-			break // every zone is at its bound
+			break // every zone has reached Max
 		}
 	}
 	return out
--- a/policy/supply/supply_test.go
+++ b/policy/supply/supply_test.go
@@ -28,8 +28,8 @@
 	return spot, onDemand
 }
 
-// The day begins with on-demand servers. They stay until reclaimable ones serve,
-// and the zone's bound holds for both together meanwhile.
+// Guards against stopping on-demand servers before reclaimable ones serve, and against
+// exceeding a zone's bound meanwhile.
 func TestOnDemandServersStayUntilReclaimableOnesServe(t *testing.T) {
 	in := threeZones()
 	in.Need = 12
@@ -45,17 +45,14 @@
 	}
 	spot, onDemand = counts(Plan(in))
 	require.Equal(t, 12, spot)
-	require.Equal(t, 4, onDemand, "for the loss of a zone")
+	require.Equal(t, 4, onDemand, "replace the loss of one zone")
 	in.Present = nil
 	spot, _ = counts(Plan(in))
-	require.Equal(t, 18, spot, "when the others have gone there is room")
+	require.Equal(t, 18, spot, "the on-demand servers have left")
 }
 
-// A wave takes all reclaimable servers of one zone. The others serve the load; what
-// a second wave would leave short is ordered on demand before it comes.
-//
-// It breaks without Input.surviving: with the second wave the load would be left
-// with half of the servers it needs for as long as a boot takes.
+// Guards against a shortage after a second wave: on-demand servers for it must be ordered
+// after the first one, as they take seconds to boot.
 func TestOnDemandServersReplaceAReclaimedZone(t *testing.T) {
 	in := threeZones()
 	in.Serving = map[Kind]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
@@ -77,18 +74,15 @@
 	again := Plan(in)
 	for _, o := range again {
 		if !o.Reclaimable {
-			require.GreaterOrEqual(t, o.Count, in.Ordered[o.Kind], "servers that boot are not given up")
+			require.GreaterOrEqual(t, o.Count, in.Ordered[o.Kind], "booting servers stay ordered")
 		}
 	}
 	_, onDemand = counts(again)
-	require.Equal(t, 4, onDemand, "four and four serve the load")
+	require.Equal(t, 4, onDemand, "four reclaimable and four on-demand servers serve the load")
 }
 
-// Waves have taken two zones, and a third one follows. On-demand servers that serve the
-// load of the moment are there before it: after it nothing else is left for as long as
-// a boot takes. A load that needs no more than is there costs nothing.
-//
-// It breaks if all reclaimable servers of the last zone are counted on.
+// Guards against relying on the reclaimable servers of the last zone after two waves:
+// on-demand servers for the current load must be ordered before a third wave.
 func TestLastZoneIsBackedByOnDemandServers(t *testing.T) {
 	in := threeZones()
 	in.Serving = map[Kind]int{{"a", true}: 4, {"b", false}: 4}
@@ -101,13 +95,11 @@
 	in.Serving = map[Kind]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
 	in.Closed, in.Load = nil, 100
 	_, onDemand := counts(Plan(in))
-	require.Zero(t, onDemand, "a wave leaves two zones")
+	require.Zero(t, onDemand, "a wave would leave two zones")
 }
 
-// Waves have taken the reclaimable servers of all zones, and none are to be had. A
-// load that needs all the room that the zones have is served on demand meanwhile.
-//
-// It breaks without Input.Closed.
+// Guards against reserving zone capacity for reclaimable servers that are unavailable in
+// all zones: the load is then served on demand.
 func TestUnavailableServersAreOrderedOnDemand(t *testing.T) {
 	in := threeZones()
 	in.Need = 20
@@ -116,6 +108,7 @@
 	require.Equal(t, 20, onDemand)
 }
 
+// Guards against ordering reclaimable servers where none are offered.
 func TestOnlyOnDemandServersWithoutASpotPrice(t *testing.T) {
 	in := threeZones()
 	in.SpotPrice = 0
@@ -124,8 +117,8 @@
 	require.Equal(t, 8, onDemand)
 }
 
-// Whatever is served now, each zone stays within its bounds, and what is wanted
-// covers the need if the bounds allow.
+// Guards against orders outside the zones' bounds, and against a shortage that the bounds do
+// not require.
 func TestPlanStaysWithinZoneBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := threeZones()
@@ -154,11 +147,8 @@
 	})
 }
 
-// Reclaimable servers cost a fifth of on-demand ones. Two waves take two zones within
-// seconds. The third zone still serves the load, and nobody boots on-demand servers at
-// five times the price in between.
-//
-// It breaks if only one zone is spared whatever the price.
+// Guards against ordering expensive on-demand servers after two waves when reclaimable ones
+// are cheap enough for two spare zones.
 func TestCheapReclaimableServersCoverTheLossOfTwoZones(t *testing.T) {
 	in := threeZones()
 	in.SpotPrice, in.Min = 0.2, 0
@@ -173,11 +163,8 @@
 	}
 }
 
-// A workspace surges, and the load takes half as many servers again as the service began
-// with. Cheap ones are ordered for it; on-demand ones would boot for seconds and be paid
-// for long after it.
-//
-// It breaks without Input.Began.
+// Guards against ordering on-demand servers for a surge above the initial number of servers,
+// which is too short for them to pay off.
 func TestSurgeAddsNoOnDemandServers(t *testing.T) {
 	in := threeZones()
 	in.Need, in.Began = 18, 12
