--- a/entry/guard.go
+++ b/entry/guard.go
@@ -169,7 +169,7 @@
 	if m, known := q.entry.members.View().Member(owner); known && owner != q.entry.cfg.ID {
 		_ = link.Notify(q.entry.pool, m.LinkAddress, methodTellOwn, record) // a grant that is not closed runs out by itself
 	}
-	if record.Struck {
+	if record.EverCrashed {
 		q.spread(record)
 	}
 }
--- a/entry/ownership.go
+++ b/entry/ownership.go
@@ -41,7 +41,7 @@
 	if m.Record != nil {
 		q.set.Merge(*m.Record, now)
 	}
-	v := q.set.Admit(quarantine.Ask{Now: now, Fingerprint: m.Print, Server: m.Server, View: q.view(laneKey{m.Kind, m.Pool})})
+	v := q.set.Admit(quarantine.Query{Now: now, Fingerprint: m.Print, Server: m.Server, View: q.view(laneKey{m.Kind, m.Pool})})
 	reply := askReply{Action: v.Action, Reason: v.Reason, Grant: v.Grant}
 	if v.Server != m.Server {
 		reply.Server = &v.Server
@@ -49,14 +49,14 @@
 	if !v.Until.IsZero() {
 		reply.Until = v.Until.UnixMilli()
 	}
-	if v.Record.Struck {
+	if v.Record.EverCrashed {
 		reply.Record = &v.Record
 	}
 	return reply, nil
 }
 
 // verdict restores the owner's verdict at the entry that asked.
-func (r *askReply) verdict(ask quarantine.Ask) quarantine.Verdict {
+func (r *askReply) verdict(ask quarantine.Query) quarantine.Verdict {
 	v := quarantine.Verdict{Action: r.Action, Reason: r.Reason, Server: ask.Server, Grant: r.Grant}
 	if r.Server != nil {
 		v.Server = *r.Server
@@ -129,7 +129,7 @@
 // decide asks this entry's own records and, where another entry owns the
 // fingerprint, that one.
 func (q *guard) decide(ctx context.Context, key laneKey, fingerprint uint64, server quarantine.Server) quarantine.Verdict {
-	ask := quarantine.Ask{Now: q.now(), Fingerprint: fingerprint, Server: server}
+	ask := quarantine.Query{Now: q.now(), Fingerprint: fingerprint, Server: server}
 	v := q.admit(key, ask)
 	if v.Action != quarantine.ActionPass {
 		return v
@@ -159,15 +159,15 @@
 // others have noticed, some seconds in which callers of a healthy system wait.
 // While owners are out of reach, a request that crashes servers can take one
 // more than two for each entry that it comes through.
-func (q *guard) unasked(key laneKey, ask quarantine.Ask, v quarantine.Verdict) quarantine.Verdict {
-	if v.Record.Struck {
+func (q *guard) unasked(key laneKey, ask quarantine.Query, v quarantine.Verdict) quarantine.Verdict {
+	if v.Record.EverCrashed {
 		ask.Unreachable = true
 		return q.admit(key, ask)
 	}
 	return quarantine.Verdict{Action: quarantine.ActionRun, Reason: quarantine.ReasonNoSuspicion, Server: ask.Server}
 }
 
-func (q *guard) admit(key laneKey, ask quarantine.Ask) quarantine.Verdict {
+func (q *guard) admit(key laneKey, ask quarantine.Query) quarantine.Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	ask.View = q.view(key)
--- a/policy/quarantine/quarantine_test.go
+++ b/policy/quarantine/quarantine_test.go
@@ -19,27 +19,27 @@
 // fleet is a set of entries in front of servers. Entries hear of crashes and of
 // each other's records late.
 type fleet struct {
-	now     time.Time
-	ids     []string
-	sets    []*Set
-	life    []uint64 // incarnation by server
-	open    []flight
-	notices []func()
-	refused int
-	lost    map[Server]bool // servers that the poison took
-	blamed  map[uint64]bool // harmless fingerprints that were quarantined
+	now            time.Time
+	ids            []string
+	sets           []*Set
+	incarnations   []uint64 // incarnation by server
+	openRuns       []openRun
+	notices        []func()
+	refused        int
+	lost           map[Server]bool // servers that the poison took
+	wronglyRefused map[uint64]bool // harmless fingerprints that were quarantined
 }
 
-type flight struct {
+type openRun struct {
 	entry int
 	run   Run
 }
 
-func newFleet(entries, servers int, ask bool) *fleet {
-	f := &fleet{now: epoch, life: make([]uint64, servers), lost: map[Server]bool{}, blamed: map[uint64]bool{}}
+func newFleet(entries, servers int, askOwner bool) *fleet {
+	f := &fleet{now: epoch, incarnations: make([]uint64, servers), lost: map[Server]bool{}, wronglyRefused: map[uint64]bool{}}
 	cfg := DefaultConfig()
 	cfg.Settle = 0 // the bound must hold without it; TestTrialWaitsForTheNews is about it
-	cfg.AskOwner = ask
+	cfg.AskOwner = askOwner
 	for i := range entries {
 		set, err := New(cfg)
 		if err != nil {
@@ -51,11 +51,11 @@
 	return f
 }
 
-func (f *fleet) server(i int) Server { return Server{fmt.Sprint("server-", i), f.life[i]} }
+func (f *fleet) server(i int) Server { return Server{fmt.Sprint("server-", i), f.incarnations[i]} }
 
 func (f *fleet) view(entry int) *View {
 	var servers []Server
-	for i := range f.life {
+	for i := range f.incarnations {
 		servers = append(servers, f.server(i))
 	}
 	return NewView(f.ids[entry], f.ids, servers)
@@ -65,62 +65,62 @@
 func (f *fleet) send(entry int, fingerprint uint64, server int, reachable bool) Verdict {
 	f.now = f.now.Add(time.Millisecond)
 	set := f.sets[entry]
-	ask := Ask{Now: f.now, Fingerprint: fingerprint, Server: f.server(server), View: f.view(entry)}
-	v := set.Admit(ask)
+	query := Query{Now: f.now, Fingerprint: fingerprint, Server: f.server(server), View: f.view(entry)}
+	v := set.Admit(query)
 	if v.Action == ActionPass && reachable {
 		for i, id := range f.ids {
 			if id == v.Owner {
 				f.sets[i].Merge(v.Record, f.now)
-				ask.View = f.view(i)
-				v = f.sets[i].Admit(ask)
+				query.View = f.view(i)
+				v = f.sets[i].Admit(query)
 			}
 		}
 		set.Merge(v.Record, f.now)
 	}
 	if v.Action == ActionPass && !reachable {
-		ask.Unreachable = true
-		v = set.Admit(ask)
+		query.Unreachable = true
+		v = set.Admit(query)
 	}
 	switch v.Action {
 	case ActionRun:
-		f.open = append(f.open, flight{entry, set.Start(fingerprint, v)})
+		f.openRuns = append(f.openRuns, openRun{entry, set.Start(fingerprint, v)})
 	case ActionRefuse:
 		f.refused++
-		f.blamed[fingerprint] = f.blamed[fingerprint] || fingerprint != poison
+		f.wronglyRefused[fingerprint] = f.wronglyRefused[fingerprint] || fingerprint != poison
 	}
 	return v
 }
 
 // finish ends an open run: the poison takes the server and all that runs there.
 func (f *fleet) finish(i int) {
-	done := f.open[i]
-	if done.run.Fingerprint != poison {
-		f.open = append(f.open[:i:i], f.open[i+1:]...)
-		record := f.sets[done.entry].Finish(done.run, f.now)
-		f.notices = append(f.notices, func() { f.tell([]Record{record}) })
+	ended := f.openRuns[i]
+	if ended.run.Fingerprint != poison {
+		f.openRuns = append(f.openRuns[:i:i], f.openRuns[i+1:]...)
+		record := f.sets[ended.entry].Finish(ended.run, f.now)
+		f.notices = append(f.notices, func() { f.broadcast([]Record{record}) })
 		return
 	}
-	server := done.run.Server
+	server := ended.run.Server
 	f.lost[server] = true
-	for i := range f.life {
+	for i := range f.incarnations {
 		if f.server(i) == server {
-			f.life[i]++
+			f.incarnations[i]++
 		}
 	}
-	var left []flight
-	for _, other := range f.open {
+	var remaining []openRun
+	for _, other := range f.openRuns {
 		if other.run.Server != server {
-			left = append(left, other)
+			remaining = append(remaining, other)
 		}
 	}
-	f.open = left
+	f.openRuns = remaining
 	for _, set := range f.sets {
-		f.notices = append(f.notices, func() { f.tell(set.Crashed(server, f.now)) })
+		f.notices = append(f.notices, func() { f.broadcast(set.Crashed(server, f.now)) })
 	}
 }
 
-// tell gives records to all entries.
-func (f *fleet) tell(records []Record) {
+// broadcast gives records to all entries.
+func (f *fleet) broadcast(records []Record) {
 	for _, set := range f.sets {
 		for _, record := range records {
 			set.Merge(record, f.now)
@@ -138,18 +138,18 @@
 		f := newFleet(rapid.IntRange(1, 5).Draw(t, "entries"), 6, true)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			f.now = f.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what < 5:
+			switch action := rapid.IntRange(0, 9).Draw(t, "what"); {
+			case action < 5:
 				entry := rapid.IntRange(0, len(f.sets)-1).Draw(t, "entry")
 				fingerprint := rapid.Uint64Range(poison, 4).Draw(t, "fingerprint")
-				v := f.send(entry, fingerprint, rapid.IntRange(0, 5).Draw(t, "server"), what > 0)
+				v := f.send(entry, fingerprint, rapid.IntRange(0, 5).Draw(t, "server"), action > 0)
 				require.NotEqual(t, ActionPass, v.Action)
-			case what < 8 && len(f.open) > 0:
-				f.finish(rapid.IntRange(0, len(f.open)-1).Draw(t, "run"))
+			case action < 8 && len(f.openRuns) > 0:
+				f.finish(rapid.IntRange(0, len(f.openRuns)-1).Draw(t, "run"))
 			case len(f.notices) > 0:
 				i := rapid.IntRange(0, len(f.notices)-1).Draw(t, "notice")
 				f.notices[i]()
-				if what == 9 {
+				if action == 9 {
 					f.notices = append(f.notices[:i:i], f.notices[i+1:]...)
 				}
 			}
@@ -160,12 +160,12 @@
 
 // Without asking the owner first, the same holds when the news of a crash is
 // everywhere before the request is sent again, and only one copy runs at a time.
-func TestAtMostTwoServersLostWithPromptNews(t *testing.T) {
+func TestAtMostTwoServersLostWithoutAskingOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(4, 6, false)
 		for range rapid.IntRange(1, 40).Draw(t, "sends") {
 			f.send(rapid.IntRange(0, 3).Draw(t, "entry"), poison, rapid.IntRange(0, 5).Draw(t, "server"), true)
-			if len(f.open) > 0 {
+			if len(f.openRuns) > 0 {
 				f.finish(0)
 			}
 			for _, notice := range f.notices {
@@ -182,12 +182,12 @@
 // suspect; the guilty one is refused at every entry from then on. Breaks without
 // OnTrial in grantTrial and without clearing crashes in Finish.
 func TestBystandersAreClearedAndTheGuiltyIsRefused(t *testing.T) {
-	for _, ask := range []bool{true, false} {
-		t.Run(fmt.Sprintf("AskOwner=%v", ask), func(t *testing.T) { playBystanders(t, newFleet(3, 6, ask)) })
+	for _, askOwner := range []bool{true, false} {
+		t.Run(fmt.Sprintf("AskOwner=%v", askOwner), func(t *testing.T) { testBystanders(t, newFleet(3, 6, askOwner)) })
 	}
 }
 
-func playBystanders(t *testing.T, f *fleet) {
+func testBystanders(t *testing.T, f *fleet) {
 	for fingerprint := uint64(poison); fingerprint <= 5; fingerprint++ {
 		f.send(int(fingerprint)%3, fingerprint, 2, true)
 	}
@@ -204,12 +204,12 @@
 				f.send(round%3, fingerprint, 3, true)
 			}
 		}
-		for _, flight := range f.open {
-			busy[flight.run.Server]++
-			require.Equal(t, 1, busy[flight.run.Server], "suspects on one server")
-			finished[flight.run.Fingerprint] = true
+		for _, open := range f.openRuns {
+			busy[open.run.Server]++
+			require.Equal(t, 1, busy[open.run.Server], "suspects on one server")
+			finished[open.run.Fingerprint] = true
 		}
-		for len(f.open) > 0 {
+		for len(f.openRuns) > 0 {
 			f.finish(0)
 		}
 		for _, notice := range f.notices {
@@ -219,7 +219,7 @@
 	}
 	require.Len(t, f.lost, 2)
 	require.Len(t, finished, 5)
-	require.Empty(t, f.blamed)
+	require.Empty(t, f.wronglyRefused)
 	for fingerprint := uint64(poison + 1); fingerprint <= 5; fingerprint++ {
 		require.Equal(t, ReasonKnownGood, f.send(0, fingerprint, 0, true).Reason)
 	}
@@ -256,26 +256,26 @@
 // at once, the bystander could be put beside it and be blamed for both crashes,
 // and its caller would be refused for an hour. Breaks without lastCrash in
 // grantTrial.
-func TestTrialWaitsForTheNews(t *testing.T) {
+func TestTrialWaitsForSettleDelay(t *testing.T) {
 	cfg := DefaultConfig()
 	set, err := New(cfg)
 	require.NoError(t, err)
 	first, second := Server{"a", 1}, Server{"b", 1}
 	view := NewView("entry", []string{"entry"}, []Server{second})
 	now := time.Unix(1000, 0)
-	ask := Ask{Now: now, Fingerprint: 9, Server: first, View: view}
-	set.Start(9, set.Admit(ask))
+	query := Query{Now: now, Fingerprint: 9, Server: first, View: view}
+	set.Start(9, set.Admit(query))
 	require.Len(t, set.Crashed(first, now), 1)
-	require.Equal(t, ReasonSettling, set.Admit(ask).Reason)
+	require.Equal(t, ReasonSettling, set.Admit(query).Reason)
 	guilty := Record{Fingerprint: poison, Exposures: []Exposure{
 		{Server: first, Grant: 1, State: StateCrashed, At: now}, {Server: second, Grant: 2, State: StateTrial, At: now},
 	}}
 	set.Merge(guilty, now.Add(cfg.Settle/2))
-	ask.Now = now.Add(cfg.Settle)
-	require.Equal(t, ReasonNoFreeServer, set.Admit(ask).Reason)
+	query.Now = now.Add(cfg.Settle)
+	require.Equal(t, ReasonNoFreeServer, set.Admit(query).Reason)
 	guilty.Exposures[1].State = StateCrashed
-	set.Merge(guilty, ask.Now)
-	require.Equal(t, ReasonTrial, set.Admit(ask).Reason)
+	set.Merge(guilty, query.Now)
+	require.Equal(t, ReasonTrial, set.Admit(query).Reason)
 }
 
 // Records reach the entries in different orders, some twice. All entries must
@@ -286,7 +286,7 @@
 		for range rapid.IntRange(1, 8).Draw(t, "records") {
 			record := Record{Fingerprint: poison}
 			for range rapid.IntRange(1, 4).Draw(t, "exposures") {
-				record.raise(Exposure{
+				record.mergeExposure(Exposure{
 					Server: Server{fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "server")), 1},
 					Grant:  rapid.Uint64Range(0, 1).Draw(t, "grant"),
 					State:  State(rapid.IntRange(0, 3).Draw(t, "state")),
@@ -309,17 +309,17 @@
 	})
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestEvictionKeepsCrashRecords(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxRecords = 64
 	set, err := New(cfg)
 	require.NoError(t, err)
-	struck := Record{Fingerprint: poison}
-	struck.raise(Exposure{Server: Server{"s", 1}, State: StateCrashed, At: epoch})
-	set.Merge(struck, epoch)
+	crashed := Record{Fingerprint: poison}
+	crashed.mergeExposure(Exposure{Server: Server{"s", 1}, State: StateCrashed, At: epoch})
+	set.Merge(crashed, epoch)
 	view := NewView("e", []string{"e"}, []Server{{"s", 2}})
 	for fingerprint := range uint64(1000) {
-		set.Admit(Ask{Now: epoch, Fingerprint: fingerprint + 2, Server: Server{"s", 2}, View: view})
+		set.Admit(Query{Now: epoch, Fingerprint: fingerprint + 2, Server: Server{"s", 2}, View: view})
 		require.LessOrEqual(t, set.Len(), 64)
 	}
 	delta, _ := set.Delta(0)
--- a/policy/quarantine/record.go
+++ b/policy/quarantine/record.go
@@ -57,7 +57,7 @@
 type Record struct {
 	Fingerprint uint64     `msgpack:"fp"`
 	Exposures   []Exposure `msgpack:"exp"`    // sorted by server and grant
-	Struck      bool       `msgpack:"struck"` // some server has crashed under it, cleared or not
+	EverCrashed bool       `msgpack:"struck"` // some server has crashed under it, cleared or not
 
 	changed uint64 // Set.version at the last change
 }
@@ -76,31 +76,31 @@
 	return cmp.Or(compareServers(a.Server, b.Server), cmp.Compare(a.Grant, b.Grant))
 }
 
-// raise merges one exposure in and reports whether that changed the record.
-func (r *Record) raise(e Exposure) bool {
-	r.Struck = r.Struck || e.State == StateCrashed
+// mergeExposure merges one exposure in and reports whether that changed the record.
+func (r *Record) mergeExposure(e Exposure) bool {
+	r.EverCrashed = r.EverCrashed || e.State == StateCrashed
 	i, ok := r.find(e.Server, e.Grant)
 	if !ok {
 		r.Exposures = slices.Insert(r.Exposures, i, e)
 		return true
 	}
-	have := &r.Exposures[i]
-	if e.State < have.State || e.State == have.State && !e.At.After(have.At) {
+	existing := &r.Exposures[i]
+	if e.State < existing.State || e.State == existing.State && !e.At.After(existing.At) {
 		return false
 	}
-	*have = e
+	*existing = e
 	return true
 }
 
 // crashed returns the distinct servers that crashed lately and are not cleared.
 func (r *Record) crashed(cfg *Config, now time.Time) []Server {
-	return r.servers(StateCrashed, cfg.Keep, now)
+	return r.serversInState(StateCrashed, cfg.Keep, now)
 }
 
 // running returns the distinct servers on which a run is open. One that has
 // crashed under another run is not among them.
 func (r *Record) running(cfg *Config, now time.Time) []Server {
-	open := r.servers(StateTrial, cfg.TrialKeep, now)
+	open := r.serversInState(StateTrial, cfg.TrialKeep, now)
 	return slices.DeleteFunc(open, func(s Server) bool {
 		return slices.ContainsFunc(r.Exposures, func(e Exposure) bool {
 			return e.Server == s && e.State == StateCrashed
@@ -108,10 +108,10 @@
 	})
 }
 
-func (r *Record) servers(state State, keep time.Duration, now time.Time) []Server {
+func (r *Record) serversInState(state State, maxAge time.Duration, now time.Time) []Server {
 	var found []Server
 	for _, e := range r.Exposures {
-		if e.State == state && now.Before(e.At.Add(keep)) && !slices.Contains(found, e.Server) {
+		if e.State == state && now.Before(e.At.Add(maxAge)) && !slices.Contains(found, e.Server) {
 			found = append(found, e.Server)
 		}
 	}
@@ -129,13 +129,13 @@
 	return last
 }
 
-// good reports whether a run has finished and nothing speaks against it since.
-func (r *Record) good(cfg *Config, now time.Time) bool {
-	return !r.Suspect(cfg, now) && len(r.servers(StateCleared, cfg.Keep, now)) > 0
+// knownGood reports whether a run has finished and nothing speaks against it since.
+func (r *Record) knownGood(cfg *Config, now time.Time) bool {
+	return !r.Suspect(cfg, now) && len(r.serversInState(StateCleared, cfg.Keep, now)) > 0
 }
 
-// until returns when fewer than two crashes will be remembered.
-func (r *Record) until(cfg *Config, now time.Time) time.Time {
+// quarantinedUntil returns when fewer than two crashes will be remembered.
+func (r *Record) quarantinedUntil(cfg *Config, now time.Time) time.Time {
 	latest := make(map[Server]time.Time)
 	for _, e := range r.Exposures {
 		if e.State == StateCrashed && e.At.After(latest[e.Server]) {
@@ -147,10 +147,10 @@
 		times = append(times, at)
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	if len(times) < quarantineCrashes {
+	if len(times) < crashesToQuarantine {
 		return now
 	}
-	return times[len(times)-quarantineCrashes].Add(cfg.Keep)
+	return times[len(times)-crashesToQuarantine].Add(cfg.Keep)
 }
 
 // expire drops exposures that no longer count and reports whether any is left.
@@ -171,9 +171,9 @@
 // joins what several entries have written. Order and doubles don't matter.
 func Merge(a, b Record) Record {
 	out := a.clone()
-	out.Struck = a.Struck || b.Struck
+	out.EverCrashed = a.EverCrashed || b.EverCrashed
 	for _, e := range b.Exposures {
-		out.raise(e)
+		out.mergeExposure(e)
 	}
 	return out
 }
--- a/policy/quarantine/set.go
+++ b/policy/quarantine/set.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// quarantineCrashes is the number of servers lost that quarantines.
-	quarantineCrashes = 2
-	// openRuns is on how many servers a fingerprint that has never finished may
+	// crashesToQuarantine is the number of servers lost that quarantines.
+	crashesToQuarantine = 2
+	// maxFirstRunServers is on how many servers a fingerprint that has never finished may
 	// run at once. All of them may crash, so more would break the bound.
-	openRuns = 2
+	maxFirstRunServers = 2
 )
 
 // Run is one run of a fingerprint by this entry, from Start to Finish, End or
@@ -26,11 +26,11 @@
 
 // Set is one entry's records and its own open runs. Not safe for concurrent use.
 type Set struct {
-	cfg     Config
-	records map[uint64]*Record
-	runs    map[Server][]Run
-	version uint64 // counts changes, for Delta
-	grants  uint64 // highest grant given
+	cfg       Config
+	records   map[uint64]*Record
+	runs      map[Server][]Run
+	version   uint64 // counts changes, for Delta
+	lastGrant uint64 // highest grant given
 }
 
 // New returns an empty Set. The error is a *policy.ConfigError.
@@ -43,81 +43,81 @@
 
 // Admit decides on a request, either of this entry's own or, at the owner, one
 // that another entry passed on after its Record was merged.
-func (s *Set) Admit(ask Ask) Verdict {
-	record := s.records[ask.Fingerprint]
+func (s *Set) Admit(query Query) Verdict {
+	record := s.records[query.Fingerprint]
 	if record == nil {
-		record = &Record{Fingerprint: ask.Fingerprint}
+		record = &Record{Fingerprint: query.Fingerprint}
 	}
-	crashed := record.crashed(&s.cfg, ask.Now)
+	crashed := record.crashed(&s.cfg, query.Now)
 	switch {
-	case len(crashed) >= quarantineCrashes:
-		return Verdict{Action: ActionRefuse, Reason: ReasonQuarantined, Until: record.until(&s.cfg, ask.Now)}
-	case len(crashed) == 0 && record.good(&s.cfg, ask.Now):
-		return Verdict{Action: ActionRun, Reason: ReasonKnownGood, Server: ask.Server}
+	case len(crashed) >= crashesToQuarantine:
+		return Verdict{Action: ActionRefuse, Reason: ReasonQuarantined, Until: record.quarantinedUntil(&s.cfg, query.Now)}
+	case len(crashed) == 0 && record.knownGood(&s.cfg, query.Now):
+		return Verdict{Action: ActionRun, Reason: ReasonKnownGood, Server: query.Server}
 	case len(crashed) == 0 && !s.cfg.AskOwner:
-		return Verdict{Action: ActionRun, Reason: ReasonNoSuspicion, Server: ask.Server}
+		return Verdict{Action: ActionRun, Reason: ReasonNoSuspicion, Server: query.Server}
 	}
-	owner := ask.View.Owner(ask.Fingerprint)
-	if owner == "" || ask.Unreachable {
+	owner := query.View.Owner(query.Fingerprint)
+	if owner == "" || query.Unreachable {
 		// To run a suspect on one's own word is what the bound forbids: the owner
 		// may have a trial of it open on another server.
 		return Verdict{Action: ActionWait, Reason: ReasonNoOwner}
 	}
-	if owner != ask.View.self {
+	if owner != query.View.self {
 		return Verdict{Action: ActionPass, Reason: ReasonNotOwner, Owner: owner, Record: record.clone()}
 	}
 	if len(crashed) == 0 {
-		return s.grantFirst(ask, record)
+		return s.grantFirstRun(query, record)
 	}
-	return s.grantTrial(ask, record)
+	return s.grantTrial(query, record)
 }
 
-// grantFirst lets a fingerprint that has neither finished nor crashed run on at
+// grantFirstRun lets a fingerprint that has neither finished nor crashed run on at
 // most openRuns servers at once; more copies join one of those.
-func (s *Set) grantFirst(ask Ask, record *Record) Verdict {
-	open := record.running(&s.cfg, ask.Now)
-	if len(open) < openRuns {
-		return s.grant(ask, record, ask.Server, ReasonFirstRuns)
+func (s *Set) grantFirstRun(query Query, record *Record) Verdict {
+	open := record.running(&s.cfg, query.Now)
+	if len(open) < maxFirstRunServers {
+		return s.grant(query, record, query.Server, ReasonFirstRuns)
 	}
-	if slices.Contains(open, ask.Server) {
-		return s.grant(ask, record, ask.Server, ReasonTogether)
+	if slices.Contains(open, query.Server) {
+		return s.grant(query, record, query.Server, ReasonTogether)
 	}
-	return s.grant(ask, record, open[0], ReasonTogether)
+	return s.grant(query, record, open[0], ReasonTogether)
 }
 
 // grantTrial lets a suspect run if no other run of it is open and one of the
 // owner's servers runs no suspect. The server is the suspect's first by
 // rendezvous hashing among the free ones.
-func (s *Set) grantTrial(ask Ask, record *Record) Verdict {
-	if len(record.running(&s.cfg, ask.Now)) > 0 {
+func (s *Set) grantTrial(query Query, record *Record) Verdict {
+	if len(record.running(&s.cfg, query.Now)) > 0 {
 		return Verdict{Action: ActionWait, Reason: ReasonOnTrial}
 	}
-	if ask.Now.Sub(record.lastCrash()) < s.cfg.Settle {
+	if query.Now.Sub(record.lastCrash()) < s.cfg.Settle {
 		return Verdict{Action: ActionWait, Reason: ReasonSettling}
 	}
-	taken := s.OnTrial(ask.Now)
+	busy := s.OnTrial(query.Now)
 	var best Server
-	top := uint64(0)
-	for i, server := range ask.View.own {
-		rank := hash.Pair(ask.Fingerprint, uint64(i)+1)
-		if !slices.Contains(taken, server) && (best.ID == "" || rank > top) {
-			best, top = server, rank
+	bestRank := uint64(0)
+	for i, server := range query.View.ownServers {
+		rank := hash.Pair(query.Fingerprint, uint64(i)+1)
+		if !slices.Contains(busy, server) && (best.ID == "" || rank > bestRank) {
+			best, bestRank = server, rank
 		}
 	}
 	if best.ID == "" {
 		return Verdict{Action: ActionWait, Reason: ReasonNoFreeServer}
 	}
-	return s.grant(ask, record, best, ReasonTrial)
+	return s.grant(query, record, best, ReasonTrial)
 }
 
 // grant records the run before it begins. A grant that was only remembered
 // after the run would be forgotten exactly when it matters: the server crashes,
 // the runner is lost, and the next copy goes to a third server.
-func (s *Set) grant(ask Ask, record *Record, server Server, reason Reason) Verdict {
-	s.grants = max(s.grants+1, uint64(ask.Now.UnixNano()))
-	e := Exposure{Server: server, Grant: s.grants, State: StateTrial, At: ask.Now}
-	s.keep(record)
-	s.raise(record, e)
+func (s *Set) grant(query Query, record *Record, server Server, reason Reason) Verdict {
+	s.lastGrant = max(s.lastGrant+1, uint64(query.Now.UnixNano()))
+	e := Exposure{Server: server, Grant: s.lastGrant, State: StateTrial, At: query.Now}
+	s.store(record)
+	s.mergeExposure(record, e)
 	return Verdict{Action: ActionRun, Reason: reason, Server: server, Grant: e.Grant, Record: record.clone()}
 }
 
@@ -133,22 +133,22 @@
 // and its earlier crashes had another cause. The record returned goes to the
 // owner if the run had a grant.
 func (s *Set) Finish(run Run, now time.Time) Record {
-	s.drop(run)
+	s.removeRun(run)
 	record := s.records[run.Fingerprint]
 	if record == nil {
 		if run.Grant == 0 {
 			return Record{Fingerprint: run.Fingerprint}
 		}
 		record = &Record{Fingerprint: run.Fingerprint}
-		s.keep(record)
+		s.store(record)
 	}
 	for _, e := range slices.Clone(record.Exposures) {
 		if e.State == StateCrashed || e.Server == run.Server && e.Grant == run.Grant {
-			s.raise(record, Exposure{Server: e.Server, Grant: e.Grant, State: StateCleared, At: now})
+			s.mergeExposure(record, Exposure{Server: e.Server, Grant: e.Grant, State: StateCleared, At: now})
 		}
 	}
 	if run.Grant != 0 {
-		s.raise(record, Exposure{Server: run.Server, Grant: run.Grant, State: StateCleared, At: now})
+		s.mergeExposure(record, Exposure{Server: run.Server, Grant: run.Grant, State: StateCleared, At: now})
 	}
 	return record.clone()
 }
@@ -157,12 +157,12 @@
 // live: cancelled, refused, or failed with an error. The record returned goes to
 // the owner if the run had a grant.
 func (s *Set) End(run Run, now time.Time) Record {
-	s.drop(run)
+	s.removeRun(run)
 	record := s.records[run.Fingerprint]
 	if record == nil || run.Grant == 0 && !record.Suspect(&s.cfg, now) {
 		return Record{Fingerprint: run.Fingerprint}
 	}
-	s.raise(record, Exposure{Server: run.Server, Grant: run.Grant, State: StateEnded, At: now})
+	s.mergeExposure(record, Exposure{Server: run.Server, Grant: run.Grant, State: StateEnded, At: now})
 	return record.clone()
 }
 
@@ -173,16 +173,16 @@
 // grant may be lost together with the server, and then only the owner knows.
 func (s *Set) Crashed(server Server, now time.Time) []Record {
 	var suspects []Record
-	runs := append(s.runs[server], s.grantsOn(server, now)...)
+	runs := append(s.runs[server], s.openGrantsOn(server, now)...)
 	delete(s.runs, server)
 	for _, run := range runs {
 		record := s.records[run.Fingerprint]
 		if record == nil {
 			record = &Record{Fingerprint: run.Fingerprint}
-			s.keep(record)
+			s.store(record)
 		}
-		s.raise(record, Exposure{Server: server, Grant: run.Grant, State: StateCrashed, At: now})
-		s.markRuns(record, now)
+		s.mergeExposure(record, Exposure{Server: server, Grant: run.Grant, State: StateCrashed, At: now})
+		s.markOpenRuns(record, now)
 		if !slices.ContainsFunc(suspects, func(r Record) bool { return r.Fingerprint == run.Fingerprint }) {
 			suspects = append(suspects, record.clone())
 		}
@@ -190,8 +190,8 @@
 	return suspects
 }
 
-// grantsOn returns the open runs on the server that other entries began.
-func (s *Set) grantsOn(server Server, now time.Time) []Run {
+// openGrantsOn returns the open runs on the server that other entries began.
+func (s *Set) openGrantsOn(server Server, now time.Time) []Run {
 	var runs []Run
 	for _, record := range s.records {
 		for _, e := range record.Exposures {
@@ -213,32 +213,32 @@
 	if record == nil {
 		record = &Record{Fingerprint: other.Fingerprint}
 	}
-	changed := other.Struck && !record.Struck
-	record.Struck = record.Struck || other.Struck
+	changed := other.EverCrashed && !record.EverCrashed
+	record.EverCrashed = record.EverCrashed || other.EverCrashed
 	for _, e := range other.Exposures {
-		if now.Before(e.At.Add(s.cfg.Keep)) && record.raise(e) {
+		if now.Before(e.At.Add(s.cfg.Keep)) && record.mergeExposure(e) {
 			changed = true
 		}
 	}
 	if !changed {
 		return false
 	}
-	s.keep(record)
-	s.touch(record)
-	s.markRuns(record, now)
+	s.store(record)
+	s.markChanged(record)
+	s.markOpenRuns(record, now)
 	return true
 }
 
-// markRuns records this entry's open runs of a suspect that began before it was
+// markOpenRuns records this entry's open runs of a suspect that began before it was
 // one, so that their servers take no trial and count as possible losses.
-func (s *Set) markRuns(record *Record, now time.Time) {
+func (s *Set) markOpenRuns(record *Record, now time.Time) {
 	if !record.Suspect(&s.cfg, now) {
 		return
 	}
 	for server, runs := range s.runs {
 		for _, run := range runs {
 			if run.Fingerprint == record.Fingerprint {
-				s.raise(record, Exposure{Server: server, Grant: run.Grant, State: StateTrial, At: now})
+				s.mergeExposure(record, Exposure{Server: server, Grant: run.Grant, State: StateTrial, At: now})
 			}
 		}
 	}
@@ -264,7 +264,7 @@
 func (s *Set) Delta(version uint64) ([]Record, uint64) {
 	var changed []Record
 	for _, record := range s.records {
-		if record.changed > version && record.Struck {
+		if record.changed > version && record.EverCrashed {
 			changed = append(changed, record.clone())
 		}
 	}
@@ -288,8 +288,8 @@
 // Len returns the number of records.
 func (s *Set) Len() int { return len(s.records) }
 
-// keep stores a record and makes room for it if need be.
-func (s *Set) keep(record *Record) {
+// store stores a record and makes room for it if need be.
+func (s *Set) store(record *Record) {
 	if s.records[record.Fingerprint] != nil {
 		return
 	}
@@ -297,7 +297,7 @@
 		s.evict()
 	}
 	s.records[record.Fingerprint] = record
-	s.touch(record)
+	s.markChanged(record)
 }
 
 // evict drops an eighth of the records: first those that no server crashed
@@ -309,8 +309,8 @@
 		all = append(all, record)
 	}
 	slices.SortFunc(all, func(a, b *Record) int {
-		if a.Struck != b.Struck {
-			if b.Struck {
+		if a.EverCrashed != b.EverCrashed {
+			if b.EverCrashed {
 				return -1
 			}
 			return 1
@@ -322,18 +322,18 @@
 	}
 }
 
-func (s *Set) raise(record *Record, e Exposure) {
-	if record.raise(e) {
-		s.touch(record)
+func (s *Set) mergeExposure(record *Record, e Exposure) {
+	if record.mergeExposure(e) {
+		s.markChanged(record)
 	}
 }
 
-func (s *Set) touch(record *Record) {
+func (s *Set) markChanged(record *Record) {
 	s.version++
 	record.changed = s.version
 }
 
-func (s *Set) drop(run Run) {
+func (s *Set) removeRun(run Run) {
 	runs := s.runs[run.Server]
 	if i := slices.Index(runs, run); i >= 0 {
 		runs = slices.Delete(runs, i, i+1)
--- a/policy/quarantine/verdict.go
+++ b/policy/quarantine/verdict.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ask is a request that is about to be sent to a backend server.
-type Ask struct {
+// Query is a request that is about to be sent to a backend server.
+type Query struct {
 	Now         time.Time
 	Fingerprint uint64
 	Server      Server // where routing would send it
--- a/policy/quarantine/view.go
+++ b/policy/quarantine/view.go
@@ -11,9 +11,9 @@
 // View is one entry's picture of who owns what. Build a new one when an entry
 // or a backend server comes or goes.
 type View struct {
-	self   string
-	owners []string // entries that own at least one server
-	own    []Server // servers that self owns, sorted
+	self       string
+	owners     []string // entries that own at least one server
+	ownServers []Server // servers that self owns, sorted
 }
 
 // NewView shares the servers out among the entries. entries are the ids of all
@@ -23,31 +23,31 @@
 func NewView(self string, entries []string, servers []Server) *View {
 	v := &View{self: self}
 	for _, s := range servers {
-		owner := first(entries, xxhash.Sum64String(s.ID))
+		owner := highestRanked(entries, xxhash.Sum64String(s.ID))
 		if owner == self {
-			v.own = append(v.own, s)
+			v.ownServers = append(v.ownServers, s)
 		}
 		if owner != "" && !slices.Contains(v.owners, owner) {
 			v.owners = append(v.owners, owner)
 		}
 	}
-	slices.SortFunc(v.own, compareServers)
+	slices.SortFunc(v.ownServers, compareServers)
 	return v
 }
 
 // Owner returns the entry that grants runs of the fingerprint, empty when no
 // server serves.
 func (v *View) Owner(fingerprint uint64) string {
-	return first(v.owners, fingerprint)
+	return highestRanked(v.owners, fingerprint)
 }
 
-// first returns the entry that comes first for the key by rendezvous hashing.
-func first(entries []string, key uint64) string {
-	best, top := "", uint64(0)
+// highestRanked returns the entry that comes highestRanked for the key by rendezvous hashing.
+func highestRanked(entries []string, key uint64) string {
+	best, bestRank := "", uint64(0)
 	for _, id := range entries {
 		rank := hash.Pair(xxhash.Sum64String(id), key)
-		if best == "" || rank > top || rank == top && id < best {
-			best, top = id, rank
+		if best == "" || rank > bestRank || rank == bestRank && id < best {
+			best, bestRank = id, rank
 		}
 	}
 	return best
