--- a/policy/quarantine/config.go
+++ b/policy/quarantine/config.go
@@ -8,28 +8,23 @@
 
 // Config holds the thresholds of a Set. Start from DefaultConfig.
 type Config struct {
-	// AskOwner makes every fingerprint that is not known to be good ask its
-	// owner before it runs. See the package comment for what holds without it.
+	// AskOwner requires a grant of the owner for every fingerprint that is not known to be
+	// good. The package comment describes what is guaranteed without it.
 	AskOwner bool
-	// Keep is how long a crash, a clearing and a quarantine are remembered.
+	// Keep is how long crashes, clearings and quarantines are stored.
 	Keep time.Duration
-	// TrialKeep is how long a grant counts as running without news of its end.
+	// TrialKeep is how long a grant counts as running if its end is not reported. It must
+	// exceed the longest run.
 	TrialKeep time.Duration
-	// Settle is how long after a crash the first trial of a suspect waits. By then
-	// the owner has heard what else ran on the server and is suspect too, and where
-	// those run now. Without it a bystander may be tried on a server that runs the
-	// cause of the crash; that server crashes as well, and the bystander is
-	// quarantined although it did nothing.
+	// Settle is the delay between a crash and the first trial of a suspect. It must exceed
+	// the time in which records reach all entries. Otherwise a harmless suspect may be tried on
+	// a server that runs the cause of the crash, and be quarantined when that server crashes.
 	Settle time.Duration
-	// MaxRecords bounds the fingerprints remembered.
+	// MaxRecords is the maximum number of records; one takes about 200 bytes.
 	MaxRecords int
 }
 
-// DefaultConfig returns the thresholds. Keep 1 h outlasts a caller's resends by
-// far and lets a mended model serve the request again the same day. TrialKeep
-// 10 min is longer than any request runs. Settle 500 ms is above the 211 ms in which
-// news is everywhere at 370 nodes (docs/CAPACITY.md). MaxRecords 16384 is 128 servers with
-// 128 requests each crashing within Keep; a record takes about 200 bytes.
+// DefaultConfig returns the default thresholds.
 func DefaultConfig() Config {
 	return Config{
 		AskOwner:   true,
--- a/policy/quarantine/doc.go
+++ b/policy/quarantine/doc.go
@@ -1,56 +1,51 @@
-// Package quarantine keeps a request that crashes backend servers from taking
-// one server after another.
-//
-// Load pattern answered: one request whose content crashes each server that
-// runs it, sent again by its caller and by the system's own retries, through any
-// entry.
-//
-// Without it: each retry takes another server, with all that runs on it. An
-// operator sees servers restart in a row with nothing in common but their last
-// requests; callers who did nothing wrong lose their answers each time.
-//
-// # The rules
-//
-// A request is known by its fingerprint (request.Request.Fingerprint), the same for
-// each resend. When a server crashes, every request that ran there becomes a suspect:
-// nobody can tell which of them did it. A suspect runs again only as a trial,
-// granted by the one entry that owns its fingerprint, on a server that the same
-// entry owns and that runs no other suspect. If that server crashes too, the
-// fingerprint is quarantined: refused at once and finally, at every entry, for
-// Config.Keep. If the trial finishes, the suspect was a bystander and is cleared.
-//
-// Ownership is by rendezvous hashing over the serving entries, so all entries
-// agree without talking. Records are sets that only grow along a fixed order of
-// states and merge by union, so they may arrive late, doubled and in any order.
-//
-// # The bound
-//
-// At most two servers (incarnations) are lost to one fingerprint, whatever the
-// number of resends and entries, when all of this holds:
-//
-//   - Config.AskOwner is set, and each entry obeys the verdict: it runs a
-//     fingerprint that is not known to be good only after its owner has granted it.
-//     The grant is recorded before the first byte goes to the server.
-//   - All entries name the same owner for the fingerprint for as long as a grant
-//     is open. Where the owner changes (an entry joins or is lost) or two parts of
-//     the entries cannot see each other, each owner may grant two servers.
-//   - The owner hears of a server's crash within TrialKeep of its grant there.
-//   - A run whose server's fate is not known is reported with Crashed and not
-//     with End.
-//   - No record of the fingerprint was evicted (MaxRecords) or forgotten (Keep).
-//   - The request crashes every server that runs it. One that sometimes finishes
-//     is cleared each time it does.
-//
-// Without AskOwner, a fingerprint that no entry suspects yet runs at once, which
-// saves the exchange with the owner (about 1 ms between data centres of a site).
-// Then the bound holds if every entry has the record of the first crash before
-// the request reaches it again, and if it was not running on two servers when it
-// crashed the first. Each run begun before that may cost one server more.
-//
-// A bystander that is on trial when the server crashes for another cause is
-// quarantined though it did nothing. To make that rare, entries keep new work
-// away from a server on trial (Set.OnTrial).
-//
-// The package does no I/O and reads no clock. A Set is not safe for concurrent
-// use.
+// Package quarantine limits how many backend servers a request can crash.
+//
+// Load pattern: one request whose content crashes every server that runs it, resent by
+// its caller and retried by the system, through any entry.
+//
+// Without it: each retry crashes another server together with all requests on it. An
+// operator sees one server after another restart, and callers of other requests lose
+// their answers.
+//
+// # Rules
+//
+// A request is identified by its fingerprint (request.Request.Fingerprint), which is the
+// same for each resend. When a server crashes, every request that ran on it becomes a
+// suspect. A suspect runs again only as a trial, granted by the one entry that owns its
+// fingerprint, on a server that this entry also owns and that runs no other suspect. If
+// that server crashes too, the fingerprint is quarantined: every entry refuses it
+// immediately for Config.Keep, and callers must not retry. If the trial finishes, the
+// suspect is cleared.
+//
+// Owners are chosen by rendezvous hashing over the serving entries, so that entries with
+// the same view agree without communication. Records are sets of runs whose states only
+// increase. They merge by union, so they may arrive late, more than once and in any order.
+//
+// # Bound
+//
+// One fingerprint crashes at most two servers (incarnations), for any number of resends
+// and entries, if all of the following hold:
+//
+//   - Config.AskOwner is set, and each entry follows the verdict: it runs a fingerprint
+//     that is not known to be good only with a grant of its owner. The grant is recorded
+//     before the first byte is sent to the server.
+//   - All entries agree on the owner of the fingerprint while a grant is open. If the owner
+//     changes because an entry joins or is lost, or if the entries are partitioned, each
+//     owner may grant two servers.
+//   - The owner learns of a server's crash within TrialKeep of its grant on that server.
+//   - A run on a server whose state is unknown is reported with Crashed, not with End.
+//   - No record of the fingerprint was evicted (MaxRecords) or has expired (Keep).
+//   - The request crashes every server that runs it. One that sometimes finishes is
+//     cleared each time.
+//
+// Without AskOwner a fingerprint that this entry does not suspect runs immediately, which
+// saves the round trip to the owner. The bound then holds only if every entry has the record
+// of the first crash before the request arrives again, and if the request was not running
+// on two servers at the time of that crash. Each run started before that may crash one more
+// server.
+//
+// A harmless request on trial is quarantined if its server crashes for another cause. To
+// make this rare, entries send no new work to servers on trial (Set.OnTrial).
+//
+// The package does no I/O and reads no clock. A Set is not safe for concurrent use.
 package quarantine
--- a/policy/quarantine/quarantine_test.go
+++ b/policy/quarantine/quarantine_test.go
@@ -13,20 +13,20 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// poison crashes every server that runs it; other fingerprints are harmless.
+// poison is the fingerprint that crashes every server; the others are harmless.
 const poison = 1
 
-// fleet is a set of entries in front of servers. Entries hear of crashes and of
-// each other's records late.
+// fleet simulates entries and servers. Entries learn of crashes and of each other's records
+// with a delay.
 type fleet struct {
 	now            time.Time
 	ids            []string
 	sets           []*Set
-	incarnations   []uint64 // incarnation by server
+	incarnations   []uint64 // by server
 	openRuns       []openRun
 	notices        []func()
 	refused        int
-	lost           map[Server]bool // servers that the poison took
+	lost           map[Server]bool // servers crashed by poison
 	wronglyRefused map[uint64]bool // harmless fingerprints that were quarantined
 }
 
@@ -38,7 +38,7 @@
 func newFleet(entries, servers int, askOwner bool) *fleet {
 	f := &fleet{now: epoch, incarnations: make([]uint64, servers), lost: map[Server]bool{}, wronglyRefused: map[uint64]bool{}}
 	cfg := DefaultConfig()
-	cfg.Settle = 0 // the bound must hold without it; TestTrialWaitsForTheNews is about it
+	cfg.Settle = 0 // the bound must hold without the delay; see TestTrialWaitsForSettleDelay
 	cfg.AskOwner = askOwner
 	for i := range entries {
 		set, err := New(cfg)
@@ -61,7 +61,7 @@
 	return NewView(f.ids[entry], f.ids, servers)
 }
 
-// send brings a request to an entry, which obeys the verdict.
+// send sends a request to an entry and follows the verdict.
 func (f *fleet) send(entry int, fingerprint uint64, server int, reachable bool) Verdict {
 	f.now = f.now.Add(time.Millisecond)
 	set := f.sets[entry]
@@ -91,7 +91,7 @@
 	return v
 }
 
-// finish ends an open run: the poison takes the server and all that runs there.
+// finish ends an open run. A run of poison crashes the server and all other runs on it.
 func (f *fleet) finish(i int) {
 	ended := f.openRuns[i]
 	if ended.run.Fingerprint != poison {
@@ -119,7 +119,7 @@
 	}
 }
 
-// broadcast gives records to all entries.
+// broadcast merges records at all entries.
 func (f *fleet) broadcast(records []Record) {
 	for _, set := range f.sets {
 		for _, record := range records {
@@ -128,17 +128,14 @@
 	}
 }
 
-// A caller's request crashes the server that runs it, and the caller sends it
-// again at once, through every entry, while the entries' news of the crash is
-// still on its way, late and doubled. Operators would see server after server
-// restart. At most two may go. Breaks without the raise in grant, the owner check
-// in Admit, openRuns in grantFirst or the check of open runs in grantTrial.
+// Guards against more than two servers crashed by one request that is resent through every
+// entry while records of the crashes arrive late and more than once.
 func TestAtMostTwoServersLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 5).Draw(t, "entries"), 6, true)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			f.now = f.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
-			switch action := rapid.IntRange(0, 9).Draw(t, "what"); {
+			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
 			case action < 5:
 				entry := rapid.IntRange(0, len(f.sets)-1).Draw(t, "entry")
 				fingerprint := rapid.Uint64Range(poison, 4).Draw(t, "fingerprint")
@@ -158,8 +155,8 @@
 	})
 }
 
-// Without asking the owner first, the same holds when the news of a crash is
-// everywhere before the request is sent again, and only one copy runs at a time.
+// Guards against more than two crashed servers without AskOwner, if records of a crash reach
+// every entry before the request is resent and only one copy runs at a time.
 func TestAtMostTwoServersLostWithoutAskingOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(4, 6, false)
@@ -177,10 +174,8 @@
 	})
 }
 
-// Five requests run on a server when one of them crashes it. The other four are
-// other callers' and must be answered, each after one trial beside no other
-// suspect; the guilty one is refused at every entry from then on. Breaks without
-// OnTrial in grantTrial and without clearing crashes in Finish.
+// Guards against refusing the harmless requests that ran on a crashed server: each must be
+// answered after one trial, and only the request that crashed it is refused.
 func TestBystandersAreClearedAndTheGuiltyIsRefused(t *testing.T) {
 	for _, askOwner := range []bool{true, false} {
 		t.Run(fmt.Sprintf("AskOwner=%v", askOwner), func(t *testing.T) { testBystanders(t, newFleet(3, 6, askOwner)) })
@@ -236,9 +231,8 @@
 	}
 }
 
-// The entry that ran the request is lost in the same moment as the server, so it
-// tells nobody. The owner has heard of both and must not take the request for
-// new. Breaks without grantsOn in Crashed.
+// Guards against treating a request as new when the entry that ran it is lost together with
+// the server: the owner must count the crash.
 func TestOwnerCountsCrashOfLostRunner(t *testing.T) {
 	f := newFleet(2, 4, true)
 	fingerprint := uint64(100)
@@ -251,11 +245,8 @@
 	require.Equal(t, ReasonTrial, f.send(1, fingerprint, 3, true).Reason)
 }
 
-// A server crashes with a bystander on it, and the guilty request runs on a second
-// server at the same time, of which the bystander's owner has not heard yet. Tried
-// at once, the bystander could be put beside it and be blamed for both crashes,
-// and its caller would be refused for an hour. Breaks without lastCrash in
-// grantTrial.
+// Guards against quarantining a harmless suspect because it is tried, right after the crash,
+// on a server that runs the cause of the crash.
 func TestTrialWaitsForSettleDelay(t *testing.T) {
 	cfg := DefaultConfig()
 	set, err := New(cfg)
@@ -278,8 +269,8 @@
 	require.Equal(t, ReasonTrial, set.Admit(query).Reason)
 }
 
-// Records reach the entries in different orders, some twice. All entries must
-// end with the same record, or a request refused at one would run at another.
+// Guards against entries that disagree after receiving the same records in different orders:
+// a request refused at one entry would run at another.
 func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []Record
@@ -309,6 +300,7 @@
 	})
 }
 
+// Guards against unbounded memory, and against evicting a crash record before harmless ones.
 func TestEvictionKeepsCrashRecords(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxRecords = 64
@@ -323,9 +315,10 @@
 		require.LessOrEqual(t, set.Len(), 64)
 	}
 	delta, _ := set.Delta(0)
-	require.Len(t, delta, 1, "the struck record outlives harmless ones")
+	require.Len(t, delta, 1, "the crash record is evicted after harmless ones")
 }
 
+// Guards against a configuration error that does not name the invalid field.
 func TestConfigNamesTheField(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.Keep = time.Second
--- a/policy/quarantine/record.go
+++ b/policy/quarantine/record.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Server is one life of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
 	ID          string `msgpack:"id"`
 	Incarnation uint64 `msgpack:"inc"`
@@ -16,15 +16,15 @@
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// State is how a run of a fingerprint on a server stands. States only rise.
+// State is the state of a run. It only increases.
 type State uint8
 
 // The states, in order.
 const (
-	StateTrial   State = iota // granted and not known to have ended
+	StateTrial   State = iota // granted, no end reported
 	StateEnded                // ended without an answer and without a crash
 	StateCrashed              // the server crashed
-	StateCleared              // finished, or crashed and another run finished later
+	StateCleared              // finished; or crashed, and a later run finished
 )
 
 // String returns the state in lower case, for logs.
@@ -46,24 +46,23 @@
 // Exposure is one run of a fingerprint on a server.
 type Exposure struct {
 	Server Server    `msgpack:"srv"`
-	Grant  uint64    `msgpack:"grant"` // number given by the owner; 0: run without one
+	Grant  uint64    `msgpack:"grant"` // number assigned by the owner; 0: run without a grant
 	State  State     `msgpack:"state"`
-	At     time.Time `msgpack:"at"` // when it came into this state
+	At     time.Time `msgpack:"at"` // time of the change to this state
 }
 
-// Record is all that is known of one fingerprint. Merging is commutative,
-// associative and idempotent: the union of the exposures, each with its highest
-// state and latest time.
+// Record holds the runs of one fingerprint. Merging is commutative, associative and
+// idempotent: the union of the exposures, each with its highest state and latest time.
 type Record struct {
 	Fingerprint uint64     `msgpack:"fp"`
 	Exposures   []Exposure `msgpack:"exp"`    // sorted by server and grant
-	EverCrashed bool       `msgpack:"struck"` // some server has crashed under it, cleared or not
+	EverCrashed bool       `msgpack:"struck"` // a server crashed during a run, even if cleared later
 
 	changed uint64 // Set.version at the last change
 }
 
-// Suspect reports whether some server crashed under the fingerprint and no
-// later run has finished.
+// Suspect reports whether a server crashed during a run of the fingerprint, within
+// Config.Keep, and no later run has finished.
 func (r *Record) Suspect(cfg *Config, now time.Time) bool {
 	return len(r.crashed(cfg, now)) > 0
 }
@@ -76,7 +75,7 @@
 	return cmp.Or(compareServers(a.Server, b.Server), cmp.Compare(a.Grant, b.Grant))
 }
 
-// mergeExposure merges one exposure in and reports whether that changed the record.
+// mergeExposure merges one exposure and reports whether it changed the record.
 func (r *Record) mergeExposure(e Exposure) bool {
 	r.EverCrashed = r.EverCrashed || e.State == StateCrashed
 	i, ok := r.find(e.Server, e.Grant)
@@ -92,13 +91,13 @@
 	return true
 }
 
-// crashed returns the distinct servers that crashed lately and are not cleared.
+// crashed returns the distinct servers whose crash is not cleared and not expired.
 func (r *Record) crashed(cfg *Config, now time.Time) []Server {
 	return r.serversInState(StateCrashed, cfg.Keep, now)
 }
 
-// running returns the distinct servers on which a run is open. One that has
-// crashed under another run is not among them.
+// running returns the distinct servers with an open run, except those that have crashed
+// during another run.
 func (r *Record) running(cfg *Config, now time.Time) []Server {
 	open := r.serversInState(StateTrial, cfg.TrialKeep, now)
 	return slices.DeleteFunc(open, func(s Server) bool {
@@ -118,7 +117,7 @@
 	return found
 }
 
-// lastCrash is when a server last crashed under the fingerprint; zero: never.
+// lastCrash returns the time of the latest crash that is not cleared, or the zero time.
 func (r *Record) lastCrash() time.Time {
 	var last time.Time
 	for _, e := range r.Exposures {
@@ -129,12 +128,12 @@
 	return last
 }
 
-// knownGood reports whether a run has finished and nothing speaks against it since.
+// knownGood reports whether a run has finished within Config.Keep and no crash is uncleared.
 func (r *Record) knownGood(cfg *Config, now time.Time) bool {
 	return !r.Suspect(cfg, now) && len(r.serversInState(StateCleared, cfg.Keep, now)) > 0
 }
 
-// quarantinedUntil returns when fewer than two crashes will be remembered.
+// quarantinedUntil returns when fewer than crashesToQuarantine unexpired crashes remain.
 func (r *Record) quarantinedUntil(cfg *Config, now time.Time) time.Time {
 	latest := make(map[Server]time.Time)
 	for _, e := range r.Exposures {
@@ -153,7 +152,7 @@
 	return times[len(times)-crashesToQuarantine].Add(cfg.Keep)
 }
 
-// expire drops exposures that no longer count and reports whether any is left.
+// expire deletes expired exposures and reports whether any remain.
 func (r *Record) expire(cfg *Config, now time.Time) bool {
 	r.Exposures = slices.DeleteFunc(r.Exposures, func(e Exposure) bool {
 		return !now.Before(e.At.Add(cfg.Keep))
@@ -167,8 +166,7 @@
 	return c
 }
 
-// Merge returns the union of two records of one fingerprint, for a store that
-// joins what several entries have written. Order and doubles don't matter.
+// Merge returns the union of two records of the same fingerprint, in either order.
 func Merge(a, b Record) Record {
 	out := a.clone()
 	out.EverCrashed = a.EverCrashed || b.EverCrashed
--- a/policy/quarantine/set.go
+++ b/policy/quarantine/set.go
@@ -9,28 +9,27 @@
 )
 
 const (
-	// crashesToQuarantine is the number of servers lost that quarantines.
+	// crashesToQuarantine is the number of crashed servers that quarantines a fingerprint.
 	crashesToQuarantine = 2
-	// maxFirstRunServers is on how many servers a fingerprint that has never finished may
-	// run at once. All of them may crash, so more would break the bound.
+	// maxFirstRunServers is how many servers may run a fingerprint that has never finished.
+	// All of them may crash, so it must not exceed crashesToQuarantine.
 	maxFirstRunServers = 2
 )
 
-// Run is one run of a fingerprint by this entry, from Start to Finish, End or
-// Crashed.
+// Run is a run of a fingerprint by this entry, from Start until Finish, End or Crashed.
 type Run struct {
 	Fingerprint uint64
 	Server      Server
 	Grant       uint64
 }
 
-// Set is one entry's records and its own open runs. Not safe for concurrent use.
+// Set holds the records and open runs of one entry. It is not safe for concurrent use.
 type Set struct {
 	cfg       Config
 	records   map[uint64]*Record
 	runs      map[Server][]Run
-	version   uint64 // counts changes, for Delta
-	lastGrant uint64 // highest grant given
+	version   uint64 // number of changes, for Delta
+	lastGrant uint64 // highest grant number assigned
 }
 
 // New returns an empty Set. The error is a *policy.ConfigError.
@@ -41,8 +40,8 @@
 	return &Set{cfg: cfg, records: make(map[uint64]*Record), runs: make(map[Server][]Run)}, nil
 }
 
-// Admit decides on a request, either of this entry's own or, at the owner, one
-// that another entry passed on after its Record was merged.
+// Admit decides on a request of this entry or, at the owner, on one that another entry
+// passed on; merge the record of the latter first.
 func (s *Set) Admit(query Query) Verdict {
 	record := s.records[query.Fingerprint]
 	if record == nil {
@@ -59,8 +58,8 @@
 	}
 	owner := query.View.Owner(query.Fingerprint)
 	if owner == "" || query.Unreachable {
-		// To run a suspect on one's own word is what the bound forbids: the owner
-		// may have a trial of it open on another server.
+		// Without its owner a suspect must not run: the owner may have granted a trial of it on
+		// another server.
 		return Verdict{Action: ActionWait, Reason: ReasonNoOwner}
 	}
 	if owner != query.View.self {
@@ -72,8 +71,8 @@
 	return s.grantTrial(query, record)
 }
 
-// grantFirstRun lets a fingerprint that has neither finished nor crashed run on at
-// most openRuns servers at once; more copies join one of those.
+// grantFirstRun grants runs of a fingerprint that has neither finished nor crashed on at
+// most maxFirstRunServers servers; further copies run on one of these.
 func (s *Set) grantFirstRun(query Query, record *Record) Verdict {
 	open := record.running(&s.cfg, query.Now)
 	if len(open) < maxFirstRunServers {
@@ -85,9 +84,8 @@
 	return s.grant(query, record, open[0], ReasonTogether)
 }
 
-// grantTrial lets a suspect run if no other run of it is open and one of the
-// owner's servers runs no suspect. The server is the suspect's first by
-// rendezvous hashing among the free ones.
+// grantTrial grants a run of a suspect if no other run of it is open and a server of this
+// entry runs no suspect. It chooses among these servers by a hash of the fingerprint.
 func (s *Set) grantTrial(query Query, record *Record) Verdict {
 	if len(record.running(&s.cfg, query.Now)) > 0 {
 		return Verdict{Action: ActionWait, Reason: ReasonOnTrial}
@@ -110,9 +108,9 @@
 	return s.grant(query, record, best, ReasonTrial)
 }
 
-// grant records the run before it begins. A grant that was only remembered
-// after the run would be forgotten exactly when it matters: the server crashes,
-// the runner is lost, and the next copy goes to a third server.
+// grant records the run before it starts. If it were recorded afterwards, a crash of both
+// the server and the entry that runs the request would leave no record, and the next copy
+// would crash a third server.
 func (s *Set) grant(query Query, record *Record, server Server, reason Reason) Verdict {
 	s.lastGrant = max(s.lastGrant+1, uint64(query.Now.UnixNano()))
 	e := Exposure{Server: server, Grant: s.lastGrant, State: StateTrial, At: query.Now}
@@ -121,17 +119,17 @@
 	return Verdict{Action: ActionRun, Reason: reason, Server: server, Grant: e.Grant, Record: record.clone()}
 }
 
-// Start notes that this entry sends the request to the verdict's server. With a
-// grant from another entry, merge the verdict's Record first.
+// Start records that this entry sends the request to the verdict's server. With a grant
+// of another entry, merge the verdict's Record first.
 func (s *Set) Start(fingerprint uint64, v Verdict) Run {
 	run := Run{Fingerprint: fingerprint, Server: v.Server, Grant: v.Grant}
 	s.runs[v.Server] = append(s.runs[v.Server], run)
 	return run
 }
 
-// Finish notes that the run ended with a whole answer: the request is harmless,
-// and its earlier crashes had another cause. The record returned goes to the
-// owner if the run had a grant.
+// Finish records that the run ended with a complete answer. It clears the fingerprint:
+// its earlier crashes had another cause. If the run had a grant, send the returned record to
+// the owner.
 func (s *Set) Finish(run Run, now time.Time) Record {
 	s.removeRun(run)
 	record := s.records[run.Fingerprint]
@@ -153,9 +151,9 @@
 	return record.clone()
 }
 
-// End notes that the run ended without an answer on a server that is known to
-// live: cancelled, refused, or failed with an error. The record returned goes to
-// the owner if the run had a grant.
+// End records that the run ended without an answer on a server that did not crash: it was
+// cancelled, refused, or failed with an error. If the run had a grant, send the returned
+// record to the owner.
 func (s *Set) End(run Run, now time.Time) Record {
 	s.removeRun(run)
 	record := s.records[run.Fingerprint]
@@ -166,11 +164,10 @@
 	return record.clone()
 }
 
-// Crashed notes that a server crashed and returns the records of all that is
-// known to have run there, each with a strike. They go to all entries at once,
-// and to the owners before any of them is tried again. Call it at every entry
-// that hears of the crash, not only where a connection broke: the runner of a
-// grant may be lost together with the server, and then only the owner knows.
+// Crashed records the crash of a server and returns the records of all requests known to
+// have run on it. Send them to all entries, and to the owners before any of the requests is
+// retried. Every entry that learns of the crash must call it: if the entry that ran a
+// request is lost together with the server, only the owner has the grant.
 func (s *Set) Crashed(server Server, now time.Time) []Record {
 	var suspects []Record
 	runs := append(s.runs[server], s.openGrantsOn(server, now)...)
@@ -190,7 +187,8 @@
 	return suspects
 }
 
-// openGrantsOn returns the open runs on the server that other entries began.
+// openGrantsOn returns the open runs on the server in all records, including runs of other
+// entries.
 func (s *Set) openGrantsOn(server Server, now time.Time) []Run {
 	var runs []Run
 	for _, record := range s.records {
@@ -206,8 +204,7 @@
 	return runs
 }
 
-// Merge takes in a record from another entry and reports whether it brought
-// anything new.
+// Merge merges a record of another entry and reports whether it changed anything.
 func (s *Set) Merge(other Record, now time.Time) bool {
 	record := s.records[other.Fingerprint]
 	if record == nil {
@@ -229,8 +226,9 @@
 	return true
 }
 
-// markOpenRuns records this entry's open runs of a suspect that began before it was
-// one, so that their servers take no trial and count as possible losses.
+// markOpenRuns adds this entry's open runs of a suspect to its record, so that no trial is
+// granted on their servers and their crashes are counted. It covers runs that started before
+// the fingerprint became a suspect.
 func (s *Set) markOpenRuns(record *Record, now time.Time) {
 	if !record.Suspect(&s.cfg, now) {
 		return
@@ -244,9 +242,8 @@
 	}
 }
 
-// OnTrial returns the servers that run a suspect as far as is known, sorted.
-// Routing excludes them for new work, which would be lost with them. It looks at
-// every record; ask again when Version has changed, not for each request.
+// OnTrial returns the servers known to run a suspect, sorted. Routing sends no new work to
+// them. It scans every record; call it when Version has changed, not for each request.
 func (s *Set) OnTrial(now time.Time) []Server {
 	var servers []Server
 	for _, record := range s.records {
@@ -258,9 +255,9 @@
 	return slices.Compact(servers)
 }
 
-// Delta returns the records that changed after version and have to do with a
-// crash, by fingerprint, and the version to ask from next time. Grants of
-// requests that no server has crashed under stay between runner and owner.
+// Delta returns the records that changed after version and had a crash, sorted by
+// fingerprint, and the version to pass to the next call. Other records are only exchanged
+// between the owner and the entry that runs the request.
 func (s *Set) Delta(version uint64) ([]Record, uint64) {
 	var changed []Record
 	for _, record := range s.records {
@@ -272,11 +269,10 @@
 	return changed, s.version
 }
 
-// Version changes whenever a record does.
+// Version returns a number that increases with each change of a record.
 func (s *Set) Version() uint64 { return s.version }
 
-// Expire forgets what is older than the configuration keeps. Call it every
-// minute or so.
+// Expire deletes records older than Config.Keep. Call it about every minute.
 func (s *Set) Expire(now time.Time) {
 	for fingerprint, record := range s.records {
 		if !record.expire(&s.cfg, now) {
@@ -288,7 +284,7 @@
 // Len returns the number of records.
 func (s *Set) Len() int { return len(s.records) }
 
-// store stores a record and makes room for it if need be.
+// store adds a record, evicting others if MaxRecords is reached.
 func (s *Set) store(record *Record) {
 	if s.records[record.Fingerprint] != nil {
 		return
@@ -300,9 +296,8 @@
 	s.markChanged(record)
 }
 
-// evict drops an eighth of the records: first those that no server crashed
-// under, and of them those that changed longest ago. Dropping many at a time
-// keeps the sort off most calls.
+// evict deletes an eighth of the records: those without a crash first, then the least
+// recently changed. Deleting several at once avoids sorting on each insertion.
 func (s *Set) evict() {
 	all := make([]*Record, 0, len(s.records))
 	for _, record := range s.records {
--- a/policy/quarantine/verdict.go
+++ b/policy/quarantine/verdict.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Query is a request that is about to be sent to a backend server.
+// Query describes a request that is about to be sent to a backend server.
 type Query struct {
 	Now         time.Time
 	Fingerprint uint64
-	Server      Server // where routing would send it
+	Server      Server // chosen by routing
 	View        *View
-	// Unreachable says that the owner named by an earlier verdict could not be
-	// asked in time.
+	// Unreachable is set when the owner named by an earlier verdict did not answer within
+	// its timeout.
 	Unreachable bool
 }
 
-// Action is what to do with the request.
+// Action is what the caller does with the request.
 type Action uint8
 
 // The actions.
 const (
-	ActionRun    Action = iota // on Verdict.Server: Set.Start, then send it
-	ActionPass                 // send Verdict.Record to the owner, merge its verdict's record, obey its verdict
-	ActionWait                 // not now: keep it queued, or refuse it as not run with Retry-After
-	ActionRefuse               // finally, at once
+	ActionRun    Action = iota // call Set.Start, then send the request to Verdict.Server
+	ActionPass                 // send Verdict.Record to the owner, merge the Record of its verdict, follow that verdict
+	ActionWait                 // keep the request queued, or refuse it as not run with Retry-After
+	ActionRefuse               // refuse the request immediately; it must not be retried
 )
 
 // String returns the action in lower case, for logs.
@@ -40,22 +40,22 @@
 	}
 }
 
-// Reason says why.
+// Reason is the reason for an Action.
 type Reason uint8
 
 // The reasons.
 const (
-	ReasonNoSuspicion  Reason = iota // run: nothing speaks against it
-	ReasonKnownGood                  // run: it has finished before
-	ReasonFirstRuns                  // run: one of the few servers it may run on until one run has finished
+	ReasonNoSuspicion  Reason = iota // run: not a suspect
+	ReasonKnownGood                  // run: has finished before
+	ReasonFirstRuns                  // run: has not finished yet, and few servers run it
 	ReasonTogether                   // run: on a server that already runs the same fingerprint
-	ReasonTrial                      // run: alone among suspects, on a server of the owner's
-	ReasonNotOwner                   // pass
-	ReasonNoOwner                    // wait: the owner cannot be asked, or there is none
+	ReasonTrial                      // run: on a server of the owner that runs no other suspect
+	ReasonNotOwner                   // pass: another entry owns the fingerprint
+	ReasonNoOwner                    // wait: the owner is unreachable, or there is none
 	ReasonOnTrial                    // wait: another run of the fingerprint is open
-	ReasonSettling                   // wait: the crash is too recent for all to have heard of it
-	ReasonNoFreeServer               // wait: the owner's servers all run suspects
-	ReasonQuarantined                // refuse: it crashed two servers
+	ReasonSettling                   // wait: Config.Settle has not passed since the crash
+	ReasonNoFreeServer               // wait: all of the owner's servers run suspects
+	ReasonQuarantined                // refuse: crashed two servers
 )
 
 // String returns the reason in lower case with underscores, for logs.
@@ -70,13 +70,13 @@
 	return "unknown"
 }
 
-// Verdict is the decision on an Ask.
+// Verdict is the decision on a Query.
 type Verdict struct {
 	Action Action
 	Reason Reason
-	Server Server    // with ActionRun; may differ from the one asked for
-	Grant  uint64    // with ActionRun, to hand to Set.Start
-	Owner  string    // with ActionPass
-	Record Record    // with ActionPass what the owner must know, with a grant what the runner must
-	Until  time.Time // with ActionRefuse: when the quarantine ends
+	Server Server    // for ActionRun; may differ from Query.Server
+	Grant  uint64    // for ActionRun: passed to Set.Start
+	Owner  string    // for ActionPass
+	Record Record    // for ActionPass: to send to the owner; with a Grant: to merge before Set.Start
+	Until  time.Time // for ActionRefuse: when the quarantine ends
 }
--- a/policy/quarantine/view.go
+++ b/policy/quarantine/view.go
@@ -8,18 +8,18 @@
 	"savoryreel.example/savoryreel/policy/hash"
 )
 
-// View is one entry's picture of who owns what. Build a new one when an entry
-// or a backend server comes or goes.
+// View is the assignment of fingerprints and servers to entries, as one entry sees it.
+// Build a new one when an entry or a backend server joins or leaves.
 type View struct {
 	self       string
 	owners     []string // entries that own at least one server
-	ownServers []Server // servers that self owns, sorted
+	ownServers []Server // owned by self, sorted
 }
 
-// NewView shares the servers out among the entries. entries are the ids of all
-// serving entries, self among them; servers are those that serve. Each server
-// has one owner, which alone grants trials on it: with two, both could put a
-// suspect on it at once, and a crash would quarantine both.
+// NewView assigns each server to one entry. entries are the IDs of all serving entries,
+// including self; servers are the serving backend servers. Only the owner grants trials on a
+// server: two owners could put a suspect on it at the same time, and a crash would
+// quarantine both.
 func NewView(self string, entries []string, servers []Server) *View {
 	v := &View{self: self}
 	for _, s := range servers {
@@ -35,13 +35,13 @@
 	return v
 }
 
-// Owner returns the entry that grants runs of the fingerprint, empty when no
-// server serves.
+// Owner returns the ID of the entry that grants runs of the fingerprint, or "" if no server
+// serves.
 func (v *View) Owner(fingerprint uint64) string {
 	return highestRanked(v.owners, fingerprint)
 }
 
-// highestRanked returns the entry that comes highestRanked for the key by rendezvous hashing.
+// highestRanked returns the entry for the key by rendezvous hashing.
 func highestRanked(entries []string, key uint64) string {
 	best, bestRank := "", uint64(0)
 	for _, id := range entries {
