--- a/policy/quarantine/quarantine_test.go
+++ b/policy/quarantine/quarantine_test.go
@@ -13,33 +13,33 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// poison crashes every server that runs it; other fingerprints are harmless.
+// poison is the fingerprint that crashes every server; the others are harmless.
 const poison = 1
 
-// fleet is a set of entries in front of servers. Entries hear of crashes and of
-// each other's records late.
+// fleet simulates entries and servers. Entries learn of crashes and of each other's records
+// with a delay.
 type fleet struct {
-	now     time.Time
-	ids     []string
-	sets    []*Set
-	life    []uint64 // incarnation by server
-	open    []flight
-	notices []func()
-	refused int
-	lost    map[Server]bool // servers that the poison took
-	blamed  map[uint64]bool // harmless fingerprints that were quarantined
+	now            time.Time
+	ids            []string
+	sets           []*Set
+	incarnations   []uint64 // by server
+	openRuns       []openRun
+	notices        []func()
+	refused        int
+	lost           map[Server]bool // servers crashed by poison
+	wronglyRefused map[uint64]bool // harmless fingerprints that were quarantined
 }
 
-type flight struct {
+type openRun struct {
 	entry int
 	run   Run
 }
 
-func newFleet(entries, servers int, ask bool) *fleet {
-	f := &fleet{now: epoch, life: make([]uint64, servers), lost: map[Server]bool{}, blamed: map[uint64]bool{}}
+func newFleet(entries, servers int, askOwner bool) *fleet {
+	f := &fleet{now: epoch, incarnations: make([]uint64, servers), lost: map[Server]bool{}, wronglyRefused: map[uint64]bool{}}
 	cfg := DefaultConfig()
-	cfg.Settle = 0 // the bound must hold without it; TestTrialWaitsForTheNews is about it
-	cfg.AskOwner = ask
+	cfg.Settle = 0 // the bound must hold without the delay; see TestTrialWaitsForSettleDelay
+	cfg.AskOwner = askOwner
 	for i := range entries {
 		set, err := New(cfg)
 		if err != nil {
@@ -51,76 +51,76 @@
 	return f
 }
 
-func (f *fleet) server(i int) Server { return Server{fmt.Sprint("server-", i), f.life[i]} }
+func (f *fleet) server(i int) Server { return Server{fmt.Sprint("server-", i), f.incarnations[i]} }
 
 func (f *fleet) view(entry int) *View {
 	var servers []Server
-	for i := range f.life {
+	for i := range f.incarnations {
 		servers = append(servers, f.server(i))
 	}
 	return NewView(f.ids[entry], f.ids, servers)
 }
 
-// send brings a request to an entry, which obeys the verdict.
+// send sends a request to an entry and follows the verdict.
 func (f *fleet) send(entry int, fingerprint uint64, server int, reachable bool) Verdict {
 	f.now = f.now.Add(time.Millisecond)
 	set := f.sets[entry]
-	ask := Ask{Now: f.now, Fingerprint: fingerprint, Server: f.server(server), View: f.view(entry)}
-	v := set.Admit(ask)
+	query := Query{Now: f.now, Fingerprint: fingerprint, Server: f.server(server), View: f.view(entry)}
+	v := set.Admit(query)
 	if v.Action == ActionPass && reachable {
 		for i, id := range f.ids {
 			if id == v.Owner {
 				f.sets[i].Merge(v.Record, f.now)
-				ask.View = f.view(i)
-				v = f.sets[i].Admit(ask)
+				query.View = f.view(i)
+				v = f.sets[i].Admit(query)
 			}
 		}
 		set.Merge(v.Record, f.now)
 	}
 	if v.Action == ActionPass && !reachable {
-		ask.Unreachable = true
-		v = set.Admit(ask)
+		query.Unreachable = true
+		v = set.Admit(query)
 	}
 	switch v.Action {
 	case ActionRun:
-		f.open = append(f.open, flight{entry, set.Start(fingerprint, v)})
+		f.openRuns = append(f.openRuns, openRun{entry, set.Start(fingerprint, v)})
 	case ActionRefuse:
 		f.refused++
-		f.blamed[fingerprint] = f.blamed[fingerprint] || fingerprint != poison
+		f.wronglyRefused[fingerprint] = f.wronglyRefused[fingerprint] || fingerprint != poison
 	}
 	return v
 }
 
-// finish ends an open run: the poison takes the server and all that runs there.
+// finish ends an open run. A run of poison crashes the server and all other runs on it.
 func (f *fleet) finish(i int) {
-	done := f.open[i]
-	if done.run.Fingerprint != poison {
-		f.open = append(f.open[:i:i], f.open[i+1:]...)
-		record := f.sets[done.entry].Finish(done.run, f.now)
-		f.notices = append(f.notices, func() { f.tell([]Record{record}) })
+	ended := f.openRuns[i]
+	if ended.run.Fingerprint != poison {
+		f.openRuns = append(f.openRuns[:i:i], f.openRuns[i+1:]...)
+		record := f.sets[ended.entry].Finish(ended.run, f.now)
+		f.notices = append(f.notices, func() { f.broadcast([]Record{record}) })
 		return
 	}
-	server := done.run.Server
+	server := ended.run.Server
 	f.lost[server] = true
-	for i := range f.life {
+	for i := range f.incarnations {
 		if f.server(i) == server {
-			f.life[i]++
+			f.incarnations[i]++
 		}
 	}
-	var left []flight
-	for _, other := range f.open {
+	var remaining []openRun
+	for _, other := range f.openRuns {
 		if other.run.Server != server {
-			left = append(left, other)
+			remaining = append(remaining, other)
 		}
 	}
-	f.open = left
+	f.openRuns = remaining
 	for _, set := range f.sets {
-		f.notices = append(f.notices, func() { f.tell(set.Crashed(server, f.now)) })
+		f.notices = append(f.notices, func() { f.broadcast(set.Crashed(server, f.now)) })
 	}
 }
 
-// tell gives records to all entries.
-func (f *fleet) tell(records []Record) {
+// broadcast merges records at all entries.
+func (f *fleet) broadcast(records []Record) {
 	for _, set := range f.sets {
 		for _, record := range records {
 			set.Merge(record, f.now)
@@ -128,28 +128,25 @@
 	}
 }
 
-// A caller's request crashes the server that runs it, and the caller sends it
-// again at once, through every entry, while the entries' news of the crash is
-// still on its way, late and doubled. Operators would see server after server
-// restart. At most two may go. Breaks without the raise in grant, the owner check
-// in Admit, openRuns in grantFirst or the check of open runs in grantTrial.
+// Guards against more than two servers crashed by one request that is resent through every
+// entry while records of the crashes arrive late and more than once.
 func TestAtMostTwoServersLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 5).Draw(t, "entries"), 6, true)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			f.now = f.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what < 5:
+			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
+			case action < 5:
 				entry := rapid.IntRange(0, len(f.sets)-1).Draw(t, "entry")
 				fingerprint := rapid.Uint64Range(poison, 4).Draw(t, "fingerprint")
-				v := f.send(entry, fingerprint, rapid.IntRange(0, 5).Draw(t, "server"), what > 0)
+				v := f.send(entry, fingerprint, rapid.IntRange(0, 5).Draw(t, "server"), action > 0)
 				require.NotEqual(t, ActionPass, v.Action)
-			case what < 8 && len(f.open) > 0:
-				f.finish(rapid.IntRange(0, len(f.open)-1).Draw(t, "run"))
+			case action < 8 && len(f.openRuns) > 0:
+				f.finish(rapid.IntRange(0, len(f.openRuns)-1).Draw(t, "run"))
 			case len(f.notices) > 0:
 				i := rapid.IntRange(0, len(f.notices)-1).Draw(t, "notice")
 				f.notices[i]()
-				if what == 9 {
+				if action == 9 {
 					f.notices = append(f.notices[:i:i], f.notices[i+1:]...)
 				}
 			}
@@ -158,14 +155,14 @@
 	})
 }
 
-// Without asking the owner first, the same holds when the news of a crash is
-// everywhere before the request is sent again, and only one copy runs at a time.
-func TestAtMostTwoServersLostWithPromptNews(t *testing.T) {
+// Guards against more than two crashed servers without AskOwner, if records of a crash reach
+// every entry before the request is resent and only one copy runs at a time.
+func TestAtMostTwoServersLostWithoutAskingOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(4, 6, false)
 		for range rapid.IntRange(1, 40).Draw(t, "sends") {
 			f.send(rapid.IntRange(0, 3).Draw(t, "entry"), poison, rapid.IntRange(0, 5).Draw(t, "server"), true)
-			if len(f.open) > 0 {
+			if len(f.openRuns) > 0 {
 				f.finish(0)
 			}
 			for _, notice := range f.notices {
@@ -177,17 +174,15 @@
 	})
 }
 
-// Five requests run on a server when one of them crashes it. The other four are
-// other callers' and must be answered, each after one trial beside no other
-// suspect; the guilty one is refused at every entry from then on. Breaks without
-// OnTrial in grantTrial and without clearing crashes in Finish.
+// Guards against refusing the harmless requests that ran on a crashed server: each must be
+// answered after one trial, and only the request that crashed it is refused.
 func TestBystandersAreClearedAndTheGuiltyIsRefused(t *testing.T) {
-	for _, ask := range []bool{true, false} {
-		t.Run(fmt.Sprintf("AskOwner=%v", ask), func(t *testing.T) { playBystanders(t, newFleet(3, 6, ask)) })
+	for _, askOwner := range []bool{true, false} {
+		t.Run(fmt.Sprintf("AskOwner=%v", askOwner), func(t *testing.T) { testBystanders(t, newFleet(3, 6, askOwner)) })
 	}
 }
 
-func playBystanders(t *testing.T, f *fleet) {
+func testBystanders(t *testing.T, f *fleet) {
 	for fingerprint := uint64(poison); fingerprint <= 5; fingerprint++ {
 		f.send(int(fingerprint)%3, fingerprint, 2, true)
 	}
@@ -204,12 +199,12 @@
 				f.send(round%3, fingerprint, 3, true)
 			}
 		}
-		for _, flight := range f.open {
-			busy[flight.run.Server]++
-			require.Equal(t, 1, busy[flight.run.Server], "suspects on one server")
-			finished[flight.run.Fingerprint] = true
+		for _, open := range f.openRuns {
+			busy[open.run.Server]++
+			require.Equal(t, 1, busy[open.run.Server], "suspects on one server")
+			finished[open.run.Fingerprint] = true
 		}
-		for len(f.open) > 0 {
+		for len(f.openRuns) > 0 {
 			f.finish(0)
 		}
 		for _, notice := range f.notices {
@@ -219,7 +214,7 @@
 	}
 	require.Len(t, f.lost, 2)
 	require.Len(t, finished, 5)
-	require.Empty(t, f.blamed)
+	require.Empty(t, f.wronglyRefused)
 	for fingerprint := uint64(poison + 1); fingerprint <= 5; fingerprint++ {
 		require.Equal(t, ReasonKnownGood, f.send(0, fingerprint, 0, true).Reason)
 	}
@@ -236,9 +231,8 @@
 	}
 }
 
-// The entry that ran the request is lost in the same moment as the server, so it
-// tells nobody. The owner has heard of both and must not take the request for
-// new. Breaks without grantsOn in Crashed.
+// Guards against treating a request as new when the entry that ran it is lost together with
+// the server: the owner must count the crash.
 func TestOwnerCountsCrashOfLostRunner(t *testing.T) {
 	f := newFleet(2, 4, true)
 	fingerprint := uint64(100)
@@ -251,42 +245,39 @@
 	require.Equal(t, ReasonTrial, f.send(1, fingerprint, 3, true).Reason)
 }
 
-// A server crashes with a bystander on it, and the guilty request runs on a second
-// server at the same time, of which the bystander's owner has not heard yet. Tried
-// at once, the bystander could be put beside it and be blamed for both crashes,
-// and its caller would be refused for an hour. Breaks without lastCrash in
-// grantTrial.
-func TestTrialWaitsForTheNews(t *testing.T) {
+// Guards against quarantining a harmless suspect because it is tried, right after the crash,
+// on a server that runs the cause of the crash.
+func TestTrialWaitsForSettleDelay(t *testing.T) {
 	cfg := DefaultConfig()
 	set, err := New(cfg)
 	require.NoError(t, err)
 	first, second := Server{"a", 1}, Server{"b", 1}
 	view := NewView("entry", []string{"entry"}, []Server{second})
 	now := time.Unix(1000, 0)
-	ask := Ask{Now: now, Fingerprint: 9, Server: first, View: view}
-	set.Start(9, set.Admit(ask))
+	query := Query{Now: now, Fingerprint: 9, Server: first, View: view}
+	set.Start(9, set.Admit(query))
 	require.Len(t, set.Crashed(first, now), 1)
-	require.Equal(t, ReasonSettling, set.Admit(ask).Reason)
+	require.Equal(t, ReasonSettling, set.Admit(query).Reason)
 	guilty := Record{Fingerprint: poison, Exposures: []Exposure{
 		{Server: first, Grant: 1, State: StateCrashed, At: now}, {Server: second, Grant: 2, State: StateTrial, At: now},
 	}}
 	set.Merge(guilty, now.Add(cfg.Settle/2))
-	ask.Now = now.Add(cfg.Settle)
-	require.Equal(t, ReasonNoFreeServer, set.Admit(ask).Reason)
+	query.Now = now.Add(cfg.Settle)
+	require.Equal(t, ReasonNoFreeServer, set.Admit(query).Reason)
 	guilty.Exposures[1].State = StateCrashed
-	set.Merge(guilty, ask.Now)
-	require.Equal(t, ReasonTrial, set.Admit(ask).Reason)
+	set.Merge(guilty, query.Now)
+	require.Equal(t, ReasonTrial, set.Admit(query).Reason)
 }
 
-// Records reach the entries in different orders, some twice. All entries must
-// end with the same record, or a request refused at one would run at another.
+// Guards against entries that disagree after receiving the same records in different orders:
+// a request refused at one entry would run at another.
 func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []Record
 		for range rapid.IntRange(1, 8).Draw(t, "records") {
 			record := Record{Fingerprint: poison}
 			for range rapid.IntRange(1, 4).Draw(t, "exposures") {
-				record.raise(Exposure{
+				record.mergeExposure(Exposure{
 					Server: Server{fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "server")), 1},
 					Grant:  rapid.Uint64Range(0, 1).Draw(t, "grant"),
 					State:  State(rapid.IntRange(0, 3).Draw(t, "state")),
@@ -309,23 +300,25 @@
 	})
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+// Guards against unbounded memory, and against evicting a crash record before harmless ones.
+func TestEvictionKeepsCrashRecords(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxRecords = 64
 	set, err := New(cfg)
 	require.NoError(t, err)
-	struck := Record{Fingerprint: poison}
-	struck.raise(Exposure{Server: Server{"s", 1}, State: StateCrashed, At: epoch})
-	set.Merge(struck, epoch)
+	crashed := Record{Fingerprint: poison}
+	crashed.mergeExposure(Exposure{Server: Server{"s", 1}, State: StateCrashed, At: epoch})
+	set.Merge(crashed, epoch)
 	view := NewView("e", []string{"e"}, []Server{{"s", 2}})
 	for fingerprint := range uint64(1000) {
-		set.Admit(Ask{Now: epoch, Fingerprint: fingerprint + 2, Server: Server{"s", 2}, View: view})
+		set.Admit(Query{Now: epoch, Fingerprint: fingerprint + 2, Server: Server{"s", 2}, View: view})
 		require.LessOrEqual(t, set.Len(), 64)
 	}
 	delta, _ := set.Delta(0)
-	require.Len(t, delta, 1, "the struck record outlives harmless ones")
+	require.Len(t, delta, 1, "the crash record is evicted after harmless ones")
 }
 
+// Guards against a configuration error that does not name the invalid field.
 func TestConfigNamesTheField(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.Keep = time.Second
--- a/policy/quarantine/record.go
+++ b/policy/quarantine/record.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Server is one life of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
 	ID          string `msgpack:"id"`
 	Incarnation uint64 `msgpack:"inc"`
@@ -16,15 +16,15 @@
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// State is how a run of a fingerprint on a server stands. States only rise.
+// State is the state of a run. It only increases.
 type State uint8
 
 // The states, in order.
 const (
-	StateTrial   State = iota // granted and not known to have ended
+	StateTrial   State = iota // granted, no end reported
 	StateEnded                // ended without an answer and without a crash
 	StateCrashed              // the server crashed
-	StateCleared              // finished, or crashed and another run finished later
+	StateCleared              // finished; or crashed, and a later run finished
 )
 
 // String returns the state in lower case, for logs.
@@ -46,24 +46,23 @@
 // Exposure is one run of a fingerprint on a server.
 type Exposure struct {
 	Server Server    `msgpack:"srv"`
-	Grant  uint64    `msgpack:"grant"` // number given by the owner; 0: run without one
+	Grant  uint64    `msgpack:"grant"` // number assigned by the owner; 0: run without a grant
 	State  State     `msgpack:"state"`
-	At     time.Time `msgpack:"at"` // when it came into this state
+	At     time.Time `msgpack:"at"` // time of the change to this state
 }
 
-// Record is all that is known of one fingerprint. Merging is commutative,
-// associative and idempotent: the union of the exposures, each with its highest
-// state and latest time.
+// Record holds the runs of one fingerprint. Merging is commutative, associative and
+// idempotent: the union of the exposures, each with its highest state and latest time.
 type Record struct {
 	Fingerprint uint64     `msgpack:"fp"`
 	Exposures   []Exposure `msgpack:"exp"`    // sorted by server and grant
-	Struck      bool       `msgpack:"struck"` // some server has crashed under it, cleared or not
+	EverCrashed bool       `msgpack:"struck"` // a server crashed during a run, even if cleared later
 
 	changed uint64 // Set.version at the last change
 }
 
-// Suspect reports whether some server crashed under the fingerprint and no
-// later run has finished.
+// Suspect reports whether a server crashed during a run of the fingerprint, within
+// Config.Keep, and no later run has finished.
 func (r *Record) Suspect(cfg *Config, now time.Time) bool {
 	return len(r.crashed(cfg, now)) > 0
 }
@@ -76,31 +75,31 @@
 	return cmp.Or(compareServers(a.Server, b.Server), cmp.Compare(a.Grant, b.Grant))
 }
 
-// raise merges one exposure in and reports whether that changed the record.
-func (r *Record) raise(e Exposure) bool {
-	r.Struck = r.Struck || e.State == StateCrashed
+// mergeExposure merges one exposure and reports whether it changed the record.
+func (r *Record) mergeExposure(e Exposure) bool {
+	r.EverCrashed = r.EverCrashed || e.State == StateCrashed
 	i, ok := r.find(e.Server, e.Grant)
 	if !ok {
 		r.Exposures = slices.Insert(r.Exposures, i, e)
 		return true
 	}
-	have := &r.Exposures[i]
-	if e.State < have.State || e.State == have.State && !e.At.After(have.At) {
+	existing := &r.Exposures[i]
+	if e.State < existing.State || e.State == existing.State && !e.At.After(existing.At) {
 		return false
 	}
-	*have = e
+	*existing = e
 	return true
 }
 
-// crashed returns the distinct servers that crashed lately and are not cleared.
+// crashed returns the distinct servers whose crash is not cleared and not expired.
 func (r *Record) crashed(cfg *Config, now time.Time) []Server {
-	return r.servers(StateCrashed, cfg.Keep, now)
+	return r.serversInState(StateCrashed, cfg.Keep, now)
 }
 
-// running returns the distinct servers on which a run is open. One that has
-// crashed under another run is not among them.
+// running returns the distinct servers with an open run, except those that have crashed
+// during another run.
 func (r *Record) running(cfg *Config, now time.Time) []Server {
-	open := r.servers(StateTrial, cfg.TrialKeep, now)
+	open := r.serversInState(StateTrial, cfg.TrialKeep, now)
 	return slices.DeleteFunc(open, func(s Server) bool {
 		return slices.ContainsFunc(r.Exposures, func(e Exposure) bool {
 			return e.Server == s && e.State == StateCrashed
@@ -108,17 +107,17 @@
 	})
 }
 
-func (r *Record) servers(state State, keep time.Duration, now time.Time) []Server {
+func (r *Record) serversInState(state State, maxAge time.Duration, now time.Time) []Server {
 	var found []Server
 	for _, e := range r.Exposures {
-		if e.State == state && now.Before(e.At.Add(keep)) && !slices.Contains(found, e.Server) {
+		if e.State == state && now.Before(e.At.Add(maxAge)) && !slices.Contains(found, e.Server) {
 			found = append(found, e.Server)
 		}
 	}
 	return found
 }
 
-// lastCrash is when a server last crashed under the fingerprint; zero: never.
+// lastCrash returns the time of the latest crash that is not cleared, or the zero time.
 func (r *Record) lastCrash() time.Time {
 	var last time.Time
 	for _, e := range r.Exposures {
@@ -129,13 +128,13 @@
 	return last
 }
 
-// good reports whether a run has finished and nothing speaks against it since.
-func (r *Record) good(cfg *Config, now time.Time) bool {
-	return !r.Suspect(cfg, now) && len(r.servers(StateCleared, cfg.Keep, now)) > 0
+// knownGood reports whether a run has finished within Config.Keep and no crash is uncleared.
+func (r *Record) knownGood(cfg *Config, now time.Time) bool {
+	return !r.Suspect(cfg, now) && len(r.serversInState(StateCleared, cfg.Keep, now)) > 0
 }
 
-// until returns when fewer than two crashes will be remembered.
-func (r *Record) until(cfg *Config, now time.Time) time.Time {
+// quarantinedUntil returns when fewer than crashesToQuarantine unexpired crashes remain.
+func (r *Record) quarantinedUntil(cfg *Config, now time.Time) time.Time {
 	latest := make(map[Server]time.Time)
 	for _, e := range r.Exposures {
 		if e.State == StateCrashed && e.At.After(latest[e.Server]) {
@@ -147,13 +146,13 @@
 		times = append(times, at)
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	if len(times) < quarantineCrashes {
+	if len(times) < crashesToQuarantine {
 		return now
 	}
-	return times[len(times)-quarantineCrashes].Add(cfg.Keep)
+	return times[len(times)-crashesToQuarantine].Add(cfg.Keep)
 }
 
-// expire drops exposures that no longer count and reports whether any is left.
+// expire deletes expired exposures and reports whether any remain.
 func (r *Record) expire(cfg *Config, now time.Time) bool {
 	r.Exposures = slices.DeleteFunc(r.Exposures, func(e Exposure) bool {
 		return !now.Before(e.At.Add(cfg.Keep))
@@ -167,13 +166,12 @@
 	return c
 }
 
-// Merge returns the union of two records of one fingerprint, for a store that
-// joins what several entries have written. Order and doubles don't matter.
+// Merge returns the union of two records of the same fingerprint, in either order.
 func Merge(a, b Record) Record {
 	out := a.clone()
-	out.Struck = a.Struck || b.Struck
+	out.EverCrashed = a.EverCrashed || b.EverCrashed
 	for _, e := range b.Exposures {
-		out.raise(e)
+		out.mergeExposure(e)
 	}
 	return out
 }
