--- a/control/leases.go
+++ b/control/leases.go
@@ -86,7 +86,7 @@
 	}
 	for name := range l.known {
 		if !still[name] {
-			l.shares.Drop(name)
+			l.shares.RemoveWorkspace(name)
 		}
 	}
 	l.known = still
--- a/entry/admission.go
+++ b/entry/admission.go
@@ -80,7 +80,7 @@
 	defer s.mu.Unlock()
 	for name := range s.known {
 		if _, still := c.byName[name]; !still {
-			s.admitter.Forget(name)
+			s.admitter.RemoveWorkspace(name)
 			delete(s.known, name)
 		}
 	}
@@ -167,8 +167,8 @@
 		return request.NewProblem(request.CodeInternal, request.NotRun, "%v", err)
 	}
 	v := e.admitter.decide(admit.Request{
-		Workspace: w.Name, Class: r.Class, Cost: int64(r.Cost), Answer: int64(r.Answer),
-		Deadline: r.Deadline, Target: s.Target.FirstToken, Estimate: l.estimate(r, w.Weight),
+		Workspace: w.Name, Class: r.Class, Cost: int64(r.Cost), AnswerTokens: int64(r.Answer),
+		Deadline: r.Deadline, FirstTokenTarget: s.Target.FirstToken, Estimate: l.estimate(r, w.Weight),
 	})
 	if v.Admit {
 		return nil
@@ -180,7 +180,7 @@
 
 func refusalCode(r admit.Reason) request.Code {
 	switch {
-	case r.Limit():
+	case r.IsLimit():
 		return request.CodeLimit
 	case r == admit.DeadlinePassed:
 		return request.CodeDeadlineExpired
--- a/entry/grant.go
+++ b/entry/grant.go
@@ -26,14 +26,14 @@
 	g.lane.mu.Lock()
 	defer g.lane.mu.Unlock()
 	g.lane.router.FirstToken(&g.attempt, g.lane.now())
-	g.lane.drain.FirstToken(took)
+	g.lane.drain.ObserveFirstToken(took)
 }
 
 // pace notes the mean time between the tokens of an answer.
 func (g *grant) pace(gap time.Duration) {
 	g.lane.mu.Lock()
 	defer g.lane.mu.Unlock()
-	g.lane.drain.BetweenTokens(gap)
+	g.lane.drain.ObserveTokenInterval(gap)
 }
 
 // finished ends an attempt that was answered. work is its tokens, prompt and
@@ -63,7 +63,7 @@
 	}
 	l.queue.Charge(g.workspace, work-g.estimate)
 	if work > 0 {
-		l.drain.Ended(now, work)
+		l.drain.ObserveEnd(now, work)
 	}
 	l.pump(now)
 }
--- a/entry/lane.go
+++ b/entry/lane.go
@@ -43,7 +43,7 @@
 	mu      sync.Mutex
 	queue   *queue.Queue
 	router  *route.Router
-	drain   *admit.Drain
+	drain   *admit.DrainEstimator
 	starter *queue.Starter
 	slots   map[string]int  // by backend server that serves
 	slow    map[string]bool // servers that are eased off, as last logged
@@ -101,7 +101,7 @@
 	}
 	return &lane{
 		key: key, starter: starter, entries: 1, self: self, log: log, now: now, queue: q, router: r,
-		drain: admit.NewDrain(admit.DefaultConfig().Memory),
+		drain: admit.NewDrainEstimator(admit.DefaultConfig().Memory),
 		slots: map[string]int{}, slow: map[string]bool{}, held: map[string]int{}, tickets: map[string]*ticket{},
 	}, nil
 }
@@ -139,7 +139,7 @@
 // and is cut off in the middle, and the fleet works for callers that have gone.
 func (l *lane) latestStart(r *request.Request, now time.Time) time.Time {
 	e := l.drain.Estimate(now, queue.Backlog{})
-	takes := e.First + time.Duration(r.Answer)*e.Gap
+	takes := e.FirstToken + time.Duration(r.Answer)*e.TokenInterval
 	left := r.Deadline.Sub(now)
 	return r.Deadline.Add(-min(takes, left*9/10))
 }
@@ -225,7 +225,7 @@
 	for l.startNext(now) {
 	}
 	slots := l.free(now)
-	l.drain.Full(now, slots.Free <= slots.Own || l.queue.Len() > 0)
+	l.drain.SetFull(now, slots.Free <= slots.Own || l.queue.Len() > 0)
 }
 
 // startNext grants a server to the next request that may start now.
--- a/policy/admit/admitter.go
+++ b/policy/admit/admitter.go
@@ -16,8 +16,8 @@
 	cfg        Config
 	workspaces map[string]*workspace
 
-	standing standing
-	invited  invited
+	standing standingQueue
+	retries  retryBacklog
 }
 
 // workspace is the state of one workspace at this entry.
@@ -25,7 +25,7 @@
 	limits contract.Limits
 
 	lease        Lease
-	expires      time.Time // of the lease's grant
+	leaseExpires time.Time // of the lease's grant
 	floorExpires time.Time
 
 	requests bucket
@@ -33,9 +33,9 @@
 	allowed  Amount // what holds now
 	running  int
 
-	offered       rateMeter // requests
-	offeredTokens rateMeter
-	turnedAway    rateMeter // requests, for want of concurrency
+	offeredRequests     rateMeter // requests
+	offeredTokens       rateMeter
+	concurrencyRefusals rateMeter // requests, for want of concurrency
 }
 
 // New returns an Admitter that knows no workspace; one it does not know has no
@@ -61,40 +61,40 @@
 func (a *Admitter) SetLimits(now time.Time, name string, limits contract.Limits) {
 	w := a.workspace(name)
 	w.limits = limits
-	a.refresh(now, w)
+	a.refreshAllowed(now, w)
 }
 
-// Forget drops a workspace that the catalogue no longer has.
-func (a *Admitter) Forget(name string) { delete(a.workspaces, name) }
+// RemoveWorkspace drops a workspace that the catalogue no longer has.
+func (a *Admitter) RemoveWorkspace(name string) { delete(a.workspaces, name) }
 
 // Apply takes a lease in force. asked is when this entry sent the report that
 // the lease answers: counting from any later instant, the entry could still use
 // what the leader has given to another. A lease older than the one in force is
 // ignored, since the leader may have counted it as given up.
-func (a *Admitter) Apply(now, asked time.Time, lease Lease) {
+func (a *Admitter) Apply(now, reportSent time.Time, lease Lease) {
 	w := a.workspace(lease.Workspace)
 	if !lease.newer(w.lease) {
 		return
 	}
 	w.lease = lease
-	w.expires = asked.Add(lease.TTL)
-	w.floorExpires = asked.Add(lease.FloorTTL)
-	a.refresh(now, w)
+	w.leaseExpires = reportSent.Add(lease.TTL)
+	w.floorExpires = reportSent.Add(lease.FloorTTL)
+	a.refreshAllowed(now, w)
 }
 
-// refresh sets what holds at now: the lease, after it the floor, then nothing.
-func (a *Admitter) refresh(now time.Time, w *workspace) {
-	allowed := w.inForce(now).smaller(whole(w.limits))
+// refreshAllowed sets what holds at now: the lease, after it the floor, then nothing.
+func (a *Admitter) refreshAllowed(now time.Time, w *workspace) {
+	allowed := w.leasedAmount(now).smaller(amountOf(w.limits))
 	if allowed == w.allowed {
 		return
 	}
 	w.allowed = allowed
-	w.requests.set(now, allowed.RequestsPerSecond, a.cfg.Window)
-	w.tokens.set(now, allowed.TokensPerSecond, a.cfg.Window)
+	w.requests.setRate(now, allowed.RequestsPerSecond, a.cfg.Window)
+	w.tokens.setRate(now, allowed.TokensPerSecond, a.cfg.Window)
 }
 
-func (w *workspace) inForce(now time.Time) Amount {
-	if now.Before(w.expires) {
+func (w *workspace) leasedAmount(now time.Time) Amount {
+	if now.Before(w.leaseExpires) {
 		return w.lease.Grant
 	}
 	if now.Before(w.floorExpires) {
@@ -107,63 +107,63 @@
 // RetryAfter. An admitted request counts as running until Done.
 func (a *Admitter) Decide(now time.Time, r Request, random float64) Verdict {
 	w := a.workspace(r.Workspace)
-	a.refresh(now, w)
-	w.offered.add(now, 1, a.cfg.Memory)
+	a.refreshAllowed(now, w)
+	w.offeredRequests.add(now, 1, a.cfg.Memory)
 	w.offeredTokens.add(now, float64(r.Cost), a.cfg.Memory)
 	a.standing.observe(now, r, a.cfg.Standing)
 
-	if reason, wait := a.inTime(now, r); reason != Admitted {
-		return a.refuse(now, r, reason, wait, random)
+	if reason, wait := a.checkWait(now, r); reason != Admitted {
+		return a.refuseForLoad(now, r, reason, wait, random)
 	}
-	if reason, wait := w.withinLimits(now); reason != Admitted {
+	if reason, wait := w.checkLimits(now); reason != Admitted {
 		if reason == ConcurrencyLimit {
-			w.turnedAway.add(now, 1, a.cfg.Memory)
+			w.concurrencyRefusals.add(now, 1, a.cfg.Memory)
 		}
-		return a.limit(reason, wait, random)
+		return a.refuseForLimit(reason, wait, random)
 	}
 	w.charge(1, r.Cost)
 	w.running++
 	return Verdict{Admit: true, Reason: Admitted}
 }
 
-// inTime judges whether the answer would come in time. wait is how much
+// checkWait judges whether the answer would come in time. wait is how much
 // shorter the queue would have to be.
-func (a *Admitter) inTime(now time.Time, r Request) (reason Reason, wait time.Duration) {
-	e := r.Estimate
+func (a *Admitter) checkWait(now time.Time, r Request) (reason Reason, wait time.Duration) {
+	est := r.Estimate
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
-		return DeadlinePassed, e.Wait
+		return DeadlinePassed, est.Wait
 	}
-	if !e.Known {
+	if !est.Known {
 		return Admitted, 0
 	}
 	if !r.Deadline.IsZero() {
-		answered := e.Wait + e.First + time.Duration(r.Answer)*e.Gap
-		if late := answered - r.Deadline.Sub(now); late > 0 {
+		answerTime := est.Wait + est.FirstToken + time.Duration(r.AnswerTokens)*est.TokenInterval
+		if late := answerTime - r.Deadline.Sub(now); late > 0 {
 			return DeadlineTooNear, late
 		}
 	}
-	if r.Target > 0 && r.Class == contract.ClassInteractive {
-		if late := a.lateness(now, r); late > 0 {
-			a.standing.last = now // it goes on while anything is refused for it
+	if r.FirstTokenTarget > 0 && r.Class == contract.ClassInteractive {
+		if late := a.excessWait(now, r); late > 0 {
+			a.standing.lastAbove = now // it goes on while anything is refused for it
 			return TargetMissed, late
 		}
 	}
-	if late := e.Wait - a.cfg.MaxWait.of(r.Class); late > 0 {
+	if late := est.Wait - a.cfg.MaxWait.forClass(r.Class); late > 0 {
 		return WaitTooLong, late
 	}
 	return Admitted, 0
 }
 
-// lateness is how much too long an interactive request would wait. A burst may
+// excessWait is how much too long an interactive request would wait. A burst may
 // wait for Burst times the target, since a late answer is worth more than none.
 // Once the queue stands, waiting gains nobody anything: as many are answered in a
 // second from a short queue as from a long one, and from the short one in time.
 // Since the target is meant for 95 in 100, that many of those let in have to meet
 // it: at a small entry, where a slot comes free every few hundred milliseconds,
 // that leaves no room to wait at all, and at a large one room for several.
-func (a *Admitter) lateness(now time.Time, r Request) time.Duration {
-	if a.standing.since(now) < a.cfg.Standing {
-		return r.Estimate.Wait - time.Duration(a.cfg.Burst*float64(r.Target))
+func (a *Admitter) excessWait(now time.Time, r Request) time.Duration {
+	if a.standing.duration(now) < a.cfg.Standing {
+		return r.Estimate.Wait - time.Duration(a.cfg.Burst*float64(r.FirstTokenTarget))
 	}
 	if r.Estimate.Held {
 		return max(r.Estimate.Wait, a.cfg.MinRetryAfter)
@@ -171,11 +171,11 @@
 	if r.Estimate.Wait == 0 {
 		return 0
 	}
-	return r.Estimate.WaitP95 + r.Estimate.First - r.Target
+	return r.Estimate.WaitP95 + r.Estimate.FirstToken - r.FirstTokenTarget
 }
 
-// of returns the wait for a class.
-func (w ClassWaits) of(c contract.Class) time.Duration {
+// forClass returns the wait for a class.
+func (w ClassWaits) forClass(c contract.Class) time.Duration {
 	switch c {
 	case contract.ClassInteractive:
 		return w.Interactive
@@ -186,19 +186,19 @@
 	}
 }
 
-// withinLimits judges the workspace's limits, by what is leased to this entry.
-func (w *workspace) withinLimits(now time.Time) (reason Reason, wait time.Duration) {
-	if !limited(w.limits) {
+// checkLimits judges the workspace's limits, by what is leased to this entry.
+func (w *workspace) checkLimits(now time.Time) (reason Reason, wait time.Duration) {
+	if !hasLimit(w.limits) {
 		return Admitted, 0
 	}
-	if !now.Before(w.expires) && !now.Before(w.floorExpires) {
+	if !now.Before(w.leaseExpires) && !now.Before(w.floorExpires) {
 		return NoLease, 0
 	}
-	if w.limits.RequestsPerSecond > 0 && !w.requests.open(now) {
-		return RequestRateLimit, w.requests.opensIn()
+	if w.limits.RequestsPerSecond > 0 && !w.requests.available(now) {
+		return RequestRateLimit, w.requests.availableIn()
 	}
-	if w.limits.TokensPerSecond > 0 && !w.tokens.open(now) {
-		return TokenRateLimit, w.tokens.opensIn()
+	if w.limits.TokensPerSecond > 0 && !w.tokens.available(now) {
+		return TokenRateLimit, w.tokens.availableIn()
 	}
 	if w.limits.Concurrency > 0 && w.running >= w.allowed.Concurrency {
 		return ConcurrencyLimit, 0
@@ -206,15 +206,15 @@
 	return Admitted, 0
 }
 
-// refuse answers a request that the load leaves no room for. It is told when
+// refuseForLoad answers a request that the load leaves no room for. It is told when
 // the queue will have drained far enough, those told before it included.
-func (a *Admitter) refuse(now time.Time, r Request, reason Reason, wait time.Duration, random float64) Verdict {
-	wait += a.invited.ahead(now, r.Estimate.Rate)
-	a.invited.add(r.Cost, a.cfg.MaxRetryAfter)
+func (a *Admitter) refuseForLoad(now time.Time, r Request, reason Reason, wait time.Duration, random float64) Verdict {
+	wait += a.retries.drainTime(now, r.Estimate.Rate)
+	a.retries.add(r.Cost, a.cfg.MaxRetryAfter)
 	return Verdict{Reason: reason, RetryAfter: a.retryAfter(wait, random)}
 }
 
-func (a *Admitter) limit(reason Reason, wait time.Duration, random float64) Verdict {
+func (a *Admitter) refuseForLimit(reason Reason, wait time.Duration, random float64) Verdict {
 	return Verdict{Reason: reason, RetryAfter: a.retryAfter(wait, random)}
 }
 
@@ -222,9 +222,9 @@
 // seconds, the unit of the Retry-After field (RFC 9110, section 10.2.3).
 func (a *Admitter) retryAfter(wait time.Duration, random float64) time.Duration {
 	wait = min(max(wait, a.cfg.MinRetryAfter), a.cfg.MaxRetryAfter)
-	spread := max(float64(wait), float64(time.Second)) * a.cfg.Jitter * random
-	whole := math.Ceil((wait + time.Duration(spread)).Seconds())
-	return min(time.Duration(whole)*time.Second, a.cfg.MaxRetryAfter)
+	jitter := max(float64(wait), float64(time.Second)) * a.cfg.Jitter * random
+	wholeSeconds := math.Ceil((wait + time.Duration(jitter)).Seconds())
+	return min(time.Duration(wholeSeconds)*time.Second, a.cfg.MaxRetryAfter)
 }
 
 // Done ends an admitted request that turned out to cost actual tokens instead
@@ -257,7 +257,7 @@
 func (a *Admitter) Demands(now time.Time, term uint64) []Demand {
 	var out []Demand
 	for name, w := range a.workspaces {
-		if limited(w.limits) {
+		if hasLimit(w.limits) {
 			out = append(out, a.demand(now, term, name, w))
 		}
 	}
@@ -266,23 +266,23 @@
 }
 
 func (a *Admitter) demand(now time.Time, term uint64, name string, w *workspace) Demand {
-	memory := a.cfg.Memory
+	timeConstant := a.cfg.Memory
 	d := Demand{
 		Workspace: name,
 		Wanted: Amount{
-			RequestsPerSecond: w.offered.rate(now, memory),
-			Concurrency:       w.running + int(math.Ceil(w.turnedAway.decayed(now, memory)-0.5)),
-			TokensPerSecond:   w.offeredTokens.rate(now, memory),
+			RequestsPerSecond: w.offeredRequests.rate(now, timeConstant),
+			Concurrency:       w.running + int(math.Ceil(w.concurrencyRefusals.decayed(now, timeConstant)-0.5)),
+			TokensPerSecond:   w.offeredTokens.rate(now, timeConstant),
 		},
 		Running:  w.running,
 		HasFloor: now.Before(w.floorExpires),
 
-		LastConcurrency: w.lease.Grant.Concurrency - w.lease.Floor.Concurrency,
+		LastLeaseConcurrency: w.lease.Grant.Concurrency - w.lease.Floor.Concurrency,
 	}
 	if w.lease.Term == term {
 		d.Applied = w.lease.Number
 	}
-	if now.Before(w.expires) {
+	if now.Before(w.leaseExpires) {
 		d.Held = w.lease.Grant
 	}
 	return d
--- a/policy/admit/admitter_test.go
+++ b/policy/admit/admitter_test.go
@@ -20,8 +20,8 @@
 	return a
 }
 
-func TestConfigValidateNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+func TestConfigValidateReportsInvalidField(t *testing.T) {
+	for field, invalidate := range map[string]func(*Config){
 		"Window":              func(c *Config) { c.Window = 0 },
 		"Memory":              func(c *Config) { c.Memory = 0 },
 		"MaxWait.Interactive": func(c *Config) { c.MaxWait.Interactive = 0 },
@@ -34,7 +34,7 @@
 		"Jitter":              func(c *Config) { c.Jitter = 2 },
 	} {
 		cfg := DefaultConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		_, err := New(cfg)
 		var fieldErr *policy.ConfigError
 		require.ErrorAs(t, err, &fieldErr, field)
@@ -42,10 +42,10 @@
 	}
 }
 
-// estimate is what a queue with so long a wait promises.
-func estimate(wait time.Duration) Estimate {
+// estimateWithWait is what a queue with so long a wait promises.
+func estimateWithWait(wait time.Duration) Estimate {
 	return Estimate{
-		Wait: wait, WaitP95: 2 * wait, First: 200 * time.Millisecond, Gap: 20 * time.Millisecond, Rate: 1_000, Known: true,
+		Wait: wait, WaitP95: 2 * wait, FirstToken: 200 * time.Millisecond, TokenInterval: 20 * time.Millisecond, Rate: 1_000, Known: true,
 	}
 }
 
@@ -53,19 +53,19 @@
 // deadline. Requests let in then cost the fleet work and get no answer in time.
 //
 // Removing the test of late in inTime makes this fail.
-func TestDeadlineThatCannotBeMetIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatWouldMissItsDeadlineIsRefused(t *testing.T) {
 	a := newAdmitter(t)
-	r := Request{Workspace: "w", Class: contract.ClassStandard, Cost: 400, Answer: 100, Deadline: at(5 * time.Second)}
-	r.Estimate = estimate(2 * time.Second)
+	r := Request{Workspace: "w", Class: contract.ClassStandard, Cost: 400, AnswerTokens: 100, Deadline: at(5 * time.Second)}
+	r.Estimate = estimateWithWait(2 * time.Second)
 	assert.True(t, a.Decide(at(0), r, 0).Admit, "2 + 0.2 + 100 x 0.02 s")
-	r.Estimate = estimate(4 * time.Second)
+	r.Estimate = estimateWithWait(4 * time.Second)
 	v := a.Decide(at(0), r, 0)
 	assert.Equal(t, DeadlineTooNear, v.Reason)
 	assert.Equal(t, 2*time.Second, v.RetryAfter, "1.2 s late")
 	r.Estimate.Known = false
 	assert.True(t, a.Decide(at(0), r, 0).Admit, "nothing learnt, nothing refused")
 	assert.Equal(t, DeadlinePassed, a.Decide(at(5*time.Second), r, 0).Reason)
-	r = Request{Workspace: "w", Class: contract.ClassStandard, Estimate: estimate(31 * time.Second)}
+	r = Request{Workspace: "w", Class: contract.ClassStandard, Estimate: estimateWithWait(31 * time.Second)}
 	assert.Equal(t, WaitTooLong, a.Decide(at(0), r, 0).Reason)
 	r.Class = contract.ClassBatch
 	assert.True(t, a.Decide(at(0), r, 0).Admit)
@@ -76,19 +76,19 @@
 // would miss its target.
 //
 // Removing the test of cfg.Standing in lateness makes this fail.
-func TestBurstWaitsAndStandingQueueRefuses(t *testing.T) {
+func TestShortBurstIsAdmittedAndStandingQueueRefuses(t *testing.T) {
 	a := newAdmitter(t)
-	r := Request{Workspace: "w", Class: contract.ClassInteractive, Target: 720 * time.Millisecond, Estimate: estimate(2 * time.Second)}
+	r := Request{Workspace: "w", Class: contract.ClassInteractive, FirstTokenTarget: 720 * time.Millisecond, Estimate: estimateWithWait(2 * time.Second)}
 	assert.True(t, a.Decide(at(0), r, 0).Admit, "a burst")
 	assert.True(t, a.Decide(at(1900*time.Millisecond), r, 0).Admit)
 	assert.Equal(t, TargetMissed, a.Decide(at(2*time.Second), r, 0).Reason, "it stands")
-	r.Estimate = estimate(250 * time.Millisecond)
+	r.Estimate = estimateWithWait(250 * time.Millisecond)
 	assert.True(t, a.Decide(at(3*time.Second), r, 0).Admit, "this one meets its target")
 	r.Estimate.Held = true
 	assert.Equal(t, TargetMissed, a.Decide(at(3*time.Second), r, 0).Reason, "nobody knows when it would start")
-	r.Estimate = estimate(0)
+	r.Estimate = estimateWithWait(0)
 	assert.True(t, a.Decide(at(4*time.Second), r, 0).Admit)
-	r.Estimate = estimate(2 * time.Second)
+	r.Estimate = estimateWithWait(2 * time.Second)
 	assert.False(t, a.Decide(at(4500*time.Millisecond), r, 0).Admit, "one free slot does not end it")
 	assert.True(t, a.Decide(at(7*time.Second), r, 0).Admit, "two seconds without a wait do")
 }
@@ -97,19 +97,19 @@
 // time, they would come back together and be refused together.
 //
 // Removing the call of invited.ahead in refuse makes this fail.
-func TestRefusedCallersAreSpreadOverTheRealDrain(t *testing.T) {
+func TestRetryAfterSpreadsRefusedCallersOverDrainTime(t *testing.T) {
 	a := newAdmitter(t)
-	r := Request{Workspace: "w", Class: contract.ClassStandard, Cost: 50, Estimate: estimate(35 * time.Second)}
-	told := map[time.Duration]int{}
+	r := Request{Workspace: "w", Class: contract.ClassStandard, Cost: 50, Estimate: estimateWithWait(35 * time.Second)}
+	counts := map[time.Duration]int{}
 	for i := range 400 {
 		v := a.Decide(at(time.Duration(i)*time.Millisecond), r, 0)
 		require.False(t, v.Admit)
-		told[v.RetryAfter]++
+		counts[v.RetryAfter]++
 	}
 	// 400 requests of 50 tokens are 20 s of work at 1,000 tokens a second,
 	// after the 5 s by which the wait is too long.
-	assert.GreaterOrEqual(t, len(told), 18)
-	for after, n := range told {
+	assert.GreaterOrEqual(t, len(counts), 18)
+	for after, n := range counts {
 		assert.LessOrEqual(t, n, 22, "%v", after)
 	}
 }
@@ -123,35 +123,35 @@
 	assert.Equal(t, time.Minute, a.retryAfter(time.Hour, 0.999))
 }
 
-// leased returns an admitter that holds all of the limits.
-func leased(t *testing.T, limits contract.Limits) *Admitter {
+// newLeasedAdmitter returns an admitter that holds all of the limits.
+func newLeasedAdmitter(t *testing.T, limits contract.Limits) *Admitter {
 	t.Helper()
 	a := newAdmitter(t)
 	a.SetLimits(at(0), "w", limits)
-	a.Apply(at(0), at(0), Lease{Workspace: "w", Term: 1, Number: 1, Grant: whole(limits), TTL: time.Hour, FloorTTL: time.Hour})
+	a.Apply(at(0), at(0), Lease{Workspace: "w", Term: 1, Number: 1, Grant: amountOf(limits), TTL: time.Hour, FloorTTL: time.Hour})
 	return a
 }
 
-func TestLimitsByKind(t *testing.T) {
+func TestEachLimitIsEnforced(t *testing.T) {
 	r := Request{Workspace: "w", Class: contract.ClassStandard, Cost: 100}
 	now := at(time.Second)
 
-	a := leased(t, contract.Limits{Concurrency: 2})
+	a := newLeasedAdmitter(t, contract.Limits{Concurrency: 2})
 	assert.True(t, a.Decide(now, r, 0).Admit)
 	assert.True(t, a.Decide(now, r, 0).Admit)
 	v := a.Decide(now, r, 0)
 	assert.Equal(t, ConcurrencyLimit, v.Reason)
-	assert.True(t, v.Reason.Limit())
+	assert.True(t, v.Reason.IsLimit())
 	a.Done(now, "w", 100, 100)
 	assert.True(t, a.Decide(now, r, 0).Admit)
 
-	a = leased(t, contract.Limits{RequestsPerSecond: 3})
+	a = newLeasedAdmitter(t, contract.Limits{RequestsPerSecond: 3})
 	for range 3 {
 		assert.True(t, a.Decide(now, r, 0).Admit)
 	}
 	assert.Equal(t, Verdict{Reason: RequestRateLimit, RetryAfter: time.Second}, a.Decide(now, r, 0))
 
-	a = leased(t, contract.Limits{TokensPerSecond: 50})
+	a = newLeasedAdmitter(t, contract.Limits{TokensPerSecond: 50})
 	assert.True(t, a.Decide(now, r, 0).Admit, "one request may be larger than the burst")
 	a.Done(now, "w", 100, 250)
 	v = a.Decide(now, r, 0)
@@ -183,14 +183,14 @@
 	assert.EqualValues(t, 0, a.Demands(at(0), 3)[0].Applied, "numbers of another term say nothing")
 }
 
-// busy returns a Drain of an entry without a free slot, where a request of 50
+// busyDrain returns a Drain of an entry without a free slot, where a request of 50
 // tokens ends every 10 ms for so long.
-func busy(from, length time.Duration) *Drain {
-	d := NewDrain(2 * time.Second)
-	d.Full(at(from), true)
-	for now := from; now <= from+length; now += 10 * time.Millisecond {
-		d.Ended(at(now), 50)
-		d.Full(at(now), true)
+func busyDrain(from, duration time.Duration) *DrainEstimator {
+	d := NewDrainEstimator(2 * time.Second)
+	d.SetFull(at(from), true)
+	for now := from; now <= from+duration; now += 10 * time.Millisecond {
+		d.ObserveEnd(at(now), 50)
+		d.SetFull(at(now), true)
 	}
 	return d
 }
@@ -200,19 +200,19 @@
 // are idle.
 //
 // Removing the test of full in sums makes this fail.
-func TestDrainLearnsOnlyWhileNoSlotIsFree(t *testing.T) {
-	d := NewDrain(2 * time.Second)
+func TestDrainRateCountsOnlyTimeWithoutFreeSlots(t *testing.T) {
+	d := NewDrainEstimator(2 * time.Second)
 	for i := range 100 {
-		d.Ended(at(time.Duration(i)*time.Minute), 100)
-		d.Full(at(time.Duration(i)*time.Minute), false)
+		d.ObserveEnd(at(time.Duration(i)*time.Minute), 100)
+		d.SetFull(at(time.Duration(i)*time.Minute), false)
 	}
 	_, known := d.Rate(at(100 * time.Minute))
 	assert.False(t, known)
-	d = busy(0, time.Second)
+	d = busyDrain(0, time.Second)
 	rate, known := d.Rate(at(time.Second))
 	assert.True(t, known)
 	assert.InDelta(t, 5_000, rate, 150)
-	d.Full(at(time.Second), false)
+	d.SetFull(at(time.Second), false)
 	rate, _ = d.Rate(at(time.Hour))
 	assert.InDelta(t, 5_000, rate, 150, "idle time is not judged")
 }
@@ -221,27 +221,27 @@
 // estimate that waited for the next end would promise the old rate for ever.
 //
 // Removing the decay from sums makes this fail.
-func TestDrainFallsWhenNothingEnds(t *testing.T) {
-	d := busy(0, 10*time.Second)
+func TestDrainRateFallsWhenNoRequestEnds(t *testing.T) {
+	d := busyDrain(0, 10*time.Second)
 	backlog := queue.Backlog{Ahead: 10_000, Total: 10_000, Share: 1}
 	assert.InDelta(t, 2, d.Estimate(at(10*time.Second), backlog).Wait.Seconds(), 0.1)
 	assert.Greater(t, d.Estimate(at(16*time.Second), backlog).Wait, 30*time.Second)
 }
 
-func TestEstimateOfTheWait(t *testing.T) {
-	d := busy(0, 10*time.Second)
+func TestEstimateComputesQueueWait(t *testing.T) {
+	d := busyDrain(0, 10*time.Second)
 	now := at(10 * time.Second)
 	for range 100 {
-		d.FirstToken(300 * time.Millisecond)
+		d.ObserveFirstToken(300 * time.Millisecond)
 	}
 	e := d.Estimate(now, queue.Backlog{Ahead: 450, Total: 100_000, Share: 0.5})
 	assert.InDelta(t, 0.19, e.Wait.Seconds(), 0.01, "18 starts before it, at 100 a second")
-	assert.InDelta(t, 0.19+tail*0.0436, e.WaitP95.Seconds(), 0.01, "and the spread of 19 random intervals")
-	assert.Equal(t, 300*time.Millisecond, e.First)
+	assert.InDelta(t, 0.19+p95Deviations*0.0436, e.WaitP95.Seconds(), 0.01, "and the spread of 19 random intervals")
+	assert.Equal(t, 300*time.Millisecond, e.FirstToken)
 	e = d.Estimate(now, queue.Backlog{Ahead: 1_000, Total: 1_100, Share: 0.1})
 	assert.InDelta(t, 0.23, e.Wait.Seconds(), 0.01, "all work is less than its own over its share")
 	e = d.Estimate(now, queue.Backlog{Total: 5_000, Share: 0.5, Lasting: 0.1, Others: 4})
-	assert.InDelta(t, 0.05+tail*0.0224, e.WaitP95.Seconds(), 0.01, "one of each other workspace may come first")
+	assert.InDelta(t, 0.05+p95Deviations*0.0224, e.WaitP95.Seconds(), 0.01, "one of each other workspace may come first")
 	e = d.Estimate(now, queue.Backlog{Ahead: 1_000, Total: 1_000, Share: 0.5, Starts: true})
 	assert.Zero(t, e.Wait)
 	e = d.Estimate(now, queue.Backlog{Ahead: 1_000, Total: 1_000, Share: 0.5, Held: true})
@@ -261,18 +261,18 @@
 		limits := contract.Limits{RequestsPerSecond: 5, Concurrency: 4, TokensPerSecond: 500}
 		for _, x := range []*Admitter{a, b} {
 			x.SetLimits(epoch, "w", limits)
-			x.Apply(epoch, epoch, Lease{Workspace: "w", Term: 1, Number: 1, Grant: whole(limits), TTL: time.Hour})
+			x.Apply(epoch, epoch, Lease{Workspace: "w", Term: 1, Number: 1, Grant: amountOf(limits), TTL: time.Hour})
 		}
 		now := epoch
 		for range 50 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			r := Request{
-				Workspace: rapid.SampledFrom([]string{"w", "v"}).Draw(t, "workspace"),
-				Class:     rapid.SampledFrom([]contract.Class{contract.ClassInteractive, contract.ClassBatch}).Draw(t, "class"),
-				Cost:      rapid.Int64Range(0, 1_000).Draw(t, "cost"),
-				Target:    time.Second,
-				Deadline:  now.Add(time.Duration(rapid.IntRange(-1, 20).Draw(t, "deadline")) * time.Second),
-				Estimate:  estimate(time.Duration(rapid.IntRange(0, 20).Draw(t, "wait")) * time.Second),
+				Workspace:        rapid.SampledFrom([]string{"w", "v"}).Draw(t, "workspace"),
+				Class:            rapid.SampledFrom([]contract.Class{contract.ClassInteractive, contract.ClassBatch}).Draw(t, "class"),
+				Cost:             rapid.Int64Range(0, 1_000).Draw(t, "cost"),
+				FirstTokenTarget: time.Second,
+				Deadline:         now.Add(time.Duration(rapid.IntRange(-1, 20).Draw(t, "deadline")) * time.Second),
+				Estimate:         estimateWithWait(time.Duration(rapid.IntRange(0, 20).Draw(t, "wait")) * time.Second),
 			}
 			random := rapid.Float64Range(0, 0.999).Draw(t, "random")
 			v := a.Decide(now, r, random)
@@ -295,7 +295,7 @@
 
 func BenchmarkDecide(b *testing.B) {
 	a, _ := New(DefaultConfig())
-	r := Request{Workspace: "w", Class: contract.ClassInteractive, Cost: 100, Target: time.Second, Estimate: estimate(0)}
+	r := Request{Workspace: "w", Class: contract.ClassInteractive, Cost: 100, FirstTokenTarget: time.Second, Estimate: estimateWithWait(0)}
 	b.ReportAllocs()
 	for b.Loop() {
 		a.Decide(epoch, r, 0.5)
@@ -304,7 +304,7 @@
 
 func TestDecideDoesNotAllocate(t *testing.T) {
 	a, _ := New(DefaultConfig())
-	r := Request{Workspace: "w", Class: contract.ClassInteractive, Cost: 100, Target: time.Second, Estimate: estimate(0)}
+	r := Request{Workspace: "w", Class: contract.ClassInteractive, Cost: 100, FirstTokenTarget: time.Second, Estimate: estimateWithWait(0)}
 	a.Decide(epoch, r, 0.5)
 	assert.Zero(t, testing.AllocsPerRun(1_000, func() { a.Decide(epoch, r, 0.5) }))
 }
@@ -314,16 +314,16 @@
 // a workspace that asks for little; after two seconds without any end the fleet
 // has stopped, and nobody should wait for it. Breaks without stoppedEvidence in
 // Rate.
-func TestStartOfASurgeIsNoStoppedFleet(t *testing.T) {
+func TestSurgeStartIsNotMistakenForStoppedServers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	d := NewDrain(2 * time.Second)
-	d.Full(now, true)
+	d := NewDrainEstimator(2 * time.Second)
+	d.SetFull(now, true)
 	_, known := d.Rate(now.Add(500 * time.Millisecond))
 	require.False(t, known)
 	rate, known := d.Rate(now.Add(2100 * time.Millisecond))
 	require.True(t, known)
 	require.Zero(t, rate)
-	d.Ended(now.Add(600*time.Millisecond), 60)
+	d.ObserveEnd(now.Add(600*time.Millisecond), 60)
 	rate, known = d.Rate(now.Add(700 * time.Millisecond))
 	require.True(t, known)
 	require.Positive(t, rate)
--- a/policy/admit/amount.go
+++ b/policy/admit/amount.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// whole is all that the limits allow, over all entries.
-func whole(l contract.Limits) Amount {
+// amountOf is all that the limits allow, over all entries.
+func amountOf(l contract.Limits) Amount {
 	return Amount{
 		RequestsPerSecond: l.RequestsPerSecond,
 		Concurrency:       l.Concurrency,
@@ -53,7 +53,7 @@
 	}
 }
 
-// limited reports whether any quantity is limited.
-func limited(l contract.Limits) bool {
+// hasLimit reports whether any quantity is hasLimit.
+func hasLimit(l contract.Limits) bool {
 	return l.RequestsPerSecond > 0 || l.Concurrency > 0 || l.TokensPerSecond > 0
 }
--- a/policy/admit/bucket.go
+++ b/policy/admit/bucket.go
@@ -9,15 +9,15 @@
 // is charged in full even if it is larger than the bucket, so a single long
 // request is possible under a low rate and the rate still holds on average.
 type bucket struct {
-	rate  float64 // a second
-	burst float64
-	level float64
-	last  time.Time
+	rate       float64 // a second
+	burst      float64
+	level      float64
+	lastRefill time.Time
 }
 
-// set changes the rate. The level never rises by it: a bucket that is given
+// setRate changes the rate. The level never rises by it: a bucket that is given
 // more starts with what it had, since another entry may have spent the rest.
-func (b *bucket) set(now time.Time, rate float64, window time.Duration) {
+func (b *bucket) setRate(now time.Time, rate float64, window time.Duration) {
 	b.refill(now)
 	b.rate = rate
 	b.burst = rate * window.Seconds()
@@ -25,52 +25,52 @@
 }
 
 func (b *bucket) refill(now time.Time) {
-	if elapsed := now.Sub(b.last); elapsed > 0 {
-		if !b.last.IsZero() {
+	if elapsed := now.Sub(b.lastRefill); elapsed > 0 {
+		if !b.lastRefill.IsZero() {
 			b.level = min(b.burst, b.level+b.rate*elapsed.Seconds())
 		}
-		b.last = now
+		b.lastRefill = now
 	}
 }
 
-// open reports whether something may pass.
-func (b *bucket) open(now time.Time) bool {
+// available reports whether something may pass.
+func (b *bucket) available(now time.Time) bool {
 	b.refill(now)
 	return b.level > 0
 }
 
 func (b *bucket) take(amount float64) { b.level = min(b.burst, b.level-amount) }
 
-// opensIn returns how long until something may pass.
-func (b *bucket) opensIn() time.Duration {
+// availableIn returns how long until something may pass.
+func (b *bucket) availableIn() time.Duration {
 	if b.level > 0 {
 		return 0
 	}
 	if b.rate <= 0 {
-		return maxEstimate
+		return maxWaitEstimate
 	}
-	return seconds(-b.level / b.rate)
+	return secondsToDuration(-b.level / b.rate)
 }
 
 // rateMeter is an exponentially decayed rate of events.
 type rateMeter struct {
-	sum  float64
-	last time.Time
+	sum     float64
+	updated time.Time
 }
 
-func (m *rateMeter) add(now time.Time, amount float64, memory time.Duration) {
-	m.sum = m.decayed(now, memory) + amount
-	m.last = now
+func (m *rateMeter) add(now time.Time, amount float64, timeConstant time.Duration) {
+	m.sum = m.decayed(now, timeConstant) + amount
+	m.updated = now
 }
 
-func (m *rateMeter) decayed(now time.Time, memory time.Duration) float64 {
-	elapsed := now.Sub(m.last)
-	if elapsed <= 0 || m.last.IsZero() {
+func (m *rateMeter) decayed(now time.Time, timeConstant time.Duration) float64 {
+	elapsed := now.Sub(m.updated)
+	if elapsed <= 0 || m.updated.IsZero() {
 		return m.sum
 	}
-	return m.sum * math.Exp(-elapsed.Seconds()/memory.Seconds())
+	return m.sum * math.Exp(-elapsed.Seconds()/timeConstant.Seconds())
 }
 
-func (m *rateMeter) rate(now time.Time, memory time.Duration) float64 {
-	return m.decayed(now, memory) / memory.Seconds()
+func (m *rateMeter) rate(now time.Time, timeConstant time.Duration) float64 {
+	return m.decayed(now, timeConstant) / timeConstant.Seconds()
 }
--- a/policy/admit/lease.go
+++ b/policy/admit/lease.go
@@ -23,9 +23,9 @@
 	// report's term, else 0. The entry will apply no older one.
 	Applied uint64 `msgpack:"applied"`
 
-	// LastConcurrency is that of the newest lease, its floor not included,
+	// LastLeaseConcurrency is that of the newest lease, its floor not included,
 	// also after it has expired.
-	LastConcurrency int `msgpack:"last"`
+	LastLeaseConcurrency int `msgpack:"last"`
 }
 
 // Lease is an entry's part of a workspace's limits. Its times are durations so
--- a/policy/admit/share_test.go
+++ b/policy/admit/share_test.go
@@ -19,19 +19,19 @@
 
 var testLimits = contract.Limits{RequestsPerSecond: 70, Concurrency: 70, TokensPerSecond: 7_000}
 
-// member is one entry of a site: its admitter and its link to the leader.
-type member struct {
+// siteEntry is one entry of a site: its admitter and its link to the leader.
+type siteEntry struct {
 	name     string
 	admitter *Admitter
 	term     uint64
 	sequence uint64
 }
 
-// answer is a reply on its way to a member.
-type answer struct {
-	to    *member
-	asked time.Time
-	reply Reply
+// pendingReply is a reply on its way to a member.
+type pendingReply struct {
+	to         *siteEntry
+	reportSent time.Time
+	reply      Reply
 }
 
 // site is a leader and its entries, which exchange reports by direct calls.
@@ -40,7 +40,7 @@
 	shares  *Shares
 	term    uint64
 	now     time.Time
-	members []*member
+	entries []*siteEntry
 }
 
 func newSite(t require.TestingT, cfg ShareConfig, entries int) *site {
@@ -49,17 +49,17 @@
 		a, err := New(DefaultConfig())
 		require.NoError(t, err)
 		a.SetLimits(s.now, "w", testLimits)
-		s.members = append(s.members, &member{name: fmt.Sprint("entry-", i), admitter: a})
+		s.entries = append(s.entries, &siteEntry{name: fmt.Sprint("entry-", i), admitter: a})
 	}
-	s.lead(t)
-	s.shares.Drop("w")
+	s.changeLeader(t)
+	s.shares.RemoveWorkspace("w")
 	s.shares.NoPredecessor()
 	s.shares.SetLimits(s.now, "w", testLimits)
 	return s
 }
 
-// lead puts a new leader in the old one's place.
-func (s *site) lead(t require.TestingT) {
+// changeLeader puts a new leader in the old one's place.
+func (s *site) changeLeader(t require.TestingT) {
 	s.term++
 	shares, err := NewShares(s.cfg, s.term, s.now)
 	require.NoError(t, err)
@@ -67,31 +67,31 @@
 	s.shares = shares
 }
 
-func (s *site) report(m *member) answer {
+func (s *site) report(m *siteEntry) pendingReply {
 	m.sequence++
 	r := Report{Entry: m.name, Term: m.term, Sequence: m.sequence, Demands: m.admitter.Demands(s.now, m.term)}
-	return answer{to: m, asked: s.now, reply: s.shares.Lease(s.now, r)}
+	return pendingReply{to: m, reportSent: s.now, reply: s.shares.Lease(s.now, r)}
 }
 
-func (s *site) deliver(a answer) {
+func (s *site) deliver(a pendingReply) {
 	a.to.term = max(a.to.term, a.reply.Term)
 	for _, lease := range a.reply.Leases {
-		a.to.admitter.Apply(s.now, a.asked, lease)
+		a.to.admitter.Apply(s.now, a.reportSent, lease)
 	}
 }
 
-// settle lets the members report once a second for so long, but for those cut off.
-func (s *site) settle(d time.Duration, cut ...*member) {
+// exchangeFor lets the members report once a second for so long, but for those cut off.
+func (s *site) exchangeFor(d time.Duration, disconnected ...*siteEntry) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(time.Second) {
-		for _, m := range s.members {
-			if !contains(cut, m) {
+		for _, m := range s.entries {
+			if !contains(disconnected, m) {
 				s.deliver(s.report(m))
 			}
 		}
 	}
 }
 
-func contains(list []*member, m *member) bool {
+func contains(list []*siteEntry, m *siteEntry) bool {
 	for _, x := range list {
 		if x == m {
 			return true
@@ -100,21 +100,21 @@
 	return false
 }
 
-func (m *member) allowed(now time.Time) Amount {
+func (m *siteEntry) allowed(now time.Time) Amount {
 	w := m.admitter.workspace("w")
-	m.admitter.refresh(now, w)
+	m.admitter.refreshAllowed(now, w)
 	return w.allowed
 }
 
 func (s *site) allowed() Amount {
 	var total Amount
-	for _, m := range s.members {
+	for _, m := range s.entries {
 		total = total.plus(m.allowed(s.now))
 	}
 	return total
 }
 
-func (m *member) offer(now time.Time, n int) int {
+func (m *siteEntry) offer(now time.Time, n int) int {
 	admitted := 0
 	for range n {
 		if m.admitter.Decide(now, Request{Workspace: "w", Class: contract.ClassStandard, Cost: 1}, 0.5).Admit {
@@ -128,17 +128,17 @@
 // of seven. With equal parts it would be refused at a seventh of its limit.
 //
 // Replacing h.target in part by an equal split makes this fail.
-func TestOneEntryWithAllTheDemandGetsAlmostAllOfTheLimit(t *testing.T) {
+func TestEntryWithAllDemandGetsMostOfTheLimit(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
-	s.settle(8 * time.Second)
-	equal := s.members[0].allowed(s.now)
+	s.exchangeFor(8 * time.Second)
+	equal := s.entries[0].allowed(s.now)
 	assert.InDelta(t, 10, equal.RequestsPerSecond, 0.01)
 	assert.Equal(t, 10, equal.Concurrency)
 	for range 20 {
-		s.members[0].offer(s.now, 100)
-		s.settle(time.Second)
+		s.entries[0].offer(s.now, 100)
+		s.exchangeFor(time.Second)
 	}
-	got := s.members[0].allowed(s.now)
+	got := s.entries[0].allowed(s.now)
 	assert.Greater(t, got.RequestsPerSecond, 0.9*testLimits.RequestsPerSecond)
 	assert.LessOrEqual(t, s.allowed().RequestsPerSecond, testLimits.RequestsPerSecond+1e-9)
 }
@@ -149,22 +149,22 @@
 // refused for a fault that is not theirs.
 //
 // Removing the test of w.expires in inForce makes this fail.
-func TestCutOffEntryKeepsItsLeaseThenItsFloor(t *testing.T) {
+func TestDisconnectedEntryFallsBackToFloorAfterLease(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
-	s.settle(8 * time.Second)
-	cut := s.members[3]
-	before := cut.allowed(s.now)
-	s.settle(3*time.Second, cut)
-	assert.Equal(t, before, cut.allowed(s.now), "its lease lasts")
-	s.settle(3*time.Second, cut)
-	assert.Equal(t, Amount{RequestsPerSecond: 1, Concurrency: 1, TokensPerSecond: 100}, round(cut.allowed(s.now)), "its floor")
-	s.settle(10*time.Second, cut)
-	others := s.allowed().minus(cut.allowed(s.now))
+	s.exchangeFor(8 * time.Second)
+	disconnected := s.entries[3]
+	before := disconnected.allowed(s.now)
+	s.exchangeFor(3*time.Second, disconnected)
+	assert.Equal(t, before, disconnected.allowed(s.now), "its lease lasts")
+	s.exchangeFor(3*time.Second, disconnected)
+	assert.Equal(t, Amount{RequestsPerSecond: 1, Concurrency: 1, TokensPerSecond: 100}, round(disconnected.allowed(s.now)), "its floor")
+	s.exchangeFor(10*time.Second, disconnected)
+	others := s.allowed().minus(disconnected.allowed(s.now))
 	assert.InDelta(t, 69, others.RequestsPerSecond, 0.01, "the rest is with the others")
 	assert.LessOrEqual(t, s.allowed().RequestsPerSecond, testLimits.RequestsPerSecond+1e-9)
-	s.settle(s.cfg.FloorTTL, cut)
-	assert.Equal(t, Amount{}, cut.allowed(s.now), "and nothing in the end")
-	assert.Equal(t, NoLease, cut.admitter.Decide(s.now, Request{Workspace: "w"}, 0).Reason)
+	s.exchangeFor(s.cfg.FloorTTL, disconnected)
+	assert.Equal(t, Amount{}, disconnected.allowed(s.now), "and nothing in the end")
+	assert.Equal(t, NoLease, disconnected.admitter.Decide(s.now, Request{Workspace: "w"}, 0).Reason)
 }
 
 func round(a Amount) Amount {
@@ -177,19 +177,19 @@
 // the limit out anew at once, both the old leases and the new ones would hold.
 //
 // Removing the test of p.learnt in part makes TestPropertyLeasesNeverExceedTheLimit fail.
-func TestNewLeaderKeepsWhatEntriesHold(t *testing.T) {
+func TestNewLeaderPreservesReportedLeases(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
-	s.settle(8 * time.Second)
+	s.exchangeFor(8 * time.Second)
 	for range 10 {
-		s.members[0].offer(s.now, 100)
-		s.settle(time.Second)
+		s.entries[0].offer(s.now, 100)
+		s.exchangeFor(time.Second)
 	}
-	before := s.members[0].allowed(s.now)
-	s.lead(t)
-	s.settle(2 * time.Second)
-	assert.InDelta(t, before.RequestsPerSecond, s.members[0].allowed(s.now).RequestsPerSecond, 0.01)
-	assert.Equal(t, before.Concurrency, s.members[0].allowed(s.now).Concurrency)
-	s.settle(20 * time.Second)
+	before := s.entries[0].allowed(s.now)
+	s.changeLeader(t)
+	s.exchangeFor(2 * time.Second)
+	assert.InDelta(t, before.RequestsPerSecond, s.entries[0].allowed(s.now).RequestsPerSecond, 0.01)
+	assert.Equal(t, before.Concurrency, s.entries[0].allowed(s.now).Concurrency)
+	s.exchangeFor(20 * time.Second)
 	assert.InDelta(t, testLimits.RequestsPerSecond, s.allowed().RequestsPerSecond, 0.01)
 }
 
@@ -198,13 +198,13 @@
 // it to others.
 //
 // Counting w.expires from now in Apply makes this fail.
-func TestLateReplyCountsFromItsReport(t *testing.T) {
+func TestLeaseTimeCountsFromReportNotReply(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(2), 2)
-	s.settle(8 * time.Second)
-	late := s.report(s.members[0])
-	s.settle(10*time.Second, s.members[0])
+	s.exchangeFor(8 * time.Second)
+	late := s.report(s.entries[0])
+	s.exchangeFor(10*time.Second, s.entries[0])
 	s.deliver(late)
-	assert.InDelta(t, 3.5, s.members[0].allowed(s.now).RequestsPerSecond, 0.01, "its floor")
+	assert.InDelta(t, 3.5, s.entries[0].allowed(s.now).RequestsPerSecond, 0.01, "its floor")
 	assert.LessOrEqual(t, s.allowed().RequestsPerSecond, testLimits.RequestsPerSecond+1e-9)
 }
 
@@ -213,15 +213,15 @@
 // workspace would run twice what its contract allows.
 //
 // Removing the test of g.ends and LongestAnswer in held makes this fail.
-func TestRequestsThatOutliveALeaseStillCount(t *testing.T) {
+func TestRequestsOutlivingTheirLeaseCountAsUsed(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
-	s.settle(8 * time.Second)
-	cut := s.members[0]
-	require.Equal(t, 10, cut.offer(s.now, 100))
-	s.settle(time.Minute, cut)
-	others := s.allowed().minus(cut.allowed(s.now)).Concurrency
+	s.exchangeFor(8 * time.Second)
+	disconnected := s.entries[0]
+	require.Equal(t, 10, disconnected.offer(s.now, 100))
+	s.exchangeFor(time.Minute, disconnected)
+	others := s.allowed().minus(disconnected.allowed(s.now)).Concurrency
 	assert.Equal(t, 60, others)
-	s.settle(10*time.Minute, cut)
+	s.exchangeFor(10*time.Minute, disconnected)
 	assert.Equal(t, 69, s.allowed().Concurrency, "all but the floor that nobody has")
 }
 
@@ -229,39 +229,39 @@
 // still run. The second must not get their part before they end.
 //
 // Removing the use of h.running in held makes this fail.
-func TestRunningRequestsCountAfterTheLeaseHasShrunk(t *testing.T) {
+func TestRunningRequestsCountAfterLeaseShrinks(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(2), 2)
-	s.settle(8 * time.Second)
+	s.exchangeFor(8 * time.Second)
 	for range 10 {
-		s.members[0].offer(s.now, 100)
-		s.settle(time.Second)
+		s.entries[0].offer(s.now, 100)
+		s.exchangeFor(time.Second)
 	}
-	running := s.members[0].admitter.workspace("w").running
+	running := s.entries[0].admitter.workspace("w").running
 	for range 20 {
-		s.members[1].offer(s.now, 100)
-		s.settle(time.Second)
+		s.entries[1].offer(s.now, 100)
+		s.exchangeFor(time.Second)
 	}
-	assert.LessOrEqual(t, running+s.members[1].admitter.workspace("w").running, testLimits.Concurrency)
-	assert.LessOrEqual(t, running+s.members[1].allowed(s.now).Concurrency, testLimits.Concurrency)
+	assert.LessOrEqual(t, running+s.entries[1].admitter.workspace("w").running, testLimits.Concurrency)
+	assert.LessOrEqual(t, running+s.entries[1].allowed(s.now).Concurrency, testLimits.Concurrency)
 }
 
 // An entry is cut off with requests running, and then the leader is lost too.
 // The new leader has never heard of that entry.
 //
 // Removing the use of unknown in part makes this fail.
-func TestNewLeaderHoldsBackTheConcurrencyOfEntriesItHasNotHeardOf(t *testing.T) {
+func TestNewLeaderReservesConcurrencyOfUnreportedEntries(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
-	s.settle(8 * time.Second)
-	cut := s.members[0]
-	require.Equal(t, 10, cut.offer(s.now, 100))
-	s.lead(t)
-	s.settle(20*time.Second, cut)
-	assert.LessOrEqual(t, s.allowed().minus(cut.allowed(s.now)).Concurrency, 60)
-	s.settle(20*time.Second, cut)
-	assert.Equal(t, 69, s.allowed().minus(cut.allowed(s.now)).Concurrency, "after Settle")
+	s.exchangeFor(8 * time.Second)
+	disconnected := s.entries[0]
+	require.Equal(t, 10, disconnected.offer(s.now, 100))
+	s.changeLeader(t)
+	s.exchangeFor(20*time.Second, disconnected)
+	assert.LessOrEqual(t, s.allowed().minus(disconnected.allowed(s.now)).Concurrency, 60)
+	s.exchangeFor(20*time.Second, disconnected)
+	assert.Equal(t, 69, s.allowed().minus(disconnected.allowed(s.now)).Concurrency, "after Settle")
 }
 
-func TestReportsOfOtherTermsAndOldOnesAreNotLeased(t *testing.T) {
+func TestReportOfOtherTermOrOldSequenceGetsNoLease(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(2), 2)
 	assert.Equal(t, Reply{Term: 1, Status: OtherTerm}, s.shares.Lease(s.now, Report{Entry: "e", Term: 0, Sequence: 1}))
 	assert.Equal(t, Leased, s.shares.Lease(s.now, Report{Entry: "e", Term: 1, Sequence: 2}).Status)
@@ -269,36 +269,36 @@
 	assert.Equal(t, "old_report", OldReport.String())
 }
 
-func TestLoweredLimitHoldsAtTheNextReport(t *testing.T) {
+func TestLoweredLimitAppliesAfterNextReport(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
-	s.settle(8 * time.Second)
+	s.exchangeFor(8 * time.Second)
 	s.shares.SetLimits(s.now, "w", contract.Limits{RequestsPerSecond: 7, Concurrency: 7, TokensPerSecond: 700})
-	s.settle(6 * time.Second)
+	s.exchangeFor(6 * time.Second)
 	assert.LessOrEqual(t, s.allowed().RequestsPerSecond, 7+1e-9)
 	assert.LessOrEqual(t, s.allowed().Concurrency, 7)
 }
 
-func TestEndedEntryFreesItsPartAtOnce(t *testing.T) {
+func TestEndedEntryReleasesItsShareImmediately(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
-	s.settle(8 * time.Second)
+	s.exchangeFor(8 * time.Second)
 	s.shares.EntryEnded("entry-6")
-	s.members = s.members[:6]
-	s.settle(3 * time.Second)
+	s.entries = s.entries[:6]
+	s.exchangeFor(3 * time.Second)
 	assert.InDelta(t, 69, s.allowed().RequestsPerSecond, 0.01, "all but the floor that nobody has")
 }
 
 func TestSplitAddsUpAndIsMaxMinFair(t *testing.T) {
 	assert.Equal(t, []float64{1, 4.5, 4.5}, demands{1, 9, 20}.split(10))
 	assert.Equal(t, []float64{3, 4, 3}, demands{0, 1, 0}.split(10))
-	assert.Equal(t, []int{0, 5, 0}, demands{0, 9, 0}.splitWhole(5))
+	assert.Equal(t, []int{0, 5, 0}, demands{0, 9, 0}.splitIntegers(5))
 	rapid.Check(t, func(t *rapid.T) {
-		wants := demands(rapid.SliceOfN(rapid.Float64Range(0, 1_000), 1, 20).Draw(t, "wants"))
+		wanted := demands(rapid.SliceOfN(rapid.Float64Range(0, 1_000), 1, 20).Draw(t, "wants"))
 		capacity := rapid.IntRange(0, 500).Draw(t, "capacity")
 		sum, whole := 0.0, 0
-		for _, part := range wants.split(float64(capacity)) {
+		for _, part := range wanted.split(float64(capacity)) {
 			sum += part
 		}
-		for _, part := range wants.splitWhole(capacity) {
+		for _, part := range wanted.splitIntegers(capacity) {
 			whole += part
 			if part < 0 {
 				t.Fatalf("negative part %d", part)
@@ -310,66 +310,66 @@
 	})
 }
 
-// faults drives a site through lost, late and repeated messages, cut-off
+// faultySite drives a site through lost, late and repeated messages, cut-off
 // entries and changes of leader, while callers ask for more than the limit.
-type faults struct {
+type faultySite struct {
 	*site
-	late []answer
-	ends [][]time.Time // of the running requests, by member
-	used []time.Time   // admissions within the last window
+	delayed     []pendingReply
+	requestEnds [][]time.Time // of the running requests, by member
+	admissions  []time.Time   // admissions within the last window
 }
 
-func (f *faults) tick(t *rapid.T) {
+func (f *faultySite) tick(t *rapid.T) {
 	f.now = f.now.Add(time.Duration(rapid.IntRange(0, 3_000).Draw(t, "ms")) * time.Millisecond)
-	for i, m := range f.members {
-		running := f.ends[i][:0]
-		for _, end := range f.ends[i] {
+	for i, m := range f.entries {
+		running := f.requestEnds[i][:0]
+		for _, end := range f.requestEnds[i] {
 			if end.After(f.now) {
 				running = append(running, end)
 				continue
 			}
 			m.admitter.Done(f.now, "w", 1, 1)
 		}
-		f.ends[i] = running
+		f.requestEnds[i] = running
 	}
 }
 
-func (f *faults) exchange(t *rapid.T) {
-	a := f.report(rapid.SampledFrom(f.members).Draw(t, "member"))
+func (f *faultySite) exchange(t *rapid.T) {
+	a := f.report(rapid.SampledFrom(f.entries).Draw(t, "member"))
 	switch rapid.IntRange(0, 4).Draw(t, "fate") {
 	case 0: // the reply is lost
 	case 1:
-		f.late = append(f.late, a)
+		f.delayed = append(f.delayed, a)
 	default:
 		f.deliver(a)
 	}
 }
 
-func (f *faults) deliverLate(t *rapid.T) {
-	if len(f.late) == 0 {
+func (f *faultySite) deliverDelayed(t *rapid.T) {
+	if len(f.delayed) == 0 {
 		t.Skip("nothing is late")
 	}
-	i := rapid.IntRange(0, len(f.late)-1).Draw(t, "which")
-	f.deliver(f.late[i]) // it may come again
+	i := rapid.IntRange(0, len(f.delayed)-1).Draw(t, "which")
+	f.deliver(f.delayed[i]) // it may come again
 }
 
-func (f *faults) ask(t *rapid.T) {
-	i := rapid.IntRange(0, len(f.members)-1).Draw(t, "member")
-	for range f.members[i].offer(f.now, rapid.IntRange(1, 60).Draw(t, "requests")) {
+func (f *faultySite) offerRequests(t *rapid.T) {
+	i := rapid.IntRange(0, len(f.entries)-1).Draw(t, "member")
+	for range f.entries[i].offer(f.now, rapid.IntRange(1, 60).Draw(t, "requests")) {
 		runs := time.Duration(rapid.IntRange(0, int(f.cfg.LongestAnswer/time.Millisecond)).Draw(t, "runs")) * time.Millisecond
-		f.ends[i] = append(f.ends[i], f.now.Add(runs))
-		f.used = append(f.used, f.now)
+		f.requestEnds[i] = append(f.requestEnds[i], f.now.Add(runs))
+		f.admissions = append(f.admissions, f.now)
 	}
 }
 
-func (f *faults) check(t *rapid.T) {
+func (f *faultySite) check(t *rapid.T) {
 	got := f.allowed()
 	if got.RequestsPerSecond > testLimits.RequestsPerSecond*(1+1e-9) || got.TokensPerSecond > testLimits.TokensPerSecond*(1+1e-9) {
 		t.Fatalf("entries may use %+v together", got)
 	}
 	running := 0
-	for i := range f.members {
-		running += len(f.ends[i])
+	for i := range f.entries {
+		running += len(f.requestEnds[i])
 	}
 	if running > testLimits.Concurrency {
 		t.Fatalf("%d requests run, limit %d", running, testLimits.Concurrency)
@@ -379,14 +379,14 @@
 
 // checkRate bounds the admissions of any ten seconds by what the rate gives in
 // them, a full window's burst, and one request of debt for each entry.
-func (f *faults) checkRate(t *rapid.T) {
+func (f *faultySite) checkRate(t *rapid.T) {
 	const window = 10 * time.Second
-	for len(f.used) > 0 && f.now.Sub(f.used[0]) > window {
-		f.used = f.used[1:]
+	for len(f.admissions) > 0 && f.now.Sub(f.admissions[0]) > window {
+		f.admissions = f.admissions[1:]
 	}
-	bound := testLimits.RequestsPerSecond*(window+DefaultConfig().Window).Seconds() + float64(len(f.members))
-	if float64(len(f.used)) > bound {
-		t.Fatalf("%d requests in %v, bound %f", len(f.used), window, bound)
+	bound := testLimits.RequestsPerSecond*(window+DefaultConfig().Window).Seconds() + float64(len(f.entries))
+	if float64(len(f.admissions)) > bound {
+		t.Fatalf("%d requests in %v, bound %f", len(f.admissions), window, bound)
 	}
 }
 
@@ -396,18 +396,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultShareConfig(3)
 		cfg.LongestAnswer, cfg.Settle, cfg.FloorTTL = 10*time.Second, 10*time.Second, 15*time.Second
-		f := &faults{site: newSite(t, cfg, 3), ends: make([][]time.Time, 3)}
-		f.settle(20 * time.Second)
+		f := &faultySite{site: newSite(t, cfg, 3), requestEnds: make([][]time.Time, 3)}
+		f.exchangeFor(20 * time.Second)
 		t.Repeat(map[string]func(*rapid.T){
 			"tick":     f.tick,
 			"tick2":    f.tick,
 			"exchange": f.exchange,
 			"report":   f.exchange,
-			"late":     f.deliverLate,
-			"ask":      f.ask,
+			"late":     f.deliverDelayed,
+			"ask":      f.offerRequests,
 			"lead": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "change") == 0 {
-					f.lead(t)
+					f.changeLeader(t)
 				}
 			},
 			"": f.check,
@@ -415,9 +415,9 @@
 	})
 }
 
-// reports returns a function that has the next of so many entries report for one
+// newReporter returns a function that has the next of so many entries report for one
 // workspace, each once a second.
-func reports(entries int) func() {
+func newReporter(entries int) func() {
 	shares, _ := NewShares(DefaultShareConfig(entries), 1, epoch)
 	shares.NoPredecessor()
 	shares.SetLimits(epoch, "w", testLimits)
@@ -440,7 +440,7 @@
 func BenchmarkLease(b *testing.B) {
 	for _, entries := range []int{7, 370} {
 		b.Run(fmt.Sprint(entries, " entries"), func(b *testing.B) {
-			report := reports(entries)
+			report := newReporter(entries)
 			b.ReportAllocs()
 			for b.Loop() {
 				report()
@@ -449,9 +449,9 @@
 	}
 }
 
-func TestLeaseAllocatesLittle(t *testing.T) {
+func TestLeaseAllocationsDoNotGrowWithEntries(t *testing.T) {
 	for _, entries := range []int{7, 370} {
-		report := reports(entries)
+		report := newReporter(entries)
 		for range 5 * entries {
 			report()
 		}
@@ -459,8 +459,8 @@
 	}
 }
 
-func TestShareConfigValidateNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*ShareConfig){
+func TestShareConfigValidateReportsInvalidField(t *testing.T) {
+	for field, invalidate := range map[string]func(*ShareConfig){
 		"TTL":           func(c *ShareConfig) { c.TTL = 0 },
 		"FloorTTL":      func(c *ShareConfig) { c.FloorTTL = 1 },
 		"Margin":        func(c *ShareConfig) { c.Margin = -1 },
@@ -470,7 +470,7 @@
 		"Entries":       func(c *ShareConfig) { c.Entries = 0 },
 	} {
 		cfg := DefaultShareConfig(7)
-		spoil(&cfg)
+		invalidate(&cfg)
 		_, err := NewShares(cfg, 1, epoch)
 		var fieldErr *policy.ConfigError
 		require.ErrorAs(t, err, &fieldErr, field)
--- a/policy/admit/standing.go
+++ b/policy/admit/standing.go
@@ -6,66 +6,66 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// standing tells a burst from a load above capacity, as controlled delay
+// standingQueue tells a burst from a load above capacity, as controlled delay
 // (Nichols and Jacobson, 2012) does for packets: after a burst the wait falls
 // within a short time, and stays low for as long.
-type standing struct {
-	above time.Time // since when requests would have waited; zero: they do not
-	last  time.Time // when the last one would have
+type standingQueue struct {
+	aboveSince time.Time // since when requests would have waited; zero: they do not
+	lastAbove  time.Time // when the last one would have
 }
 
-// standingPart is the part of the target, as a divisor, that a wait has to
+// standingTargetDivisor is the part of the target, as a divisor, that a wait has to
 // exceed to count.
-const standingPart = 8
+const standingTargetDivisor = 8
 
-func (s *standing) observe(now time.Time, r Request, interval time.Duration) {
-	if r.Class != contract.ClassInteractive || r.Target <= 0 {
+func (s *standingQueue) observe(now time.Time, r Request, interval time.Duration) {
+	if r.Class != contract.ClassInteractive || r.FirstTokenTarget <= 0 {
 		return
 	}
 	// One request that finds a free slot does not end it: while the queue is
 	// held short, some always do.
-	if now.Sub(s.last) >= interval {
-		s.above = time.Time{}
+	if now.Sub(s.lastAbove) >= interval {
+		s.aboveSince = time.Time{}
 	}
-	if r.Estimate.Wait <= r.Target/standingPart {
+	if r.Estimate.Wait <= r.FirstTokenTarget/standingTargetDivisor {
 		return
 	}
-	s.last = now
-	if s.above.IsZero() {
-		s.above = now
+	s.lastAbove = now
+	if s.aboveSince.IsZero() {
+		s.aboveSince = now
 	}
 }
 
-func (s *standing) since(now time.Time) time.Duration {
-	if s.above.IsZero() {
+func (s *standingQueue) duration(now time.Time) time.Duration {
+	if s.aboveSince.IsZero() {
 		return 0
 	}
-	return now.Sub(s.above)
+	return now.Sub(s.aboveSince)
 }
 
-// invited is the work of those who were refused and told to come back. Without
+// retryBacklog is the work of those who were refused and told to come back. Without
 // it all who are refused in one second of a surge come back in the same later
 // second, which is a surge again: callers are refused twice or more and see
 // the queue swing between empty and full.
-type invited struct {
-	tokens float64
-	last   time.Time
-	rate   float64
+type retryBacklog struct {
+	tokens  float64
+	updated time.Time
+	rate    float64
 }
 
-// ahead returns how long the queue needs for the work of those told before.
-func (i *invited) ahead(now time.Time, rate float64) time.Duration {
-	if elapsed := now.Sub(i.last); elapsed > 0 {
-		i.tokens = max(0, i.tokens-rate*elapsed.Seconds())
-		i.last = now
+// drainTime returns how long the queue needs for the work of those told before.
+func (b *retryBacklog) drainTime(now time.Time, rate float64) time.Duration {
+	if elapsed := now.Sub(b.updated); elapsed > 0 {
+		b.tokens = max(0, b.tokens-rate*elapsed.Seconds())
+		b.updated = now
 	}
-	i.rate = rate
+	b.rate = rate
 	if rate <= 0 {
 		return 0
 	}
-	return seconds(i.tokens / rate)
+	return secondsToDuration(b.tokens / rate)
 }
 
-func (i *invited) add(cost int64, longest time.Duration) {
-	i.tokens = min(i.tokens+float64(cost), i.rate*longest.Seconds())
+func (b *retryBacklog) add(cost int64, maxDrainTime time.Duration) {
+	b.tokens = min(b.tokens+float64(cost), b.rate*maxDrainTime.Seconds())
 }
--- a/policy/admit/target.go
+++ b/policy/admit/target.go
@@ -11,25 +11,25 @@
 // each entry can let in the first requests of a caller that moves to it.
 func (p *pool) setTargets(now time.Time) {
 	var live []*holder
-	var requests, tokens, running demands
+	var requestDemands, tokenDemands, concurrencyDemands demands
 	for _, h := range p.holders {
-		h.target, h.balanced = Amount{}, true
+		h.target, h.hasTarget = Amount{}, true
 		if !h.live(now, p) {
 			continue
 		}
 		live = append(live, h)
-		requests = append(requests, h.wanted.RequestsPerSecond)
-		tokens = append(tokens, h.wanted.TokensPerSecond)
-		running = append(running, float64(h.wanted.Concurrency))
+		requestDemands = append(requestDemands, h.wanted.RequestsPerSecond)
+		tokenDemands = append(tokenDemands, h.wanted.TokensPerSecond)
+		concurrencyDemands = append(concurrencyDemands, float64(h.wanted.Concurrency))
 	}
-	requestParts := requests.split(p.shared.RequestsPerSecond)
-	tokenParts := tokens.split(p.shared.TokensPerSecond)
-	runningParts := running.splitWhole(p.shared.Concurrency)
+	requestShares := requestDemands.split(p.leasable.RequestsPerSecond)
+	tokenShares := tokenDemands.split(p.leasable.TokensPerSecond)
+	concurrencyShares := concurrencyDemands.splitIntegers(p.leasable.Concurrency)
 	for i, h := range live {
 		h.target = Amount{
-			RequestsPerSecond: requestParts[i],
-			TokensPerSecond:   tokenParts[i],
-			Concurrency:       runningParts[i],
+			RequestsPerSecond: requestShares[i],
+			TokensPerSecond:   tokenShares[i],
+			Concurrency:       concurrencyShares[i],
 		}
 	}
 }
@@ -39,7 +39,7 @@
 
 // split returns each one's part of capacity. The parts add up to capacity.
 func (d demands) split(capacity float64) []float64 {
-	parts := make([]float64, len(d))
+	shares := make([]float64, len(d))
 	order := make([]int, len(d))
 	for i := range order {
 		order[i] = i
@@ -53,31 +53,31 @@
 		}
 		return 0
 	})
-	left := capacity
-	for i, who := range order {
-		parts[who] = min(max(0, d[who]), left/float64(len(order)-i))
-		left -= parts[who]
+	remaining := capacity
+	for i, index := range order {
+		shares[index] = min(max(0, d[index]), remaining/float64(len(order)-i))
+		remaining -= shares[index]
 	}
-	for i := range parts {
-		parts[i] += left / float64(len(parts))
+	for i := range shares {
+		shares[i] += remaining / float64(len(shares))
 	}
-	return parts
+	return shares
 }
 
-// splitWhole is split in whole numbers: each part is the difference of two
+// splitIntegers is split in whole numbers: each part is the difference of two
 // rounded running sums, so that the parts add up to capacity.
-func (d demands) splitWhole(capacity int) []int {
-	parts := d.split(float64(capacity))
-	whole := make([]int, len(parts))
-	sum, given := 0.0, 0
-	for i, part := range parts {
-		sum += part
-		upTo := min(capacity, int(math.Floor(sum+roundingSlack)))
-		whole[i] = upTo - given
-		given = upTo
+func (d demands) splitIntegers(capacity int) []int {
+	shares := d.split(float64(capacity))
+	rounded := make([]int, len(shares))
+	sum, assigned := 0.0, 0
+	for i, share := range shares {
+		sum += share
+		cumulative := min(capacity, int(math.Floor(sum+roundingMargin)))
+		rounded[i] = cumulative - assigned
+		assigned = cumulative
 	}
-	return whole
+	return rounded
 }
 
-// roundingSlack keeps a sum like 4.9999999 from losing a unit.
-const roundingSlack = 1e-6
+// roundingMargin keeps a sum like 4.9999999 from losing a unit.
+const roundingMargin = 1e-6
--- a/policy/admit/verdict.go
+++ b/policy/admit/verdict.go
@@ -8,13 +8,13 @@
 
 // Request is what a decision is made from.
 type Request struct {
-	Workspace string
-	Class     contract.Class
-	Cost      int64         // estimated work in tokens, prompt and answer
-	Answer    int64         // estimated tokens of the answer; 0: not known
-	Deadline  time.Time     // zero: none
-	Target    time.Duration // the service's target for the first token; 0: none
-	Estimate  Estimate      // from Drain.Estimate of the queue that it would join
+	Workspace        string
+	Class            contract.Class
+	Cost             int64         // estimated work in tokens, prompt and answer
+	AnswerTokens     int64         // estimated tokens of the answer; 0: not known
+	Deadline         time.Time     // zero: none
+	FirstTokenTarget time.Duration // the service's target for the first token; 0: none
+	Estimate         Estimate      // from Drain.Estimate of the queue that it would join
 }
 
 // Reason says why a request was admitted or refused.
@@ -53,9 +53,9 @@
 	return reasonNames[r]
 }
 
-// Limit reports whether the reason lies in the workspace's own limits rather
+// IsLimit reports whether the reason lies in the workspace's own limits rather
 // than in the load of the system: HTTP status 429 rather than 503.
-func (r Reason) Limit() bool {
+func (r Reason) IsLimit() bool {
 	return r == RequestRateLimit || r == ConcurrencyLimit || r == TokenRateLimit || r == NoLease
 }
 
--- a/policy/policytest/decided.go
+++ b/policy/policytest/decided.go
@@ -103,13 +103,13 @@
 // learntGate is policy/admit as a Gate.
 type learntGate struct {
 	admitter *admit.Admitter
-	drain    *admit.Drain
+	drain    *admit.DrainEstimator
 	rng      *rand.Rand
 	sequence uint64
 	term     uint64
 }
 
-// Learnt is a Gate of admit.Admitter and admit.Drain with default
+// Learnt is a Gate of admit.Admitter and admit.DrainEstimator with default
 // configuration.
 func Learnt(s *Scenario) Gate {
 	cfg := admit.DefaultConfig()
@@ -122,35 +122,35 @@
 	}
 	return &learntGate{
 		admitter: admitter,
-		drain:    admit.NewDrain(cfg.Memory),
+		drain:    admit.NewDrainEstimator(cfg.Memory),
 		rng:      rand.New(rand.NewPCG(1, 2)),
 	}
 }
 
 func (g *learntGate) Admit(now time.Time, j *Job, backlog queue.Backlog) (bool, time.Duration) {
 	v := g.admitter.Decide(now, admit.Request{
-		Workspace: j.Source.Workspace,
-		Class:     j.Class(),
-		Cost:      j.Estimate,
-		Answer:    int64(j.Source.Answer),
-		Deadline:  j.Deadline,
-		Target:    j.Source.Target,
-		Estimate:  g.drain.Estimate(now, backlog),
+		Workspace:        j.Source.Workspace,
+		Class:            j.Class(),
+		Cost:             j.Estimate,
+		AnswerTokens:     int64(j.Source.Answer),
+		Deadline:         j.Deadline,
+		FirstTokenTarget: j.Source.Target,
+		Estimate:         g.drain.Estimate(now, backlog),
 	}, g.rng.Float64())
 	return v.Admit, v.RetryAfter
 }
 
-func (g *learntGate) Full(now time.Time, full bool) { g.drain.Full(now, full) }
+func (g *learntGate) Full(now time.Time, full bool) { g.drain.SetFull(now, full) }
 
 func (g *learntGate) FirstToken(now time.Time, j *Job) {
-	g.drain.FirstToken(now.Sub(j.Started))
-	g.drain.BetweenTokens(j.Gap)
+	g.drain.ObserveFirstToken(now.Sub(j.Started))
+	g.drain.ObserveTokenInterval(j.Gap)
 }
 
 func (g *learntGate) Done(now time.Time, j *Job, work int64) {
 	g.admitter.Done(now, j.Source.Workspace, j.Estimate, work)
 	if work > 0 {
-		g.drain.Ended(now, work)
+		g.drain.ObserveEnd(now, work)
 	}
 }
 
