--- a/policy/admit/admitter.go
+++ b/policy/admit/admitter.go
@@ -9,9 +9,9 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// Admitter decides at one entry which requests are let in. It answers load
-// above a workspace's limits and load above capacity; see the package's
-// comment. It is not safe for concurrent use.
+// Admitter admits or refuses requests at one entry, by the leased limits of
+// their workspaces and by the estimated wait. It is not safe for concurrent
+// use.
 type Admitter struct {
 	cfg        Config
 	workspaces map[string]*workspace
@@ -20,26 +20,26 @@
 	retries  retryBacklog
 }
 
-// workspace is the state of one workspace at this entry.
+// workspace is an entry's state for one workspace.
 type workspace struct {
 	limits contract.Limits
 
 	lease        Lease
-	leaseExpires time.Time // of the lease's grant
-	floorExpires time.Time
+	leaseExpires time.Time // when lease.Grant expires
+	floorExpires time.Time // when lease.Floor expires
 
 	requests bucket
 	tokens   bucket
-	allowed  Amount // what holds now
-	running  int
+	allowed  Amount // amount in force, as of the last refreshAllowed
+	running  int    // admitted requests, queued or running
 
-	offeredRequests     rateMeter // requests
+	offeredRequests     rateMeter
 	offeredTokens       rateMeter
-	concurrencyRefusals rateMeter // requests, for want of concurrency
+	concurrencyRefusals rateMeter // requests refused with ConcurrencyLimit
 }
 
-// New returns an Admitter that knows no workspace; one it does not know has no
-// limits. It returns the *policy.ConfigError of an invalid cfg.
+// New returns an Admitter without workspaces, or a *policy.ConfigError if cfg
+// is invalid. A workspace whose limits have not been set is unlimited.
 func New(cfg Config) (*Admitter, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -47,6 +47,8 @@
 	return &Admitter{cfg: cfg, workspaces: make(map[string]*workspace)}, nil
 }
 
+// workspace returns the state of the named workspace and creates it if
+// missing.
 func (a *Admitter) workspace(name string) *workspace {
 	w, ok := a.workspaces[name]
 	if !ok {
@@ -56,21 +58,24 @@
 	return w
 }
 
-// SetLimits sets a workspace's limits over all entries, as the catalogue has
-// them. What is limited needs a lease from then on.
+// SetLimits sets a workspace's limits, which apply to all entries together. If
+// any quantity is limited, requests are refused with NoLease until Apply has
+// been called.
 func (a *Admitter) SetLimits(now time.Time, name string, limits contract.Limits) {
 	w := a.workspace(name)
 	w.limits = limits
 	a.refreshAllowed(now, w)
 }
 
-// RemoveWorkspace drops a workspace that the catalogue no longer has.
+// RemoveWorkspace deletes the state of a workspace that is no longer in the
+// catalogue.
 func (a *Admitter) RemoveWorkspace(name string) { delete(a.workspaces, name) }
 
-// Apply takes a lease in force. asked is when this entry sent the report that
-// the lease answers: counting from any later instant, the entry could still use
-// what the leader has given to another. A lease older than the one in force is
-// ignored, since the leader may have counted it as given up.
+// Apply puts a lease into force, unless a newer one has been applied: the
+// leader may already have granted an older lease's amount to another entry.
+// reportSent is when this entry sent the report that the lease answers. The
+// TTLs count from then; counted from any later time, the lease could outlast
+// the leader's record of it.
 func (a *Admitter) Apply(now, reportSent time.Time, lease Lease) {
 	w := a.workspace(lease.Workspace)
 	if !lease.newer(w.lease) {
@@ -82,7 +87,9 @@
 	a.refreshAllowed(now, w)
 }
 
-// refreshAllowed sets what holds at now: the lease, after it the floor, then nothing.
+// refreshAllowed sets the amount in force at now: the grant until it expires,
+// then the floor until it expires, then nothing. It never exceeds the
+// workspace's limits.
 func (a *Admitter) refreshAllowed(now time.Time, w *workspace) {
 	allowed := w.leasedAmount(now).smaller(amountOf(w.limits))
 	if allowed == w.allowed {
@@ -93,6 +100,7 @@
 	w.tokens.setRate(now, allowed.TokensPerSecond, a.cfg.Window)
 }
 
+// leasedAmount returns what the lease grants at now.
 func (w *workspace) leasedAmount(now time.Time) Amount {
 	if now.Before(w.leaseExpires) {
 		return w.lease.Grant
@@ -103,8 +111,9 @@
 	return Amount{}
 }
 
-// Decide admits or refuses a request; random is uniform in [0, 1) and spreads
-// RetryAfter. An admitted request counts as running until Done.
+// Decide admits or refuses a request. random must be uniform in [0, 1); it
+// spreads RetryAfter. The caller must call Done for each admitted request,
+// which counts as running until then.
 func (a *Admitter) Decide(now time.Time, r Request, random float64) Verdict {
 	w := a.workspace(r.Workspace)
 	a.refreshAllowed(now, w)
@@ -126,8 +135,9 @@
 	return Verdict{Admit: true, Reason: Admitted}
 }
 
-// checkWait judges whether the answer would come in time. wait is how much
-// shorter the queue would have to be.
+// checkWait checks the estimated times against the request's deadline, its
+// first-token target and the maximum wait of its class. If the request must be
+// refused, wait is by how much the queue would have to shorten to admit it.
 func (a *Admitter) checkWait(now time.Time, r Request) (reason Reason, wait time.Duration) {
 	est := r.Estimate
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
@@ -144,7 +154,7 @@
 	}
 	if r.FirstTokenTarget > 0 && r.Class == contract.ClassInteractive {
 		if late := a.excessWait(now, r); late > 0 {
-			a.standing.lastAbove = now // it goes on while anything is refused for it
+			a.standing.lastAbove = now // refusals for the target prolong the standing queue
 			return TargetMissed, late
 		}
 	}
@@ -154,13 +164,15 @@
 	return Admitted, 0
 }
 
-// excessWait is how much too long an interactive request would wait. A burst may
-// wait for Burst times the target, since a late answer is worth more than none.
-// Once the queue stands, waiting gains nobody anything: as many are answered in a
-// second from a short queue as from a long one, and from the short one in time.
-// Since the target is meant for 95 in 100, that many of those let in have to meet
-// it: at a small entry, where a slot comes free every few hundred milliseconds,
-// that leaves no room to wait at all, and at a large one room for several.
+// excessWait returns by how much the wait of an interactive request is too
+// long; zero or less means acceptable.
+//
+// During a burst, the mean wait may reach Config.Burst times the target,
+// because a late answer is better than a refusal. Once the queue is standing,
+// a longer queue no longer increases throughput, so the 95th percentile of the
+// time to the first token must meet the target, and held requests are refused.
+// Small entries, whose slots become free only every few hundred milliseconds,
+// may then admit no request that has to wait.
 func (a *Admitter) excessWait(now time.Time, r Request) time.Duration {
 	if a.standing.duration(now) < a.cfg.Standing {
 		return r.Estimate.Wait - time.Duration(a.cfg.Burst*float64(r.FirstTokenTarget))
@@ -174,7 +186,7 @@
 	return r.Estimate.WaitP95 + r.Estimate.FirstToken - r.FirstTokenTarget
 }
 
-// forClass returns the wait for a class.
+// forClass returns the wait of class c.
 func (w ClassWaits) forClass(c contract.Class) time.Duration {
 	switch c {
 	case contract.ClassInteractive:
@@ -186,7 +198,9 @@
 	}
 }
 
-// checkLimits judges the workspace's limits, by what is leased to this entry.
+// checkLimits checks the workspace's use at this entry against the leased
+// amounts. If a rate limit refuses the request, wait is the time until the
+// rate allows another one.
 func (w *workspace) checkLimits(now time.Time) (reason Reason, wait time.Duration) {
 	if !hasLimit(w.limits) {
 		return Admitted, 0
@@ -206,20 +220,22 @@
 	return Admitted, 0
 }
 
-// refuseForLoad answers a request that the load leaves no room for. It is told when
-// the queue will have drained far enough, those told before it included.
+// refuseForLoad refuses a request because of the load. RetryAfter also covers
+// the work of callers refused earlier, so that they do not all retry together.
 func (a *Admitter) refuseForLoad(now time.Time, r Request, reason Reason, wait time.Duration, random float64) Verdict {
 	wait += a.retries.drainTime(now, r.Estimate.Rate)
 	a.retries.add(r.Cost, a.cfg.MaxRetryAfter)
 	return Verdict{Reason: reason, RetryAfter: a.retryAfter(wait, random)}
 }
 
+// refuseForLimit refuses a request because of its workspace's limits.
 func (a *Admitter) refuseForLimit(reason Reason, wait time.Duration, random float64) Verdict {
 	return Verdict{Reason: reason, RetryAfter: a.retryAfter(wait, random)}
 }
 
-// retryAfter spreads wait upwards by the jitter and rounds it up to whole
-// seconds, the unit of the Retry-After field (RFC 9110, section 10.2.3).
+// retryAfter adds jitter to wait and rounds it up to whole seconds, the unit
+// of the Retry-After field (RFC 9110, section 10.2.3). The result lies between
+// MinRetryAfter and MaxRetryAfter.
 func (a *Admitter) retryAfter(wait time.Duration, random float64) time.Duration {
 	wait = min(max(wait, a.cfg.MinRetryAfter), a.cfg.MaxRetryAfter)
 	jitter := max(float64(wait), float64(time.Second)) * a.cfg.Jitter * random
@@ -227,8 +243,8 @@
 	return min(time.Duration(wholeSeconds)*time.Second, a.cfg.MaxRetryAfter)
 }
 
-// Done ends an admitted request that turned out to cost actual tokens instead
-// of estimated.
+// Done ends an admitted request and corrects the charged tokens from the
+// estimated to the actual cost.
 func (a *Admitter) Done(now time.Time, name string, estimated, actual int64) {
 	w := a.workspace(name)
 	w.running = max(0, w.running-1)
@@ -236,8 +252,9 @@
 	w.charge(0, actual-estimated)
 }
 
-// charge takes from the buckets of what is limited. A bucket without a limit
-// would only gather debt, which a limit set later would have to work off.
+// charge takes requests and tokens from the buckets whose quantity is limited.
+// An unlimited bucket is not charged: it would accumulate a debt that blocks
+// requests once a limit is set.
 func (w *workspace) charge(requests float64, tokens int64) {
 	if w.limits.RequestsPerSecond > 0 {
 		w.requests.take(requests)
@@ -247,13 +264,14 @@
 	}
 }
 
-// Resume counts a request that another entry had admitted and handed over. It
-// is let in whatever the limits: it has been accepted.
+// Resume counts a request that another entry admitted and handed over as
+// running here. It is not checked against the limits, because it has already
+// been admitted.
 func (a *Admitter) Resume(name string) { a.workspace(name).running++ }
 
-// Demands reports what callers ask of this entry, for the control leader, for
-// each workspace that has limits, by name. term is the leader's, as its last
-// reply gave it.
+// Demands returns the demand at this entry of each workspace that has limits,
+// sorted by name, for the report to the control leader. term is the leader's
+// term from its last reply.
 func (a *Admitter) Demands(now time.Time, term uint64) []Demand {
 	var out []Demand
 	for name, w := range a.workspaces {
--- a/policy/admit/admitter_test.go
+++ b/policy/admit/admitter_test.go
@@ -20,6 +20,8 @@
 	return a
 }
 
+// Guards against an invalid configuration being accepted, or reported with the
+// wrong field.
 func TestConfigValidateReportsInvalidField(t *testing.T) {
 	for field, invalidate := range map[string]func(*Config){
 		"Window":              func(c *Config) { c.Window = 0 },
@@ -42,17 +44,17 @@
 	}
 }
 
-// estimateWithWait is what a queue with so long a wait promises.
+// estimateWithWait returns an Estimate with the given mean wait.
 func estimateWithWait(wait time.Duration) Estimate {
 	return Estimate{
 		Wait: wait, WaitP95: 2 * wait, FirstToken: 200 * time.Millisecond, TokenInterval: 20 * time.Millisecond, Rate: 1_000, Known: true,
 	}
 }
 
-// At twice the capacity the queue grows until every request waits past its
-// deadline. Requests let in then cost the fleet work and get no answer in time.
+// Guards against admitting requests above capacity that end after their
+// deadline: servers do the work and callers get no answer within it.
 //
-// Removing the test of late in inTime makes this fail.
+// Fails if the check of late in checkWait is removed.
 func TestRequestThatWouldMissItsDeadlineIsRefused(t *testing.T) {
 	a := newAdmitter(t)
 	r := Request{Workspace: "w", Class: contract.ClassStandard, Cost: 400, AnswerTokens: 100, Deadline: at(5 * time.Second)}
@@ -63,7 +65,7 @@
 	assert.Equal(t, DeadlineTooNear, v.Reason)
 	assert.Equal(t, 2*time.Second, v.RetryAfter, "1.2 s late")
 	r.Estimate.Known = false
-	assert.True(t, a.Decide(at(0), r, 0).Admit, "nothing learnt, nothing refused")
+	assert.True(t, a.Decide(at(0), r, 0).Admit, "drain rate unknown")
 	assert.Equal(t, DeadlinePassed, a.Decide(at(5*time.Second), r, 0).Reason)
 	r = Request{Workspace: "w", Class: contract.ClassStandard, Estimate: estimateWithWait(31 * time.Second)}
 	assert.Equal(t, WaitTooLong, a.Decide(at(0), r, 0).Reason)
@@ -71,32 +73,32 @@
 	assert.True(t, a.Decide(at(0), r, 0).Admit)
 }
 
-// A burst of two seconds is worth waiting for: refused callers would come back
-// and wait no less. Above capacity the wait never ends, and each request let in
-// would miss its target.
+// Guards against refusing a short burst, whose callers would wait as long
+// after a retry, and against admitting requests that miss their first-token
+// target during sustained load above capacity.
 //
-// Removing the test of cfg.Standing in lateness makes this fail.
+// Fails if the check of cfg.Standing in excessWait is removed.
 func TestShortBurstIsAdmittedAndStandingQueueRefuses(t *testing.T) {
 	a := newAdmitter(t)
 	r := Request{Workspace: "w", Class: contract.ClassInteractive, FirstTokenTarget: 720 * time.Millisecond, Estimate: estimateWithWait(2 * time.Second)}
-	assert.True(t, a.Decide(at(0), r, 0).Admit, "a burst")
+	assert.True(t, a.Decide(at(0), r, 0).Admit, "short burst")
 	assert.True(t, a.Decide(at(1900*time.Millisecond), r, 0).Admit)
-	assert.Equal(t, TargetMissed, a.Decide(at(2*time.Second), r, 0).Reason, "it stands")
+	assert.Equal(t, TargetMissed, a.Decide(at(2*time.Second), r, 0).Reason, "standing queue")
 	r.Estimate = estimateWithWait(250 * time.Millisecond)
-	assert.True(t, a.Decide(at(3*time.Second), r, 0).Admit, "this one meets its target")
+	assert.True(t, a.Decide(at(3*time.Second), r, 0).Admit, "meets its target")
 	r.Estimate.Held = true
-	assert.Equal(t, TargetMissed, a.Decide(at(3*time.Second), r, 0).Reason, "nobody knows when it would start")
+	assert.Equal(t, TargetMissed, a.Decide(at(3*time.Second), r, 0).Reason, "held: start time unknown")
 	r.Estimate = estimateWithWait(0)
 	assert.True(t, a.Decide(at(4*time.Second), r, 0).Admit)
 	r.Estimate = estimateWithWait(2 * time.Second)
-	assert.False(t, a.Decide(at(4500*time.Millisecond), r, 0).Admit, "one free slot does not end it")
-	assert.True(t, a.Decide(at(7*time.Second), r, 0).Admit, "two seconds without a wait do")
+	assert.False(t, a.Decide(at(4500*time.Millisecond), r, 0).Admit, "one free slot does not end the standing queue")
+	assert.True(t, a.Decide(at(7*time.Second), r, 0).Admit, "two seconds without a long wait end it")
 }
 
-// A thousand callers are refused within one second. If all were told the same
-// time, they would come back together and be refused together.
+// Guards against giving all refused callers the same RetryAfter: they would
+// retry together and be refused together.
 //
-// Removing the call of invited.ahead in refuse makes this fail.
+// Fails if the call of retries.drainTime in refuseForLoad is removed.
 func TestRetryAfterSpreadsRefusedCallersOverDrainTime(t *testing.T) {
 	a := newAdmitter(t)
 	r := Request{Workspace: "w", Class: contract.ClassStandard, Cost: 50, Estimate: estimateWithWait(35 * time.Second)}
@@ -106,14 +108,15 @@
 		require.False(t, v.Admit)
 		counts[v.RetryAfter]++
 	}
-	// 400 requests of 50 tokens are 20 s of work at 1,000 tokens a second,
-	// after the 5 s by which the wait is too long.
+	// 400 requests of 50 tokens are 20 s of work at 1,000 tokens per second,
+	// in addition to the 5 s by which the wait is too long.
 	assert.GreaterOrEqual(t, len(counts), 18)
 	for after, n := range counts {
 		assert.LessOrEqual(t, n, 22, "%v", after)
 	}
 }
 
+// Guards against a RetryAfter out of its bounds or without jitter.
 func TestRetryAfterIsBoundedAndJittered(t *testing.T) {
 	a := newAdmitter(t)
 	assert.Equal(t, time.Second, a.retryAfter(0, 0))
@@ -123,7 +126,8 @@
 	assert.Equal(t, time.Minute, a.retryAfter(time.Hour, 0.999))
 }
 
-// newLeasedAdmitter returns an admitter that holds all of the limits.
+// newLeasedAdmitter returns an Admitter that holds a lease of the whole
+// limits.
 func newLeasedAdmitter(t *testing.T, limits contract.Limits) *Admitter {
 	t.Helper()
 	a := newAdmitter(t)
@@ -132,6 +136,8 @@
 	return a
 }
 
+// Guards against a limit that is not enforced, or whose refusal gives the
+// wrong reason or RetryAfter.
 func TestEachLimitIsEnforced(t *testing.T) {
 	r := Request{Workspace: "w", Class: contract.ClassStandard, Cost: 100}
 	now := at(time.Second)
@@ -152,11 +158,11 @@
 	assert.Equal(t, Verdict{Reason: RequestRateLimit, RetryAfter: time.Second}, a.Decide(now, r, 0))
 
 	a = newLeasedAdmitter(t, contract.Limits{TokensPerSecond: 50})
-	assert.True(t, a.Decide(now, r, 0).Admit, "one request may be larger than the burst")
+	assert.True(t, a.Decide(now, r, 0).Admit, "a request may exceed the burst")
 	a.Done(now, "w", 100, 250)
 	v = a.Decide(now, r, 0)
 	assert.Equal(t, TokenRateLimit, v.Reason)
-	assert.Equal(t, 4*time.Second, v.RetryAfter, "200 tokens are owed")
+	assert.Equal(t, 4*time.Second, v.RetryAfter, "200 tokens of debt")
 	a.SetLimits(now, "w", contract.Limits{})
 	assert.True(t, a.Decide(now, r, 0).Admit)
 
@@ -166,10 +172,10 @@
 	assert.Equal(t, "no_lease", NoLease.String())
 }
 
-// Replies overtake each other. If an entry went back to an older lease, it would
-// use what the leader has given to another since.
+// Guards against a reordered reply restoring an older lease: the entry would
+// use what the leader has since granted to another one.
 //
-// Removing the call of newer in Apply makes this fail.
+// Fails if the call of newer in Apply is removed.
 func TestOlderLeaseIsIgnored(t *testing.T) {
 	a := newAdmitter(t)
 	a.SetLimits(at(0), "w", contract.Limits{Concurrency: 10})
@@ -180,11 +186,11 @@
 	a.Apply(at(0), at(0), lease(1, 9))
 	assert.Equal(t, 1, a.Demands(at(0), 2)[0].Held.Concurrency)
 	assert.EqualValues(t, 2, a.Demands(at(0), 2)[0].Applied)
-	assert.EqualValues(t, 0, a.Demands(at(0), 3)[0].Applied, "numbers of another term say nothing")
+	assert.EqualValues(t, 0, a.Demands(at(0), 3)[0].Applied, "the newest lease is of another term")
 }
 
-// busyDrain returns a Drain of an entry without a free slot, where a request of 50
-// tokens ends every 10 ms for so long.
+// busyDrain returns a DrainEstimator of an entry without a free slot, where a
+// request of 50 tokens ends every 10 ms.
 func busyDrain(from, duration time.Duration) *DrainEstimator {
 	d := NewDrainEstimator(2 * time.Second)
 	d.SetFull(at(from), true)
@@ -195,11 +201,10 @@
 	return d
 }
 
-// A quiet hour is followed by a surge. If that hour's rate were taken for what
-// the fleet can do, the surge's first seconds would be refused while servers
-// are idle.
+// Guards against deriving the drain rate from idle time: requests at the start
+// of a surge would be refused while servers are idle.
 //
-// Removing the test of full in sums makes this fail.
+// Fails if the check of full in decayedSums is removed.
 func TestDrainRateCountsOnlyTimeWithoutFreeSlots(t *testing.T) {
 	d := NewDrainEstimator(2 * time.Second)
 	for i := range 100 {
@@ -214,13 +219,13 @@
 	assert.InDelta(t, 5_000, rate, 150)
 	d.SetFull(at(time.Second), false)
 	rate, _ = d.Rate(at(time.Hour))
-	assert.InDelta(t, 5_000, rate, 150, "idle time is not judged")
+	assert.InDelta(t, 5_000, rate, 150, "idle time does not change the rate")
 }
 
-// All backend servers of a zone are reclaimed. Nothing ends any more, and an
-// estimate that waited for the next end would promise the old rate for ever.
+// Guards against an estimate that keeps the old drain rate after all backend
+// servers have stopped.
 //
-// Removing the decay from sums makes this fail.
+// Fails if the decay in decayedSums is removed.
 func TestDrainRateFallsWhenNoRequestEnds(t *testing.T) {
 	d := busyDrain(0, 10*time.Second)
 	backlog := queue.Backlog{Ahead: 10_000, Total: 10_000, Share: 1}
@@ -228,6 +233,8 @@
 	assert.Greater(t, d.Estimate(at(16*time.Second), backlog).Wait, 30*time.Second)
 }
 
+// Guards against a wrong estimate of the wait, which causes late answers or
+// needless refusals.
 func TestEstimateComputesQueueWait(t *testing.T) {
 	d := busyDrain(0, 10*time.Second)
 	now := at(10 * time.Second)
@@ -235,24 +242,24 @@
 		d.ObserveFirstToken(300 * time.Millisecond)
 	}
 	e := d.Estimate(now, queue.Backlog{Ahead: 450, Total: 100_000, Share: 0.5})
-	assert.InDelta(t, 0.19, e.Wait.Seconds(), 0.01, "18 starts before it, at 100 a second")
-	assert.InDelta(t, 0.19+p95Deviations*0.0436, e.WaitP95.Seconds(), 0.01, "and the spread of 19 random intervals")
+	assert.InDelta(t, 0.19, e.Wait.Seconds(), 0.01, "18 starts ahead of it, at 100 per second")
+	assert.InDelta(t, 0.19+p95Deviations*0.0436, e.WaitP95.Seconds(), 0.01, "plus the variation of 19 intervals")
 	assert.Equal(t, 300*time.Millisecond, e.FirstToken)
 	e = d.Estimate(now, queue.Backlog{Ahead: 1_000, Total: 1_100, Share: 0.1})
-	assert.InDelta(t, 0.23, e.Wait.Seconds(), 0.01, "all work is less than its own over its share")
+	assert.InDelta(t, 0.23, e.Wait.Seconds(), 0.01, "all work is less than its own divided by its share")
 	e = d.Estimate(now, queue.Backlog{Total: 5_000, Share: 0.5, Lasting: 0.1, Others: 4})
-	assert.InDelta(t, 0.05+p95Deviations*0.0224, e.WaitP95.Seconds(), 0.01, "one of each other workspace may come first")
+	assert.InDelta(t, 0.05+p95Deviations*0.0224, e.WaitP95.Seconds(), 0.01, "one request of each other workspace may start first")
 	e = d.Estimate(now, queue.Backlog{Ahead: 1_000, Total: 1_000, Share: 0.5, Starts: true})
 	assert.Zero(t, e.Wait)
 	e = d.Estimate(now, queue.Backlog{Ahead: 1_000, Total: 1_000, Share: 0.5, Held: true})
 	assert.True(t, e.Held)
-	assert.Zero(t, e.Wait, "the first of its workspace to be held")
+	assert.Zero(t, e.Wait, "first held request of its workspace")
 	e = d.Estimate(now, queue.Backlog{Ahead: 1_000, Total: 1_000, Share: 0.5, Held: true, Waiting: 1})
 	assert.InDelta(t, 0.21, e.Wait.Seconds(), 0.01)
 }
 
-// The same inputs give the same verdicts, and a refused caller is always told a
-// time within the bounds.
+// Guards against verdicts that differ for the same inputs, and against a
+// RetryAfter out of its bounds.
 func TestPropertyVerdictsAreDeterministicAndBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
@@ -277,13 +284,13 @@
 			random := rapid.Float64Range(0, 0.999).Draw(t, "random")
 			v := a.Decide(now, r, random)
 			if w := b.Decide(now, r, random); v != w {
-				t.Fatalf("%+v and %+v", v, w)
+				t.Fatalf("verdicts differ: %+v and %+v", v, w)
 			}
 			if v.Admit != (v.RetryAfter == 0) || v.Admit != (v.Reason == Admitted) {
-				t.Fatalf("%+v", v)
+				t.Fatalf("inconsistent verdict %+v", v)
 			}
 			if !v.Admit && (v.RetryAfter < cfg.MinRetryAfter || v.RetryAfter > cfg.MaxRetryAfter) {
-				t.Fatalf("told %v", v.RetryAfter)
+				t.Fatalf("RetryAfter %v out of bounds", v.RetryAfter)
 			}
 			if v.Admit && rapid.Bool().Draw(t, "done") {
 				a.Done(now, r.Workspace, r.Cost, r.Cost)
@@ -302,6 +309,7 @@
 	}
 }
 
+// Guards against allocations in Decide, which runs for each request.
 func TestDecideDoesNotAllocate(t *testing.T) {
 	a, _ := New(DefaultConfig())
 	r := Request{Workspace: "w", Class: contract.ClassInteractive, Cost: 100, FirstTokenTarget: time.Second, Estimate: estimateWithWait(0)}
@@ -309,11 +317,10 @@
 	assert.Zero(t, testing.AllocsPerRun(1_000, func() { a.Decide(epoch, r, 0.5) }))
 }
 
-// A surge takes every slot in one moment, and for half a second no answer can
-// end. Taken for a fleet that has stopped, that would have everybody refused, also
-// a workspace that asks for little; after two seconds without any end the fleet
-// has stopped, and nobody should wait for it. Breaks without stoppedEvidence in
-// Rate.
+// Guards against refusing all requests at the start of a surge, when no answer
+// can have ended yet. After two seconds without an end, the rate must be zero.
+//
+// Fails if the check of minStoppedFraction in Rate is removed.
 func TestSurgeStartIsNotMistakenForStoppedServers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDrainEstimator(2 * time.Second)
--- a/policy/admit/amount.go
+++ b/policy/admit/amount.go
@@ -2,8 +2,8 @@
 
 import "savoryreel.example/savoryreel/contract"
 
-// Amount is a quantity of each thing that a workspace's limits bound. Unlike in
-// contract.Limits, zero is none at all.
+// Amount is a quantity of each resource that contract.Limits bounds. Unlike
+// there, zero means none, not unlimited.
 type Amount struct {
 	RequestsPerSecond float64 `msgpack:"rps" json:"requestsPerSecond"`
 	Concurrency       int     `msgpack:"conc" json:"concurrency"` // requests queued or running
@@ -44,7 +44,7 @@
 	}
 }
 
-// amountOf is all that the limits allow, over all entries.
+// amountOf returns the whole limits, for all entries together, as an Amount.
 func amountOf(l contract.Limits) Amount {
 	return Amount{
 		RequestsPerSecond: l.RequestsPerSecond,
@@ -53,7 +53,7 @@
 	}
 }
 
-// hasLimit reports whether any quantity is hasLimit.
+// hasLimit reports whether l limits any quantity.
 func hasLimit(l contract.Limits) bool {
 	return l.RequestsPerSecond > 0 || l.Concurrency > 0 || l.TokensPerSecond > 0
 }
--- a/policy/admit/bucket.go
+++ b/policy/admit/bucket.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// bucket is a token bucket whose level may go below zero: what it lets through
-// is charged in full even if it is larger than the bucket, so a single long
-// request is possible under a low rate and the rate still holds on average.
+// bucket is a token bucket whose level may become negative. It admits a
+// request whenever its level is positive and then charges the full cost, so
+// requests larger than the burst remain possible and the average rate still
+// holds.
 type bucket struct {
-	rate       float64 // a second
+	rate       float64 // per second
 	burst      float64
 	level      float64
 	lastRefill time.Time
 }
 
-// setRate changes the rate. The level never rises by it: a bucket that is given
-// more starts with what it had, since another entry may have spent the rest.
+// setRate changes the rate and sets the burst to what the rate yields in
+// window. The level never rises: another entry may already have used the
+// amount that was added.
 func (b *bucket) setRate(now time.Time, rate float64, window time.Duration) {
 	b.refill(now)
 	b.rate = rate
@@ -33,7 +35,7 @@
 	}
 }
 
-// available reports whether something may pass.
+// available refills the bucket and reports whether it admits a request.
 func (b *bucket) available(now time.Time) bool {
 	b.refill(now)
 	return b.level > 0
@@ -41,7 +43,8 @@
 
 func (b *bucket) take(amount float64) { b.level = min(b.burst, b.level-amount) }
 
-// availableIn returns how long until something may pass.
+// availableIn returns the time until the bucket admits a request, as of the
+// last refill.
 func (b *bucket) availableIn() time.Duration {
 	if b.level > 0 {
 		return 0
@@ -52,7 +55,8 @@
 	return secondsToDuration(-b.level / b.rate)
 }
 
-// rateMeter is an exponentially decayed rate of events.
+// rateMeter measures the rate of events with exponential decay. All calls must
+// use the same time constant.
 type rateMeter struct {
 	sum     float64
 	updated time.Time
--- a/policy/admit/config.go
+++ b/policy/admit/config.go
@@ -6,44 +6,42 @@
 	"savoryreel.example/savoryreel/policy"
 )
 
-// ShareConfig sets how Shares gives out leases. All replicas of control and
-// all entries need the same values.
+// ShareConfig configures Shares. All control replicas and entries must use the
+// same values.
 type ShareConfig struct {
-	// TTL is how long a lease lasts, and so how long the part of an entry that
-	// has died stays unused.
+	// TTL is the duration of a lease. The grant of an entry that has failed
+	// stays unused until its lease expires.
 	TTL time.Duration
 
-	// FloorTTL is how long an entry that was cut off may go on with its floor.
+	// FloorTTL is how long a disconnected entry may use its floor, counted
+	// from the same instant as TTL.
 	FloorTTL time.Duration
 
-	// Margin is what the leader adds to both before it counts a lease as
-	// ended, for clocks that run at different rates.
+	// Margin is added to TTL and FloorTTL on the leader, in case its clock
+	// runs faster than an entry's.
 	Margin time.Duration
 
-	// LongestAnswer bounds how long a request runs. A lease's concurrency
-	// counts as used for this long after its end, unless the entry reports.
+	// LongestAnswer is the maximum duration of a request. Unless the entry
+	// reports, the concurrency of its lease counts as used for this long after
+	// the lease has expired.
 	LongestAnswer time.Duration
 
-	// Settle is how long after a change of leader the concurrency is held back
-	// that entries which have not reported may have been given before. At
-	// LongestAnswer the limit holds whatever happens. A shorter time lets a
-	// site that restarts as a whole serve again sooner; the limit may then be
-	// exceeded by the requests that run on at an entry which was cut off
-	// before the leader changed.
+	// Settle is how long, once the previous leader's leases have expired, a
+	// new leader withholds the concurrency that entries which have not
+	// reported may still be using. With Settle equal to LongestAnswer the
+	// limit always holds. A shorter time lets a site that restarts as a whole
+	// serve sooner, but the limit may be exceeded by requests still running on
+	// entries that were disconnected before the leader changed.
 	Settle time.Duration
 
-	// FloorShare is the part of each limit that is set aside for the floors of
-	// cut-off entries, split into Entries equal parts.
+	// FloorShare is the fraction of each limit that is reserved for the floors
+	// of disconnected entries. It is divided into Entries equal floors.
 	FloorShare float64 // 0 to 0.5
-	Entries    int     // how many entries may hold a floor at a time
+	Entries    int     // maximum number of entries that hold a floor
 }
 
-// DefaultShareConfig returns the values for a site of up to entries entries.
-//
-// With reports once a second, a TTL of 5 s outlasts four lost ones, and keeps
-// to the 6 s within which a changed limit has to be in force everywhere. A tenth
-// is set aside for floors: callers lose little by it on every ordinary day.
-// Settle of 30 s outlasts the usual answer, of a few hundred tokens.
+// DefaultShareConfig returns the configuration for a site of at most entries
+// entries that report once a second.
 func DefaultShareConfig(entries int) ShareConfig {
 	return ShareConfig{
 		TTL:           5 * time.Second,
@@ -56,7 +54,7 @@
 	}
 }
 
-// Validate returns a *policy.ConfigError for the first field that is out of range.
+// Validate returns a *policy.ConfigError for the first invalid field, or nil.
 func (c ShareConfig) Validate() error {
 	return policy.Check("admit",
 		policy.Require("TTL", c.TTL > 0, "above 0"),
@@ -69,45 +67,44 @@
 	)
 }
 
-// Config sets how an entry admits.
+// Config configures an Admitter.
 type Config struct {
-	// Window is the burst that a leased rate allows, in seconds' worth of it.
+	// Window sets the burst of a leased rate: the amount that the rate allows
+	// in this time.
 	Window time.Duration
 
-	// Memory is the time constant of the averages of demand and of drain.
+	// Memory is the time constant of the exponentially decayed averages of
+	// demand and drain rate.
 	Memory time.Duration
 
-	// MaxWait bounds the wait of a request that has no nearer deadline, by
-	// class.
+	// MaxWait is the maximum estimated wait in the queue, by class. A request
+	// whose deadline is earlier may wait less.
 	MaxWait ClassWaits
 
-	// Standing is how long the queue may hold a request longer than its
-	// first-token target allows before only those that meet it are let in, and
-	// Burst is how many times the target the wait may be until then.
+	// Standing is how long the estimated wait of interactive requests must
+	// stay above a fraction of their first-token target (see
+	// standingTargetDivisor) before the queue counts as standing. Until then,
+	// the wait may reach Burst times the target; afterwards, only requests
+	// that meet the target are admitted.
 	Standing time.Duration
 	Burst    float64
 
-	// MinRetryAfter, MaxRetryAfter and Jitter bound what a refused caller is
-	// told: at least MinRetryAfter, at most MaxRetryAfter, and spread over
-	// Jitter of its length.
+	// MinRetryAfter and MaxRetryAfter bound RetryAfter. Jitter is the fraction
+	// of RetryAfter by which it is randomly extended.
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
 	Jitter        float64 // 0 to 1
 }
 
-// ClassWaits is a wait for each class.
+// ClassWaits holds a wait for each class.
 type ClassWaits struct {
 	Interactive time.Duration
 	Standard    time.Duration
 	Batch       time.Duration
 }
 
-// DefaultConfig returns the values in use; docs/DECISIONS.md has the reasons.
-//
-// Memory of 2 s follows a fleet that loses a zone within a few seconds and
-// averages over some hundred starts at the small sites of today. MaxWait are the usual
-// timeouts of a person, an HTTP client and a job. Standing of 2 s lets a page's
-// worth of requests through; a load above capacity lasts longer.
+// DefaultConfig returns the default configuration; docs/DECISIONS.md gives the
+// reasons for its values.
 func DefaultConfig() Config {
 	return Config{
 		Window: time.Second,
@@ -125,7 +122,7 @@
 	}
 }
 
-// Validate returns a *policy.ConfigError for the first field that is out of range.
+// Validate returns a *policy.ConfigError for the first invalid field, or nil.
 func (c Config) Validate() error {
 	return policy.Check("admit",
 		policy.Require("Window", c.Window > 0, "above 0"),
--- a/policy/admit/doc.go
+++ b/policy/admit/doc.go
@@ -1,21 +1,23 @@
-// Package admit decides what is let in. It answers load above a workspace's
-// limits, load above the capacity of the backend servers, and an entry that is
-// cut off from the control leader while callers still reach it.
+// Package admit decides whether an entry admits a request. It is for three
+// patterns of load: a workspace that exceeds its limits, demand above the
+// capacity of the backend servers, and an entry that has lost its connection
+// to the control leader while callers still reach it.
 //
-// Without it every entry would allow a workspace its whole limit, so that seven
-// entries together allow seven times as much; callers would wait for answers
-// that cannot come before their deadline; and those turned away would all come
-// back in the same second.
+// Without it, each entry would allow a workspace its whole limit, so seven
+// entries would allow seven times the limit; requests would queue past their
+// deadlines; and all refused callers would retry in the same second.
 //
-// Two halves make up the decision. On the control leader, Shares splits each
-// workspace's limits among entries by the demand they observe and gives the
-// parts out as leases. At each entry, Admitter holds requests to the leased
-// part, and to what the queue can start in time as judged by Drain.
+// The decision has two parts. On the control leader, Shares divides each
+// workspace's limits among the entries by observed demand and grants the
+// shares as leases. On each entry, Admitter enforces the leased amounts and
+// refuses requests that the queue cannot start within their deadline or
+// objective, as estimated by DrainEstimator.
 //
-// An entry keeps one Admitter, since limits are a workspace's over all services,
-// and one Drain for each set of backend servers that do the same work.
+// All requests of a workspace at an entry must go through the same Admitter,
+// because limits apply across all services. Each set of interchangeable
+// backend servers has its own DrainEstimator.
 //
-// The package has no clock and no source of randomness: both come in as
-// arguments. Its types are not safe for concurrent use; their owner holds a
-// lock around them. Every refusal is final and immediate.
+// The package uses neither a clock nor a source of randomness: the caller
+// passes in both. Its types are not safe for concurrent use; the caller must
+// hold a lock. A refusal is immediate and final.
 package admit
--- a/policy/admit/drain.go
+++ b/policy/admit/drain.go
@@ -7,47 +7,47 @@
 	"savoryreel.example/savoryreel/policy/queue"
 )
 
-// DrainEstimator learns how fast the queue drains. It answers the question whether a
-// request that came now would start in time. Without it, requests wait that
-// cannot be answered before their deadline: at a load above capacity all of
-// them do, and the fleet works for callers that have given up.
+// DrainEstimator measures how fast the queue drains and estimates how long a
+// new request would wait. Without it, requests above capacity would queue past
+// their deadlines, and servers would work for callers that have given up.
 //
-// The rate is tokens of work that ended for each second in which this entry had
-// no free slot. Other times say nothing of what the fleet can do: if they
-// counted, the first seconds of a surge after a quiet hour would be judged by
-// that hour's rate and refused.
+// The drain rate is the tokens of ended requests per second during which this
+// entry had no free slot. Other times do not measure capacity: if they
+// counted, the rate of a quiet hour would cause refusals at the start of a
+// surge.
 type DrainEstimator struct {
 	timeConstant time.Duration
 
-	updated     time.Time
-	full        bool    // no slot was free since last
-	endedTokens float64 // decayed sum of tokens ended while full
-	fullSeconds float64 // decayed sum of seconds while full
+	updated     time.Time // when the sums were last decayed
+	full        bool      // no free slot since updated
+	endedTokens float64   // decayed sum of tokens ended while full
+	fullSeconds float64   // decayed sum of seconds while full
 
-	requestTokens        movingAverage // tokens of an ended request
-	firstTokenSeconds    movingAverage // seconds from start to first token
-	tokenIntervalSeconds movingAverage // seconds between tokens
+	requestTokens        movingAverage // tokens per ended request
+	firstTokenSeconds    movingAverage // from start to first token
+	tokenIntervalSeconds movingAverage // between tokens of an answer
 }
 
-// minFullFraction is the part of the memory that must have been full before a rate
-// is believed: an eighth, a quarter of a second by default. Over less, a single
-// long item decides.
+// minFullFraction is the fraction of the time constant that must have been
+// observed full before the rate is known. With less, one long request could
+// dominate the rate.
 const minFullFraction = 0.125
 
-// minStoppedFraction is the part of the memory that must have been full without any
-// end before the drain counts as stopped: 1-1/e, which is the memory's length of
-// time. With minEvidence alone, the first quarter of a second of a surge, in
-// which no answer can have ended, is taken for a fleet that has stopped, and
-// everybody is refused, also workspaces that ask for little.
+// minStoppedFraction is the fraction of the time constant that must have been
+// observed full without any ended request before the rate is zero. It is about
+// 1-1/e, which is reached after one time constant. With minFullFraction alone,
+// the start of a surge, before any answer can have ended, would count as
+// stopped servers and all requests would be refused.
 const minStoppedFraction = 0.63
 
-// NewDrainEstimator returns a Drain that forgets with the time constant memory.
+// NewDrainEstimator returns a DrainEstimator whose rate decays with
+// timeConstant.
 func NewDrainEstimator(timeConstant time.Duration) *DrainEstimator {
 	return &DrainEstimator{timeConstant: timeConstant}
 }
 
-// ObserveEnd notes that a request of so many tokens gave its slot back. Call Full
-// after it.
+// ObserveEnd records that a request of the given tokens has ended and released
+// its slot. Call SetFull after it.
 func (d *DrainEstimator) ObserveEnd(now time.Time, tokens int64) {
 	d.advance(now)
 	d.requestTokens.add(float64(tokens))
@@ -56,8 +56,8 @@
 	}
 }
 
-// SetFull notes whether a request that came now would find no free slot. Call it
-// whenever that may have changed.
+// SetFull records whether a request arriving now would find no free slot. Call
+// it whenever this may have changed.
 func (d *DrainEstimator) SetFull(now time.Time, full bool) {
 	d.advance(now)
 	d.full = full
@@ -70,8 +70,9 @@
 	}
 }
 
-// decayedSums returns the decayed decayedSums as of now. While no slot is free and nothing
-// ends the rate falls, so that a fleet that has stopped is noticed.
+// decayedSums returns the decayed sums as of now. While full is true and no
+// request ends, tokens falls and seconds rises, so the rate of stopped servers
+// falls.
 func (d *DrainEstimator) decayedSums(now time.Time) (tokens, seconds float64) {
 	elapsed := now.Sub(d.updated)
 	if !d.full || elapsed <= 0 {
@@ -81,54 +82,58 @@
 	return d.endedTokens * decay, d.fullSeconds*decay + d.timeConstant.Seconds()*(1-decay)
 }
 
-// Rate returns the drain in tokens a second; ok is false if too little has
-// been seen.
+// Rate returns the drain rate in tokens per second. ok is false if the time
+// observed without a free slot is too short.
 func (d *DrainEstimator) Rate(now time.Time) (rate float64, ok bool) {
 	tokens, seconds := d.decayedSums(now)
 	if seconds < minFullFraction*d.timeConstant.Seconds() {
 		return 0, false
 	}
 	if tokens == 0 && seconds < minStoppedFraction*d.timeConstant.Seconds() {
-		return 0, false // the first answers of a surge still run
+		return 0, false // the first answers of a surge are still running
 	}
 	return tokens / seconds, true
 }
 
-// ObserveFirstToken notes the time from the start of a request to its first token.
+// ObserveFirstToken records the delay from the start of a request to its first
+// token.
 func (d *DrainEstimator) ObserveFirstToken(delay time.Duration) {
 	d.firstTokenSeconds.add(delay.Seconds())
 }
 
-// ObserveTokenInterval notes the mean time between tokens of one answer.
+// ObserveTokenInterval records the mean interval between tokens of one answer.
 func (d *DrainEstimator) ObserveTokenInterval(interval time.Duration) {
 	d.tokenIntervalSeconds.add(interval.Seconds())
 }
 
-// Estimate is what a request that came now could expect.
+// Estimate holds the expected times of a request that arrives now.
 type Estimate struct {
-	Wait          time.Duration // in the queue, on average
-	WaitP95       time.Duration // in the queue, of 95 in 100
-	FirstToken    time.Duration // from its start to the first token, of 95 in 100
-	TokenInterval time.Duration // between tokens, on average
-	Rate          float64       // drain of the queue, tokens a second
-	Known         bool          // false: nothing learnt of the drain, both waits are 0
-	Held          bool          // it would wait for its workspace to fall below its share, however long that takes
+	Wait          time.Duration // in the queue, mean
+	WaitP95       time.Duration // in the queue, 95th percentile
+	FirstToken    time.Duration // from start to first token, 95th percentile
+	TokenInterval time.Duration // between tokens, mean
+	Rate          float64       // drain rate of the queue in tokens per second
+	Known         bool          // the drain rate is known; if false, both waits are 0
+	Held          bool          // it starts only once its workspace falls below its share, however long that takes
 }
 
-// maxWaitEstimate bounds the waits of an Estimate where nothing ends any more.
+// maxWaitEstimate bounds all estimated times, including those at a rate of
+// zero.
 const maxWaitEstimate = time.Hour
 
-// p95Deviations is how many standard deviations the 95th percentile lies above the mean.
+// p95Deviations is the distance of the 95th percentile from the mean of a
+// normal distribution, in standard deviations.
 const p95Deviations = 1.645
 
-// Estimate judges a request that would wait behind backlog: for one slot more to
-// come free than what is ahead needs.
+// Estimate returns the estimate for a request that would wait behind backlog.
+// It starts when one more slot becomes free than the work ahead of it needs.
 //
-// What is ahead on average is the smaller of two: the workspace's own work over
-// its share, and all work. But all work is not all that can come first: requests
-// of workspaces below their share that come later do, too. So WaitP95 counts the
-// own work over the lasting share, one request of each other workspace, and the
-// random intervals at which slots come free, by the normal approximation.
+// For Wait, the work ahead is the smaller of the workspace's own work divided
+// by its share and all waiting work. WaitP95 also allows for requests that
+// arrive later and start first, from workspaces below their share: it counts
+// the workspace's own work divided by its lasting share and one request of
+// each other workspace. It adds the variation of the intervals at which slots
+// become free, approximated as a normal distribution.
 func (d *DrainEstimator) Estimate(now time.Time, backlog queue.Backlog) Estimate {
 	rate, known := d.Rate(now)
 	e := Estimate{
@@ -142,9 +147,10 @@
 		return e
 	}
 	if backlog.Held && backlog.Waiting == 0 {
-		// It starts as soon as one slot more comes free than is kept for
-		// others. To count that as a wait would take a workspace that holds
-		// more than its share by long work for an overload.
+		// The request starts as soon as one more slot becomes free than is
+		// reserved for other workspaces. Counting this as a wait would mistake
+		// a workspace that exceeds its share through long requests for an
+		// overload.
 		return e
 	}
 	interval := d.requestTokens.value / rate
@@ -159,7 +165,8 @@
 	return e
 }
 
-// secondsToDuration converts to a duration of at most maxEstimate.
+// secondsToDuration converts s to a duration of at most maxWaitEstimate, which
+// it also returns for NaN.
 func secondsToDuration(s float64) time.Duration {
 	if !(s < maxWaitEstimate.Seconds()) {
 		return maxWaitEstimate
@@ -167,11 +174,12 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// sampleWeight is the weight of a new sample in a mean: a sample counts for
-// about the last sixteen.
+// sampleWeight is the weight of a new sample in a movingAverage; its inverse
+// is about the number of samples averaged.
 const sampleWeight = 1.0 / 16
 
-// movingAverage is an exponentially weighted moving average by samples, with variance.
+// movingAverage is an exponentially weighted moving average and variance of
+// samples.
 type movingAverage struct {
 	value       float64
 	variance    float64
--- a/policy/admit/share.go
+++ b/policy/admit/share.go
@@ -8,33 +8,33 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// Shares splits each workspace's limits among the entries and gives the parts
-// out as leases. It answers a workspace whose callers do not spread evenly over
-// entries, and an entry that is cut off. With equal fixed parts instead, a
-// caller that sticks to one of seven entries gets a seventh of its limit.
+// Shares divides each workspace's limits among the entries by demand and
+// grants the shares as leases. With equal fixed shares instead, a caller that
+// uses only one of seven entries would get a seventh of its limit.
 //
-// At every instant, what all entries may use together is at most the limit. So
-// it counts as used: every lease that an entry may still hold, because a newer
-// one may not have reached it; every floor; and the requests that run on.
+// At every instant, all entries together may use at most the limit. Therefore
+// Shares counts as used: every lease that an entry may still hold because it
+// may not have received a newer one; every floor; and all requests that may
+// still be running.
 //
-// Only the control leader may use it, while it holds its leader lease, under
-// the term of that lease. A new leader starts with NewShares and learns what
-// its predecessor gave out from the entries' reports; until the predecessor's
-// leases have ended, it renews and raises nothing. It is not safe for
+// Only the control leader may use Shares, while it holds its leader lease and
+// under the term of that lease. A new leader calls NewShares and learns from
+// the entries' reports which leases its predecessor granted; until these have
+// expired, it only renews them and increases none. Shares is not safe for
 // concurrent use.
 type Shares struct {
 	cfg           ShareConfig
 	term          uint64
-	started       time.Time
-	lastNumber    uint64           // of the last lease
-	noPredecessor bool             // no leader came before
-	pools         map[string]*pool // by workspace
-	lastSequences map[string]uint64
+	started       time.Time         // when this leader began
+	lastNumber    uint64            // number of the last lease granted
+	noPredecessor bool              // no earlier leader has granted leases
+	pools         map[string]*pool  // by workspace
+	lastSequences map[string]uint64 // sequence of each entry's last report
 }
 
-// NewShares returns the shares of a leader that begins term at now, or the
-// *policy.ConfigError of an invalid cfg. Follow it with SetLimits for each workspace of
-// the catalogue, at the same now.
+// NewShares returns the Shares of a leader whose term begins at now, or a
+// *policy.ConfigError if cfg is invalid. The caller must then call SetLimits,
+// with the same now, for each workspace of the catalogue.
 func NewShares(cfg ShareConfig, term uint64, now time.Time) (*Shares, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -48,15 +48,15 @@
 	}, nil
 }
 
-// NoPredecessor says that no leader has given out leases before: in a new
-// deployment, and where control and entries start together in one process. Call
-// it before SetLimits. Called wrongly, it lets entries use up to twice the limits
-// until the earlier leases have ended.
+// NoPredecessor declares that no earlier leader has granted leases, as in a
+// new deployment or where control and entries start together in one process.
+// Call it before SetLimits. If an earlier leader has granted leases, entries
+// may use up to twice the limits until these have expired.
 func (s *Shares) NoPredecessor() { s.noPredecessor = true }
 
-// SetLimits sets the limits of a workspace. Lowered limits hold at all entries
-// that the leader reaches once they have reported again, and at others within
-// ShareConfig.TTL, but for their floors.
+// SetLimits sets the limits of a workspace. Lowered limits apply to an entry
+// from its next report. An entry that cannot reach the leader uses its lease
+// for at most ShareConfig.TTL, and then its floor by the old limits.
 func (s *Shares) SetLimits(now time.Time, workspace string, limits contract.Limits) {
 	p, ok := s.pools[workspace]
 	if !ok {
@@ -69,12 +69,12 @@
 	p.setLimits(limits)
 }
 
-// RemoveWorkspace forgets a workspace that the catalogue no longer has.
+// RemoveWorkspace deletes a workspace that is no longer in the catalogue.
 func (s *Shares) RemoveWorkspace(workspace string) { delete(s.pools, workspace) }
 
-// EntryEnded frees what an entry holds. Call it only for an entry whose process
-// is known to have ended, never for one that is merely silent: a silent entry
-// may still admit, and the limit would be exceeded.
+// EntryEnded releases everything that an entry holds. Call it only if the
+// entry's process is known to have ended: an unreachable entry may still admit
+// requests, and the limit would be exceeded.
 func (s *Shares) EntryEnded(entry string) {
 	delete(s.lastSequences, entry)
 	for _, p := range s.pools {
@@ -83,19 +83,19 @@
 	}
 }
 
-// ReplyStatus says what became of a report.
+// ReplyStatus is the outcome of a Report.
 type ReplyStatus uint8
 
 // The statuses of a Reply.
 const (
 	Leased    ReplyStatus = iota
-	OtherTerm             // the report was meant for another leader; repeat it under Reply.Term
-	OldReport             // a newer report of the same entry came before
+	OtherTerm             // the report was for another leader; repeat it under Reply.Term
+	OldReport             // a report of the same entry with the same or a higher sequence has been processed
 )
 
 var replyNames = [...]string{Leased: "leased", OtherTerm: "other_term", OldReport: "old_report"}
 
-// String returns the status as it stands in logs.
+// String returns the name of the status in logs.
 func (r ReplyStatus) String() string {
 	if int(r) >= len(replyNames) {
 		return "unknown"
@@ -110,13 +110,13 @@
 	Leases []Lease     `msgpack:"leases"`
 }
 
-// Lease answers one entry's report with new leases for all workspaces in it
-// that have limits.
+// Lease processes an entry's report and returns new leases for all workspaces
+// in it that have limits.
 //
-// A report that was sent before this leader began may name a lease that has
-// ended since and was given to another entry by the predecessor. Renewing it
-// would put the limit's part in two hands; hence the term, which an entry
-// learns only from this leader's own replies.
+// A report sent before this leader began may name a lease that has expired
+// since and whose grant the predecessor gave to another entry. Renewing it
+// would grant the same share twice, so a report must carry this leader's term,
+// which an entry learns only from this leader's replies.
 func (s *Shares) Lease(now time.Time, r Report) Reply {
 	if r.Term != s.term {
 		return Reply{Term: s.term, Status: OtherTerm}
@@ -139,8 +139,8 @@
 	return reply
 }
 
-// Outstanding returns the most that all entries may use of a workspace's limits
-// together at now, as far as this leader knows.
+// Outstanding returns the maximum that all entries together may use of a
+// workspace's limits at now, as far as this leader can derive.
 func (s *Shares) Outstanding(now time.Time, workspace string) Amount {
 	p, ok := s.pools[workspace]
 	if !ok {
@@ -149,31 +149,33 @@
 	return p.outstanding(now)
 }
 
-// rebalanceInterval is how often a pool looks at all its holders. In between, a
-// report costs the same however many entries there are.
+// rebalanceInterval is how often a pool recomputes the targets of all holders.
+// Between these times, the cost of a report does not depend on the number of
+// entries.
 const rebalanceInterval = time.Second
 
-// pool is one workspace's limits and who holds parts of them.
+// pool holds one workspace's limits and the entries that hold shares of them.
 type pool struct {
 	cfg       *ShareConfig
 	workspace string
 	leasable  Amount    // the limits without the floors
-	floor     Amount    // one floor
-	holders   []*holder // by entry
+	floor     Amount    // size of one floor
+	holders   []*holder // sorted by entry
 
-	// heldTotal is the sum of what was counted for each holder when it was last
-	// looked at. What is held only falls as time goes by, so heldTotal is never too
-	// small.
+	// heldTotal is the sum of holder.heldCounted. What a holder holds only
+	// decreases until its next report, so the sum is never too small.
 	heldTotal        Amount
-	priorConcurrency int // sum of holder.claimed
+	priorConcurrency int // sum of holder.priorConcurrency
 	lastRebalance    time.Time
 
-	// Of leases that an earlier leader gave out; zero if there was none.
-	priorLeasesEnd   time.Time // all of them have ended or been reported
-	priorFloorsEnd   time.Time // the same for floors
-	priorRequestsEnd time.Time // the same for requests that they let in
+	// Bounds on what an earlier leader granted; zero if there was none.
+	priorLeasesEnd   time.Time // each of its leases has been reported or has expired
+	priorFloorsEnd   time.Time // each of its floors has been reported, or has expired and its requests have ended
+	priorRequestsEnd time.Time // requests admitted under its leases no longer count as running
 }
 
+// expectPriorLeases sets the bounds on what an earlier leader granted before
+// started.
 func (p *pool) expectPriorLeases(started time.Time) {
 	p.priorLeasesEnd = started.Add(p.cfg.TTL + p.cfg.Margin)
 	p.priorFloorsEnd = started.Add(p.cfg.FloorTTL + p.cfg.Margin + p.cfg.LongestAnswer)
@@ -212,7 +214,7 @@
 	return lease
 }
 
-// rebalance drops holders that can hold nothing any more, sums up what the
+// rebalance removes holders that can no longer hold anything, sums what the
 // others hold, and sets their targets.
 func (p *pool) rebalance(now time.Time) {
 	p.lastRebalance = now
@@ -228,13 +230,14 @@
 	p.setTargets(now)
 }
 
-// recount brings what is counted for h up to date.
+// recount updates heldCounted of h and the pool's sum.
 func (p *pool) recount(now time.Time, h *holder) {
 	held := h.held(now, p)
 	p.heldTotal = p.heldTotal.minus(h.heldCounted).plus(held)
 	h.heldCounted = held
 }
 
+// holder returns the holder of the named entry and creates it if missing.
 func (p *pool) holder(entry string) *holder {
 	i, found := slices.BinarySearchFunc(p.holders, entry, func(h *holder, name string) int {
 		return strings.Compare(h.entry, name)
@@ -245,8 +248,9 @@
 	return p.holders[i]
 }
 
-// grantFor is what h gets beyond its floor: its target, as far as others have let
-// go of it.
+// grantFor returns what to grant h in addition to its floor: its target, or as
+// much of it as other holders have released. While leases of an earlier leader
+// may be in force, it renews only what h held under that leader.
 func (p *pool) grantFor(now time.Time, h *holder) Amount {
 	others := p.heldTotal.minus(h.heldCounted)
 	others.Concurrency += p.unreportedConcurrency(now)
@@ -257,8 +261,9 @@
 	return h.target.smaller(free)
 }
 
-// unreportedConcurrency is the concurrency that entries which have not reported to this
-// leader may have got from an earlier one: its requests may run on.
+// unreportedConcurrency returns the concurrency that an earlier leader may
+// have granted to entries that have not reported to this one: requests
+// admitted under those leases may still be running.
 func (p *pool) unreportedConcurrency(now time.Time) int {
 	if !now.Before(p.priorRequestsEnd) {
 		return 0
@@ -266,8 +271,9 @@
 	return max(0, p.leasable.Concurrency-p.priorConcurrency)
 }
 
-// grantFloor reports whether h gets a floor and notes it. While an earlier
-// leader's floors may be in force, only who has one keeps it.
+// grantFloor reports whether to grant h a floor and, if so, extends floorEnds.
+// While floors of an earlier leader may be in force, only entries that already
+// have one get one.
 func (p *pool) grantFloor(now time.Time, h *holder, d Demand) bool {
 	hasFloor := d.HasFloor || now.Before(h.floorEnds)
 	if !hasFloor && (now.Before(p.priorFloorsEnd) || p.floorCount(now) >= p.cfg.Entries) {
@@ -277,6 +283,7 @@
 	return true
 }
 
+// floorCount returns the number of floors that may be in use at now.
 func (p *pool) floorCount(now time.Time) int {
 	n := 0
 	for _, h := range p.holders {
@@ -298,34 +305,36 @@
 	return total
 }
 
-// holder is what one entry may hold of a pool.
+// holder records what one entry may hold of a pool.
 type holder struct {
 	entry            string
-	wanted           Amount
-	target           Amount
-	hasTarget        bool   // target has been set
-	heldCounted      Amount // its part of pool.used
-	lastReport       time.Time
+	wanted           Amount    // demand as last reported
+	target           Amount    // share by the demands of all entries
+	hasTarget        bool      // target has been set
+	heldCounted      Amount    // what pool.heldTotal includes for this holder
+	lastReport       time.Time // when it last reported
 	grants           []grant
-	running          int // beyond the floor, as last reported
-	priorConcurrency int // concurrency of its last lease by an earlier leader
-	priorLease       Amount
-	floorEnds        time.Time // its floor's last request has ended by then
+	running          int       // requests in excess of the floor, as last reported
+	priorConcurrency int       // concurrency of its last lease by an earlier leader
+	priorLease       Amount    // what it holds of that lease, without the floor
+	floorEnds        time.Time // by then its floor has expired and the requests under it have ended
 }
 
-// grant is a lease, without the floor, that may be in force at an entry.
+// grant is a lease, without its floor, that may be in force at an entry.
 type grant struct {
 	number uint64
 	amount Amount
 	ends   time.Time
 }
 
-// recordDemand takes in what an entry reports.
+// recordDemand records an entry's reported demand and drops the grants that
+// this report or their age has released.
 func (h *holder) recordDemand(now time.Time, p *pool, d Demand) {
 	h.wanted, h.lastReport = d.Wanted, now
 	h.running = max(0, d.Running-p.floor.Concurrency)
-	// The entry ignores leases older than the one it has applied, so what it
-	// was given by them is free. Until it says so it may use the larger one.
+	// The entry ignores leases older than the one it has applied, so older
+	// grants are free. Until it reports a newer lease as applied, it may use
+	// the larger of both.
 	h.grants = slices.DeleteFunc(h.grants, func(g grant) bool {
 		return g.number < d.Applied || !now.Before(g.ends.Add(p.cfg.LongestAnswer))
 	})
@@ -334,6 +343,8 @@
 	}
 }
 
+// recordPriorLease records what the entry reports to hold under an earlier
+// leader.
 func (h *holder) recordPriorLease(now time.Time, p *pool, d Demand) {
 	concurrency := max(h.priorConcurrency, d.LastLeaseConcurrency)
 	p.priorConcurrency += concurrency - h.priorConcurrency
@@ -347,8 +358,8 @@
 	}
 }
 
-// held is the most that the entry may use at now, without its floor. Requests
-// run on after the lease that let them in has ended.
+// held returns the maximum that the entry may use at now, without its floor.
+// Requests may continue to run after the lease that admitted them has expired.
 func (h *holder) held(now time.Time, p *pool) Amount {
 	var amount Amount
 	for _, g := range h.grants {
@@ -365,7 +376,7 @@
 	return amount
 }
 
-// live reports whether the entry has reported lately.
+// live reports whether the entry has reported within the last TTL.
 func (h *holder) live(now time.Time, p *pool) bool {
 	return now.Before(h.lastReport.Add(p.cfg.TTL))
 }
--- a/policy/admit/share_test.go
+++ b/policy/admit/share_test.go
@@ -19,7 +19,8 @@
 
 var testLimits = contract.Limits{RequestsPerSecond: 70, Concurrency: 70, TokensPerSecond: 7_000}
 
-// siteEntry is one entry of a site: its admitter and its link to the leader.
+// siteEntry is one entry of a site: its Admitter and its state towards the
+// leader.
 type siteEntry struct {
 	name     string
 	admitter *Admitter
@@ -27,14 +28,15 @@
 	sequence uint64
 }
 
-// pendingReply is a reply on its way to a member.
+// pendingReply is a reply that has not been delivered yet.
 type pendingReply struct {
 	to         *siteEntry
 	reportSent time.Time
 	reply      Reply
 }
 
-// site is a leader and its entries, which exchange reports by direct calls.
+// site simulates a leader and its entries, which exchange reports by direct
+// calls.
 type site struct {
 	cfg     ShareConfig
 	shares  *Shares
@@ -58,7 +60,7 @@
 	return s
 }
 
-// changeLeader puts a new leader in the old one's place.
+// changeLeader replaces the leader by a new one without state.
 func (s *site) changeLeader(t require.TestingT) {
 	s.term++
 	shares, err := NewShares(s.cfg, s.term, s.now)
@@ -67,12 +69,15 @@
 	s.shares = shares
 }
 
+// report sends an entry's report to the leader and returns the undelivered
+// reply.
 func (s *site) report(m *siteEntry) pendingReply {
 	m.sequence++
 	r := Report{Entry: m.name, Term: m.term, Sequence: m.sequence, Demands: m.admitter.Demands(s.now, m.term)}
 	return pendingReply{to: m, reportSent: s.now, reply: s.shares.Lease(s.now, r)}
 }
 
+// deliver applies a reply at its entry.
 func (s *site) deliver(a pendingReply) {
 	a.to.term = max(a.to.term, a.reply.Term)
 	for _, lease := range a.reply.Leases {
@@ -80,7 +85,8 @@
 	}
 }
 
-// exchangeFor lets the members report once a second for so long, but for those cut off.
+// exchangeFor advances time by d; all entries except the disconnected ones
+// report and get their replies once a second.
 func (s *site) exchangeFor(d time.Duration, disconnected ...*siteEntry) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(time.Second) {
 		for _, m := range s.entries {
@@ -100,12 +106,14 @@
 	return false
 }
 
+// allowed returns what the entry may use at now.
 func (m *siteEntry) allowed(now time.Time) Amount {
 	w := m.admitter.workspace("w")
 	m.admitter.refreshAllowed(now, w)
 	return w.allowed
 }
 
+// allowed returns what all entries together may use.
 func (s *site) allowed() Amount {
 	var total Amount
 	for _, m := range s.entries {
@@ -114,6 +122,7 @@
 	return total
 }
 
+// offer offers n requests and returns the number of admitted ones.
 func (m *siteEntry) offer(now time.Time, n int) int {
 	admitted := 0
 	for range n {
@@ -124,10 +133,10 @@
 	return admitted
 }
 
-// A caller keeps its answer to "which entry" and sends all its requests to one
-// of seven. With equal parts it would be refused at a seventh of its limit.
+// Guards against equal shares: a caller that uses only one of seven entries
+// would be refused at a seventh of its limit.
 //
-// Replacing h.target in part by an equal split makes this fail.
+// Fails if h.target in grantFor is replaced by an equal share.
 func TestEntryWithAllDemandGetsMostOfTheLimit(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
 	s.exchangeFor(8 * time.Second)
@@ -143,27 +152,26 @@
 	assert.LessOrEqual(t, s.allowed().RequestsPerSecond, testLimits.RequestsPerSecond+1e-9)
 }
 
-// An entry is cut off from the leader while callers still reach it. If it went
-// on with its lease while the leader gave that part to others, the workspace
-// would get more than its limit; if it stopped at once, its callers would be
-// refused for a fault that is not theirs.
+// Guards against a disconnected entry that uses its lease after it has
+// expired, so that the workspace exceeds its limit, or that stops admitting at
+// once and refuses its callers.
 //
-// Removing the test of w.expires in inForce makes this fail.
+// Fails if the check of w.leaseExpires in leasedAmount is removed.
 func TestDisconnectedEntryFallsBackToFloorAfterLease(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
 	s.exchangeFor(8 * time.Second)
 	disconnected := s.entries[3]
 	before := disconnected.allowed(s.now)
 	s.exchangeFor(3*time.Second, disconnected)
-	assert.Equal(t, before, disconnected.allowed(s.now), "its lease lasts")
+	assert.Equal(t, before, disconnected.allowed(s.now), "its lease is in force")
 	s.exchangeFor(3*time.Second, disconnected)
 	assert.Equal(t, Amount{RequestsPerSecond: 1, Concurrency: 1, TokensPerSecond: 100}, round(disconnected.allowed(s.now)), "its floor")
 	s.exchangeFor(10*time.Second, disconnected)
 	others := s.allowed().minus(disconnected.allowed(s.now))
-	assert.InDelta(t, 69, others.RequestsPerSecond, 0.01, "the rest is with the others")
+	assert.InDelta(t, 69, others.RequestsPerSecond, 0.01, "the others hold the rest")
 	assert.LessOrEqual(t, s.allowed().RequestsPerSecond, testLimits.RequestsPerSecond+1e-9)
 	s.exchangeFor(s.cfg.FloorTTL, disconnected)
-	assert.Equal(t, Amount{}, disconnected.allowed(s.now), "and nothing in the end")
+	assert.Equal(t, Amount{}, disconnected.allowed(s.now), "nothing after its floor has expired")
 	assert.Equal(t, NoLease, disconnected.admitter.Decide(s.now, Request{Workspace: "w"}, 0).Reason)
 }
 
@@ -173,10 +181,11 @@
 	return a
 }
 
-// The leader is lost and the next one knows nothing of its leases. If it gave
-// the limit out anew at once, both the old leases and the new ones would hold.
+// Guards against a new leader that grants the limit again while leases of its
+// predecessor are in force.
 //
-// Removing the test of p.learnt in part makes TestPropertyLeasesNeverExceedTheLimit fail.
+// Without the check of p.priorLeasesEnd in grantFor,
+// TestPropertyLeasesNeverExceedTheLimit fails.
 func TestNewLeaderPreservesReportedLeases(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
 	s.exchangeFor(8 * time.Second)
@@ -193,11 +202,10 @@
 	assert.InDelta(t, testLimits.RequestsPerSecond, s.allowed().RequestsPerSecond, 0.01)
 }
 
-// The network holds a reply back for longer than the lease lasts. An entry that
-// counted from the reply's arrival would use its part after the leader has given
-// it to others.
+// Guards against an entry that counts the TTL from the arrival of a delayed
+// reply: it would use its share after the leader has granted it to others.
 //
-// Counting w.expires from now in Apply makes this fail.
+// Fails if w.leaseExpires in Apply counts from now.
 func TestLeaseTimeCountsFromReportNotReply(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(2), 2)
 	s.exchangeFor(8 * time.Second)
@@ -208,11 +216,11 @@
 	assert.LessOrEqual(t, s.allowed().RequestsPerSecond, testLimits.RequestsPerSecond+1e-9)
 }
 
-// An entry is cut off while the requests that it let in run on for minutes. If
-// only its lease counted, the others would let in as many again, and the
-// workspace would run twice what its contract allows.
+// Guards against freeing the concurrency of a disconnected entry whose
+// requests are still running: the workspace would exceed its concurrency
+// limit.
 //
-// Removing the test of g.ends and LongestAnswer in held makes this fail.
+// Fails if the check of g.ends and LongestAnswer in held is removed.
 func TestRequestsOutlivingTheirLeaseCountAsUsed(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
 	s.exchangeFor(8 * time.Second)
@@ -222,13 +230,13 @@
 	others := s.allowed().minus(disconnected.allowed(s.now)).Concurrency
 	assert.Equal(t, 60, others)
 	s.exchangeFor(10*time.Minute, disconnected)
-	assert.Equal(t, 69, s.allowed().Concurrency, "all but the floor that nobody has")
+	assert.Equal(t, 69, s.allowed().Concurrency, "all but the unused floor")
 }
 
-// Demand moves from one entry to another while the first one's long answers
-// still run. The second must not get their part before they end.
+// Guards against granting concurrency to a second entry while requests still
+// use it at the first: the workspace would exceed its concurrency limit.
 //
-// Removing the use of h.running in held makes this fail.
+// Fails if the use of h.running in held is removed.
 func TestRunningRequestsCountAfterLeaseShrinks(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(2), 2)
 	s.exchangeFor(8 * time.Second)
@@ -245,10 +253,10 @@
 	assert.LessOrEqual(t, running+s.entries[1].allowed(s.now).Concurrency, testLimits.Concurrency)
 }
 
-// An entry is cut off with requests running, and then the leader is lost too.
-// The new leader has never heard of that entry.
+// Guards against a new leader that grants the concurrency in use at an entry
+// which has not reported to it.
 //
-// Removing the use of unknown in part makes this fail.
+// Fails if the use of unreportedConcurrency in grantFor is removed.
 func TestNewLeaderReservesConcurrencyOfUnreportedEntries(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
 	s.exchangeFor(8 * time.Second)
@@ -261,6 +269,8 @@
 	assert.Equal(t, 69, s.allowed().minus(disconnected.allowed(s.now)).Concurrency, "after Settle")
 }
 
+// Guards against leases for reports of an earlier term or out of order, which
+// may name grants that others now hold.
 func TestReportOfOtherTermOrOldSequenceGetsNoLease(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(2), 2)
 	assert.Equal(t, Reply{Term: 1, Status: OtherTerm}, s.shares.Lease(s.now, Report{Entry: "e", Term: 0, Sequence: 1}))
@@ -269,6 +279,8 @@
 	assert.Equal(t, "old_report", OldReport.String())
 }
 
+// Guards against entries that continue to use a limit after it has been
+// lowered.
 func TestLoweredLimitAppliesAfterNextReport(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
 	s.exchangeFor(8 * time.Second)
@@ -278,15 +290,18 @@
 	assert.LessOrEqual(t, s.allowed().Concurrency, 7)
 }
 
+// Guards against an ended entry's share staying unused until its lease
+// expires.
 func TestEndedEntryReleasesItsShareImmediately(t *testing.T) {
 	s := newSite(t, DefaultShareConfig(7), 7)
 	s.exchangeFor(8 * time.Second)
 	s.shares.EntryEnded("entry-6")
 	s.entries = s.entries[:6]
 	s.exchangeFor(3 * time.Second)
-	assert.InDelta(t, 69, s.allowed().RequestsPerSecond, 0.01, "all but the floor that nobody has")
+	assert.InDelta(t, 69, s.allowed().RequestsPerSecond, 0.01, "all but the unused floor")
 }
 
+// Guards against shares that exceed the capacity, or an unfair division of it.
 func TestSplitAddsUpAndIsMaxMinFair(t *testing.T) {
 	assert.Equal(t, []float64{1, 4.5, 4.5}, demands{1, 9, 20}.split(10))
 	assert.Equal(t, []float64{3, 4, 3}, demands{0, 1, 0}.split(10))
@@ -310,13 +325,13 @@
 	})
 }
 
-// faultySite drives a site through lost, late and repeated messages, cut-off
-// entries and changes of leader, while callers ask for more than the limit.
+// faultySite simulates a site with lost, delayed and repeated messages,
+// disconnected entries and changes of leader, under demand above the limit.
 type faultySite struct {
 	*site
 	delayed     []pendingReply
-	requestEnds [][]time.Time // of the running requests, by member
-	admissions  []time.Time   // admissions within the last window
+	requestEnds [][]time.Time // end times of the running requests, by entry
+	admissions  []time.Time   // times of the admissions within the window of checkRate
 }
 
 func (f *faultySite) tick(t *rapid.T) {
@@ -347,10 +362,10 @@
 
 func (f *faultySite) deliverDelayed(t *rapid.T) {
 	if len(f.delayed) == 0 {
-		t.Skip("nothing is late")
+		t.Skip("no delayed reply")
 	}
 	i := rapid.IntRange(0, len(f.delayed)-1).Draw(t, "which")
-	f.deliver(f.delayed[i]) // it may come again
+	f.deliver(f.delayed[i]) // stays in the list, so it may be delivered again
 }
 
 func (f *faultySite) offerRequests(t *rapid.T) {
@@ -377,8 +392,8 @@
 	f.checkRate(t)
 }
 
-// checkRate bounds the admissions of any ten seconds by what the rate gives in
-// them, a full window's burst, and one request of debt for each entry.
+// checkRate checks that the admissions within the window do not exceed what
+// the rate allows, plus the burst and one request of debt for each entry.
 func (f *faultySite) checkRate(t *rapid.T) {
 	const window = 10 * time.Second
 	for len(f.admissions) > 0 && f.now.Sub(f.admissions[0]) > window {
@@ -390,8 +405,9 @@
 	}
 }
 
-// Whatever is lost, late or repeated, and whoever leads, the entries together
-// never may use more than the limits, and never run more requests.
+// Guards against entries that together may use more than the limits, or run
+// more requests, when messages are lost, delayed or repeated and leaders
+// change.
 func TestPropertyLeasesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultShareConfig(3)
@@ -415,8 +431,8 @@
 	})
 }
 
-// newReporter returns a function that has the next of so many entries report for one
-// workspace, each once a second.
+// newReporter returns a function that sends the next entry's report, in turn,
+// such that each entry reports once a second for one workspace.
 func newReporter(entries int) func() {
 	shares, _ := NewShares(DefaultShareConfig(entries), 1, epoch)
 	shares.NoPredecessor()
@@ -435,8 +451,8 @@
 	}
 }
 
-// At the size to design for, 370 entries report each second for each workspace
-// with limits, so the cost of a report must not grow with their number.
+// Measures whether the cost of a report grows with the number of entries; 370
+// is the number to design for.
 func BenchmarkLease(b *testing.B) {
 	for _, entries := range []int{7, 370} {
 		b.Run(fmt.Sprint(entries, " entries"), func(b *testing.B) {
@@ -449,6 +465,7 @@
 	}
 }
 
+// Guards against allocations per report that grow with the number of entries.
 func TestLeaseAllocationsDoNotGrowWithEntries(t *testing.T) {
 	for _, entries := range []int{7, 370} {
 		report := newReporter(entries)
@@ -459,6 +476,8 @@
 	}
 }
 
+// Guards against an invalid configuration being accepted, or reported with the
+// wrong field.
 func TestShareConfigValidateReportsInvalidField(t *testing.T) {
 	for field, invalidate := range map[string]func(*ShareConfig){
 		"TTL":           func(c *ShareConfig) { c.TTL = 0 },
--- a/policy/admit/standing.go
+++ b/policy/admit/standing.go
@@ -6,24 +6,27 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// standingQueue tells a burst from a load above capacity, as controlled delay
-// (Nichols and Jacobson, 2012) does for packets: after a burst the wait falls
-// within a short time, and stays low for as long.
+// standingQueue distinguishes a short burst from sustained load above
+// capacity, as CoDel does for packets (Nichols and Jacobson, "Controlling
+// Queue Delay", 2012): after a burst, the wait soon falls and stays low.
 type standingQueue struct {
-	aboveSince time.Time // since when requests would have waited; zero: they do not
-	lastAbove  time.Time // when the last one would have
+	aboveSince time.Time // start of the current run of long waits; zero if there is none
+	lastAbove  time.Time // time of the last long wait
 }
 
-// standingTargetDivisor is the part of the target, as a divisor, that a wait has to
-// exceed to count.
+// standingTargetDivisor sets which waits count as long: those above the
+// first-token target divided by it.
 const standingTargetDivisor = 8
 
+// observe records the estimated wait of an interactive request with a
+// first-token target. The run of long waits ends once none has been observed
+// for interval.
 func (s *standingQueue) observe(now time.Time, r Request, interval time.Duration) {
 	if r.Class != contract.ClassInteractive || r.FirstTokenTarget <= 0 {
 		return
 	}
-	// One request that finds a free slot does not end it: while the queue is
-	// held short, some always do.
+	// A single request that finds a free slot does not end the run: with a
+	// short queue, some always find one.
 	if now.Sub(s.lastAbove) >= interval {
 		s.aboveSince = time.Time{}
 	}
@@ -36,6 +39,7 @@
 	}
 }
 
+// duration returns how long the current run of long waits has lasted, or 0.
 func (s *standingQueue) duration(now time.Time) time.Duration {
 	if s.aboveSince.IsZero() {
 		return 0
@@ -43,17 +47,17 @@
 	return now.Sub(s.aboveSince)
 }
 
-// retryBacklog is the work of those who were refused and told to come back. Without
-// it all who are refused in one second of a surge come back in the same later
-// second, which is a surge again: callers are refused twice or more and see
-// the queue swing between empty and full.
+// retryBacklog estimates the work of refused callers that have not retried
+// yet. Without it, all callers refused in the same second would retry in the
+// same second, and the queue would swing between empty and full.
 type retryBacklog struct {
 	tokens  float64
 	updated time.Time
 	rate    float64
 }
 
-// drainTime returns how long the queue needs for the work of those told before.
+// drainTime returns how long the queue needs to do the work of the callers
+// refused earlier, at rate tokens per second.
 func (b *retryBacklog) drainTime(now time.Time, rate float64) time.Duration {
 	if elapsed := now.Sub(b.updated); elapsed > 0 {
 		b.tokens = max(0, b.tokens-rate*elapsed.Seconds())
@@ -66,6 +70,8 @@
 	return secondsToDuration(b.tokens / rate)
 }
 
+// add adds the cost of a refused request, in tokens. The backlog never exceeds
+// maxDrainTime at the last rate.
 func (b *retryBacklog) add(cost int64, maxDrainTime time.Duration) {
 	b.tokens = min(b.tokens+float64(cost), b.rate*maxDrainTime.Seconds())
 }
--- a/policy/admit/target.go
+++ b/policy/admit/target.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// setTargets sets the part of the pool that each live entry should have by the
-// demands of all: max-min fair, with what nobody asks for split evenly, so that
-// each entry can let in the first requests of a caller that moves to it.
+// setTargets sets the target share of each live entry by max-min fairness over
+// the reported demands. What is not demanded is divided equally, so that each
+// entry can admit the first requests of a caller that moves to it.
 func (p *pool) setTargets(now time.Time) {
 	var live []*holder
 	var requestDemands, tokenDemands, concurrencyDemands demands
@@ -34,10 +34,11 @@
 	}
 }
 
-// demands are what each live entry asks for of one quantity.
+// demands holds the demand of each live entry for one quantity.
 type demands []float64
 
-// split returns each one's part of capacity. The parts add up to capacity.
+// split returns the max-min fair share of capacity for each demand. The shares
+// add up to capacity.
 func (d demands) split(capacity float64) []float64 {
 	shares := make([]float64, len(d))
 	order := make([]int, len(d))
@@ -64,8 +65,8 @@
 	return shares
 }
 
-// splitIntegers is split in whole numbers: each part is the difference of two
-// rounded running sums, so that the parts add up to capacity.
+// splitIntegers is split with integer shares. Each share is the difference of
+// two rounded cumulative sums, so the shares add up to capacity.
 func (d demands) splitIntegers(capacity int) []int {
 	shares := d.split(float64(capacity))
 	rounded := make([]int, len(shares))
@@ -79,5 +80,6 @@
 	return rounded
 }
 
-// roundingMargin keeps a sum like 4.9999999 from losing a unit.
+// roundingMargin keeps floating-point error from rounding a sum such as
+// 4.9999999 down by one.
 const roundingMargin = 1e-6
--- a/policy/admit/verdict.go
+++ b/policy/admit/verdict.go
@@ -6,31 +6,31 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// Request is what a decision is made from.
+// Request holds what Admitter.Decide needs of a request.
 type Request struct {
 	Workspace        string
 	Class            contract.Class
-	Cost             int64         // estimated work in tokens, prompt and answer
-	AnswerTokens     int64         // estimated tokens of the answer; 0: not known
-	Deadline         time.Time     // zero: none
-	FirstTokenTarget time.Duration // the service's target for the first token; 0: none
-	Estimate         Estimate      // from Drain.Estimate of the queue that it would join
+	Cost             int64         // estimated tokens of prompt and answer
+	AnswerTokens     int64         // estimated tokens of the answer; 0 if unknown
+	Deadline         time.Time     // zero if none
+	FirstTokenTarget time.Duration // the service's target for the time to the first token; 0 if none
+	Estimate         Estimate      // from DrainEstimator.Estimate, for the queue that the request would join
 }
 
-// Reason says why a request was admitted or refused.
+// Reason is why a request was admitted or refused.
 type Reason uint8
 
 // The reasons of a Verdict.
 const (
 	Admitted         Reason = iota
-	DeadlinePassed          // nobody waits for the answer any more
-	DeadlineTooNear         // the answer would come after the deadline
-	TargetMissed            // the queue has stood above the first-token target; it would come later than that
-	WaitTooLong             // it would wait longer than its class may
-	RequestRateLimit        // the workspace's requests a second, or this entry's part of them, are used up
-	ConcurrencyLimit        // the same for requests at a time
-	TokenRateLimit          // the same for tokens a second
-	NoLease                 // the workspace has limits and this entry holds neither a lease nor a floor
+	DeadlinePassed          // the deadline has passed
+	DeadlineTooNear         // the answer would end after the deadline
+	TargetMissed            // the first token would come too late for its target
+	WaitTooLong             // the estimated wait exceeds the maximum of its class
+	RequestRateLimit        // the workspace's requests per second at this entry are used up
+	ConcurrencyLimit        // the workspace's concurrent requests at this entry are used up
+	TokenRateLimit          // the workspace's tokens per second at this entry are used up
+	NoLease                 // the workspace has limits and this entry has neither a lease nor a floor
 )
 
 var reasonNames = [...]string{
@@ -45,7 +45,7 @@
 	NoLease:          "no_lease",
 }
 
-// String returns the reason as it stands in logs and in problem documents.
+// String returns the name of the reason in logs and problem documents.
 func (r Reason) String() string {
 	if int(r) >= len(reasonNames) {
 		return "unknown"
@@ -53,14 +53,14 @@
 	return reasonNames[r]
 }
 
-// IsLimit reports whether the reason lies in the workspace's own limits rather
-// than in the load of the system: HTTP status 429 rather than 503.
+// IsLimit reports whether the request was refused because of its workspace's
+// limits (HTTP status 429) rather than the load of the system (503).
 func (r Reason) IsLimit() bool {
 	return r == RequestRateLimit || r == ConcurrencyLimit || r == TokenRateLimit || r == NoLease
 }
 
 // Verdict is the decision on one request. A refused request has not run; its
-// caller is told so at once and asked to come back after RetryAfter.
+// caller may retry after RetryAfter.
 type Verdict struct {
 	Admit      bool
 	Reason     Reason
