--- a/policy/admit/admitter.go
+++ b/policy/admit/admitter.go
@@ -169,10 +169,11 @@
 //
 // During a burst, the mean wait may reach Config.Burst times the target,
 // because a late answer is better than a refusal. Once the queue is standing,
-// a longer queue no longer increases throughput, so the 95th percentile of the
-// time to the first token must meet the target, and held requests are refused.
-// Small entries, whose slots become free only every few hundred milliseconds,
-// may then admit no request that has to wait.
+// a longer queue no longer increases throughput. The target is meant for 95 of
+// 100 requests, so the 95th percentile of the time to the first token must
+// meet it if the request has to wait, and held requests are refused. Small
+// entries, whose slots become free only every few hundred milliseconds, may
+// then admit no request that has to wait.
 func (a *Admitter) excessWait(now time.Time, r Request) time.Duration {
 	if a.standing.duration(now) < a.cfg.Standing {
 		return r.Estimate.Wait - time.Duration(a.cfg.Burst*float64(r.FirstTokenTarget))
--- a/policy/admit/standing.go
+++ b/policy/admit/standing.go
@@ -51,9 +51,9 @@
 // yet. Without it, all callers refused in the same second would retry in the
 // same second, and the queue would swing between empty and full.
 type retryBacklog struct {
-	tokens  float64
+	tokens  float64 // work not yet drained, as of updated
 	updated time.Time
-	rate    float64
+	rate    float64 // last rate passed to drainTime
 }
 
 // drainTime returns how long the queue needs to do the work of the callers
