--- a/coordinator/api/api.go
+++ b/coordinator/api/api.go
@@ -121,13 +121,13 @@
 	Live     int                `msgpack:"live"`          // entries that take callers
 	// LiveDigest stands for those entries, and LiveNames are they, in order, where the
 	// sender has another list: names come from the replica that sends the catalogue.
-	LiveDigest uint64        `msgpack:"liveDigest,omitempty"`
-	LiveNames  []string      `msgpack:"liveNames,omitempty"`
-	HasLoads   bool          `msgpack:"hasLoads"`
-	Loads      []ServerLoad  `msgpack:"loads,omitempty"` // what all other entries have running, none left out, if HasLoads
-	Work       []ServiceWork `msgpack:"work,omitempty"`  // rates that the entries have learnt
-	Share      limit.Word    `msgpack:"share"`
-	Clock      time.Time     `msgpack:"clock"` // the replica's time of day
+	LiveDigest uint64          `msgpack:"liveDigest,omitempty"`
+	LiveNames  []string        `msgpack:"liveNames,omitempty"`
+	HasLoads   bool            `msgpack:"hasLoads"`
+	Loads      []ServerLoad    `msgpack:"loads,omitempty"` // what all other entries have running, none left out, if HasLoads
+	Work       []ServiceWork   `msgpack:"work,omitempty"`  // rates that the entries have learnt
+	Share      limit.ShareVote `msgpack:"share"`
+	Clock      time.Time       `msgpack:"clock"` // the replica's time of day
 	// Asked is when the sender made the call, by its own clock.
 	Asked time.Time `msgpack:"-"`
 }
--- a/coordinator/remembered_test.go
+++ b/coordinator/remembered_test.go
@@ -129,7 +129,7 @@
 	at := savedAt.Add(1500 * time.Millisecond)
 	c := restarted(dir, at)
 	c.shares.note("a", 0, at)
-	require.Equal(t, limit.Word{Entries: 2, Allowed: true}, c.shares.word("a", at))
+	require.Equal(t, limit.ShareVote{Entries: 2, Allowed: true}, c.shares.word("a", at))
 	require.Equal(t, "10.0.0.1:80", c.directory.Entries(at)[0].Address)
 	require.Empty(t, c.directory.LiveEntries(at), "it has not called yet")
 }
@@ -140,7 +140,7 @@
 	c := restarted(t.TempDir(), savedAt)
 	c.shares.note("a", 0, savedAt)
 	require.Zero(t, c.shares.word("a", savedAt))
-	later := savedAt.Add(limit.SharesKept)
+	later := savedAt.Add(limit.ShareTTL)
 	c.shares.note("a", 0, later)
-	require.Equal(t, limit.Word{Entries: 1, Allowed: true}, c.shares.word("a", later))
+	require.Equal(t, limit.ShareVote{Entries: 1, Allowed: true}, c.shares.word("a", later))
 }
--- a/coordinator/watch_test.go
+++ b/coordinator/watch_test.go
@@ -130,7 +130,7 @@
 	reply, err := c.watch(ctx, link.PeerInfo{}, req)
 	require.NoError(t, err)
 	require.NoError(t, ctx.Err(), "it did not wait")
-	require.Equal(t, limit.Word{Entries: 1, Allowed: true}, reply.Share)
+	require.Equal(t, limit.ShareVote{Entries: 1, Allowed: true}, reply.Share)
 }
 
 // Hundreds of entries follow each of some replicas. One of these tells an entry what all
--- a/gateway/bookkeeper_test.go
+++ b/gateway/bookkeeper_test.go
@@ -89,7 +89,7 @@
 	for _, l := range s.limits {
 		l.start = time.Now().Add(-time.Minute)
 		l.setWorkspaces([]routes.Workspace{{Name: "w", PerSecond: 0.5, Burst: 100}})
-		l.shares.take("c1", limit.Word{Entries: len(s.limits), Allowed: true}, 1, time.Now())
+		l.shares.take("c1", limit.ShareVote{Entries: len(s.limits), Allowed: true}, 1, time.Now())
 	}
 	require.Eventually(t, func() bool {
 		for _, l := range s.limits {
@@ -106,7 +106,7 @@
 	for _, l := range s.limits {
 		l.mu.Lock()
 		of, _ := l.limitOf("w")
-		most = max(most, l.keeper.Pool(limit.Key{Workspace: "w", Number: pool}, of, time.Now()).Parts(time.Now()))
+		most = max(most, l.keeper.Pool(limit.Key{Workspace: "w", Number: pool}, of, time.Now()).ShareSum(time.Now()))
 		l.mu.Unlock()
 	}
 	return most
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -71,7 +71,7 @@
 
 	mu         sync.Mutex
 	workspaces map[string]routes.Workspace // those with a limit
-	keeper     *limit.Keeper
+	keeper     *limit.PoolSet
 	closed     map[limit.Key]closure
 	silent     map[string]time.Time // entries that did not answer, until when they aren't asked
 	shares     *shares
@@ -91,7 +91,7 @@
 
 func newLimits(books *bookkeeper, own *shares, bounds site.Bounds, log *slog.Logger, now func() time.Time) *limits {
 	l := &limits{
-		books: books, bounds: bounds, log: log, now: now, workspaces: make(map[string]routes.Workspace), keeper: limit.NewKeeper(books.self.Name),
+		books: books, bounds: bounds, log: log, now: now, workspaces: make(map[string]routes.Workspace), keeper: limit.NewPoolSet(books.self.Name),
 		shares: own, lives: make(map[string]lenderLife), start: now(), first: make(chan struct{}), closed: make(map[limit.Key]closure), silent: make(map[string]time.Time), kept: make(map[string]bool),
 	}
 	l.asking.open = make(map[uint64]askedShares)
@@ -129,7 +129,7 @@
 			l.workspaces[w.Name] = w
 		}
 	}
-	l.keeper.Keep(func(workspace string) bool { return l.workspaces[workspace].PerSecond > 0 }, l.now())
+	l.keeper.Retain(func(workspace string) bool { return l.workspaces[workspace].PerSecond > 0 }, l.now())
 	l.asking.listed = time.Time{}
 }
 
@@ -144,18 +144,18 @@
 		since, l.hadPart = l.shares.freeSince(), true
 		time.AfterFunc(firstLending, func() { close(l.first) })
 	}
-	if part != l.keeper.Part() {
+	if part != l.keeper.Share() {
 		event.Log(context.Background(), l.log, slog.LevelInfo, event.ShareChanged,
-			slog.Float64("part", part), slog.Float64("before", l.keeper.Part()), slog.String("words", l.shares.String()))
+			slog.Float64("part", part), slog.Float64("before", l.keeper.Share()), slog.String("words", l.shares.String()))
 	}
-	l.keeper.SetPart(part, since, now)
+	l.keeper.SetShare(part, since, now)
 }
 
 // limitOf returns what each pool of a workspace's limit may have. l.mu is held.
 func (l *limits) limitOf(workspace string) (limit.Limit, bool) {
 	w, limited := l.workspaces[workspace]
 	allowed := l.bounds.QuotaOverrun*(w.PerSecond*l.bounds.QuotaWindow.Seconds()+w.Burst) + l.bounds.QuotaSlack
-	return limit.Limit{Size: (w.Burst + slackPart*allowed) / limitPools, Rate: w.PerSecond / limitPools, Spare: lateLeaves}, limited
+	return limit.Limit{Burst: (w.Burst + slackPart*allowed) / limitPools, Rate: w.PerSecond / limitPools, LateReserve: lateLeaves}, limited
 }
 
 // take uses up cost of the workspace's limit, or says when there will be enough. late
@@ -246,7 +246,7 @@
 	first := 0
 	for i, start := 0, rand.IntN(limitPools); i < limitPools; i++ {
 		key := limit.Key{Workspace: workspace, Number: (start + i) % limitPools}
-		keeper := l.keeper.Holder(key, now)
+		keeper := l.keeper.Borrower(key, now)
 		if keeper == "" {
 			if len(here) == 0 {
 				first = key.Number
@@ -261,7 +261,7 @@
 	if len(here) == 0 {
 		return decision{}, remote
 	}
-	ok, wait := limit.Take(here, cost, late, now)
+	ok, wait := limit.Allow(here, cost, late, now)
 	if wait <= 0 {
 		wait = noAnswerRetry // nothing is here
 	}
@@ -278,7 +278,7 @@
 		return limitAnswer{}, false
 	}
 	now := l.now()
-	ok, wait := limit.Take([]*limit.Pool{l.keeper.Pool(q.key(), of, now)}, q.Cost, q.Late, now)
+	ok, wait := limit.Allow([]*limit.Pool{l.keeper.Pool(q.key(), of, now)}, q.Cost, q.Late, now)
 	return limitAnswer{OK: ok, Wait: wait}, true
 }
 
@@ -286,7 +286,7 @@
 func (l *limits) refund(workspace string, cost float64, d *decision) {
 	q := limitQuestion{Workspace: workspace, Pool: d.pool, Cost: cost}
 	l.mu.Lock()
-	keeper := l.keeper.Holder(q.key(), l.now())
+	keeper := l.keeper.Borrower(q.key(), l.now())
 	l.mu.Unlock()
 	if keeper == "" {
 		l.putBack(&q)
@@ -300,7 +300,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if of, limited := l.limitOf(q.Workspace); limited && q.Pool >= 0 && q.Pool < limitPools {
-		l.keeper.Pool(q.key(), of, l.now()).Return(q.Cost, l.now())
+		l.keeper.Pool(q.key(), of, l.now()).Refund(q.Cost, l.now())
 	}
 }
 
@@ -331,7 +331,7 @@
 // logKept writes that this entry has begun to keep pools of a limit for others, or no
 // longer does. l.mu is held.
 func (l *limits) logKept(workspace string, parts float64) {
-	kept := parts > l.keeper.Part()
+	kept := parts > l.keeper.Share()
 	if kept == l.kept[workspace] {
 		return
 	}
@@ -341,7 +341,7 @@
 		delete(l.kept, workspace)
 	}
 	event.Log(context.Background(), l.log, slog.LevelInfo, event.LimitOwned,
-		slog.String("workspace", workspace), slog.Bool("owned", kept), slog.Float64("parts", parts), slog.Float64("ownPart", l.keeper.Part()))
+		slog.String("workspace", workspace), slog.Bool("owned", kept), slog.Float64("parts", parts), slog.Float64("ownPart", l.keeper.Share()))
 }
 
 // cost is what a request counts against its workspace's limit.
--- a/gateway/limitshares.go
+++ b/gateway/limitshares.go
@@ -68,12 +68,12 @@
 		l.mu.Unlock()
 		return
 	}
-	period := limit.AskPeriod(len(names) + 1)
+	period := limit.RenewPeriod(len(names) + 1)
 	if now.Sub(l.start) < startFor {
 		period = min(period, startAskPeriod)
 	}
 	l.asking.due = min(l.asking.due+float64(len(names))*float64(askEvery)/float64(period), float64(len(names)))
-	long := limit.LendTime(len(names) + 1)
+	long := limit.LeaseDuration(len(names) + 1)
 	var asked []string
 	for ; l.asking.due >= 1; l.asking.due-- {
 		l.asking.next = (l.asking.next + 1) % len(names)
@@ -118,7 +118,7 @@
 		of, _ := l.limitOf(workspace)
 		parts := 0.0
 		for n := range limitPools {
-			parts = max(parts, l.keeper.Pool(limit.Key{Workspace: workspace, Number: n}, of, now).Parts(now))
+			parts = max(parts, l.keeper.Pool(limit.Key{Workspace: workspace, Number: n}, of, now).ShareSum(now))
 		}
 		l.logKept(workspace, parts)
 	}
@@ -148,7 +148,7 @@
 	}
 	l.mu.Lock()
 	now := l.now()
-	told := sharesMessage{For: min(m.Shares.For, limit.LendTime(limit.Entries(l.keeper.Part())))}
+	told := sharesMessage{For: min(m.Shares.For, limit.LeaseDuration(limit.EntriesForShare(l.keeper.Share())))}
 	for _, key := range m.Shares.Pools {
 		if _, limited := l.workspaces[key.Workspace]; !limited || key.Number < 0 || key.Number >= limitPools {
 			continue
@@ -181,7 +181,7 @@
 	}
 	for i, key := range m.Shares.Pools {
 		saved := 0.0
-		if now.Sub(asked.at) <= limit.SavedFor {
+		if now.Sub(asked.at) <= limit.MaxSavedAge {
 			saved = m.Shares.Saved[i]
 		}
 		if of, limited := l.limitOf(key.Workspace); limited {
@@ -232,7 +232,7 @@
 func (l *limits) giveBack(m *message) {
 	l.mu.Lock()
 	if m.Life > l.lives[m.From].life {
-		l.lives[m.From] = lenderLife{life: m.Life, held: l.keeper.GiveBack(m.From, l.now())}
+		l.lives[m.From] = lenderLife{life: m.Life, held: l.keeper.ReturnShares(m.From, l.now())}
 	}
 	held := l.lives[m.From].held
 	l.mu.Unlock()
--- a/gateway/limitsite_test.go
+++ b/gateway/limitsite_test.go
@@ -35,8 +35,8 @@
 	rng     *rand.Rand
 	began   time.Time
 	entries []*limitEntry
-	only    []*limitEntry // those that callers use
-	roster  *limit.Roster // of the control replica
+	only    []*limitEntry   // those that callers use
+	roster  *limit.Registry // of the control replica
 
 	telling sync.Mutex // the control replica hears one at a time
 
@@ -75,7 +75,7 @@
 
 func newLimitSite(t *testing.T, entries int, perSecond, slack float64, seed uint64) *limitSite {
 	s := &limitSite{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), began: time.Now(), roster: limit.NewRoster(time.Now(), true),
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), began: time.Now(), roster: limit.NewRegistry(time.Now(), true),
 		w:      routes.Workspace{Name: "w", PerSecond: perSecond, Burst: perSecond},
 		bounds: site.Bounds{QuotaWindow: 8 * time.Second, QuotaOverrun: 0.1, QuotaSlack: slack},
 	}
@@ -141,8 +141,8 @@
 	if life.peers.take(digestOf(names), names, now) {
 		life.books.relist()
 	}
-	e.site.roster.Note(e.name, life.limits.shares.inUse(), now)
-	life.limits.shares.take("c1", e.site.roster.Word(e.name, now), 1, now)
+	e.site.roster.Observe(e.name, life.limits.shares.inUse(), now)
+	life.limits.shares.take("c1", e.site.roster.Vote(e.name, now), 1, now)
 }
 
 // digestOf stands for a list of names.
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -10,31 +10,31 @@
 // shares is this entry's share of the workspaces' limits, as the control replicas say.
 type shares struct {
 	mu    sync.Mutex
-	words *limit.Words
+	words *limit.ShareVotes
 }
 
-func newShares(start time.Time) *shares { return &shares{words: limit.NewWords(start)} }
+func newShares(start time.Time) *shares { return &shares{words: limit.NewShareVotes(start)} }
 
 // take takes a replica's answer to a call that was made at a time. replicas is how many it
 // knows, itself among them.
-func (s *shares) take(replica string, word limit.Word, replicas int, asked time.Time) {
+func (s *shares) take(replica string, word limit.ShareVote, replicas int, asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.words.Take(replica, word, replicas, asked)
+	s.words.Record(replica, word, replicas, asked)
 }
 
 // part returns this entry's share of every limit.
 func (s *shares) part(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.words.Part(now)
+	return s.words.Share(now)
 }
 
 // inUse returns the number of which the largest share that may be in use is a part.
 func (s *shares) inUse() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.words.InUse()
+	return s.words.DivisorInUse()
 }
 
 // settled reports whether what the life before this one had lent is back.
@@ -49,7 +49,7 @@
 func (s *shares) returned(entry string, held bool, up time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.words.Returned(entry, held, up, now)
+	s.words.RecordReturn(entry, held, up, now)
 }
 
 // hasReturned reports whether an entry has given back what the life before this one had lent.
@@ -63,7 +63,7 @@
 func (s *shares) freeSince() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.words.FreeSince()
+	return s.words.UnusedSince()
 }
 
 // String tells for the log what the share is taken from.
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -102,7 +102,7 @@
 // haveWholeLimits has a control replica say that the gateway is the only entry, for long.
 func (r *rig) haveWholeLimits() {
 	r.skip.Add(int64(time.Minute))
-	r.shares.take("c1", limit.Word{Entries: 1, Allowed: true}, 1, r.now())
+	r.shares.take("c1", limit.ShareVote{Entries: 1, Allowed: true}, 1, r.now())
 	r.Gateway.limits.takePart()
 }
 
--- a/policy/limit/keeper.go
+++ b/policy/limit/keeper.go
@@ -8,9 +8,9 @@
 	Number    int
 }
 
-// Keeper is what one entry has of all limits: its own shares, where they are lent, and
+// PoolSet is what one entry has of all limits: its own shares, where they are lent, and
 // the pools with what is lent to it.
-type Keeper struct {
+type PoolSet struct {
 	self string
 	part float64 // this entry's share of each pool
 	// since is since when nobody uses the share of a pool that is not in pools.
@@ -28,20 +28,20 @@
 	asked  time.Time // by the entry that should keep the pool, for the last time
 }
 
-// NewKeeper returns a Keeper that has no share yet.
-func NewKeeper(self string) *Keeper { return &Keeper{self: self, pools: make(map[Key]*kept)} }
+// NewPoolSet returns a Keeper that has no share yet.
+func NewPoolSet(self string) *PoolSet { return &PoolSet{self: self, pools: make(map[Key]*kept)} }
 
-// SetPart sets this entry's share, of which nobody has used anything since a time. What is
+// SetShare sets this entry's share, of which nobody has used anything since a time. What is
 // lent stays as it was lent.
-func (k *Keeper) SetPart(part float64, since, now time.Time) {
+func (k *PoolSet) SetShare(part float64, since, now time.Time) {
 	if part == k.part {
 		return
 	}
 	k.part, k.since = part, since
 	for _, p := range k.pools {
 		if k.settle(p, now) {
-			p.Drop(k.self, now)
-			p.Put(k.self, part, since, now.Add(always), now)
+			p.RemoveShare(k.self, now)
+			p.AddShare(k.self, part, since, now.Add(always), now)
 		}
 	}
 }
@@ -49,11 +49,11 @@
 // always stands for the end of what has none.
 const always = 100 * 365 * 24 * time.Hour
 
-// Part returns this entry's share.
-func (k *Keeper) Part() float64 { return k.part }
+// Share returns this entry's share.
+func (k *PoolSet) Share() float64 { return k.part }
 
 // of returns a pool as it is at now.
-func (k *Keeper) of(key Key, now time.Time) *kept {
+func (k *PoolSet) of(key Key, now time.Time) *kept {
 	p := k.pools[key]
 	if p == nil {
 		p = &kept{Pool: newPool(k.self, k.part, k.since, now.Add(always))}
@@ -65,27 +65,27 @@
 
 // settle takes this entry's share back once its lease has run out, and reports whether it
 // is here.
-func (k *Keeper) settle(p *kept, now time.Time) (here bool) {
+func (k *PoolSet) settle(p *kept, now time.Time) (here bool) {
 	if p.holder == "" {
 		return true
 	}
 	if now.Before(p.until) {
 		return false
 	}
-	p.Put(k.self, k.part, p.until, now.Add(always), now)
+	p.AddShare(k.self, k.part, p.until, now.Add(always), now)
 	p.holder = ""
 	return true
 }
 
 // Pool returns a pool with the limit in force.
-func (k *Keeper) Pool(key Key, l Limit, now time.Time) *Pool {
+func (k *PoolSet) Pool(key Key, l Limit, now time.Time) *Pool {
 	p := k.of(key, now)
-	p.Set(l, now)
+	p.SetLimit(l, now)
 	return &p.Pool
 }
 
-// Holder returns who has this entry's share of a pool; empty if it is here.
-func (k *Keeper) Holder(key Key, now time.Time) string { return k.of(key, now).holder }
+// Borrower returns who has this entry's share of a pool; empty if it is here.
+func (k *PoolSet) Borrower(key Key, now time.Time) string { return k.of(key, now).holder }
 
 // Lend lends this entry's share of a pool to an entry that asks for it, for so long from
 // now on. owner is the one that should keep the pool as far as is known here. Another one
@@ -93,7 +93,7 @@
 // reach this entry.
 //
 // What the share has brought goes with it: saved is what is left of it here.
-func (k *Keeper) Lend(key Key, asker, owner string, long time.Duration, now time.Time) (part, saved float64, ok bool) {
+func (k *PoolSet) Lend(key Key, asker, owner string, long time.Duration, now time.Time) (part, saved float64, ok bool) {
 	p := k.of(key, now)
 	if asker == owner {
 		p.asked = now
@@ -118,24 +118,24 @@
 }
 
 // Borrow takes another entry's share of a pool until a time, with what it had saved.
-func (k *Keeper) Borrow(key Key, from string, part, saved float64, until, now time.Time) {
+func (k *PoolSet) Borrow(key Key, from string, part, saved float64, until, now time.Time) {
 	p := k.of(key, now)
-	p.Put(from, part, now, until, now)
+	p.AddShare(from, part, now, until, now)
 	p.add(saved)
 }
 
-// GiveBack drops what an entry has lent, which has started anew and uses it itself. It
+// ReturnShares drops what an entry has lent, which has started anew and uses it itself. It
 // reports whether there was anything.
-func (k *Keeper) GiveBack(entry string, now time.Time) (held bool) {
+func (k *PoolSet) ReturnShares(entry string, now time.Time) (held bool) {
 	for _, p := range k.pools {
-		held = p.Drop(entry, now) || held
+		held = p.RemoveShare(entry, now) || held
 	}
 	return held
 }
 
-// Keep drops the pools of workspaces for which keep does not hold: their limits are gone.
+// Retain drops the pools of workspaces for which keep does not hold: their limits are gone.
 // One whose share is lent stays until it is back: the limit may come again.
-func (k *Keeper) Keep(keep func(workspace string) bool, now time.Time) {
+func (k *PoolSet) Retain(keep func(workspace string) bool, now time.Time) {
 	for key, p := range k.pools {
 		if !keep(key.Workspace) && k.settle(p, now) {
 			delete(k.pools, key)
--- a/policy/limit/lease.go
+++ b/policy/limit/lease.go
@@ -15,19 +15,19 @@
 	lendSlack = 100 * time.Millisecond
 	// lendMost bounds a lease: for so long a share is of no use when its keeper is lost.
 	lendMost = 8 * time.Second
-	// SavedFor is how old what a share had saved may be when it arrives with the share.
+	// MaxSavedAge is how old what a share had saved may be when it arrives with the share.
 	// For so long it may be here and, brought anew, there.
-	SavedFor = 100 * time.Millisecond
+	MaxSavedAge = 100 * time.Millisecond
 )
 
-// AskPeriod is how often a keeper asks each of so many entries.
-func AskPeriod(entries int) time.Duration { return max(askLeast, time.Duration(entries)*askEach) }
+// RenewPeriod is how often a keeper asks each of so many entries.
+func RenewPeriod(entries int) time.Duration { return max(askLeast, time.Duration(entries)*askEach) }
 
-// LendTime is for how long each of so many entries lends its shares.
-func LendTime(entries int) time.Duration { return min(2*AskPeriod(entries)+lendSlack, lendMost) }
+// LeaseDuration is for how long each of so many entries lends its shares.
+func LeaseDuration(entries int) time.Duration { return min(2*RenewPeriod(entries)+lendSlack, lendMost) }
 
-// Entries returns how many entries there are by the share of one; 0 where it has none.
-func Entries(part float64) int {
+// EntriesForShare returns how many entries there are by the share of one; 0 where it has none.
+func EntriesForShare(part float64) int {
 	if part <= 0 {
 		return 0
 	}
--- a/policy/limit/model_test.go
+++ b/policy/limit/model_test.go
@@ -33,8 +33,8 @@
 	began   time.Time // of this life
 	hadPart bool
 	at      time.Time // when it acts again, after it was frozen or down
-	keeper  *Keeper
-	words   *Words
+	keeper  *PoolSet
+	words   *ShareVotes
 	life    int
 	list    []string // the entries that it takes to be up
 	inbox   []func()
@@ -46,7 +46,7 @@
 type modelReplica struct {
 	name   string
 	group  int
-	roster *Roster
+	roster *Registry
 	memory []string
 	saved  time.Time
 }
@@ -82,9 +82,9 @@
 var modelKey = Key{Workspace: "w"}
 
 func newModel(t *testing.T, seed uint64, entries, replicas int) *model {
-	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: start, limit: Limit{Size: 150, Rate: 100}, wiped: start}
+	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: start, limit: Limit{Burst: 150, Rate: 100}, wiped: start}
 	for i := range replicas {
-		m.replicas = append(m.replicas, &modelReplica{name: fmt.Sprint("c", i), roster: NewRoster(m.now, true)})
+		m.replicas = append(m.replicas, &modelReplica{name: fmt.Sprint("c", i), roster: NewRegistry(m.now, true)})
 	}
 	for range entries {
 		m.addEntry()
@@ -103,7 +103,7 @@
 	e.life++
 	e.began = m.now
 	e.up, e.hadPart, e.inbox = true, false, nil
-	e.keeper, e.words = NewKeeper(e.name), NewWords(m.now)
+	e.keeper, e.words = NewPoolSet(e.name), NewShareVotes(m.now)
 	e.list, e.lives = nil, make(map[string]lenderLife)
 	e.askedAt, e.calls = make(map[string]time.Time), make(map[string]*modelCall)
 }
@@ -148,12 +148,12 @@
 		read()
 	}
 	e.inbox = nil
-	part := e.words.Part(m.now)
+	part := e.words.Share(m.now)
 	since := m.now
 	if part > 0 && !e.hadPart {
-		since, e.hadPart = e.words.FreeSince(), true
+		since, e.hadPart = e.words.UnusedSince(), true
 	}
-	e.keeper.SetPart(part, since, m.now)
+	e.keeper.SetShare(part, since, m.now)
 	if !e.words.Settled(m.now) {
 		m.askSharesBack(e)
 	}
@@ -176,12 +176,12 @@
 	if r.group != e.group {
 		return
 	}
-	r.roster.Note(e.name, e.words.InUse(), m.now)
-	word := r.roster.Word(e.name, m.now)
+	r.roster.Observe(e.name, e.words.DivisorInUse(), m.now)
+	word := r.roster.Vote(e.name, m.now)
 	m.send(r.group, e, func() {
 		if e.calls[r.name] == c {
 			c.answered = true
-			e.words.Take(r.name, word, len(m.replicas), c.at)
+			e.words.Record(r.name, word, len(m.replicas), c.at)
 		}
 	})
 }
@@ -201,13 +201,13 @@
 	entries := max(len(e.list), 1)
 	for _, name := range e.list {
 		o := m.find(name)
-		if o == nil || o == e || m.now.Sub(e.askedAt[name]) < AskPeriod(entries) {
+		if o == nil || o == e || m.now.Sub(e.askedAt[name]) < RenewPeriod(entries) {
 			continue
 		}
 		e.askedAt[name] = m.now
-		asked, long, life := m.now, LendTime(entries), e.life
+		asked, long, life := m.now, LeaseDuration(entries), e.life
 		m.send(e.group, o, func() {
-			long := min(long, LendTime(Entries(o.keeper.Part())))
+			long := min(long, LeaseDuration(EntriesForShare(o.keeper.Share())))
 			part, saved, ok := o.keeper.Lend(modelKey, e.name, owner(o.list), long, m.now)
 			if !ok || e.life != life {
 				return
@@ -216,7 +216,7 @@
 			m.send(o.group, e, func() {
 				until := asked.Add(time.Duration(modelClock * float64(long)))
 				if m.now.Before(until) && lender >= e.lives[o.name].life {
-					if m.now.Sub(asked) > SavedFor {
+					if m.now.Sub(asked) > MaxSavedAge {
 						saved = 0
 					}
 					e.keeper.Borrow(modelKey, o.name, part, saved, until, m.now)
@@ -235,11 +235,11 @@
 		}
 		m.send(e.group, o, func() {
 			if life > o.lives[e.name].life {
-				o.lives[e.name] = lenderLife{life, o.keeper.GiveBack(e.name, m.now)}
+				o.lives[e.name] = lenderLife{life, o.keeper.ReturnShares(e.name, m.now)}
 			}
 			held := o.lives[e.name].held
 			up := m.now.Sub(o.began)
-			m.send(o.group, e, func() { e.words.Returned(o.name, held, up, m.now) })
+			m.send(o.group, e, func() { e.words.RecordReturn(o.name, held, up, m.now) })
 		})
 	}
 }
@@ -252,7 +252,7 @@
 	m.trouble()
 	for _, r := range m.replicas {
 		if m.now.Sub(r.saved) >= time.Second {
-			r.saved, r.memory = m.now, r.roster.Names(m.now)
+			r.saved, r.memory = m.now, r.roster.AllowedEntries(m.now)
 		}
 	}
 	var rest []letter
@@ -284,7 +284,7 @@
 	const cost = 0.1
 	let := 0.0
 	for {
-		if ok, _ := Take([]*Pool{e.keeper.Pool(modelKey, m.limit, m.now)}, cost, false, m.now); !ok {
+		if ok, _ := Allow([]*Pool{e.keeper.Pool(modelKey, m.limit, m.now)}, cost, false, m.now); !ok {
 			return let
 		}
 		let += cost
@@ -296,7 +296,7 @@
 	sum := 0.0
 	for _, e := range m.entries {
 		if e.up {
-			sum += e.keeper.Pool(modelKey, m.limit, m.now).Parts(m.now)
+			sum += e.keeper.Pool(modelKey, m.limit, m.now).ShareSum(m.now)
 		}
 	}
 	require.LessOrEqual(m.t, sum, 1+1e-9, "shares in use at %s", m.now.Sub(start))
@@ -335,11 +335,11 @@
 		e.at = m.now.Add(time.Duration(m.rng.IntN(9000)) * time.Millisecond)
 	}
 	if r := m.replicas[m.rng.IntN(len(m.replicas))]; chance(0.2) {
-		r.roster = NewRoster(m.now, false)
-		if lost := m.now.Sub(m.wiped) > 2*SharesKept && m.rng.Float64() < 0.3; lost {
+		r.roster = NewRegistry(m.now, false)
+		if lost := m.now.Sub(m.wiped) > 2*ShareTTL && m.rng.Float64() < 0.3; lost {
 			m.wiped = m.now
 		} else {
-			r.roster.Recall(r.memory, m.now)
+			r.roster.Restore(r.memory, m.now)
 		}
 	}
 	if chance(0.02) && len(m.entries) < 12 {
@@ -369,7 +369,7 @@
 
 func (m *model) requireWindows(name string) {
 	window := int(modelWindow / modelStep)
-	most := m.limit.Rate*(modelWindow+SavedFor).Seconds() + m.limit.Size
+	most := m.limit.Rate*(modelWindow+MaxSavedAge).Seconds() + m.limit.Burst
 	for from := 0; from+window <= len(m.let); from++ {
 		sum := 0.0
 		for _, n := range m.let[from : from+window] {
--- a/policy/limit/pool.go
+++ b/policy/limit/pool.go
@@ -6,10 +6,10 @@
 
 // Limit is what may be used of a pool that has all shares, in the limit's unit.
 type Limit struct {
-	Size float64 // at once
-	Rate float64 // in a second
-	// Spare is the part of Size that requests leave which can't be in time any more.
-	Spare float64
+	Burst float64 // at once
+	Rate  float64 // in a second
+	// LateReserve is the part of Size that requests leave which can't be in time any more.
+	LateReserve float64
 }
 
 // Pool is what is left of a limit, as far as its shares are here. The zero Pool is empty.
@@ -43,8 +43,8 @@
 	return Pool{shares: map[string]share{entry: {part: part, from: since, until: until}}, at: since}
 }
 
-// Set takes the limit in force.
-func (p *Pool) Set(l Limit, now time.Time) {
+// SetLimit takes the limit in force.
+func (p *Pool) SetLimit(l Limit, now time.Time) {
 	if p.limit == (Limit{}) {
 		p.limit = l
 	}
@@ -53,9 +53,9 @@
 	p.level = min(p.level, p.size())
 }
 
-// Put adds an entry's share from a time that may have passed until another one, or
+// AddShare adds an entry's share from a time that may have passed until another one, or
 // replaces the one that was there.
-func (p *Pool) Put(entry string, part float64, from, until, now time.Time) {
+func (p *Pool) AddShare(entry string, part float64, from, until, now time.Time) {
 	p.fill(now)
 	if p.shares == nil {
 		p.shares = make(map[string]share)
@@ -71,8 +71,8 @@
 	p.add(p.limit.Rate * part * positive(now.Sub(from)))
 }
 
-// Drop takes an entry's share out and reports whether it was there.
-func (p *Pool) Drop(entry string, now time.Time) (held bool) {
+// RemoveShare takes an entry's share out and reports whether it was there.
+func (p *Pool) RemoveShare(entry string, now time.Time) (held bool) {
 	p.fill(now)
 	_, held = p.shares[entry]
 	delete(p.shares, entry)
@@ -84,12 +84,12 @@
 func (p *Pool) takeOut(entry string, now time.Time) float64 {
 	p.fill(now)
 	before := p.level
-	p.Drop(entry, now)
+	p.RemoveShare(entry, now)
 	return max(before, 0) - max(p.level, 0)
 }
 
-// Parts is the sum of the shares that are here.
-func (p *Pool) Parts(now time.Time) float64 {
+// ShareSum is the sum of the shares that are here.
+func (p *Pool) ShareSum(now time.Time) float64 {
 	p.fill(now)
 	return p.parts()
 }
@@ -102,7 +102,7 @@
 	return sum
 }
 
-func (p *Pool) size() float64 { return p.limit.Size * p.parts() }
+func (p *Pool) size() float64 { return p.limit.Burst * p.parts() }
 
 // fill brings the pool up to now.
 func (p *Pool) fill(now time.Time) {
@@ -132,15 +132,15 @@
 
 func positive(d time.Duration) float64 { return max(d.Seconds(), 0) }
 
-// Return gives back what a request that did not run had taken.
-func (p *Pool) Return(cost float64, now time.Time) {
+// Refund gives back what a request that did not run had taken.
+func (p *Pool) Refund(cost float64, now time.Time) {
 	p.fill(now)
 	p.add(cost)
 }
 
-// Take takes cost from pools of one limit that are at one place, or says when there will
+// Allow takes cost from pools of one limit that are at one place, or says when there will
 // be enough. late says that the request's objective has passed.
-func Take(pools []*Pool, cost float64, late bool, now time.Time) (ok bool, wait time.Duration) {
+func Allow(pools []*Pool, cost float64, late bool, now time.Time) (ok bool, wait time.Duration) {
 	var level, size, rate, parts, promised, spare float64
 	for _, p := range pools {
 		p.fill(now)
@@ -149,7 +149,7 @@
 		rate += p.limit.Rate * p.parts()
 		parts += p.parts()
 		promised += p.promised
-		spare = p.limit.Spare
+		spare = p.limit.LateReserve
 	}
 	need := cost
 	if late {
--- a/policy/limit/pool_test.go
+++ b/policy/limit/pool_test.go
@@ -12,13 +12,13 @@
 // full returns a pool that has all shares, filled up to level.
 func full(l Limit, level float64) *Pool {
 	p := &Pool{}
-	p.Set(l, start)
-	p.Put("self", 1, start.Add(-time.Duration(level/l.Rate*float64(time.Second))), start.Add(always), start)
+	p.SetLimit(l, start)
+	p.AddShare("self", 1, start.Add(-time.Duration(level/l.Rate*float64(time.Second))), start.Add(always), start)
 	return p
 }
 
 func take(p *Pool, cost float64, late bool, now time.Time) (bool, time.Duration) {
-	return Take([]*Pool{p}, cost, late, now)
+	return Allow([]*Pool{p}, cost, late, now)
 }
 
 // A workspace sends ten times its limit. What is let in is the limit, in every second,
@@ -26,7 +26,7 @@
 // come back for the room of one.
 func TestLimitUnderASurge(t *testing.T) {
 	const rate, size, cost = 100.0, 200.0, 10.0
-	p := full(Limit{Size: size, Rate: rate}, size)
+	p := full(Limit{Burst: size, Rate: rate}, size)
 	let := make([]float64, 10)
 	waits := make(map[time.Duration]bool)
 	refused := 0
@@ -52,7 +52,7 @@
 // One request is larger than all that its workspace may use at once. It goes through
 // once the pool is full, and is paid off afterwards.
 func TestRequestLargerThanTheLimit(t *testing.T) {
-	p := full(Limit{Size: 100, Rate: 10}, 50)
+	p := full(Limit{Burst: 100, Rate: 10}, 50)
 	ok, wait := take(p, 250, false, start)
 	require.False(t, ok)
 	require.Equal(t, 5*time.Second, wait)
@@ -67,8 +67,8 @@
 // so would each of the others: together they would pass the limit.
 func TestSmallPoolLetsInNoLargeRequest(t *testing.T) {
 	p := &Pool{}
-	p.Set(Limit{Size: 100, Rate: 10}, start)
-	p.Put("self", 0.25, start, start.Add(always), start)
+	p.SetLimit(Limit{Burst: 100, Rate: 10}, start)
+	p.AddShare("self", 0.25, start, start.Add(always), start)
 	ok, _ := take(p, 60, false, start.Add(time.Minute))
 	require.False(t, ok)
 	ok, _ = take(p, 25, false, start.Add(time.Minute))
@@ -78,7 +78,7 @@
 // Requests that are late already leave a part of the limit to those that are not, and are
 // let in once the workspace sends less.
 func TestLateRequestsLeaveRoom(t *testing.T) {
-	p := full(Limit{Size: 100, Rate: 10, Spare: 0.25}, 30)
+	p := full(Limit{Burst: 100, Rate: 10, LateReserve: 0.25}, 30)
 	ok, _ := take(p, 10, true, start)
 	require.False(t, ok)
 	ok, _ = take(p, 10, false, start)
@@ -92,8 +92,8 @@
 // A limit is lowered far below what a workspace sends. What it had saved up under the old
 // limit is not let in any more.
 func TestLimitIsLowered(t *testing.T) {
-	p := full(Limit{Size: 1000, Rate: 1000}, 1000)
-	p.Set(Limit{Size: 10, Rate: 10}, start)
+	p := full(Limit{Burst: 1000, Rate: 1000}, 1000)
+	p.SetLimit(Limit{Burst: 10, Rate: 10}, start)
 	let := 0
 	for range 1000 {
 		if ok, _ := take(p, 1, false, start); ok {
@@ -106,21 +106,21 @@
 // An entry has lent its share and is cut off from the keeper. The keeper stops counting on
 // it when the lease ends, and the entry takes it back then, with what it has brought since.
 func TestShareComesBackWhenTheLeaseEnds(t *testing.T) {
-	l := Limit{Size: 100, Rate: 100}
-	k := NewKeeper("a")
-	k.SetPart(0.5, start, start)
+	l := Limit{Burst: 100, Rate: 100}
+	k := NewPoolSet("a")
+	k.SetShare(0.5, start, start)
 	key := Key{Workspace: "w"}
 	k.Pool(key, l, start)
 	part, saved, ok := k.Lend(key, "b", "b", time.Second, start)
 	require.True(t, ok)
 	require.Equal(t, 0.5, part)
 	require.Zero(t, saved)
-	require.Equal(t, "b", k.Holder(key, start))
+	require.Equal(t, "b", k.Borrower(key, start))
 	ok, _ = take(k.Pool(key, l, start.Add(900*time.Millisecond)), 1, false, start.Add(900*time.Millisecond))
 	require.False(t, ok, "lent")
 
 	at := start.Add(1200 * time.Millisecond)
-	require.Empty(t, k.Holder(key, at))
+	require.Empty(t, k.Borrower(key, at))
 	p := k.Pool(key, l, at)
 	ok, _ = take(p, 10, false, at)
 	require.True(t, ok)
@@ -131,8 +131,8 @@
 // Entries differ about who keeps a pool. A share is lent to one at a time, and goes over to
 // the one that should have it when the lease ends.
 func TestShareIsLentToOne(t *testing.T) {
-	k := NewKeeper("a")
-	k.SetPart(0.5, start, start)
+	k := NewPoolSet("a")
+	k.SetShare(0.5, start, start)
 	key := Key{Workspace: "w"}
 	lend := func(asker string, at time.Duration) bool {
 		_, _, ok := k.Lend(key, asker, "c", time.Second, start.Add(at))
@@ -148,13 +148,13 @@
 
 // A limit is taken away and comes again at once, while an entry's share of it is lent.
 func TestLentShareOutlastsItsLimit(t *testing.T) {
-	k := NewKeeper("a")
-	k.SetPart(0.5, start, start)
+	k := NewPoolSet("a")
+	k.SetShare(0.5, start, start)
 	key := Key{Workspace: "w"}
 	_, _, ok := k.Lend(key, "b", "b", time.Second, start)
 	require.True(t, ok)
-	k.Keep(func(string) bool { return false }, start.Add(100*time.Millisecond))
-	require.Equal(t, "b", k.Holder(key, start.Add(200*time.Millisecond)))
-	k.Keep(func(string) bool { return false }, start.Add(2*time.Second))
+	k.Retain(func(string) bool { return false }, start.Add(100*time.Millisecond))
+	require.Equal(t, "b", k.Borrower(key, start.Add(200*time.Millisecond)))
+	k.Retain(func(string) bool { return false }, start.Add(2*time.Second))
 	require.Empty(t, k.pools)
 }
--- a/policy/limit/roster.go
+++ b/policy/limit/roster.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// SharesKept is how long a control replica counts an entry among those that may use a share
+// ShareTTL is how long a control replica counts an entry among those that may use a share
 // of the limits after its last call. An entry stops using its share sooner than that without
 // a word of most replicas, so that the rest may have it.
-const SharesKept = time.Minute
+const ShareTTL = time.Minute
 
-// Word is what a replica says of an entry's share of the limits. The zero Word says nothing:
+// ShareVote is what a replica says of an entry's share of the limits. The zero ShareVote says nothing:
 // a replica that has just started without its memory knows of too few.
-type Word struct {
+type ShareVote struct {
 	Entries int  `msgpack:"n"` // that may use a share, this one among them
 	Allowed bool `msgpack:"ok"`
 }
 
-// Roster is what a control replica knows of the entries that may use a share of the
+// Registry is what a control replica knows of the entries that may use a share of the
 // workspaces' limits. It says which may.
 //
 // The shares of all entries must not come to more than one. So an entry is counted for
 // long after its last call, since it may be cut off and go on; and a new one may use a
 // share only once each of the others has said that its own is small enough.
-type Roster struct {
+type Registry struct {
 	settled time.Time // from when on all entries are known
 	entries map[string]*sharer
 }
@@ -39,19 +39,19 @@
 // unknownShare is the divisor of an entry that has not called since this replica began.
 const unknownShare = -1
 
-// NewRoster returns the roster of a replica that starts. firstStart says that the whole
+// NewRegistry returns the roster of a replica that starts. firstStart says that the whole
 // system does: there is no entry then that it doesn't know.
-func NewRoster(now time.Time, firstStart bool) *Roster {
-	r := &Roster{entries: make(map[string]*sharer), settled: now}
+func NewRegistry(now time.Time, firstStart bool) *Registry {
+	r := &Registry{entries: make(map[string]*sharer), settled: now}
 	if !firstStart {
-		r.settled = now.Add(SharesKept)
+		r.settled = now.Add(ShareTTL)
 	}
 	return r
 }
 
-// Recall takes the entries that were written down before this replica started. Each may
+// Restore takes the entries that were written down before this replica started. Each may
 // have called in the last moment.
-func (r *Roster) Recall(names []string, now time.Time) {
+func (r *Registry) Restore(names []string, now time.Time) {
 	for _, name := range names {
 		if r.entries[name] == nil {
 			r.entries[name] = &sharer{heard: now, divisor: unknownShare, allowed: true}
@@ -60,10 +60,10 @@
 	r.settled = now
 }
 
-// Note takes a call of an entry, whose largest share that is in use is a part of divisor.
-func (r *Roster) Note(name string, divisor int, now time.Time) {
+// Observe takes a call of an entry, whose largest share that is in use is a part of divisor.
+func (r *Registry) Observe(name string, divisor int, now time.Time) {
 	s := r.entries[name]
-	if s == nil || now.Sub(s.heard) > SharesKept {
+	if s == nil || now.Sub(s.heard) > ShareTTL {
 		s = &sharer{}
 		r.entries[name] = s
 	}
@@ -73,27 +73,27 @@
 	}
 }
 
-// Word returns what an entry is told.
-func (r *Roster) Word(name string, now time.Time) Word {
+// Vote returns what an entry is told.
+func (r *Registry) Vote(name string, now time.Time) ShareVote {
 	for other, s := range r.entries {
-		if now.Sub(s.heard) > SharesKept {
+		if now.Sub(s.heard) > ShareTTL {
 			delete(r.entries, other)
 		}
 	}
 	s := r.entries[name]
 	if s == nil || now.Before(r.settled) {
-		return Word{}
+		return ShareVote{}
 	}
 	n := len(r.entries)
 	s.allowed = s.allowed || r.othersLeave(name, n)
 	if s.allowed && s.divisor == 0 {
 		s.divisor = n // from this word on
 	}
-	return Word{Entries: n, Allowed: s.allowed}
+	return ShareVote{Entries: n, Allowed: s.allowed}
 }
 
 // othersLeave reports whether no other entry uses more than one share of n.
-func (r *Roster) othersLeave(name string, n int) bool {
+func (r *Registry) othersLeave(name string, n int) bool {
 	for other, s := range r.entries {
 		if other != name && s.divisor != 0 && s.divisor < n {
 			return false
@@ -102,11 +102,11 @@
 	return true
 }
 
-// Names returns the entries that may use a share, in order.
-func (r *Roster) Names(now time.Time) []string {
+// AllowedEntries returns the entries that may use a share, in order.
+func (r *Registry) AllowedEntries(now time.Time) []string {
 	names := make([]string, 0, len(r.entries))
 	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
-		if s := r.entries[name]; s.allowed && now.Sub(s.heard) <= SharesKept {
+		if s := r.entries[name]; s.allowed && now.Sub(s.heard) <= ShareTTL {
 			names = append(names, name)
 		}
 	}
--- a/policy/limit/words.go
+++ b/policy/limit/words.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Words is what the control replicas say of this entry's share of every limit: how
+// ShareVotes is what the control replicas say of this entry's share of every limit: how
 // many entries there may be that use one, and whether this one may.
 //
 // An entry that took its share by the word of a few replicas might be one of those that
 // are cut off with them, while the others have given its share to the rest. So most
 // replicas must have said it, and not too long ago: they count an entry for
 // SharesKept after its last call.
-type Words struct {
+type ShareVotes struct {
 	start     time.Time            // of this life
 	returned  map[string]bool      // entries that have given back what the life before lent
 	freeSince time.Time            // since when nobody uses what that life lent, once it is settled
@@ -25,34 +25,34 @@
 
 // heardWord is one replica's last word.
 type heardWord struct {
-	Word
+	ShareVote
 	replicas int       // that it knows
 	at       time.Time // when it was asked
 }
 
 // shareFor is how long a replica's word counts: shorter than it counts this entry, by more
 // than a lease and a call take.
-const shareFor = SharesKept - 10*time.Second
+const shareFor = ShareTTL - 10*time.Second
 
-// NewWords returns Words of no replica, for an entry that starts.
-func NewWords(start time.Time) *Words {
-	return &Words{start: start, freeSince: start, returned: make(map[string]bool), words: make(map[string]heardWord)}
+// NewShareVotes returns Words of no replica, for an entry that starts.
+func NewShareVotes(start time.Time) *ShareVotes {
+	return &ShareVotes{start: start, freeSince: start, returned: make(map[string]bool), words: make(map[string]heardWord)}
 }
 
-// Take takes a replica's answer to a call that was made at a time. replicas is how many it
+// Record takes a replica's answer to a call that was made at a time. replicas is how many it
 // knows, itself among them.
-func (w *Words) Take(replica string, word Word, replicas int, asked time.Time) {
-	w.words[replica] = heardWord{Word: word, replicas: replicas, at: asked}
+func (w *ShareVotes) Record(replica string, word ShareVote, replicas int, asked time.Time) {
+	w.words[replica] = heardWord{ShareVote: word, replicas: replicas, at: asked}
 }
 
 // answersFor is for how long an entry that starts waits for the others' answers beyond the
 // end of all leases. With all of them it has what its share has brought since the start.
 const answersFor = 200 * time.Millisecond
 
-// Returned takes that an entry, which started so long ago, has given back what the life
+// RecordReturn takes that an entry, which started so long ago, has given back what the life
 // before this one had lent it, if it held anything. Its own life before may have held it
 // until it ended.
-func (w *Words) Returned(entry string, held bool, up time.Duration, now time.Time) {
+func (w *ShareVotes) RecordReturn(entry string, held bool, up time.Duration, now time.Time) {
 	free := now.Add(-up)
 	if held {
 		free = now
@@ -65,15 +65,15 @@
 
 // HasReturned reports whether an entry has given back what the life before this one had lent
 // it.
-func (w *Words) HasReturned(entry string) bool { return w.returned[entry] }
+func (w *ShareVotes) HasReturned(entry string) bool { return w.returned[entry] }
 
 // Settled reports whether the share that the life before this one may have lent in its last
 // moment is back: all others have said so, or the lease has run out.
-func (w *Words) Settled(now time.Time) bool {
+func (w *ShareVotes) Settled(now time.Time) bool {
 	if w.counted > 0 && len(w.returned) >= w.counted-1 {
 		return true
 	}
-	end := w.start.Add(LendTime(w.counted) + lendSlack)
+	end := w.start.Add(LeaseDuration(w.counted) + lendSlack)
 	if now.Before(end.Add(answersFor)) {
 		return false
 	}
@@ -83,11 +83,11 @@
 	return true
 }
 
-// FreeSince is since when nobody has used this entry's share, when it gets one first.
-func (w *Words) FreeSince() time.Time { return w.freeSince }
+// UnusedSince is since when nobody has used this entry's share, when it gets one first.
+func (w *ShareVotes) UnusedSince() time.Time { return w.freeSince }
 
-// Part returns this entry's share of every limit.
-func (w *Words) Part(now time.Time) float64 {
+// Share returns this entry's share of every limit.
+func (w *ShareVotes) Share(now time.Time) float64 {
 	allowed, replicas, entries := 0, 0, 0
 	for replica, said := range w.words {
 		if now.Sub(said.at) > shareFor {
@@ -113,19 +113,19 @@
 
 // use takes a divisor into use. A larger share that was lent under the one before may be
 // in use until the lease runs out.
-func (w *Words) use(divisor int, now time.Time) {
+func (w *ShareVotes) use(divisor int, now time.Time) {
 	if divisor != w.divisor {
 		w.divisor, w.changedAt = divisor, now
 	}
 	grew := divisor > 0 && (w.told == 0 || divisor < w.told)
-	if grew || now.Sub(w.changedAt) > LendTime(max(divisor, w.told)) {
+	if grew || now.Sub(w.changedAt) > LeaseDuration(max(divisor, w.told)) {
 		w.told = divisor
 	}
 }
 
-// InUse returns the divisor of the largest share of this entry that may be in use, or of
+// DivisorInUse returns the divisor of the largest share of this entry that may be in use, or of
 // the one that would be; 0 if no replica has said.
-func (w *Words) InUse() int {
+func (w *ShareVotes) DivisorInUse() int {
 	if w.told > 0 {
 		return w.told
 	}
@@ -133,7 +133,7 @@
 }
 
 // String tells for a log what the share is taken from.
-func (w *Words) String() string {
+func (w *ShareVotes) String() string {
 	allowed, replicas := 0, 0
 	for _, said := range w.words {
 		replicas = max(replicas, said.replicas)
