--- a/capacity/state.go
+++ b/capacity/state.go
@@ -58,7 +58,7 @@
 		}
 	}
 	decode = processorTime() - decode
-	book := contract.NewBook()
+	book := contract.NewState()
 	apply := processorTime()
 	for i := range rounds {
 		c.Workspaces[0].Weight = 1 + i
--- a/contract/book.go
+++ b/contract/book.go
@@ -14,11 +14,11 @@
 // a half days.
 const HistoryLength = 2048
 
-// Book is the state machine of the catalogue: the version in force, the
+// State is the state machine of the catalogue: the version in force, the
 // planned stops, the history, and the results of recent changes. It is
 // deterministic, so every replica that applies the same changes in the same
-// order holds the same Book. It is not safe for concurrent use.
-type Book struct {
+// order holds the same State. It is not safe for concurrent use.
+type State struct {
 	version   uint64
 	catalogue Catalogue
 	stops     []Stop // by id
@@ -32,22 +32,22 @@
 	Result Result `msgpack:"r"`
 }
 
-// NewBook returns the empty Book, at version 0.
-func NewBook() *Book {
-	return &Book{results: map[string]rememberedResult{}}
+// NewState returns the empty Book, at version 0.
+func NewState() *State {
+	return &State{results: map[string]rememberedResult{}}
 }
 
 // Version is the number of the last accepted change.
-func (b *Book) Version() uint64 { return b.version }
+func (b *State) Version() uint64 { return b.version }
 
 // Catalogue returns the catalogue in force. The caller must not change it.
-func (b *Book) Catalogue() Catalogue { return b.catalogue }
+func (b *State) Catalogue() Catalogue { return b.catalogue }
 
 // Stops returns the planned stops in force, by id.
-func (b *Book) Stops() []Stop { return slices.Clone(b.stops) }
+func (b *State) Stops() []Stop { return slices.Clone(b.stops) }
 
 // History returns the newest n accepted changes, newest first.
-func (b *Book) History(n int) []Entry {
+func (b *State) History(n int) []Entry {
 	out := slices.Clone(b.history[max(0, len(b.history)-n):])
 	slices.Reverse(out)
 	return out
@@ -57,7 +57,7 @@
 // change would otherwise be refused as a conflict with itself, and its operator
 // would believe that it had not taken hold; so the first result is kept by
 // change id and given again.
-func (b *Book) Apply(c Change) Result {
+func (b *State) Apply(c Change) Result {
 	digest := changeDigest(c)
 	if known, resent := b.results[c.ID]; resent {
 		if known.Digest != digest {
@@ -70,7 +70,7 @@
 	return r
 }
 
-func (b *Book) apply(c Change) Result {
+func (b *State) apply(c Change) Result {
 	switch c.Kind {
 	case ChangeApply:
 		return b.applyCatalogue(c)
@@ -83,7 +83,7 @@
 	}
 }
 
-func (b *Book) applyCatalogue(c Change) Result {
+func (b *State) applyCatalogue(c Change) Result {
 	if c.Catalogue == nil {
 		return b.refuse(CodeInvalid, "no catalogue in the change")
 	}
@@ -104,7 +104,7 @@
 // conflict answers a change made against another version than the one in
 // force: of two changes with equal versions the first wins, and the other
 // operator sees which change won in place of silently undoing it.
-func (b *Book) conflict(c Change) Result {
+func (b *State) conflict(c Change) Result {
 	r := b.refuse(CodeConflict, fmt.Sprintf("made against version %d, in force is %d", c.Base, b.version))
 	for i := range b.history {
 		if b.history[i].Version == c.Base+1 {
@@ -115,7 +115,7 @@
 	return r
 }
 
-func (b *Book) planStop(c Change) Result {
+func (b *State) planStop(c Change) Result {
 	if c.Stop == nil {
 		return b.refuse(CodeInvalid, "no stop in the change")
 	}
@@ -130,7 +130,7 @@
 	return b.accept(c, []string{"stop " + c.Stop.ID + ": " + string(c.Stop.Scope) + " " + c.Stop.Name})
 }
 
-func (b *Book) cancelStop(c Change) Result {
+func (b *State) cancelStop(c Change) Result {
 	if c.Stop == nil {
 		return b.refuse(CodeInvalid, "no stop in the change")
 	}
@@ -142,7 +142,7 @@
 	return b.accept(c, []string{"stop " + c.Stop.ID + ": cancelled"})
 }
 
-func (b *Book) findStop(id string) (int, bool) {
+func (b *State) findStop(id string) (int, bool) {
 	return slices.BinarySearchFunc(b.stops, id, func(s Stop, id string) int {
 		switch {
 		case s.ID < id:
@@ -155,7 +155,7 @@
 	})
 }
 
-func (b *Book) accept(c Change, summary []string) Result {
+func (b *State) accept(c Change, summary []string) Result {
 	b.version++
 	b.history = append(b.history, Entry{
 		Version: b.version, ChangeID: c.ID, By: c.By, At: c.At, Kind: c.Kind.String(), Summary: summary,
@@ -166,11 +166,11 @@
 	return Result{Code: CodeAccepted, Version: b.version}
 }
 
-func (b *Book) refuse(code Code, reason string) Result {
+func (b *State) refuse(code Code, reason string) Result {
 	return Result{Code: code, Version: b.version, Reason: reason}
 }
 
-func (b *Book) remember(id string, r rememberedResult) {
+func (b *State) remember(id string, r rememberedResult) {
 	b.results[id] = r
 	b.order = append(b.order, id)
 	if len(b.order) > HistoryLength {
@@ -201,7 +201,7 @@
 }
 
 // Snapshot encodes the whole Book.
-func (b *Book) Snapshot() ([]byte, error) {
+func (b *State) Snapshot() ([]byte, error) {
 	enc, err := msgpack.Marshal(&bookSnapshot{
 		Version: b.version, Catalogue: b.catalogue, Stops: b.stops,
 		History: b.history, Results: b.results, Order: b.order,
@@ -209,8 +209,8 @@
 	return enc, trace.Wrap(err, "step=snapshot catalogue")
 }
 
-// RestoreBook decodes what Snapshot wrote.
-func RestoreBook(enc []byte) (*Book, error) {
+// RestoreState decodes what Snapshot wrote.
+func RestoreState(enc []byte) (*State, error) {
 	var s bookSnapshot
 	if err := msgpack.Unmarshal(enc, &s); err != nil {
 		return nil, trace.Wrap(err, "step=restore catalogue")
@@ -218,7 +218,7 @@
 	if s.Results == nil {
 		s.Results = map[string]rememberedResult{}
 	}
-	return &Book{
+	return &State{
 		version: s.Version, catalogue: s.Catalogue, stops: s.Stops,
 		history: s.History, results: s.Results, order: s.Order,
 	}, nil
--- a/contract/book_test.go
+++ b/contract/book_test.go
@@ -27,7 +27,7 @@
 // find his workspace gone the next morning.
 // Without the comparison of Base in applyCatalogue this test fails.
 func TestBookRefusesTheSecondOfTwoEqualVersions(t *testing.T) {
-	b := NewBook()
+	b := NewState()
 	require.Equal(t, CodeAccepted, b.Apply(applyChange("one", 0, "a")).Code)
 	r := b.Apply(applyChange("two", 0, "b"))
 	require.Equal(t, CodeConflict, r.Code)
@@ -40,7 +40,7 @@
 // would believe that it had not taken hold.
 // Without the look-up in Book.Apply this test fails.
 func TestBookAnswersAResendWithTheFirstResult(t *testing.T) {
-	b := NewBook()
+	b := NewState()
 	first := b.Apply(applyChange("one", 0, "a"))
 	b.Apply(applyChange("two", 1, "a", "b"))
 	require.Equal(t, first, b.Apply(applyChange("one", 0, "a")))
@@ -49,7 +49,7 @@
 }
 
 func TestBookPlansAndCancelsStops(t *testing.T) {
-	b := NewBook()
+	b := NewState()
 	stop := &Stop{ID: "zone-z1", Scope: StopZone, Name: "z1"}
 	require.Equal(t, CodeAccepted, b.Apply(Change{ID: "1", Kind: ChangeStopPlan, Stop: stop}).Code)
 	require.Equal(t, CodeInvalid, b.Apply(Change{ID: "2", Kind: ChangeStopPlan, Stop: stop}).Code)
@@ -65,7 +65,7 @@
 // would be in force at one entry and not at another.
 func TestBookKeepsAcceptedChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := NewBook(), NewBook()
+		a, b := NewState(), NewState()
 		var sent []Change
 		for i := range rapid.IntRange(1, 60).Draw(t, "changes") {
 			c := applyChange(fmt.Sprint("c", i), a.Version(), fmt.Sprint("w", i))
@@ -84,7 +84,7 @@
 			if rapid.Bool().Draw(t, "restart") {
 				snap, err := b.Snapshot()
 				require.NoError(t, err)
-				b, err = RestoreBook(snap)
+				b, err = RestoreState(snap)
 				require.NoError(t, err)
 			}
 		}
--- a/control/control.go
+++ b/control/control.go
@@ -60,8 +60,8 @@
 		return nil, trace.Wrap(err, "step=read replicas")
 	}
 	c := &Control{cfg: cfg, log: deps.Log, now: deps.Now, metrics: metrics.NewSet()}
-	book := roster.NewBook(peers)
-	c.machine = NewMachine(c.catalogueChanged, book.Learn)
+	book := roster.NewAddressBook(peers)
+	c.machine = NewMachine(c.catalogueChanged, book.SetMembers)
 	c.traffic = link.NewTraffic(c.metrics)
 	c.pool = link.NewPool(link.PoolConfig{Self: c.peerInfo(), ClusterKey: []byte(cfg.ClusterKey)},
 		link.PoolDeps{Log: deps.Log, Traffic: c.traffic})
--- a/control/machine.go
+++ b/control/machine.go
@@ -20,7 +20,7 @@
 // called by one goroutine; the readers may be called from any.
 type Machine struct {
 	mu        sync.RWMutex
-	book      *contract.Book
+	book      *contract.State
 	ledger    *ledger.Ledger
 	catalogue uint64 // log index of the last catalogue entry applied
 	firstTerm uint64 // term of the first catalogue entry; 0: there is none
@@ -42,7 +42,7 @@
 		onReplicas = func([]api.ReplicaAddress) {}
 	}
 	return &Machine{
-		book: contract.NewBook(), ledger: ledger.New(ledger.MaxRecords),
+		book: contract.NewState(), ledger: ledger.New(ledger.MaxRecords),
 		onCatalogue: onCatalogue, onReplicas: onReplicas,
 	}
 }
@@ -169,7 +169,7 @@
 	if err := msgpack.Unmarshal(enc, &s); err != nil {
 		return trace.Wrap(err, "step=restore")
 	}
-	book, err := contract.RestoreBook(s.Book)
+	book, err := contract.RestoreState(s.Book)
 	if err != nil {
 		return err
 	}
--- a/control/replicas_test.go
+++ b/control/replicas_test.go
@@ -37,8 +37,8 @@
 	}
 	enc, err := from.Snapshot()
 	require.NoError(t, err)
-	book := roster.NewBook(nil)
-	to := NewMachine(nil, book.Learn)
+	book := roster.NewAddressBook(nil)
+	to := NewMachine(nil, book.SetMembers)
 	require.NoError(t, to.Restore(enc))
 	require.Equal(t, from.Fleet(), to.Fleet())
 	require.Equal(t, uint64(1), to.Fleet().Version)
@@ -56,11 +56,11 @@
 //
 // It breaks without Book.Hear.
 func TestAddressIsHeardBeforeItIsLearnt(t *testing.T) {
-	book := roster.NewBook(map[uint64]string{1: "127.0.0.1:1"})
-	book.Hear(1, "127.0.0.1:9")
-	book.Hear(4, "127.0.0.1:4")
+	book := roster.NewAddressBook(map[uint64]string{1: "127.0.0.1:1"})
+	book.Observe(1, "127.0.0.1:9")
+	book.Observe(4, "127.0.0.1:4")
 	require.Equal(t, []api.ReplicaAddress{{ID: 1, Address: "127.0.0.1:1"}, {ID: 4, Address: "127.0.0.1:4"}, {ID: 5}}, book.Members([]uint64{1, 4, 5}))
-	book.Learn([]api.ReplicaAddress{{ID: 4, Address: "127.0.0.1:44"}})
+	book.SetMembers([]api.ReplicaAddress{{ID: 4, Address: "127.0.0.1:44"}})
 	addr, _ := book.Address(4)
 	require.Equal(t, "127.0.0.1:44", addr, "the log counts for more")
 }
--- a/control/service.go
+++ b/control/service.go
@@ -46,7 +46,7 @@
 	log     Log
 	machine *Machine
 	pool    *link.Pool
-	peers   *roster.Book
+	peers   *roster.AddressBook
 	now     func() time.Time
 }
 
@@ -59,7 +59,7 @@
 	link.Handle(srv, api.MethodChange, s.change)
 	link.Handle(srv, api.MethodBarrier, s.leaderBarrier)
 	link.HandleNotice(srv, api.MethodReplica, func(_ context.Context, from link.PeerInfo, m replica.Message) {
-		s.peers.Hear(m.From, from.Address)
+		s.peers.Observe(m.From, from.Address)
 		s.log.Step(m)
 	})
 }
--- a/coordinator/group.go
+++ b/coordinator/group.go
@@ -57,7 +57,7 @@
 	founders []registration
 	host     *host.Host
 	state    *state
-	book     *roster.Book
+	book     *roster.AddressBook
 }
 
 // group runs this process's replica of the log, whatever happens to its disk.
@@ -128,9 +128,9 @@
 		founders[s.ID] = s.Address
 		cfg.Voters = append(cfg.Voters, s.ID)
 	}
-	m := &member{id: id.ID, founders: id.Founders, book: roster.NewBook(founders)}
+	m := &member{id: id.ID, founders: id.Founders, book: roster.NewAddressBook(founders)}
 	m.state = newState(g.onRevision, func(list []roster.Member) {
-		m.book.Learn(list)
+		m.book.SetMembers(list)
 		g.onMembers(list)
 	})
 	var err error
@@ -284,6 +284,6 @@
 	if m == nil || msg.To != m.id {
 		return
 	}
-	m.book.Hear(msg.From, from.Address)
+	m.book.Observe(msg.From, from.Address)
 	m.host.Step(msg)
 }
--- a/gateway/bookkeeper.go
+++ b/gateway/bookkeeper.go
@@ -29,7 +29,7 @@
 // bookkeeper keeps the books of the servers that this entry owns, and asks the owners
 // of others. See package booking.
 type bookkeeper struct {
-	self    booking.Teller
+	self    booking.Reporter
 	now     func() time.Time
 	entries func() []directory.Entry    // that are up
 	known   func() []directory.Entry    // also those that may be gone
@@ -40,7 +40,7 @@
 
 	mu       sync.Mutex
 	sequence uint64
-	book     *booking.Book
+	book     *booking.LoadTable
 	owners   *booking.Owners
 	address  map[string]netip.AddrPort // by entry
 	listed   time.Time                 // when owners was made
@@ -74,8 +74,8 @@
 	return false
 }
 
-func newBookkeeper(self booking.Teller, now func() time.Time) *bookkeeper {
-	return &bookkeeper{self: self, now: now, book: booking.NewBook(), owners: booking.NewOwners(nil), asked: make(map[uint64]*question)}
+func newBookkeeper(self booking.Reporter, now func() time.Time) *bookkeeper {
+	return &bookkeeper{self: self, now: now, book: booking.NewLoadTable(), owners: booking.NewOwners(nil), asked: make(map[uint64]*question)}
 }
 
 // ask returns what others have running at the servers now, as far as their owners
@@ -87,7 +87,7 @@
 	}
 	q, sequence := k.open(len(remote))
 	for owner, list := range remote {
-		k.wire.send(owner, &message{From: k.self.Name, Life: k.self.Life, Sequence: sequence, Kind: askLoads, Loads: list})
+		k.wire.send(owner, &message{From: k.self.Name, Life: k.self.Incarnation, Sequence: sequence, Kind: askLoads, Loads: list})
 	}
 	q.wait(ctx)
 	return append(local, k.close(sequence).answers...)
@@ -101,7 +101,7 @@
 	k.list(now)
 	remote = make(map[netip.AddrPort][]serverLoad)
 	for _, server := range servers {
-		owner := k.owners.Of(server)
+		owner := k.owners.Owner(server)
 		if owner == k.self.Name {
 			local = append(local, k.others(k.self.Name, server, now))
 			continue
@@ -114,7 +114,7 @@
 }
 
 func (k *bookkeeper) others(asker, server string, now time.Time) serverLoad {
-	l := k.book.Others(asker, server, k.rate(server), now)
+	l := k.book.LoadOfOthers(asker, server, k.rate(server), now)
 	return serverLoad{Server: server, Running: l.Running, Prefill: l.Prefill, Down: l.Down}
 }
 
@@ -190,13 +190,13 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		for _, l := range m.Loads {
-			k.noteLocked(booking.Teller{Name: m.From, Life: m.Life}, m.Sequence, l)
+			k.noteLocked(booking.Reporter{Name: m.From, Incarnation: m.Life}, m.Sequence, l)
 		}
 	}
 }
 
-func (k *bookkeeper) noteLocked(from booking.Teller, sequence uint64, l serverLoad) {
-	k.book.Note(from, sequence, l.Server, booking.Load{Running: l.Running, Prefill: l.Prefill, Down: l.Down}, k.now())
+func (k *bookkeeper) noteLocked(from booking.Reporter, sequence uint64, l serverLoad) {
+	k.book.Record(from, sequence, l.Server, booking.Load{Running: l.Running, Prefill: l.Prefill, Down: l.Down}, k.now())
 }
 
 // answer tells an entry what others have running at the servers that it asks of.
@@ -205,7 +205,7 @@
 	now := k.now()
 	k.list(now)
 	to, known := k.address[m.From]
-	told := message{From: k.self.Name, Life: k.self.Life, Sequence: m.Sequence, Kind: tellLoads}
+	told := message{From: k.self.Name, Life: k.self.Incarnation, Sequence: m.Sequence, Kind: tellLoads}
 	for _, l := range m.Loads {
 		told.Loads = append(told.Loads, k.others(m.From, l.Server, now))
 	}
@@ -240,7 +240,7 @@
 	sequence := k.sequence
 	remote := make(map[netip.AddrPort][]serverLoad)
 	for _, l := range loads {
-		owner := k.owners.Of(l.Server)
+		owner := k.owners.Owner(l.Server)
 		if owner == k.self.Name {
 			k.noteLocked(k.self, sequence, l)
 		} else if addr, known := k.address[owner]; known {
@@ -249,7 +249,7 @@
 	}
 	k.mu.Unlock()
 	for owner, list := range remote {
-		k.wire.send(owner, &message{From: k.self.Name, Life: k.self.Life, Sequence: sequence, Kind: noteLoads, Loads: list})
+		k.wire.send(owner, &message{From: k.self.Name, Life: k.self.Incarnation, Sequence: sequence, Kind: noteLoads, Loads: list})
 	}
 }
 
@@ -262,7 +262,7 @@
 
 // newBooks sets up the books of this entry.
 func (g *Gateway) newBooks() *bookkeeper {
-	k := newBookkeeper(booking.Teller{Name: g.cfg.Node.Name, Life: g.life}, g.now)
+	k := newBookkeeper(booking.Reporter{Name: g.cfg.Node.Name, Incarnation: g.life}, g.now)
 	k.entries = func() []directory.Entry { return g.peers.entries(g.now()) }
 	k.known = func() []directory.Entry { return g.directory.Entries(g.now()) }
 	k.port = g.cfg.Node.EntryBooks
--- a/gateway/bookkeeper_test.go
+++ b/gateway/bookkeeper_test.go
@@ -31,7 +31,7 @@
 	for i := range n {
 		name := fmt.Sprintf("entry-%d", i)
 		host := fmt.Sprintf("10.0.0.%d", i+1) // stands for its datagram port
-		k := newBookkeeper(booking.Teller{Name: name, Life: 1}, time.Now)
+		k := newBookkeeper(booking.Reporter{Name: name, Incarnation: 1}, time.Now)
 		k.entries = func() []directory.Entry { return s.entries }
 		k.known = k.entries
 		k.port = func(host string) string { return s.ports[host] }
--- a/gateway/catalogue.go
+++ b/gateway/catalogue.go
@@ -51,5 +51,5 @@
 	}
 	g.callersMu.Lock()
 	defer g.callersMu.Unlock()
-	g.callers.Keep(names)
+	g.callers.Retain(names)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -84,7 +84,7 @@
 	retries *retry.Policy
 
 	callersMu sync.Mutex
-	callers   *patience.Book
+	callers   *patience.Estimator
 }
 
 // retryPart is the part of the site's retry budget that the entries spend. What
@@ -101,7 +101,7 @@
 		cfg: cfg, deps: deps, log: deps.Log, now: deps.Now, life: uint64(time.Now().UnixMilli()), metrics: metrics.NewSet(),
 		directory: directory.NewStore(directory.Config{ForgetAfter: directory.DefaultForgetAfter}),
 		clock:     wallclock.System(), shares: newShares(deps.Now()), services: make(map[string]*service), entries: 1,
-		live: make(map[string]liveCount), callers: patience.NewBook(),
+		live: make(map[string]liveCount), callers: patience.NewEstimator(),
 		pool: backend.NewPool(backend.DefaultConfig(), deps.Now),
 	}
 	g.peers = &peers{directory: g.directory}
@@ -204,7 +204,7 @@
 func (g *Gateway) late(r *routes.Route, left time.Duration) bool {
 	g.callersMu.Lock()
 	defer g.callersMu.Unlock()
-	return g.callers.Late(r.Name, left, r.Objective)
+	return g.callers.ObjectivePassed(r.Name, left, r.Objective)
 }
 
 // sweepEvery is how often idle connections and old records are looked through.
--- a/gateway/limitquestions.go
+++ b/gateway/limitquestions.go
@@ -34,7 +34,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.list(k.now())
-	return k.owners.Ranked(limitKey(key), key.Number)
+	return k.owners.OwnerAt(limitKey(key), key.Number)
 }
 
 // peers returns the names of the other entries that can be reached, in order.
@@ -72,7 +72,7 @@
 // sendKnown sends a message to an entry that is known, whether or not it is up.
 func (k *bookkeeper) sendKnown(e *directory.Entry, m *message) {
 	if addr, ok := k.datagramsOf(e); ok {
-		m.From, m.Life = k.self.Name, k.self.Life
+		m.From, m.Life = k.self.Name, k.self.Incarnation
 		k.wire.send(addr, m)
 	}
 }
@@ -87,7 +87,7 @@
 // sendTo sends a message to an entry, if it is known.
 func (k *bookkeeper) sendTo(entry string, m *message) {
 	if addr, known := k.addressOf(entry); known {
-		m.From, m.Life = k.self.Name, k.self.Life
+		m.From, m.Life = k.self.Name, k.self.Incarnation
 		k.wire.send(addr, m)
 	}
 }
--- a/gateway/limitsite_test.go
+++ b/gateway/limitsite_test.go
@@ -96,7 +96,7 @@
 		dir.MergeEntry(other.record(), time.Now())
 	}
 	p := &peers{directory: dir}
-	books := newBookkeeper(booking.Teller{Name: e.name, Life: uint64(time.Now().UnixNano())}, time.Now)
+	books := newBookkeeper(booking.Reporter{Name: e.name, Incarnation: uint64(time.Now().UnixNano())}, time.Now)
 	books.entries = func() []directory.Entry { return p.entries(time.Now()) }
 	books.known = func() []directory.Entry { return p.directory.Entries(time.Now()) }
 	books.port = func(host string) string { return host }
--- a/policy/booking/book.go
+++ b/policy/booking/book.go
@@ -10,18 +10,18 @@
 	Down bool
 }
 
-// Teller is one life of an entry. What a life told ends with it.
-type Teller struct {
-	Name string
-	Life uint64
+// Reporter is one life of an entry. What a life told ends with it.
+type Reporter struct {
+	Name        string
+	Incarnation uint64
 }
 
 // holds is how long a word counts that is not renewed. Entries renew theirs a few times
 // in that span, so that one lost datagram does not count.
 const holds = 4 * time.Second
 
-// Book is what entries have running, by server.
-type Book struct {
+// LoadTable is what entries have running, by server.
+type LoadTable struct {
 	servers map[string]*account
 }
 
@@ -43,12 +43,12 @@
 	at       time.Time
 }
 
-// NewBook returns a book that knows of nothing.
-func NewBook() *Book { return &Book{servers: make(map[string]*account)} }
+// NewLoadTable returns a book that knows of nothing.
+func NewLoadTable() *LoadTable { return &LoadTable{servers: make(map[string]*account)} }
 
-// Note takes what an entry has running at a server now, in place of what it told
+// Record takes what an entry has running at a server now, in place of what it told
 // before. sequence grows with each word of a life: datagrams may overtake each other.
-func (b *Book) Note(from Teller, sequence uint64, server string, l Load, now time.Time) {
+func (b *LoadTable) Record(from Reporter, sequence uint64, server string, l Load, now time.Time) {
 	a := b.servers[server]
 	if a == nil {
 		if l == (Load{}) {
@@ -61,7 +61,7 @@
 		a.down, l.Down = now, false
 	}
 	held, known := a.tellers[from.Name]
-	if known && (from.Life < held.life || from.Life == held.life && sequence <= held.sequence) {
+	if known && (from.Incarnation < held.life || from.Incarnation == held.life && sequence <= held.sequence) {
 		return
 	}
 	if l.Prefill < held.load.Prefill || a.total.Prefill == 0 {
@@ -70,12 +70,12 @@
 	a.total.Running += l.Running - held.load.Running
 	a.total.Prefill += l.Prefill - held.load.Prefill
 	// An empty word is kept for a while too: an older one may still come.
-	a.tellers[from.Name] = word{from.Life, sequence, l, now}
+	a.tellers[from.Name] = word{from.Incarnation, sequence, l, now}
 }
 
-// Others returns what all entries but one have at a server, and how many prompt tokens
+// LoadOfOthers returns what all entries but one have at a server, and how many prompt tokens
 // are still to be read there at a rate in tokens per second.
-func (b *Book) Others(asker, server string, rate float64, now time.Time) Load {
+func (b *LoadTable) LoadOfOthers(asker, server string, rate float64, now time.Time) Load {
 	a := b.servers[server]
 	if a == nil {
 		return Load{}
@@ -101,7 +101,7 @@
 const unread = 0.5
 
 // Sweep drops words that were not renewed, and servers of which none is left.
-func (b *Book) Sweep(now time.Time) {
+func (b *LoadTable) Sweep(now time.Time) {
 	for id, a := range b.servers {
 		if a.forget(now); len(a.tellers) == 0 && now.Sub(a.down) >= downFor {
 			delete(b.servers, id)
--- a/policy/booking/herd_test.go
+++ b/policy/booking/herd_test.go
@@ -25,7 +25,7 @@
 	rng     *rand.Rand
 	now     time.Time
 	routers []*route.Router
-	book    *Book
+	book    *LoadTable
 	free    []time.Time    // when each server has read all that it was given
 	pending []map[int]Load // by server: each entry's
 	events  events
@@ -72,7 +72,7 @@
 func (h *herd) play(t *testing.T) float64 {
 	h.rng = rand.New(rand.NewPCG(1, 2))
 	h.now = start
-	h.book = NewBook()
+	h.book = NewLoadTable()
 	h.free = make([]time.Time, h.servers)
 	h.pending = make([]map[int]Load, h.servers)
 	for i := range h.pending {
@@ -138,7 +138,7 @@
 	req := &route.Request{Now: h.now, Seed: h.rng.Uint64(), PromptTokens: tokens}
 	if h.asking {
 		for _, id := range r.Candidates(req, nil) {
-			l := h.book.Others(entryName(e), id, herdRate, h.now)
+			l := h.book.LoadOfOthers(entryName(e), id, herdRate, h.now)
 			r.NoteLoad(id, l.Running, l.Prefill, h.now)
 		}
 	}
@@ -179,7 +179,7 @@
 	l.Prefill += tokens
 	h.pending[server][e] = l
 	h.told++
-	h.book.Note(Teller{entryName(e), 1}, h.told, serverName(server), l, h.now)
+	h.book.Record(Reporter{entryName(e), 1}, h.told, serverName(server), l, h.now)
 }
 
 func entryName(e int) string { return fmt.Sprintf("entry-%d", e) }
--- a/policy/booking/owner.go
+++ b/policy/booking/owner.go
@@ -24,12 +24,12 @@
 	return o
 }
 
-// Of returns the name of a server's owner; empty where there are no entries.
-func (o *Owners) Of(server string) string { return o.Ranked(server, 0) }
+// Owner returns the name of a server's owner; empty where there are no entries.
+func (o *Owners) Owner(server string) string { return o.OwnerAt(server, 0) }
 
-// Ranked returns the name of the entry that comes after so many others as the owner of what
+// OwnerAt returns the name of the entry that comes after so many others as the owner of what
 // key stands for. Where there are fewer entries it begins again with the first one.
-func (o *Owners) Ranked(key string, place int) string {
+func (o *Owners) OwnerAt(key string, place int) string {
 	if len(o.names) == 0 {
 		return ""
 	}
--- a/policy/patience/patience.go
+++ b/policy/patience/patience.go
@@ -37,8 +37,8 @@
 	lateStep = 0.2
 )
 
-// Book holds how long callers usually wait, by route.
-type Book struct {
+// Estimator holds how long callers usually wait, by route.
+type Estimator struct {
 	routes map[string]*callers
 }
 
@@ -54,12 +54,12 @@
 	return c.usual - time.Duration(beyond*float64(max(c.upper-c.usual, 0)))
 }
 
-// NewBook returns a Book that knows no route.
-func NewBook() *Book { return &Book{routes: make(map[string]*callers)} }
+// NewEstimator returns a Book that knows no route.
+func NewEstimator() *Estimator { return &Estimator{routes: make(map[string]*callers)} }
 
-// Late takes a request's time left and reports whether its objective has passed since
+// ObjectivePassed takes a request's time left and reports whether its objective has passed since
 // the caller's first try, as far as that can be told. 0 left: the caller does not say.
-func (b *Book) Late(route string, left, objective time.Duration) bool {
+func (b *Estimator) ObjectivePassed(route string, left, objective time.Duration) bool {
 	if left <= 0 {
 		return false
 	}
@@ -94,8 +94,8 @@
 	return quantile + time.Duration(move*float64(quantile))
 }
 
-// Keep drops all routes but these.
-func (b *Book) Keep(routes map[string]bool) {
+// Retain drops all routes but these.
+func (b *Estimator) Retain(routes map[string]bool) {
 	for name := range b.routes {
 		if !routes[name] {
 			delete(b.routes, name)
--- a/policy/patience/patience_test.go
+++ b/policy/patience/patience_test.go
@@ -23,18 +23,18 @@
 // happens; taken for fresh ones, they would make those late as well.
 func TestThoseThatComeBackAreTold(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	b := NewBook()
+	b := NewEstimator()
 	for range 100 {
-		b.Late("r", wait(rng), objective)
+		b.ObjectivePassed("r", wait(rng), objective)
 	}
 	told, wrong := 0, 0
 	for i := range 1000 {
 		left := wait(rng)
 		if back := i%3 == 0; back {
-			if b.Late("r", left-time.Second, objective) {
+			if b.ObjectivePassed("r", left-time.Second, objective) {
 				told++
 			}
-		} else if b.Late("r", left, objective) {
+		} else if b.ObjectivePassed("r", left, objective) {
 			wrong++
 		}
 	}
@@ -47,21 +47,21 @@
 // same; taken for ones that came back, one in five was put behind all others.
 func TestLessPatientCallersAreFresh(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	b := NewBook()
+	b := NewEstimator()
 	patient := func() time.Duration {
 		return 12750*time.Millisecond + time.Duration(rng.Int64N(int64(4500*time.Millisecond)))
 	}
 	for range 300 {
-		b.Late("r", patient(), objective)
+		b.ObjectivePassed("r", patient(), objective)
 	}
 	wrong, told := 0, 0
 	for range 1000 {
-		if b.Late("r", patient(), objective) {
+		if b.ObjectivePassed("r", patient(), objective) {
 			wrong++
 		}
 	}
 	for range 100 {
-		if b.Late("r", patient()-5*time.Second, objective) {
+		if b.ObjectivePassed("r", patient()-5*time.Second, objective) {
 			told++
 		}
 	}
@@ -73,16 +73,16 @@
 // are taken for fresh ones again within some thousand requests.
 func TestPatienceChanges(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	b := NewBook()
+	b := NewEstimator()
 	for range 500 {
-		b.Late("r", wait(rng), objective)
+		b.ObjectivePassed("r", wait(rng), objective)
 	}
 	for range 1000 {
-		b.Late("r", wait(rng)/2, objective)
+		b.ObjectivePassed("r", wait(rng)/2, objective)
 	}
 	late := 0
 	for range 200 {
-		if b.Late("r", wait(rng)/2, objective) {
+		if b.ObjectivePassed("r", wait(rng)/2, objective) {
 			late++
 		}
 	}
@@ -92,10 +92,10 @@
 // Callers that do not say how long they wait are never held to be late, nor is the
 // first one of a route.
 func TestNothingIsSaid(t *testing.T) {
-	b := NewBook()
-	require.False(t, b.Late("r", 0, objective))
-	require.False(t, b.Late("r", time.Second, objective))
-	require.False(t, b.Late("r", 0, objective))
-	b.Keep(nil)
+	b := NewEstimator()
+	require.False(t, b.ObjectivePassed("r", 0, objective))
+	require.False(t, b.ObjectivePassed("r", time.Second, objective))
+	require.False(t, b.ObjectivePassed("r", 0, objective))
+	b.Retain(nil)
 	require.Empty(t, b.routes)
 }
--- a/replica/roster/roster.go
+++ b/replica/roster/roster.go
@@ -19,10 +19,10 @@
 	Address string `msgpack:"addr" json:"address"`
 }
 
-// Book knows the link addresses of the replicas: those learnt from the log,
+// AddressBook knows the link addresses of the replicas: those learnt from the log,
 // those that founded the group, and those of replicas that sent a message. It is
 // safe for concurrent use.
-type Book struct {
+type AddressBook struct {
 	founders map[uint64]string
 
 	mu     sync.RWMutex
@@ -30,16 +30,16 @@
 	heard  map[uint64]string
 }
 
-// NewBook returns a book that knows the founders.
-func NewBook(founders map[uint64]string) *Book {
-	return &Book{founders: founders, heard: make(map[uint64]string)}
+// NewAddressBook returns a book that knows the founders.
+func NewAddressBook(founders map[uint64]string) *AddressBook {
+	return &AddressBook{founders: founders, heard: make(map[uint64]string)}
 }
 
-// Hear notes the address of a replica that sent a message. A replica that
+// Observe notes the address of a replica that sent a message. A replica that
 // restarts has not applied the end of its log yet. Without this it could not
 // answer one that was added there, and if both are needed for a majority, no
 // leader would ever be elected.
-func (b *Book) Hear(id uint64, addr string) {
+func (b *AddressBook) Observe(id uint64, addr string) {
 	if _, known := b.Address(id); known {
 		return
 	}
@@ -50,8 +50,8 @@
 	}
 }
 
-// Learn replaces what came from the log.
-func (b *Book) Learn(list []Member) {
+// SetMembers replaces what came from the log.
+func (b *AddressBook) SetMembers(list []Member) {
 	learnt := make(map[uint64]string, len(list))
 	for _, r := range list {
 		learnt[r.ID] = r.Address
@@ -62,7 +62,7 @@
 }
 
 // Address returns the link address of a replica.
-func (b *Book) Address(id uint64) (string, bool) {
+func (b *AddressBook) Address(id uint64) (string, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if addr, known := b.learnt[id]; known {
@@ -76,7 +76,7 @@
 }
 
 // Members lists replicas with their addresses.
-func (b *Book) Members(ids []uint64) []Member {
+func (b *AddressBook) Members(ids []uint64) []Member {
 	out := make([]Member, 0, len(ids))
 	for _, id := range ids {
 		addr, _ := b.Address(id) // empty where it is not known yet
@@ -90,7 +90,7 @@
 type Transport struct {
 	Pool   *link.Pool
 	Method string
-	Peers  *Book
+	Peers  *AddressBook
 }
 
 // Send implements host.Transport.
