--- a/gateway/request.go
+++ b/gateway/request.go
@@ -20,16 +20,16 @@
 
 	CallerTimeout time.Duration // how long the caller waits; 0: not said
 
-	Model        string
-	HasSize      bool // the request says how large it is
-	PromptTokens int
-	AnswerTokens int // at most
-	Parts        []Part
-	ResumeAfter  string // id of the last event that the caller has; empty: none
+	Model          string
+	HasSize        bool // the request says how large it is
+	PromptTokens   int
+	AnswerTokens   int // at most
+	PromptSegments []PromptSegment
+	ResumeAfter    string // id of the last event that the caller has; empty: none
 }
 
-// Part is a piece of a prompt that other requests may share.
-type Part struct {
+// PromptSegment is a piece of a prompt that other requests may share.
+type PromptSegment struct {
 	ID     string
 	Tokens int
 }
@@ -52,28 +52,28 @@
 	NoRoute Reason = iota + 1
 	UnknownKey
 
-	NoCatalogue // nothing is known yet of routes and workspaces
-	OverLimit   // the workspace's limit is used up
-	NoServer    // no server could take it
-	Overloaded  // it would not be answered in time
-	OutOfTime   // its time ran out before it was sent
+	NoCatalogue   // nothing is known yet of routes and workspaces
+	OverLimit     // the workspace's limit is used up
+	NoServer      // no server could take it
+	Overloaded    // it would not be answered in time
+	ExpiredUnsent // its time ran out before it was sent
 
-	Broken   // the server failed, or its answer was of no use
-	TimedOut // its time ran out while a server was at work on it
-	BrokeOff // the answer broke off after it had begun
-	GaveUp   // the caller has gone
+	ServerFailed // the server failed, or its answer was of no use
+	TimedOut     // its time ran out while a server was at work on it
+	Truncated    // the answer broke off after it had begun
+	CallerGone   // the caller has gone
 )
 
 var reasonNames = map[Reason]string{
 	NoRoute: "no_route", UnknownKey: "unknown_key", NoCatalogue: "no_catalogue", OverLimit: "over_limit", NoServer: "no_server",
-	Overloaded: "overloaded", OutOfTime: "out_of_time", Broken: "broken", TimedOut: "timed_out", BrokeOff: "broke_off", GaveUp: "caller_left",
+	Overloaded: "overloaded", ExpiredUnsent: "out_of_time", ServerFailed: "broken", TimedOut: "timed_out", Truncated: "broke_off", CallerGone: "caller_left",
 }
 
 // String returns the reason for logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
 // NotRun reports whether the reason says that the request has not run.
-func (r Reason) NotRun() bool { return r <= OutOfTime }
+func (r Reason) NotRun() bool { return r <= ExpiredUnsent }
 
 // Refusal ends a request without a server's answer.
 type Refusal struct {
@@ -82,35 +82,35 @@
 	Detail     string        // for the log
 }
 
-// Run is one run of a request at a server, as far as the server is told of it.
-type Run struct {
+// Attempt is one run of a request at a server, as far as the server is told of it.
+type Attempt struct {
 	Server      string // id; any other server is to turn the request away
 	Workspace   string // empty on public routes
-	Left        time.Duration
+	Remaining   time.Duration
 	Rank        int    // 0 is the most urgent
 	ResumeAfter string // id of the event after which the stream goes on; empty: from the start
 }
 
-// Proof is what the head of a server's answer proves.
-type Proof uint8
+// AnswerClass is what the head of a server's answer proves.
+type AnswerClass uint8
 
 // The proofs.
 const (
-	Answered    Proof = iota + 1 // the server's answer, to be passed on
-	Failed                       // the server ran it and failed; may be passed on
-	NotRun                       // the server says that it did not run it
-	OtherServer                  // another server than the one meant; it did not run it
-	Unusable                     // it may have run, and the answer can't be passed on
+	Answered    AnswerClass = iota + 1 // the server's answer, to be passed on
+	Failed                             // the server ran it and failed; may be passed on
+	NotRun                             // the server says that it did not run it
+	WrongServer                        // another server than the one meant; it did not run it
+	Unusable                           // it may have run, and the answer can't be passed on
 )
 
 // Dialect puts requests to servers and reads their answers.
 type Dialect interface {
-	// Head returns the header with which a run is sent.
-	Head(r *Request, run Run) http.Header
-	// Belongs reports whether an answer with this header answers the request.
-	Belongs(r *Request, h http.Header) bool
-	// Judge says what an answer's head proves.
-	Judge(status int, h http.Header) Proof
+	// RequestHeader returns the header with which a run is sent.
+	RequestHeader(r *Request, run Attempt) http.Header
+	// Matches reports whether an answer with this header answers the request.
+	Matches(r *Request, h http.Header) bool
+	// Classify says what an answer's head proves.
+	Classify(status int, h http.Header) AnswerClass
 	// AnswerHeader returns the part of an answer's header that goes to the caller.
 	AnswerHeader(h http.Header) http.Header
 }
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -16,13 +16,13 @@
 	g := j.gateway
 	server := c.verdict.Server
 	j.lastSent = server
-	run := Run{
-		Server: server, Workspace: j.workspaceName(), Left: j.deadline.Sub(g.now()), Rank: c.rank, ResumeAfter: j.lastID,
+	run := Attempt{
+		Server: server, Workspace: j.workspaceName(), Remaining: j.deadline.Sub(g.now()), Rank: c.rank, ResumeAfter: j.lastID,
 	}
 	sentAt := g.now()
 	answer, err := g.pool.Do(ctx, c.verdict.Address, &backend.Call{
-		Method: j.Method, Target: j.Target, Host: j.Host, Header: g.deps.Dialect.Head(j.Request, run), Body: j.Body,
-		Belongs: func(h http.Header) bool { return g.deps.Dialect.Belongs(j.Request, h) },
+		Method: j.Method, Target: j.Target, Host: j.Host, Header: g.deps.Dialect.RequestHeader(j.Request, run), Body: j.Body,
+		Belongs: func(h http.Header) bool { return g.deps.Dialect.Matches(j.Request, h) },
 	})
 	if err != nil {
 		return j.sendFailed(ctx, c, sentAt, err)
@@ -70,9 +70,9 @@
 func (j *job) failure(detail string) *Refusal {
 	switch {
 	case j.begun:
-		return &Refusal{Reason: BrokeOff, Detail: detail}
+		return &Refusal{Reason: Truncated, Detail: detail}
 	case j.runs > 0:
-		return &Refusal{Reason: Broken, Detail: detail}
+		return &Refusal{Reason: ServerFailed, Detail: detail}
 	default:
 		return &Refusal{Reason: NoServer, RetryAfter: serverRetry, Detail: detail}
 	}
@@ -81,10 +81,10 @@
 // answered judges an answer's head and hands the answer on if it is of use.
 func (j *job) answered(ctx context.Context, c *choice, answer *backend.Answer) result {
 	g := j.gateway
-	switch g.deps.Dialect.Judge(answer.Status, answer.Header) {
+	switch g.deps.Dialect.Classify(answer.Status, answer.Header) {
 	case NotRun:
 		return j.notRun(c, answer, Overloaded, endedByCaller)
-	case OtherServer:
+	case WrongServer:
 		return j.notRun(c, answer, NoServer, endedGone)
 	case Unusable:
 		j.runs++
@@ -212,7 +212,7 @@
 func (j *job) finished(c *choice, how ending, err error) result {
 	j.service.end(c, how, j.gateway.now())
 	if err != nil {
-		return result{refusal: &Refusal{Reason: GaveUp, Detail: err.Error()}}
+		return result{refusal: &Refusal{Reason: CallerGone, Detail: err.Error()}}
 	}
 	return result{}
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -106,7 +106,7 @@
 		}
 	}
 	j.service = g.service(j.route.Choose(rand.Float64()))
-	j.prefixes = prefixesOf(j.Model, j.Parts)
+	j.prefixes = prefixesOf(j.Model, j.PromptSegments)
 	g.noteFirst(j.call())
 	return nil
 }
@@ -236,13 +236,13 @@
 	case ctx.Err() == nil:
 		return nil
 	case errors.Is(ctx.Err(), context.Canceled):
-		return &Refusal{Reason: GaveUp}
+		return &Refusal{Reason: CallerGone}
 	case j.begun:
-		return &Refusal{Reason: BrokeOff, Detail: "out of time"}
+		return &Refusal{Reason: Truncated, Detail: "out of time"}
 	case j.runs > 0:
 		return &Refusal{Reason: TimedOut}
 	default:
-		return &Refusal{Reason: OutOfTime}
+		return &Refusal{Reason: ExpiredUnsent}
 	}
 }
 
@@ -250,9 +250,9 @@
 func (j *job) noServer(c *choice) *Refusal {
 	switch {
 	case j.begun:
-		return &Refusal{Reason: BrokeOff, Detail: c.verdict.Reason.String()}
+		return &Refusal{Reason: Truncated, Detail: c.verdict.Reason.String()}
 	case j.runs > 0:
-		return &Refusal{Reason: Broken, Detail: c.verdict.Reason.String()}
+		return &Refusal{Reason: ServerFailed, Detail: c.verdict.Reason.String()}
 	default:
 		return &Refusal{Reason: NoServer, RetryAfter: serverRetry, Detail: c.verdict.Reason.String()}
 	}
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -49,7 +49,7 @@
 	r.use(routes.Route{Prefix: "/", Kind: routes.NonIdempotent, MaxServers: 3})
 	a, b := r.server("web", cut), r.server("web", cut)
 	_, refusal := r.ask("/x")
-	require.Equal(t, Broken, refusal.Reason)
+	require.Equal(t, ServerFailed, refusal.Reason)
 	require.False(t, refusal.Reason.NotRun())
 	require.Equal(t, 1, a.count()+b.count())
 }
@@ -128,7 +128,7 @@
 		panic(http.ErrAbortHandler)
 	})
 	out, refusal := r.ask("/x")
-	require.Equal(t, Broken, refusal.Reason)
+	require.Equal(t, ServerFailed, refusal.Reason)
 	require.Zero(t, out.status, "nothing has gone to the caller")
 }
 
@@ -160,7 +160,7 @@
 		cancel()
 	}()
 	_, refusal := r.askCtx(ctx, "/x")
-	require.Equal(t, GaveUp, refusal.Reason)
+	require.Equal(t, CallerGone, refusal.Reason)
 	select {
 	case <-ended:
 	case <-time.After(2 * time.Second):
@@ -236,7 +236,7 @@
 	r.use(routes.Route{Prefix: "/", Kind: routes.Stream, MaxServers: 3})
 	a := r.server("web", stream(resumeAt, 2, false))
 	out, refusal := r.ask("/x")
-	require.Equal(t, BrokeOff, refusal.Reason)
+	require.Equal(t, Truncated, refusal.Reason)
 	require.True(t, strings.HasPrefix(string(out.body), eventsText(2)))
 	require.Equal(t, 1, a.count())
 }
@@ -259,7 +259,7 @@
 		})
 		_, refusal := r.ask("/x")
 		require.NotNil(t, refusal)
-		require.Equal(t, BrokeOff, refusal.Reason)
+		require.Equal(t, Truncated, refusal.Reason)
 	}
 }
 
@@ -304,7 +304,7 @@
 		}
 		r.fillBudgetFor(1)
 		out, refusal := r.ask("/x")
-		require.Equal(t, BrokeOff, refusal.Reason)
+		require.Equal(t, Truncated, refusal.Reason)
 		require.Equal(t, eventsText(2), string(out.body))
 		total := 0
 		for _, s := range all {
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -332,7 +332,7 @@
 // beginning is known by all parts up to its end, since a part counts as cached
 // only with all parts before it. The last part is the request's own or its
 // session's.
-func prefixesOf(model string, parts []Part) []route.CachedPrefix {
+func prefixesOf(model string, parts []PromptSegment) []route.CachedPrefix {
 	out := make([]route.CachedPrefix, 0, len(parts))
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model) // a digest never fails
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -24,18 +24,18 @@
 // plainDialect marks answers with a few headers of its own.
 type plainDialect struct{}
 
-func (plainDialect) Head(r *Request, run Run) http.Header {
+func (plainDialect) RequestHeader(r *Request, run Attempt) http.Header {
 	h := r.Header.Clone()
 	h.Set("X-Id", r.ID)
-	h.Set("X-Left", fmt.Sprint(run.Left.Milliseconds()))
+	h.Set("X-Left", fmt.Sprint(run.Remaining.Milliseconds()))
 	h.Set("X-Workspace", run.Workspace)
 	h.Set("X-After", run.ResumeAfter)
 	return h
 }
 
-func (plainDialect) Belongs(r *Request, h http.Header) bool { return h.Get("X-Id") == r.ID }
+func (plainDialect) Matches(r *Request, h http.Header) bool { return h.Get("X-Id") == r.ID }
 
-func (plainDialect) Judge(status int, h http.Header) Proof {
+func (plainDialect) Classify(status int, h http.Header) AnswerClass {
 	switch {
 	case h.Get("X-Not-Run") != "":
 		return NotRun
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -108,7 +108,7 @@
 		if n > 0 {
 			if werr := j.passOn(c, answer, &cut, buf[:n], resumed); werr != nil {
 				j.service.end(c, endedByCaller, j.gateway.now())
-				return result{refusal: &Refusal{Reason: GaveUp, Detail: werr.Error()}}
+				return result{refusal: &Refusal{Reason: CallerGone, Detail: werr.Error()}}
 			}
 		}
 		switch {
