--- a/coordinator/api/api.go
+++ b/coordinator/api/api.go
@@ -49,18 +49,18 @@
 	Role  string           `msgpack:"role"`
 	Entry *directory.Entry `msgpack:"entry,omitempty"` // an entry's record of itself
 
-	// Life and Seen are those of the last reply of this replica; zero at first.
-	Life     uint64        `msgpack:"life"`
-	Seen     uint64        `msgpack:"seen"`
-	Has      bool          `msgpack:"has"` // the sender has a catalogue
-	Revision uint64        `msgpack:"rev"` // of that catalogue
-	Wait     time.Duration `msgpack:"wait"`
+	// Incarnation and Seen are those of the last reply of this replica; zero at first.
+	Incarnation  uint64        `msgpack:"life"`
+	Seen         uint64        `msgpack:"seen"`
+	HasCatalogue bool          `msgpack:"has"` // the sender has a catalogue
+	Revision     uint64        `msgpack:"rev"` // of that catalogue
+	Wait         time.Duration `msgpack:"wait"`
 
 	// RevisionOnly says that another replica sends the sender the catalogue, and what
 	// other entries have running. It is to be told of revisions above Told, without their
 	// content.
-	RevisionOnly bool   `msgpack:"revOnly,omitempty"`
-	Told         uint64 `msgpack:"told,omitempty"`
+	RevisionOnly     bool   `msgpack:"revOnly,omitempty"`
+	NotifiedRevision uint64 `msgpack:"told,omitempty"`
 
 	// LiveDigest is that of the newest list of live entries that the sender has.
 	LiveDigest uint64 `msgpack:"liveDigest,omitempty"`
@@ -71,16 +71,16 @@
 	// earlier ones.
 	OpenWindow int64        `msgpack:"open,omitempty"`
 	Loads      []ServerLoad `msgpack:"loads,omitempty"` // what the sender has running, none left out
-	// ShareOf is the number of which the sender's largest share of the limits is a part;
+	// ShareDivisor is the number of which the sender's largest share of the limits is a part;
 	// 0 if it has none.
-	ShareOf int           `msgpack:"shareOf,omitempty"`
-	Work    []ServiceWork `msgpack:"work,omitempty"`
+	ShareDivisor int           `msgpack:"shareOf,omitempty"`
+	Work         []ServiceWork `msgpack:"work,omitempty"`
 }
 
-// News reports whether a catalogue of this revision is news to the sender.
-func (r *WatchRequest) News(revision uint64) bool {
+// WantsRevision reports whether a catalogue of this revision is news to the sender.
+func (r *WatchRequest) WantsRevision(revision uint64) bool {
 	if r.RevisionOnly {
-		return revision > r.Told
+		return revision > r.NotifiedRevision
 	}
 	return r.Lacks(revision)
 }
@@ -101,7 +101,7 @@
 
 // Lacks reports whether the sender lacks a catalogue of this revision. A first
 // revision may be 0, so having none is not told by the number.
-func (r *WatchRequest) Lacks(revision uint64) bool { return !r.Has || revision > r.Revision }
+func (r *WatchRequest) Lacks(revision uint64) bool { return !r.HasCatalogue || revision > r.Revision }
 
 // WindowUsage is what began to run at one entry in one window.
 type WindowUsage struct {
@@ -111,14 +111,14 @@
 
 // WatchReply is what a control replica knows beyond what the sender has seen.
 type WatchReply struct {
-	Life     uint64             `msgpack:"life"` // changes when the replica starts anew; Seen counts from 0 then
-	Seen     uint64             `msgpack:"seen"`
-	Servers  []directory.Server `msgpack:"servers,omitempty"`
-	Entries  []directory.Entry  `msgpack:"entries,omitempty"`
-	Revision uint64             `msgpack:"rev"`
-	Document []byte             `msgpack:"doc,omitempty"` // of Revision, if the sender has an older one and wants it
-	Replicas []string           `msgpack:"replicas"`      // link addresses of all replicas
-	Live     int                `msgpack:"live"`          // entries that take callers
+	Incarnation uint64             `msgpack:"life"` // changes when the replica starts anew; Seen counts from 0 then
+	Seen        uint64             `msgpack:"seen"`
+	Servers     []directory.Server `msgpack:"servers,omitempty"`
+	Entries     []directory.Entry  `msgpack:"entries,omitempty"`
+	Revision    uint64             `msgpack:"rev"`
+	Document    []byte             `msgpack:"doc,omitempty"` // of Revision, if the sender has an older one and wants it
+	Replicas    []string           `msgpack:"replicas"`      // link addresses of all replicas
+	LiveEntries int                `msgpack:"live"`          // entries that take callers
 	// LiveDigest stands for those entries, and LiveNames are they, in order, where the
 	// sender has another list: names come from the replica that sends the catalogue.
 	LiveDigest uint64          `msgpack:"liveDigest,omitempty"`
@@ -126,7 +126,7 @@
 	HasLoads   bool            `msgpack:"hasLoads"`
 	Loads      []ServerLoad    `msgpack:"loads,omitempty"` // what all other entries have running, none left out, if HasLoads
 	Work       []ServiceWork   `msgpack:"work,omitempty"`  // rates that the entries have learnt
-	Share      limit.ShareVote `msgpack:"share"`
+	ShareVote  limit.ShareVote `msgpack:"share"`
 	Clock      time.Time       `msgpack:"clock"` // the replica's time of day
 	// Asked is when the sender made the call, by its own clock.
 	Asked time.Time `msgpack:"-"`
--- a/coordinator/catalogue.go
+++ b/coordinator/catalogue.go
@@ -15,9 +15,9 @@
 	"savoryreel.example/savoryreel/replica/host"
 )
 
-// ErrUnsettled: what became of an operator's call is not known, or no leader
+// ErrOutcomeUnknown: what became of an operator's call is not known, or no leader
 // could be reached. The same call may be made again, at any replica.
-var ErrUnsettled = errors.New("not settled, call again")
+var ErrOutcomeUnknown = errors.New("not settled, call again")
 
 const (
 	// reviseTimeout bounds an operator's change. Callers turn to another replica
@@ -43,7 +43,7 @@
 	req := api.ReviseRequest{Revision: revision, Document: document}
 	inForce, err := atLeader(ctx, c, api.MethodRevise, req, c.reviseHere)
 	if err != nil {
-		return errors.Join(ErrUnsettled, err)
+		return errors.Join(ErrOutcomeUnknown, err)
 	}
 	event.Log(ctx, c.log, slog.LevelInfo, event.CatalogueChanged,
 		slog.Uint64("revision", revision), slog.Uint64("inForce", inForce.InForce), slog.Int("bytes", len(document)))
@@ -58,7 +58,7 @@
 	defer cancel()
 	reply, err := atLeader(ctx, c, api.MethodRead, api.ReadRequest{}, c.readHere)
 	if err != nil {
-		return nil, errors.Join(ErrUnsettled, err)
+		return nil, errors.Join(ErrOutcomeUnknown, err)
 	}
 	return reply.Document, nil
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -115,10 +115,10 @@
 	c.follower = follow.New(follow.Config{Self: c.self}, follow.Deps{
 		Pool: c.pool, Log: c.log, Now: c.now, Request: c.watchRequest, Reply: c.take, Seeds: c.known,
 	})
-	c.reconciler = newReconciler(c.log, c.now, c.follower.Contacted)
+	c.reconciler = newReconciler(c.log, c.now, c.follower.LastReply)
 	c.group = &group{
 		self: c.self, store: identityStore{fs: deps.FS, dir: cfg.Node.DataDir}, pool: c.pool, log: c.log, now: c.now,
-		found: c.founders, others: c.follower.Followed, onRevision: c.offer, onMembers: c.learnMembers,
+		found: c.founders, others: c.follower.Replicas, onRevision: c.offer, onMembers: c.learnMembers,
 	}
 	c.memory = &serverMemory{fs: deps.FS, dir: cfg.Node.DataDir}
 	c.tasks = &leaderTasks{log: c.log, name: cfg.Node.Name, cloud: deps.Cloud, now: c.now, lease: cfg.Node.Bounds.LeaseTime}
@@ -230,13 +230,13 @@
 
 func (c *Coordinator) watchRequest() api.WatchRequest {
 	revision, document, _ := c.revisions.newest()
-	return api.WatchRequest{Role: api.RoleControl, Has: document != nil, Revision: revision}
+	return api.WatchRequest{Role: api.RoleControl, HasCatalogue: document != nil, Revision: revision}
 }
 
 // take merges what another replica told.
 func (c *Coordinator) take(addr string, r api.WatchReply) {
 	c.clock.Observe(addr, r.Clock)
-	c.directory.Merge(directory.Origin{Replica: addr, Life: r.Life}, r.Servers, r.Entries, c.now())
+	c.directory.Merge(directory.Origin{Replica: addr, Life: r.Incarnation}, r.Servers, r.Entries, c.now())
 	c.offer(r.Revision, r.Document)
 }
 
--- a/coordinator/fleet.go
+++ b/coordinator/fleet.go
@@ -53,7 +53,7 @@
 	servers       func(now time.Time) []directory.Server
 	announceEvery time.Duration // how often a server does
 	table         func() *routes.Table
-	give          func(ctx context.Context, w Want) error
+	give          func(ctx context.Context, w DesiredServers) error
 	running       func(servers []string) int // requests that run at servers
 	work          *workBook
 
@@ -225,8 +225,8 @@
 
 // order gives an order and reports whether the cloud answered.
 func (f *fleet) order(ctx context.Context, service string, o supply.Order, serving, need int, now time.Time) bool {
-	err := f.give(ctx, Want{Service: service, Zone: o.Zone, Reclaimable: o.Reclaimable, Count: o.Count})
-	refused := errors.Is(err, ErrUnavailable)
+	err := f.give(ctx, DesiredServers{Service: service, Zone: o.Zone, Reclaimable: o.Reclaimable, Count: o.Count})
+	refused := errors.Is(err, ErrNoCapacity)
 	f.orders[orderKey{service, o.Kind}] = &ordered{count: o.Count, at: now, refused: refused, pending: err != nil && !refused}
 	event.Log(ctx, f.log, slog.LevelInfo, event.PlacementChosen, slog.String("service", service), slog.String("zone", o.Zone),
 		slog.Bool("reclaimable", o.Reclaimable), slog.Int("count", o.Count), slog.Int("serving", serving), slog.Int("need", need), slog.Any("error", err))
--- a/coordinator/fleet_test.go
+++ b/coordinator/fleet_test.go
@@ -22,9 +22,9 @@
 	member  *member
 	now     time.Time
 	servers []directory.Server
-	orders  []Want
+	orders  []DesiredServers
 	running int // requests
-	answer  func(w Want) error
+	answer  func(w DesiredServers) error
 }
 
 // slotsEach is how many requests a server runs at once.
@@ -33,7 +33,7 @@
 // newFakeCloud is one for a service that began with size servers. Each zone has room
 // for eight.
 func newFakeCloud(size int) *fakeCloud {
-	m := &fakeCloud{now: time.Unix(1000, 0), answer: func(Want) error { return nil }, member: &member{state: emptyState()}}
+	m := &fakeCloud{now: time.Unix(1000, 0), answer: func(DesiredServers) error { return nil }, member: &member{state: emptyState()}}
 	m.member.state.applySize(sizeCommand{Service: "chat", Servers: size})
 	table := routes.NewTable(&routes.Catalogue{Services: []routes.Service{{
 		Name: "chat", Scaling: &routes.Scaling{Min: 0, Max: 8, SpotPrice: 0.3, ZonePrices: map[string]float64{"a": 1, "b": 1, "c": 1}},
@@ -42,7 +42,7 @@
 		log: slog.New(slog.DiscardHandler), now: func() time.Time { return m.now }, table: func() *routes.Table { return table },
 		servers: func(time.Time) []directory.Server { return m.servers }, announceEvery: time.Second, running: func([]string) int { return m.running },
 		work: newWorkBook(), joined: make(map[string]*joining), demands: make(map[string]*demand),
-		give: func(_ context.Context, w Want) error {
+		give: func(_ context.Context, w DesiredServers) error {
 			m.orders = append(m.orders, w)
 			return m.answer(w)
 		},
@@ -52,7 +52,7 @@
 }
 
 // step looks at the fleet some time later and returns the orders given.
-func (m *fakeCloud) step(later time.Duration) []Want {
+func (m *fakeCloud) step(later time.Duration) []DesiredServers {
 	m.now = m.now.Add(later)
 	m.orders = nil
 	m.fleet.observe()
@@ -75,7 +75,7 @@
 	}
 }
 
-func wants(orders []Want, zone string, reclaimable bool) []int {
+func wants(orders []DesiredServers, zone string, reclaimable bool) []int {
 	var counts []int
 	for _, w := range orders {
 		if w.Zone == zone && w.Reclaimable == reclaimable {
@@ -102,9 +102,9 @@
 // cloud takes few calls, and those of all others count too.
 func TestRefusedOrderWaits(t *testing.T) {
 	m := newFakeCloud(4)
-	m.answer = func(w Want) error {
+	m.answer = func(w DesiredServers) error {
 		if w.Reclaimable {
-			return ErrUnavailable
+			return ErrNoCapacity
 		}
 		return nil
 	}
@@ -125,9 +125,9 @@
 	}
 	require.Len(t, m.step(time.Second), 6)
 	m.servers = slices.DeleteFunc(m.servers, func(s directory.Server) bool { return s.Zone == "c" })
-	m.answer = func(w Want) error {
+	m.answer = func(w DesiredServers) error {
 		if w.Reclaimable && w.Zone == "c" {
-			return ErrUnavailable
+			return ErrNoCapacity
 		}
 		return nil
 	}
@@ -144,7 +144,7 @@
 func TestLoadThatLastsHasAStandIn(t *testing.T) {
 	m := newFakeCloud(4)
 	m.serve("a", 2)
-	onDemand := func(orders []Want) (n int) {
+	onDemand := func(orders []DesiredServers) (n int) {
 		for _, w := range orders {
 			if !w.Reclaimable {
 				n += w.Count
@@ -200,9 +200,9 @@
 			m.servers[i].State = instance.StateLeaving
 		}
 	}
-	m.answer = func(w Want) error {
+	m.answer = func(w DesiredServers) error {
 		if w.Reclaimable && w.Zone == "c" {
-			return ErrUnavailable
+			return ErrNoCapacity
 		}
 		return nil
 	}
@@ -221,7 +221,7 @@
 // It breaks if step goes on after an order without an answer.
 func TestSilentCloudHoldsUpOneOrder(t *testing.T) {
 	m := newFakeCloud(4)
-	m.answer = func(Want) error { return errors.New("no answer") }
+	m.answer = func(DesiredServers) error { return errors.New("no answer") }
 	require.Len(t, m.step(time.Second), 1)
 	require.Len(t, m.step(time.Second), 1, "and it is given again")
 }
--- a/coordinator/follow/follow.go
+++ b/coordinator/follow/follow.go
@@ -43,9 +43,9 @@
 type Config struct {
 	Self string // own link address, which is not followed; empty at an entry
 	Wait time.Duration
-	// OneSource has the catalogue sent by one replica at a time, once there is a first
+	// SingleSource has the catalogue sent by one replica at a time, once there is a first
 	// one. It is for processes on thin links.
-	OneSource bool
+	SingleSource bool
 }
 
 // Deps is what a Follower works with.
@@ -57,9 +57,9 @@
 	Request func() api.WatchRequest
 	// Reply takes what a replica told. It is called by one goroutine a replica.
 	Reply func(addr string, r api.WatchReply)
-	// Lost, if set, is called when a replica that replied no longer does, or is no
+	// OnUnreachable, if set, is called when a replica that replied no longer does, or is no
 	// longer followed. Of one replica, it and Reply are called one after the other.
-	Lost func(addr string)
+	OnUnreachable func(addr string)
 	// Seeds returns addresses to begin with, as the settings have them now.
 	Seeds func() []string
 }
@@ -149,8 +149,8 @@
 
 // follow calls one replica again and again.
 func (f *Follower) follow(ctx context.Context, addr string, p *peer) {
-	if f.deps.Lost != nil {
-		defer f.deps.Lost(addr)
+	if f.deps.OnUnreachable != nil {
+		defer f.deps.OnUnreachable(addr)
 	}
 	defer f.source.lost(addr)
 	var life, seen, told uint64
@@ -159,7 +159,7 @@
 	pause := retryMin
 	for ctx.Err() == nil {
 		req := f.deps.Request()
-		req.Life, req.Seen = life, seen
+		req.Incarnation, req.Seen = life, seen
 		said.trim(&req)
 		if req.Wait <= 0 {
 			req.Wait = f.cfg.Wait
@@ -167,8 +167,8 @@
 		if replied {
 			f.source.note(addr, told, req.Lacks(told), f.deps.Now())
 		}
-		if send, known := f.source.asks(addr); f.cfg.OneSource && req.Has && !send {
-			req.RevisionOnly, req.Told = true, max(known, req.Revision)
+		if send, known := f.source.asks(addr); f.cfg.SingleSource && req.HasCatalogue && !send {
+			req.RevisionOnly, req.NotifiedRevision = true, max(known, req.Revision)
 		}
 		asked := f.deps.Now()
 		reply, err := f.call(ctx, addr, p, req)
@@ -183,10 +183,10 @@
 			continue
 		}
 		pause = retryMin
-		if reply.Life == req.Life || req.Life == 0 {
+		if reply.Incarnation == req.Incarnation || req.Incarnation == 0 {
 			said.note(&req)
 		}
-		life, seen = reply.Life, reply.Seen
+		life, seen = reply.Incarnation, reply.Seen
 		f.mu.Lock()
 		f.told[addr] = reply.Replicas
 		f.mu.Unlock()
@@ -245,8 +245,8 @@
 	f.mu.Unlock()
 	switch {
 	case err != nil && !wasLost:
-		if f.deps.Lost != nil {
-			f.deps.Lost(addr)
+		if f.deps.OnUnreachable != nil {
+			f.deps.OnUnreachable(addr)
 		}
 		event.Log(ctx, f.deps.Log, slog.LevelWarn, event.ReplicaLost,
 			slog.String("peer", addr), slog.Time("lastReply", last), slog.String("error", err.Error()))
@@ -255,8 +255,8 @@
 	}
 }
 
-// Kick has every replica told at once of what Request now returns.
-func (f *Follower) Kick() {
+// SendNow has every replica told at once of what Request now returns.
+func (f *Follower) SendNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.peers {
@@ -267,8 +267,8 @@
 	}
 }
 
-// Contacted returns when a replica last replied; zero if never.
-func (f *Follower) Contacted(addr string) time.Time {
+// LastReply returns when a replica last replied; zero if never.
+func (f *Follower) LastReply(addr string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p := f.peers[addr]; p != nil {
@@ -277,8 +277,8 @@
 	return time.Time{}
 }
 
-// Followed returns the addresses of all replicas that are followed, in order.
-func (f *Follower) Followed() []string {
+// Replicas returns the addresses of all replicas that are followed, in order.
+func (f *Follower) Replicas() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := make([]string, 0, len(f.peers))
@@ -289,8 +289,8 @@
 	return out
 }
 
-// Current returns how many of the replicas that are followed replied within age.
-func (f *Follower) Current(age time.Duration) (replied, all int) {
+// CountReplied returns how many of the replicas that are followed replied within age.
+func (f *Follower) CountReplied(age time.Duration) (replied, all int) {
 	now := f.deps.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/coordinator/follow/said.go
+++ b/coordinator/follow/said.go
@@ -15,8 +15,8 @@
 
 // trim takes from a call to a life of a replica what it has been told.
 func (s *said) trim(req *api.WatchRequest) {
-	if req.Life != s.life || s.usage == nil {
-		*s = said{life: req.Life, usage: make(map[int64]int64)}
+	if req.Incarnation != s.life || s.usage == nil {
+		*s = said{life: req.Incarnation, usage: make(map[int64]int64)}
 	}
 	var usage []api.WindowUsage
 	for _, w := range req.Usage {
--- a/coordinator/follow/said_test.go
+++ b/coordinator/follow/said_test.go
@@ -9,7 +9,7 @@
 )
 
 func call(life uint64, open int64, counts map[int64]int64) *api.WatchRequest {
-	req := &api.WatchRequest{Life: life, OpenWindow: open}
+	req := &api.WatchRequest{Incarnation: life, OpenWindow: open}
 	for w, n := range counts {
 		req.Usage = append(req.Usage, api.WindowUsage{Window: w, Counts: map[string]int64{"w": n}})
 	}
--- a/coordinator/group_test.go
+++ b/coordinator/group_test.go
@@ -211,7 +211,7 @@
 	}, testWait, 10*time.Millisecond, "it stands for election")
 	for range 3 { // each read looks for a leader for longer than an election takes
 		_, err := behind.Newest(t.Context())
-		require.ErrorIs(t, err, ErrUnsettled)
+		require.ErrorIs(t, err, ErrOutcomeUnknown)
 	}
 	c.start(address(1), false)
 	c.requireNewest(behind, 2)
--- a/coordinator/lead.go
+++ b/coordinator/lead.go
@@ -15,7 +15,7 @@
 
 func (c *Coordinator) sweep(ctx context.Context) error {
 	return daemon.Every(ctx, sweepEvery, func() {
-		replied, followed := c.follower.Current(aliveWithin)
+		replied, followed := c.follower.CountReplied(aliveWithin)
 		c.directory.Sweep(c.now(), replied+1 > (followed+1)/2)
 		c.loads.forget(c.now())
 		c.work.forget(c.now())
--- a/coordinator/tasks.go
+++ b/coordinator/tasks.go
@@ -9,8 +9,8 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// Order says who calls the cloud, and under which fencing number.
-type Order struct {
+// FencingToken says who calls the cloud, and under which fencing number.
+type FencingToken struct {
 	Leader string // the instance that calls
 	Fence  uint64
 }
@@ -18,12 +18,12 @@
 // Cloud is what the leader calls. Errors: ErrOldFence where another
 // leader has taken over; any other error leaves open what became of the call.
 type Cloud interface {
-	ReportUsage(ctx context.Context, o Order, window int64, counts map[string]int64) error
-	OrderServers(ctx context.Context, o Order, want Want) error
+	ReportUsage(ctx context.Context, o FencingToken, window int64, counts map[string]int64) error
+	OrderServers(ctx context.Context, o FencingToken, want DesiredServers) error
 }
 
-// Want is a number of backend servers of one kind in one zone.
-type Want struct {
+// DesiredServers is a number of backend servers of one kind in one zone.
+type DesiredServers struct {
 	Service     string
 	Zone        string
 	Reclaimable bool
@@ -33,8 +33,8 @@
 // ErrOldFence: the cloud has seen a higher fencing number.
 var ErrOldFence = errors.New("old fence")
 
-// ErrUnavailable: the cloud has no such servers at the moment.
-var ErrUnavailable = errors.New("no capacity")
+// ErrNoCapacity: the cloud has no such servers at the moment.
+var ErrNoCapacity = errors.New("no capacity")
 
 const (
 	// tasksEvery is how often the leader looks what is due.
@@ -129,17 +129,17 @@
 }
 
 // orderServers gives an order under the next fencing number.
-func (t *leaderTasks) orderServers(ctx context.Context, w Want) error {
+func (t *leaderTasks) orderServers(ctx context.Context, w DesiredServers) error {
 	ctx, cancel := context.WithTimeout(ctx, cloudTimeout)
 	defer cancel()
-	return t.cloud.OrderServers(ctx, Order{Leader: t.name, Fence: t.fences.take(t.term)}, w)
+	return t.cloud.OrderServers(ctx, FencingToken{Leader: t.name, Fence: t.fences.take(t.term)}, w)
 }
 
 // reportUsage sends a window's usage under the next fencing number.
 func (t *leaderTasks) reportUsage(ctx context.Context, w usageWindow) error {
 	ctx, cancel := context.WithTimeout(ctx, cloudTimeout)
 	defer cancel()
-	order := Order{Leader: t.name, Fence: t.fences.take(t.term)}
+	order := FencingToken{Leader: t.name, Fence: t.fences.take(t.term)}
 	err := t.cloud.ReportUsage(ctx, order, w.Window, w.Counts)
 	attrs := []slog.Attr{
 		slog.String("task", "usage"), slog.Uint64("fence", order.Fence), slog.Int64("window", w.Window), slog.Any("counts", w.Counts),
--- a/coordinator/watch.go
+++ b/coordinator/watch.go
@@ -50,7 +50,7 @@
 func (c *Coordinator) watch(ctx context.Context, from link.PeerInfo, req api.WatchRequest) (api.WatchReply, error) {
 	c.noteWatcher(from, req)
 	seen := req.Seen
-	if req.Life != c.life {
+	if req.Incarnation != c.life {
 		seen = 0
 	}
 	if !c.lacksShare(&req) {
@@ -60,8 +60,8 @@
 	changes := c.directory.Since(seen, req.Role == api.RoleControl, now)
 	live := c.live.at(now)
 	reply := api.WatchReply{
-		Life: c.life, Seen: changes.Seq, Servers: changes.Servers, Entries: changes.Entries,
-		Replicas: c.replicas(), Live: len(live.names), Clock: now,
+		Incarnation: c.life, Seen: changes.Seq, Servers: changes.Servers, Entries: changes.Entries,
+		Replicas: c.replicas(), LiveEntries: len(live.names), Clock: now,
 	}
 	if req.Entry != nil {
 		reply.LiveDigest = live.digest
@@ -72,7 +72,7 @@
 			}
 		}
 		reply.Work = c.work.rates()
-		reply.Share = c.shares.word(req.Entry.Name, now)
+		reply.ShareVote = c.shares.word(req.Entry.Name, now)
 	}
 	revision, document, _ := c.revisions.newest()
 	reply.Revision = revision
@@ -85,19 +85,19 @@
 // lacksShare reports whether the sender is an entry that has heard nothing of its share of
 // the limits yet. It refuses callers until it has.
 func (c *Coordinator) lacksShare(req *api.WatchRequest) bool {
-	return req.Entry != nil && req.ShareOf == 0 && c.shares.word(req.Entry.Name, c.now()).Entries > 0
+	return req.Entry != nil && req.ShareDivisor == 0 && c.shares.word(req.Entry.Name, c.now()).Entries > 0
 }
 
 // noteWatcher takes what the call tells of its sender.
 func (c *Coordinator) noteWatcher(from link.PeerInfo, req api.WatchRequest) {
 	if req.Entry != nil {
 		c.directory.MergeEntry(*req.Entry, c.now())
-		if req.Life == 0 || req.Life == c.life {
+		if req.Incarnation == 0 || req.Incarnation == c.life {
 			// A call that was meant for the life before leaves out what that one was told. It
 			// would pass for all that the entry has counted.
 			c.usage.note(entryLife{req.Entry.Name, req.Entry.Incarnation}, req.OpenWindow, req.Usage)
 		}
-		c.shares.note(req.Entry.Name, req.ShareOf, c.now())
+		c.shares.note(req.Entry.Name, req.ShareDivisor, c.now())
 		c.loads.note(req.Entry.Name, req.Loads, c.now())
 		c.work.note(entryLife{req.Entry.Name, req.Entry.Incarnation}, req.Work, c.now())
 	}
@@ -112,7 +112,7 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		revision, document, revised := c.revisions.newest()
-		if document != nil && req.News(revision) {
+		if document != nil && req.WantsRevision(revision) {
 			return
 		}
 		news, changed := c.directory.News(seen)
--- a/coordinator/watch_test.go
+++ b/coordinator/watch_test.go
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	answered := make(chan api.WatchReply, 1)
 	go func() {
-		next, _ := c.watch(ctx, link.PeerInfo{}, api.WatchRequest{Role: api.RoleEntry, Has: true, Life: reply.Life, Seen: reply.Seen, Wait: time.Minute})
+		next, _ := c.watch(ctx, link.PeerInfo{}, api.WatchRequest{Role: api.RoleEntry, HasCatalogue: true, Incarnation: reply.Incarnation, Seen: reply.Seen, Wait: time.Minute})
 		answered <- next
 	}()
 	select {
@@ -70,7 +70,7 @@
 func TestRevisionOnly(t *testing.T) {
 	c := newQuiet(t)
 	c.offer(1, []byte("first"))
-	req := api.WatchRequest{Role: api.RoleEntry, Has: true, Revision: 1, RevisionOnly: true, Told: 1, Wait: time.Minute}
+	req := api.WatchRequest{Role: api.RoleEntry, HasCatalogue: true, Revision: 1, RevisionOnly: true, NotifiedRevision: 1, Wait: time.Minute}
 	answered := make(chan api.WatchReply, 1)
 	go func() {
 		reply, _ := c.watch(context.Background(), link.PeerInfo{}, req)
@@ -82,7 +82,7 @@
 	require.Empty(t, reply.Document)
 
 	// It knows of it now, and is kept waiting though it has not got it yet.
-	req.Told, req.Life, req.Seen, req.Wait = 2, reply.Life, reply.Seen, time.Minute
+	req.NotifiedRevision, req.Incarnation, req.Seen, req.Wait = 2, reply.Incarnation, reply.Seen, time.Minute
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err := c.watch(ctx, link.PeerInfo{}, req)
@@ -92,7 +92,7 @@
 
 func entryCall(name string, life uint64, usage ...api.WindowUsage) api.WatchRequest {
 	return api.WatchRequest{
-		Role: api.RoleEntry, Life: life, Has: true, Wait: time.Millisecond, Usage: usage, OpenWindow: 1, ShareOf: 1,
+		Role: api.RoleEntry, Incarnation: life, HasCatalogue: true, Wait: time.Millisecond, Usage: usage, OpenWindow: 1, ShareDivisor: 1,
 		Entry: &directory.Entry{Name: name, Incarnation: 1, State: instance.StateServing},
 		Loads: []api.ServerLoad{{Server: "s", Running: 1}},
 	}
@@ -111,9 +111,9 @@
 		return reply
 	}
 	reply := call(c.life+1, 100) // left out: what it counted in other windows
-	require.Equal(t, c.life, reply.Life)
+	require.Equal(t, c.life, reply.Incarnation)
 	require.Empty(t, c.usage.sum(1))
-	call(reply.Life, 5010)
+	call(reply.Incarnation, 5010)
 	require.Equal(t, map[string]int64{"w": 5010}, c.usage.sum(1))
 }
 
@@ -124,13 +124,13 @@
 	c.shares = newShareBook(c.now(), true)
 	c.offer(0, []byte("first"))
 	req := entryCall("a", 0)
-	req.ShareOf, req.Wait = 0, time.Minute
+	req.ShareDivisor, req.Wait = 0, time.Minute
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
 	defer cancel()
 	reply, err := c.watch(ctx, link.PeerInfo{}, req)
 	require.NoError(t, err)
 	require.NoError(t, ctx.Err(), "it did not wait")
-	require.Equal(t, limit.ShareVote{Entries: 1, Allowed: true}, reply.Share)
+	require.Equal(t, limit.ShareVote{Entries: 1, Allowed: true}, reply.ShareVote)
 }
 
 // Hundreds of entries follow each of some replicas. One of these tells an entry what all
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -27,12 +27,12 @@
 	req := api.WatchRequest{Role: api.RoleEntry, Wait: g.watchWait()}
 	req.Usage, req.OpenWindow = g.usage.report()
 	if t := g.table.Load(); t != nil {
-		req.Has, req.Revision = true, t.Catalogue().Revision
+		req.HasCatalogue, req.Revision = true, t.Catalogue().Revision
 		// Callers are sent here only once they can be answered.
 		self := g.self()
 		req.Entry = &self
 		req.Loads = g.loads()
-		req.ShareOf = g.shares.inUse()
+		req.ShareDivisor = g.shares.inUse()
 		req.Work = g.work()
 		req.LiveDigest = g.peers.known()
 	}
@@ -56,10 +56,10 @@
 	hadNone := g.table.Load() == nil
 	g.adopt(r.Revision, r.Document, addr)
 	if hadNone && g.table.Load() != nil {
-		g.follower.Kick()
+		g.follower.SendNow()
 	}
-	g.directory.Merge(directory.Origin{Replica: addr, Life: r.Life}, r.Servers, r.Entries, g.now())
-	g.countEntries(addr, r.Live)
+	g.directory.Merge(directory.Origin{Replica: addr, Life: r.Incarnation}, r.Servers, r.Entries, g.now())
+	g.countEntries(addr, r.LiveEntries)
 	if g.peers.take(r.LiveDigest, r.LiveNames, g.now()) {
 		g.books.relist()
 	}
@@ -68,7 +68,7 @@
 		g.noteOthers(r.Loads)
 	}
 	g.noteRates(r.Work)
-	g.shares.take(addr, r.Share, len(r.Replicas), r.Asked)
+	g.shares.take(addr, r.ShareVote, len(r.Replicas), r.Asked)
 	g.limits.takePart()
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -117,8 +117,8 @@
 	}
 	g.traffic = link.NewTraffic(g.metrics)
 	g.links = link.NewPool(api.PoolConfig(g.peerInfo(), cfg.ClusterKey), link.PoolDeps{Log: deps.Log, Traffic: g.traffic})
-	g.follower = follow.New(follow.Config{OneSource: true}, follow.Deps{
-		Pool: g.links, Log: g.log, Now: g.now, Request: g.watchRequest, Reply: g.take, Lost: g.replicaLost, Seeds: deps.Seeds,
+	g.follower = follow.New(follow.Config{SingleSource: true}, follow.Deps{
+		Pool: g.links, Log: g.log, Now: g.now, Request: g.watchRequest, Reply: g.take, OnUnreachable: g.replicaLost, Seeds: deps.Seeds,
 	})
 	return g, nil
 }
--- a/gateway/leave.go
+++ b/gateway/leave.go
@@ -44,7 +44,7 @@
 	start := g.now()
 	g.leaving.Store(true)
 	g.sequence.Add(1)
-	g.follower.Kick()
+	g.follower.SendNow()
 	event.Log(ctx, g.log, slog.LevelInfo, event.DrainBegun, slog.Int64("inFlight", g.inFlight.Load()))
 	grace := g.cfg.Node.Bounds.StopGrace
 	daemon.Pause(ctx, time.Duration(float64(grace)*acceptPart))
