--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -102,8 +102,8 @@
 		self: cfg.Node.ControlLink(cfg.Node.IP),
 		life: uint64(deps.Now().UnixNano()),
 		directory: directory.NewStore(directory.Config{
-			SilentAfter: silentAfter(cfg.Node.AnnounceEvery), EntrySilentAfter: entrySilentAfter, ForgetAfter: directory.DefaultForgetAfter,
-			AddressKept: time.Duration(addressPart * float64(cfg.Node.Bounds.AddressReuse)),
+			OverdueAfter: silentAfter(cfg.Node.AnnounceEvery), EntryExpiry: entrySilentAfter, ForgetAfter: directory.DefaultForgetAfter,
+			AddressHold: time.Duration(addressPart * float64(cfg.Node.Bounds.AddressReuse)),
 		}),
 		revisions: newRevisions(), usage: newUsageBook(cfg.Node.Bounds.UsageWindows()), loads: newLoadBook(), work: newWorkBook(), clock: wallclock.System(),
 		stopping: make(chan struct{}), heard: make(map[string]time.Time),
@@ -236,7 +236,7 @@
 // take merges what another replica told.
 func (c *Coordinator) take(addr string, r api.WatchReply) {
 	c.clock.Observe(addr, r.Clock)
-	c.directory.Merge(directory.Origin{Replica: addr, Life: r.Incarnation}, r.Servers, r.Entries, c.now())
+	c.directory.Merge(directory.Origin{Replica: addr, Incarnation: r.Incarnation}, r.Servers, r.Entries, c.now())
 	c.offer(r.Revision, r.Document)
 }
 
--- a/coordinator/fleet.go
+++ b/coordinator/fleet.go
@@ -191,7 +191,7 @@
 // has gone, mostly without another word: room that was kept for it would stay empty.
 func (c *serverCount) add(rec *directory.Server, heardWithin time.Duration) {
 	kind := supply.Kind{Zone: rec.Zone, Reclaimable: rec.Class == directory.ClassReclaimable}
-	if rec.Silent || rec.State != instance.StateServing && rec.HeardAgo > heardWithin {
+	if rec.Unreachable || rec.State != instance.StateServing && rec.HeartbeatAge > heardWithin {
 		return
 	}
 	c.present[kind]++
--- a/coordinator/fleet_test.go
+++ b/coordinator/fleet_test.go
@@ -209,7 +209,7 @@
 	require.Equal(t, []int{0}, wants(m.step(time.Second), "c", false), "they are still there")
 	for i := range m.servers {
 		if m.servers[i].Zone == "c" {
-			m.servers[i].HeardAgo = 3 * time.Second
+			m.servers[i].HeartbeatAge = 3 * time.Second
 		}
 	}
 	require.Equal(t, []int{8}, wants(m.step(time.Second), "c", false))
--- a/coordinator/observe.go
+++ b/coordinator/observe.go
@@ -30,7 +30,7 @@
 	f.observed = now
 	known := make(map[string][]directory.Server)
 	for _, rec := range f.servers(now) {
-		if rec.Silent || rec.State != instance.StateServing {
+		if rec.Unreachable || rec.State != instance.StateServing {
 			continue
 		}
 		for _, name := range rec.Services {
--- a/coordinator/remembered.go
+++ b/coordinator/remembered.go
@@ -138,11 +138,11 @@
 	now := c.now()
 	age := max(now.Sub(s.At), 0) // the clock may have been set back
 	for i := range s.Servers {
-		s.Servers[i].HeardAgo = age
+		s.Servers[i].HeartbeatAge = age
 	}
 	for i := range s.Entries {
 		// Entries ask each other by their addresses; callers are sent to one once it has called.
-		s.Entries[i].HeardAgo = max(s.Entries[i].HeardAgo+age, entrySilentAfter+time.Millisecond)
+		s.Entries[i].HeartbeatAge = max(s.Entries[i].HeartbeatAge+age, entrySilentAfter+time.Millisecond)
 	}
 	c.directory.Merge(directory.Origin{}, s.Servers, s.Entries, now)
 	c.shares.recall(s.Sharers, now)
@@ -177,6 +177,6 @@
 // well returns the servers that take requests.
 func well(servers []directory.Server) []directory.Server {
 	return slices.DeleteFunc(servers, func(s directory.Server) bool {
-		return s.State != instance.StateServing || s.Unheard || s.Silent
+		return s.State != instance.StateServing || s.Overdue || s.Unreachable
 	})
 }
--- a/coordinator/remembered_test.go
+++ b/coordinator/remembered_test.go
@@ -20,7 +20,7 @@
 func restarted(dir string, at time.Time) *Coordinator {
 	c := &Coordinator{
 		log: slog.New(slog.DiscardHandler), now: func() time.Time { return at }, memory: &serverMemory{fs: storage.OS{}, dir: dir}, shares: newShareBook(at, false),
-		directory: directory.NewStore(directory.Config{SilentAfter: 4 * time.Second, EntrySilentAfter: entrySilentAfter, ForgetAfter: time.Minute}),
+		directory: directory.NewStore(directory.Config{OverdueAfter: 4 * time.Second, EntryExpiry: entrySilentAfter, ForgetAfter: time.Minute}),
 	}
 	c.recall(context.Background())
 	return c
@@ -84,7 +84,7 @@
 func TestLeaveOutlivesAMemory(t *testing.T) {
 	_, dir := saved(t, server("1", instance.StateServing))
 	c := restarted(dir, savedAt.Add(time.Second))
-	other := directory.NewStore(directory.Config{SilentAfter: 4 * time.Second, ForgetAfter: time.Minute})
+	other := directory.NewStore(directory.Config{OverdueAfter: 4 * time.Second, ForgetAfter: time.Minute})
 	other.Announce(server("1", instance.StateLeaving).Announcement, savedAt)
 	other.Merge(directory.Origin{}, c.directory.Since(0, true, c.now()).Servers, nil, c.now())
 	require.Empty(t, well(other.Servers(c.now())))
--- a/coordinator/watch.go
+++ b/coordinator/watch.go
@@ -115,7 +115,7 @@
 		if document != nil && req.WantsRevision(revision) {
 			return
 		}
-		news, changed := c.directory.News(seen)
+		news, changed := c.directory.ChangedSince(seen)
 		if news {
 			return
 		}
--- a/directory/record.go
+++ b/directory/record.go
@@ -10,27 +10,27 @@
 type Server struct {
 	instance.Announcement `msgpack:"a"`
 
-	// HeardAgo is how long before the message the last heartbeat came, and Unheard
+	// HeartbeatAge is how long before the message the last heartbeat came, and Unheard
 	// says that it came too long ago for a server that is well.
-	HeardAgo time.Duration `msgpack:"ago"`
-	Unheard  bool          `msgpack:"unheard"`
+	HeartbeatAge time.Duration `msgpack:"ago"`
+	Overdue      bool          `msgpack:"unheard"`
 
-	// Silent says that the server is taken to be lost: at a replica, that it is
+	// Unreachable says that the server is taken to be lost: at a replica, that it is
 	// unheard while most other replicas are in touch; at any other process, that
 	// silenceOf says so.
-	Silent bool `msgpack:"silent"`
+	Unreachable bool `msgpack:"silent"`
 }
 
 // Entry is an entry of the system.
 type Entry struct {
-	Name        string         `msgpack:"name"`
-	Incarnation uint64         `msgpack:"inc"` // Unix milliseconds of its start
-	Sequence    uint64         `msgpack:"seq"` // one more at each change of State
-	State       instance.State `msgpack:"state"`
-	Address     string         `msgpack:"addr"` // host:port for callers
-	Zone        string         `msgpack:"zone"`
-	Region      string         `msgpack:"region"`
-	HeardAgo    time.Duration  `msgpack:"ago"`
+	Name         string         `msgpack:"name"`
+	Incarnation  uint64         `msgpack:"inc"` // Unix milliseconds of its start
+	Sequence     uint64         `msgpack:"seq"` // one more at each change of State
+	State        instance.State `msgpack:"state"`
+	Address      string         `msgpack:"addr"` // host:port for callers
+	Zone         string         `msgpack:"zone"`
+	Region       string         `msgpack:"region"`
+	HeartbeatAge time.Duration  `msgpack:"ago"`
 }
 
 // version orders the records of one id.
--- a/directory/silence.go
+++ b/directory/silence.go
@@ -18,8 +18,8 @@
 
 // Origin says which replica told something.
 type Origin struct {
-	Replica string // link address
-	Life    uint64 // of that start of the replica
+	Replica     string // link address
+	Incarnation uint64 // of that start of the replica
 }
 
 // word is what one replica said last of a server.
@@ -34,18 +34,18 @@
 }
 
 // judges reports whether this process hears the servers itself.
-func (s *Store) judges() bool { return s.cfg.SilentAfter > 0 }
+func (s *Store) judges() bool { return s.cfg.OverdueAfter > 0 }
 
 // judge marks a server as unheard or heard by the time of its last heartbeat, and
 // reports whether that is new. confirmed says that this replica is in touch with
 // most others.
 func (s *Store) judge(held *heldServer, now time.Time, confirmed bool) bool {
-	unheard := held.State == instance.StateServing && now.Sub(held.heard) > s.cfg.SilentAfter
-	silent := unheard && (confirmed || held.Silent)
-	if unheard == held.Unheard && silent == held.Silent {
+	unheard := held.State == instance.StateServing && now.Sub(held.heard) > s.cfg.OverdueAfter
+	silent := unheard && (confirmed || held.Unreachable)
+	if unheard == held.Overdue && silent == held.Unreachable {
 		return false
 	}
-	held.Unheard, held.Silent = unheard, silent
+	held.Overdue, held.Unreachable = unheard, silent
 	s.changeServer(held)
 	return true
 }
@@ -68,7 +68,7 @@
 		silent = silent || w.silent
 	}
 	if counted == 0 {
-		return held.Silent
+		return held.Unreachable
 	}
 	return silent
 }
@@ -76,10 +76,10 @@
 // weigh applies the replicas' words to a server and reports whether that is new.
 func (s *Store) weigh(held *heldServer) bool {
 	silent := s.silenceOf(held)
-	if silent == held.Silent {
+	if silent == held.Unreachable {
 		return false
 	}
-	held.Silent = silent
+	held.Unreachable = silent
 	s.changeServer(held)
 	return true
 }
@@ -94,20 +94,20 @@
 	}
 	src := s.sources[from.Replica]
 	switch {
-	case src != nil && src.life == from.Life && !src.lost:
+	case src != nil && src.life == from.Incarnation && !src.lost:
 		return false
-	case src != nil && src.life != from.Life:
+	case src != nil && src.life != from.Incarnation:
 		for _, held := range s.servers {
 			delete(held.words, from.Replica)
 		}
 	}
-	s.sources[from.Replica] = &source{life: from.Life}
+	s.sources[from.Replica] = &source{life: from.Incarnation}
 	return s.weighAll()
 }
 
-// Lost notes that a replica no longer answers: it may be dead, and what it heard last
+// MarkUnreachable notes that a replica no longer answers: it may be dead, and what it heard last
 // must not keep a dead server in use. It reports whether that changed what is known.
-func (s *Store) Lost(replica string) bool {
+func (s *Store) MarkUnreachable(replica string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	src := s.sources[replica]
--- a/directory/silence_test.go
+++ b/directory/silence_test.go
@@ -17,7 +17,7 @@
 }
 
 func newRelay(name string) *relay {
-	return &relay{Store: newStore(), origin: Origin{Replica: name, Life: 1}}
+	return &relay{Store: newStore(), origin: Origin{Replica: name, Incarnation: 1}}
 }
 
 // tell passes on what is new.
@@ -38,7 +38,7 @@
 	return hears, others, entry
 }
 
-func silent(s *Store) bool { return s.Servers(epoch)[0].Silent }
+func silent(s *Store) bool { return s.Servers(epoch)[0].Unreachable }
 
 // Replicas are cut off from each other for some seconds, and a server goes on
 // reporting at one of the few. The many hear nothing of it and call it silent. Callers
@@ -77,7 +77,7 @@
 // It breaks if being unheard is enough.
 func TestReplicaThatHearsNothing(t *testing.T) {
 	alone, others, entry := cutSite()
-	entry.Lost(others.origin.Replica)
+	entry.MarkUnreachable(others.origin.Replica)
 	now := epoch.Add(time.Minute)
 	alone.Sweep(now, false)
 	alone.tell(entry, now)
@@ -95,12 +95,12 @@
 	others.Sweep(now, true)
 	others.tell(entry, now)
 	require.False(t, silent(entry))
-	require.True(t, entry.Lost("a"))
+	require.True(t, entry.MarkUnreachable("a"))
 	require.True(t, silent(entry))
 
 	hears.tell(entry, now) // it was only slow to answer
 	require.False(t, silent(entry))
 
-	entry.Merge(Origin{Replica: "a", Life: 2}, nil, nil, now)
+	entry.Merge(Origin{Replica: "a", Incarnation: 2}, nil, nil, now)
 	require.True(t, silent(entry), "it has started anew and knows of no server")
 }
--- a/directory/store.go
+++ b/directory/store.go
@@ -11,15 +11,15 @@
 
 // Config sets when records count as old.
 type Config struct {
-	// SilentAfter is the time without a heartbeat after which a server counts as
+	// OverdueAfter is the time without a heartbeat after which a server counts as
 	// unheard; 0 at a process that hears no server itself.
-	SilentAfter time.Duration
-	// EntrySilentAfter is the time without a sign of life after which an entry is
+	OverdueAfter time.Duration
+	// EntryExpiry is the time without a sign of life after which an entry is
 	// no longer named to callers.
-	EntrySilentAfter time.Duration
-	// AddressKept is how long after a server's last heartbeat no other one can have
+	EntryExpiry time.Duration
+	// AddressHold is how long after a server's last heartbeat no other one can have
 	// its address.
-	AddressKept time.Duration
+	AddressHold time.Duration
 	// ForgetAfter is the time after which a server's record is dropped that does not
 	// serve or is silent, and an entry's that gave no sign of life. It must outlast
 	// every heartbeat that is still on its way.
@@ -107,13 +107,13 @@
 func (s *Store) mergeServer(from Origin, rec Server, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	heard := now.Add(-rec.HeardAgo)
+	heard := now.Add(-rec.HeartbeatAge)
 	held, known := s.servers[rec.ID]
 	if known && !rec.version().newerThan(held.version()) {
 		return s.refresh(from, held, rec, now)
 	}
-	said := word{rec.Unheard, rec.Silent}
-	rec.Unheard, rec.Silent = false, false
+	said := word{rec.Overdue, rec.Unreachable}
+	rec.Overdue, rec.Unreachable = false, false
 	if !s.claimAddress(&rec, now) {
 		return false
 	}
@@ -154,11 +154,11 @@
 	if rec.Incarnation != held.Incarnation || rec.State != held.State {
 		return false
 	}
-	if heard := now.Add(-rec.HeardAgo); rec.version() == held.version() && heard.After(held.heard) {
+	if heard := now.Add(-rec.HeartbeatAge); rec.version() == held.version() && heard.After(held.heard) {
 		held.heard = heard
 		s.touchServer(held)
 	}
-	return s.settle(from, held, word{rec.Unheard, rec.Silent}, now)
+	return s.settle(from, held, word{rec.Overdue, rec.Unreachable}, now)
 }
 
 // claimAddress settles which of two servers has an address, and reports whether
@@ -179,7 +179,7 @@
 		case other.Incarnation > rec.Incarnation:
 			rec.State = instance.StateGone
 			return true
-		case other.Incarnation == rec.Incarnation && now.Sub(other.heard) < s.cfg.AddressKept:
+		case other.Incarnation == rec.Incarnation && now.Sub(other.heard) < s.cfg.AddressHold:
 			return false
 		}
 		other.State = instance.StateGone
@@ -193,7 +193,7 @@
 // in what is measured anew each time.
 func sameServer(a, b *Server) bool {
 	return a.Incarnation == b.Incarnation && a.State == b.State && a.Address == b.Address && a.Zone == b.Zone &&
-		a.Unheard == b.Unheard && a.Silent == b.Silent && a.Slots == b.Slots && a.Class == b.Class && a.Version == b.Version &&
+		a.Overdue == b.Overdue && a.Unreachable == b.Unreachable && a.Slots == b.Slots && a.Class == b.Class && a.Version == b.Version &&
 		a.LeavingIn == b.LeavingIn && slices.Equal(a.Services, b.Services)
 }
 
@@ -219,7 +219,7 @@
 func (s *Store) MergeEntry(rec Entry, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	heard := now.Add(-rec.HeardAgo)
+	heard := now.Add(-rec.HeartbeatAge)
 	held, known := s.entries[rec.Name]
 	if known && !rec.version().newerThan(held.version()) {
 		if rec.version() == held.version() && heard.After(held.heard) {
@@ -251,14 +251,14 @@
 	for _, held := range s.servers {
 		if held.seq > seq || touches && held.touched > seq {
 			rec := held.Server
-			rec.HeardAgo = now.Sub(held.heard)
+			rec.HeartbeatAge = now.Sub(held.heard)
 			out.Servers = append(out.Servers, rec)
 		}
 	}
 	for _, held := range s.entries {
 		if held.seq > seq || touches && held.touched > seq {
 			rec := held.Entry
-			rec.HeardAgo = now.Sub(held.heard)
+			rec.HeartbeatAge = now.Sub(held.heard)
 			out.Entries = append(out.Entries, rec)
 		}
 	}
@@ -267,9 +267,9 @@
 	return out
 }
 
-// News reports whether anything changed after seq. changed is closed at the next
+// ChangedSince reports whether anything changed after seq. changed is closed at the next
 // change.
-func (s *Store) News(seq uint64) (news bool, changed <-chan struct{}) {
+func (s *Store) ChangedSince(seq uint64) (news bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newest() > seq, s.changed
@@ -295,7 +295,7 @@
 	defer s.mu.Unlock()
 	for id, held := range s.servers {
 		age := now.Sub(held.heard)
-		well := held.State == instance.StateServing && !held.Silent
+		well := held.State == instance.StateServing && !held.Unreachable
 		if age > s.cfg.ForgetAfter && !well {
 			delete(s.servers, id)
 			if s.byAddr[held.Address] == id {
@@ -324,16 +324,16 @@
 			continue
 		}
 		rec := held.Server
-		rec.HeardAgo = now.Sub(held.heard)
+		rec.HeartbeatAge = now.Sub(held.heard)
 		out = append(out, rec)
 	}
 	slices.SortFunc(out, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
-// Renew notes that another process hears these entries, and returns what is known of
+// Refresh notes that another process hears these entries, and returns what is known of
 // them. A process that is told only of changes would drop them otherwise.
-func (s *Store) Renew(names []string, now time.Time) []Entry {
+func (s *Store) Refresh(names []string, now time.Time) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Entry, 0, len(names))
@@ -358,7 +358,7 @@
 	out := make([]Entry, 0, len(s.entries))
 	for _, held := range s.entries {
 		rec := held.Entry
-		rec.HeardAgo = now.Sub(held.heard)
+		rec.HeartbeatAge = now.Sub(held.heard)
 		out = append(out, rec)
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
@@ -372,7 +372,7 @@
 	defer s.mu.Unlock()
 	out := make([]Entry, 0, len(s.entries))
 	for _, held := range s.entries {
-		if held.State == instance.StateServing && now.Sub(held.heard) <= s.cfg.EntrySilentAfter {
+		if held.State == instance.StateServing && now.Sub(held.heard) <= s.cfg.EntryExpiry {
 			out = append(out, held.Entry)
 		}
 	}
--- a/directory/store_test.go
+++ b/directory/store_test.go
@@ -14,7 +14,7 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 func newStore() *Store {
-	return NewStore(Config{SilentAfter: 4 * time.Second, EntrySilentAfter: 2 * time.Second, AddressKept: 1800 * time.Millisecond, ForgetAfter: time.Minute})
+	return NewStore(Config{OverdueAfter: 4 * time.Second, EntryExpiry: 2 * time.Second, AddressHold: 1800 * time.Millisecond, ForgetAfter: time.Minute})
 }
 
 func beat(id string, incarnation, sequence uint64, state instance.State) instance.Announcement {
@@ -102,11 +102,11 @@
 	s := newStore()
 	s.Announce(beat("s1", 1, 1, instance.StateServing), epoch)
 	s.Sweep(epoch.Add(5*time.Second), false)
-	require.False(t, s.Servers(epoch)[0].Silent)
+	require.False(t, s.Servers(epoch)[0].Unreachable)
 	s.Sweep(epoch.Add(5*time.Second), true)
-	require.True(t, s.Servers(epoch)[0].Silent)
+	require.True(t, s.Servers(epoch)[0].Unreachable)
 	s.Announce(beat("s1", 1, 2, instance.StateServing), epoch.Add(6*time.Second))
-	require.False(t, s.Servers(epoch)[0].Silent)
+	require.False(t, s.Servers(epoch)[0].Unreachable)
 }
 
 // Records reach two processes in different orders, some twice. Both must end with
@@ -133,16 +133,16 @@
 	s := newStore()
 	s.Announce(beat("s1", 1, 1, instance.StateServing), epoch)
 	seen := s.Since(0, false, epoch).Seq
-	news, changed := s.News(seen)
+	news, changed := s.ChangedSince(seen)
 	require.False(t, news)
 	s.Announce(beat("s1", 1, 2, instance.StateServing), epoch)
-	news, _ = s.News(seen)
+	news, _ = s.ChangedSince(seen)
 	require.False(t, news, "a heartbeat without news wakes nobody")
 	require.Empty(t, s.Since(seen, false, epoch).Servers)
 	require.Len(t, s.Since(seen, true, epoch).Servers, 1, "but replicas take it along")
 	s.Announce(beat("s1", 1, 3, instance.StateLeaving), epoch)
 	<-changed
-	news, _ = s.News(seen)
+	news, _ = s.ChangedSince(seen)
 	require.True(t, news)
 }
 
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -58,7 +58,7 @@
 	if hadNone && g.table.Load() != nil {
 		g.follower.SendNow()
 	}
-	g.directory.Merge(directory.Origin{Replica: addr, Life: r.Incarnation}, r.Servers, r.Entries, g.now())
+	g.directory.Merge(directory.Origin{Replica: addr, Incarnation: r.Incarnation}, r.Servers, r.Entries, g.now())
 	g.countEntries(addr, r.LiveEntries)
 	if g.peers.take(r.LiveDigest, r.LiveNames, g.now()) {
 		g.books.relist()
@@ -74,7 +74,7 @@
 
 // replicaLost takes the word that a control replica no longer answers.
 func (g *Gateway) replicaLost(addr string) {
-	if g.directory.Lost(addr) {
+	if g.directory.MarkUnreachable(addr) {
 		g.applyDirectory()
 	}
 }
@@ -194,10 +194,10 @@
 	switch {
 	case rec.State == instance.StateLeaving:
 		kind = event.ServerLeaving
-	case rec.State == instance.StateGone || rec.Silent:
+	case rec.State == instance.StateGone || rec.Unreachable:
 		kind = event.ServerGone
 	}
 	event.Log(context.Background(), g.log, slog.LevelInfo, kind, slog.String("server", rec.ID), slog.String("address", rec.Address),
 		slog.Uint64("incarnation", rec.Incarnation), slog.Uint64("sequence", rec.Sequence), slog.Any("services", rec.Services),
-		slog.String("zone", rec.Zone), slog.Bool("silent", rec.Silent), slog.Duration("heardAgo", rec.HeardAgo))
+		slog.String("zone", rec.Zone), slog.Bool("silent", rec.Unreachable), slog.Duration("heardAgo", rec.HeartbeatAge))
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -56,5 +56,5 @@
 	if p.at.IsZero() || now.Sub(p.at) > peersFor {
 		return nil
 	}
-	return p.directory.Renew(p.names, now)
+	return p.directory.Refresh(p.names, now)
 }
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -106,7 +106,7 @@
 	case rec.State == instance.StateLeaving:
 		s.servers[rec.ID] = rec
 		s.router.Leave(rec.ID, rec.Incarnation)
-	case rec.Silent:
+	case rec.Unreachable:
 		s.servers[rec.ID] = rec
 		s.router.Remove(rec.ID)
 		s.seq[rec.ID] = 0
@@ -250,7 +250,7 @@
 		if now.Sub(s.asked[id]) < askedFor {
 			continue // the report is older
 		}
-		if rec.State == instance.StateServing && !rec.Silent {
+		if rec.State == instance.StateServing && !rec.Unreachable {
 			s.announce(rec, others[id].Running+s.running[id], others[id].Prefill, now)
 		}
 	}
