--- a/coordinator/fleet.go
+++ b/coordinator/fleet.go
@@ -43,7 +43,7 @@
 // orderKey names what is ordered.
 type orderKey struct {
 	service string
-	kind    supply.Kind
+	kind    supply.CapacityPool
 }
 
 // fleet orders backend servers while this replica leads.
@@ -101,7 +101,7 @@
 // the log, since a leader that counted again in the middle of a wave would take what
 // the wave has left for what is needed.
 func (f *fleet) service(ctx context.Context, m *member, s *routes.Service, servers []directory.Server, now time.Time) {
-	count := serverCount{serving: make(map[supply.Kind]int), present: make(map[supply.Kind]int)}
+	count := serverCount{serving: make(map[supply.CapacityPool]int), present: make(map[supply.CapacityPool]int)}
 	for i := range servers {
 		if rec := &servers[i]; slices.Contains(rec.Services, s.Name) {
 			count.add(rec, f.announceEvery+relayedWithin)
@@ -113,15 +113,15 @@
 		return
 	}
 	demand, rate := f.demand(s.Name), f.work.rate(s.Name)
-	need := demand.Need(began, rate)
+	need := demand.ServersNeeded(began, rate)
 	in := supply.Input{
 		Zones: zonesOf(s.Scaling), Min: s.Scaling.Min, Max: s.Scaling.Max, SpotPrice: s.Scaling.SpotPrice,
-		Need: need, Began: began, Load: demand.Load(rate), Serving: count.serving, Present: count.present,
+		Need: need, InitialServers: began, Load: demand.ServersForCurrentLoad(rate), Serving: count.serving, Present: count.present,
 	}
 	// The reclaimable ones first: what is not to be had of them is ordered on demand in
 	// the same step. It boots for seconds, in which the load has too few servers.
 	for _, reclaimable := range []bool{true, false} {
-		in.Ordered, in.Closed = f.ordered(s.Name), f.closed(s.Name, now)
+		in.Ordered, in.Unavailable = f.ordered(s.Name), f.closed(s.Name, now)
 		if !f.orderKind(ctx, s.Name, &in, reclaimable, now) {
 			return
 		}
@@ -132,8 +132,8 @@
 // reports whether the cloud answered.
 func (f *fleet) orderKind(ctx context.Context, service string, in *supply.Input, reclaimable bool, now time.Time) bool {
 	for _, o := range supply.Plan(*in) {
-		serving := in.Serving[o.Kind]
-		if o.Reclaimable != reclaimable || !f.due(orderKey{service, o.Kind}, o.Count, serving, now) {
+		serving := in.Serving[o.CapacityPool]
+		if o.Reclaimable != reclaimable || !f.due(orderKey{service, o.CapacityPool}, o.Count, serving, now) {
 			continue
 		}
 		if !f.order(ctx, service, o, serving, in.Need, now) {
@@ -158,8 +158,8 @@
 }
 
 // ordered returns the numbers that the cloud accepted last.
-func (f *fleet) ordered(service string) map[supply.Kind]int {
-	out := make(map[supply.Kind]int)
+func (f *fleet) ordered(service string) map[supply.CapacityPool]int {
+	out := make(map[supply.CapacityPool]int)
 	for key, o := range f.orders {
 		if key.service == service && !o.refused && !o.pending {
 			out[key.kind] = o.count
@@ -169,8 +169,8 @@
 }
 
 // closed returns the kinds that were refused lately.
-func (f *fleet) closed(service string, now time.Time) map[supply.Kind]bool {
-	out := make(map[supply.Kind]bool)
+func (f *fleet) closed(service string, now time.Time) map[supply.CapacityPool]bool {
+	out := make(map[supply.CapacityPool]bool)
 	for key, o := range f.orders {
 		if key.service == service && o.refused && now.Sub(o.at) < 2*refusedFor {
 			out[key.kind] = true
@@ -181,16 +181,16 @@
 
 // serverCount counts the servers of a service.
 type serverCount struct {
-	serving map[supply.Kind]int // and not about to leave
-	present map[supply.Kind]int // also those that leave
-	total   int                 // serving
-	ids     []string            // of all but the silent ones
+	serving map[supply.CapacityPool]int // and not about to leave
+	present map[supply.CapacityPool]int // also those that leave
+	total   int                         // serving
+	ids     []string                    // of all but the silent ones
 }
 
 // add counts a server. One that leaves and has not been heard for longer than heardWithin
 // has gone, mostly without another word: room that was kept for it would stay empty.
 func (c *serverCount) add(rec *directory.Server, heardWithin time.Duration) {
-	kind := supply.Kind{Zone: rec.Zone, Reclaimable: rec.Class == directory.ClassReclaimable}
+	kind := supply.CapacityPool{Zone: rec.Zone, Reclaimable: rec.Class == directory.ClassReclaimable}
 	if rec.Unreachable || rec.State != instance.StateServing && rec.HeartbeatAge > heardWithin {
 		return
 	}
@@ -227,7 +227,7 @@
 func (f *fleet) order(ctx context.Context, service string, o supply.Order, serving, need int, now time.Time) bool {
 	err := f.give(ctx, DesiredServers{Service: service, Zone: o.Zone, Reclaimable: o.Reclaimable, Count: o.Count})
 	refused := errors.Is(err, ErrNoCapacity)
-	f.orders[orderKey{service, o.Kind}] = &ordered{count: o.Count, at: now, refused: refused, pending: err != nil && !refused}
+	f.orders[orderKey{service, o.CapacityPool}] = &ordered{count: o.Count, at: now, refused: refused, pending: err != nil && !refused}
 	event.Log(ctx, f.log, slog.LevelInfo, event.PlacementChosen, slog.String("service", service), slog.String("zone", o.Zone),
 		slog.Bool("reclaimable", o.Reclaimable), slog.Int("count", o.Count), slog.Int("serving", serving), slog.Int("need", need), slog.Any("error", err))
 	return err == nil || refused
--- a/coordinator/observe.go
+++ b/coordinator/observe.go
@@ -67,7 +67,7 @@
 	if !known {
 		return
 	}
-	d.Note(supply.Use{Tokens: perSecond, Running: float64(f.running(ids)), Slots: slots / len(servers)}, now)
+	d.Observe(supply.Usage{Tokens: perSecond, Running: float64(f.running(ids)), Slots: slots / len(servers)}, now)
 }
 
 func (f *fleet) demand(service string) *demand {
--- a/entry/holdings.go
+++ b/entry/holdings.go
@@ -119,11 +119,11 @@
 	defer l.mu.Unlock()
 	for workspace := range l.elsewhere {
 		if slots[workspace] == 0 {
-			l.starter.Elsewhere(workspace, 0)
+			l.starter.SetRemoteSlots(workspace, 0)
 		}
 	}
 	for workspace, n := range slots {
-		l.starter.Elsewhere(workspace, n)
+		l.starter.SetRemoteSlots(workspace, n)
 	}
 	l.elsewhere = slots
 }
--- a/entry/lane.go
+++ b/entry/lane.go
@@ -170,15 +170,15 @@
 	for _, o := range l.occupancies {
 		l.parts = append(l.parts, o.Slots-o.Reported)
 	}
-	queue.Parts(l.parts, l.entries, turn)
+	queue.SplitSlots(l.parts, l.entries, turn)
 	for i, o := range l.occupancies {
 		reported := max(0, o.Slots-o.Reported)
 		believed := max(0, o.Slots-o.Reported-o.Own)
 		s.Total += o.Slots
 		s.Free += reported
-		s.Own += reported - believed
+		s.Taken += reported - believed
 		if believed > 0 {
-			s.Mine += max(0, l.parts[i]-o.Own)
+			s.Assigned += max(0, l.parts[i]-o.Own)
 		}
 	}
 	return s
@@ -225,7 +225,7 @@
 	for l.startNext(now) {
 	}
 	slots := l.free(now)
-	l.drain.Full(now, slots.Free <= slots.Own || l.queue.Len() > 0)
+	l.drain.Full(now, slots.Free <= slots.Taken || l.queue.Len() > 0)
 }
 
 // startNext grants a server to the next request that may start now.
--- a/policy/policytest/baseline.go
+++ b/policy/policytest/baseline.go
@@ -37,7 +37,7 @@
 }
 
 func (l *fifo) Next(_ time.Time, slots queue.Slots) *Job {
-	if slots.Free <= slots.Own || len(l.jobs) == 0 {
+	if slots.Free <= slots.Taken || len(l.jobs) == 0 {
 		return nil
 	}
 	j := l.jobs[0]
@@ -66,7 +66,7 @@
 func (l *fifo) Ended(time.Time, *Job, int64) {}
 
 func (l *fifo) Backlog(_ time.Time, _ *Job, slots queue.Slots) queue.Backlog {
-	return queue.Backlog{Ahead: l.tokens, Total: l.tokens, Share: 1, Starts: slots.Free > slots.Own && len(l.jobs) == 0}
+	return queue.Backlog{Ahead: l.tokens, Total: l.tokens, Share: 1, Starts: slots.Free > slots.Taken && len(l.jobs) == 0}
 }
 
 func (l *fifo) Held(string) int { return 0 }
--- a/policy/policytest/decided.go
+++ b/policy/policytest/decided.go
@@ -96,7 +96,7 @@
 
 func (l *fairLine) Held(workspace string) int { return l.held[workspace] }
 
-func (l *fairLine) Elsewhere(workspace string, slots int) { l.starter.Elsewhere(workspace, slots) }
+func (l *fairLine) Elsewhere(workspace string, slots int) { l.starter.SetRemoteSlots(workspace, slots) }
 
 func (l *fairLine) Len() int { return l.queue.Len() }
 
--- a/policy/policytest/fault.go
+++ b/policy/policytest/fault.go
@@ -116,7 +116,7 @@
 		slots := e.slots(len(m.entries))
 		v := e.retry.Slow(m.now, retry.Slowness{
 			Call: call(j), Waited: m.now.Sub(j.Started), Usual: e.usualFirst(),
-			Load: 1 - float64(slots.Free-slots.Own)/float64(max(1, slots.Total)),
+			Load: 1 - float64(slots.Free-slots.Taken)/float64(max(1, slots.Total)),
 		})
 		if !v.Go {
 			m.watch(e, j)
--- a/policy/policytest/model.go
+++ b/policy/policytest/model.go
@@ -182,7 +182,7 @@
 			free[i] = 0
 		}
 	}
-	parts := queue.Parts(free, entries, e.number+number)
+	parts := queue.SplitSlots(free, entries, e.number+number)
 	for i, load := range loads {
 		v := &e.view[i]
 		v.Reported, v.Believed, v.Free = load, load, parts[i]
@@ -213,9 +213,9 @@
 		reported := max(0, v.Slots-v.Reported)
 		s.Total += v.Slots
 		s.Free += reported
-		s.Own += reported - max(0, v.Slots-v.Believed)
+		s.Taken += reported - max(0, v.Slots-v.Believed)
 		if v.Believed < v.Slots {
-			s.Mine += max(0, v.Free)
+			s.Assigned += max(0, v.Free)
 		}
 	}
 	return s
@@ -281,7 +281,7 @@
 	m.expire(e)
 	m.start(e)
 	slots := e.slots(len(m.entries))
-	e.gate.Full(m.now, slots.Free <= slots.Own || e.line.Len() > 0)
+	e.gate.Full(m.now, slots.Free <= slots.Taken || e.line.Len() > 0)
 }
 
 func (m *model) start(e *entry) {
--- a/policy/queue/start.go
+++ b/policy/queue/start.go
@@ -54,18 +54,20 @@
 // side, as one entry sees them: by load reports that all entries share and that
 // are late. A server with more work than slots has none free.
 type Slots struct {
-	Total   int
-	Free    int // of all, as last reported
-	Own     int // how many of these this entry has taken since, less those it has given back
-	Mine    int // this entry's part of them by Parts, less what it has taken; not used with one entry
-	Entries int // how many entries start work on them; below 1 counts as 1
-	Entry   int // this one's number among them, from 0
-	Report  int // number of the report, the same at all entries
+	Total    int
+	Free     int // of all, as last reported
+	Taken    int // how many of these this entry has taken since, less those it has given back
+	Assigned int // this entry's part of them by Parts, less what it has taken; not used with one entry
+	Entries  int // how many entries start work on them; below 1 counts as 1
+	Entry    int // this one's number among them, from 0
+	Report   int // number of the report, the same at all entries
 }
 
 // left returns how many slots this entry may take of those that are free
 // beyond kept. It is negative where the entry has to let some go.
-func (s Slots) left(kept int) int { return Part(s.Free-kept, s.Entries, s.Entry+s.Report) - s.Own }
+func (s Slots) left(kept int) int {
+	return EntrySlots(s.Free-kept, s.Entries, s.Entry+s.Report) - s.Taken
+}
 
 // plenty is how many times as many slots as entries have to be free for all to
 // take any of them: two that take the same are rare then.
@@ -73,40 +75,40 @@
 
 // mine reports whether this entry may take a slot at all.
 func (s Slots) mine(sparing bool) bool {
-	left := s.Free - s.Own
-	if s.Entries <= 1 || s.Mine > 0 {
+	left := s.Free - s.Taken
+	if s.Entries <= 1 || s.Assigned > 0 {
 		return left > 0
 	}
 	return !sparing && left > plenty*s.Entries
 }
 
-// Part returns one entry's part of n slots that all entries learn of by the same
+// EntrySlots returns one entry's part of n slots that all entries learn of by the same
 // report. What goes wrong otherwise: each entry takes all of them, and requests
 // pile up at the servers; one would notice it by first tokens that are late
 // although slots were free.
 //
 // The parts of entries with turns that differ by one each add up to n, also for
 // negative n. With turn = entry + report the remainder goes around.
-func Part(n, entries, turn int) int {
+func EntrySlots(n, entries, turn int) int {
 	if entries <= 1 {
 		return n
 	}
 	return int(math.Floor(float64(n+turn%entries) / float64(entries)))
 }
 
-// Parts splits the free slots of servers among the entries, in place: free[i]
+// SplitSlots splits the free slots of servers among the entries, in place: free[i]
 // becomes this entry's part of server i's. No slot is in two parts, and what
 // the entries get of all servers together differs by one slot at most. A server
 // with more work than slots has a negative number, of which each entry has its
 // part to work off.
-func Parts(free []int, entries, turn int) []int {
+func SplitSlots(free []int, entries, turn int) []int {
 	before := 0
 	for i, n := range free {
 		if n < 0 {
-			free[i] = Part(n, entries, turn+i)
+			free[i] = EntrySlots(n, entries, turn+i)
 			continue
 		}
-		free[i] = Part(before+n, entries, turn) - Part(before, entries, turn)
+		free[i] = EntrySlots(before+n, entries, turn) - EntrySlots(before, entries, turn)
 		before += n
 	}
 	return free
@@ -117,21 +119,21 @@
 
 // The reasons of a StartVerdict.
 const (
-	StartBelowShare StartReason = iota // the workspace runs less than its share
-	StartFree                          // there are more free slots than are kept for others
-	NoSlot                             // every slot is taken
-	HeldForOthers                      // the free slots are kept for workspaces below their share
-	HeldForShort                       // the free slots are kept for short work
-	NotMine                            // the free slots are other entries' to take
+	StartBelowShare   StartReason = iota // the workspace runs less than its share
+	StartFree                            // there are more free slots than are kept for others
+	NoSlot                               // every slot is taken
+	HeldForOthers                        // the free slots are kept for workspaces below their share
+	HeldForShort                         // the free slots are kept for short work
+	AssignedElsewhere                    // the free slots are other entries' to take
 )
 
 var startNames = [...]string{
-	StartBelowShare: "start_below_share",
-	StartFree:       "start_free",
-	NoSlot:          "no_slot",
-	HeldForOthers:   "held_for_others",
-	HeldForShort:    "held_for_short",
-	NotMine:         "not_mine",
+	StartBelowShare:   "start_below_share",
+	StartFree:         "start_free",
+	NoSlot:            "no_slot",
+	HeldForOthers:     "held_for_others",
+	HeldForShort:      "held_for_short",
+	AssignedElsewhere: "not_mine",
 }
 
 // String returns the reason as it stands in logs.
@@ -161,7 +163,7 @@
 		return Runs
 	case v.Reason == NoSlot:
 		return AllWait
-	case v.Reason == HeldForOthers || v.Reason == NotMine:
+	case v.Reason == HeldForOthers || v.Reason == AssignedElsewhere:
 		return WorkspaceWaits
 	default:
 		return Waits
@@ -267,8 +269,8 @@
 // others of its workspace that wait had started.
 func (s *Starter) DecideBehind(now time.Time, item *Item, slots Slots, waiting int) StartVerdict {
 	s.sweep(now)
-	slots.Own += waiting
-	slots.Mine -= waiting
+	slots.Taken += waiting
+	slots.Assigned -= waiting
 	if s.yieldsToShort(now, item) && slots.left(kept(s.cfg.LongHeadroom, slots)) <= 0 {
 		return StartVerdict{Reason: HeldForShort}
 	}
@@ -276,11 +278,11 @@
 	if !below && slots.left(kept(s.cfg.Headroom, slots)) <= 0 {
 		return StartVerdict{Reason: HeldForOthers}
 	}
-	if slots.Free <= slots.Own {
+	if slots.Free <= slots.Taken {
 		return StartVerdict{Reason: NoSlot}
 	}
 	if !slots.mine(!below) {
-		return StartVerdict{Reason: NotMine}
+		return StartVerdict{Reason: AssignedElsewhere}
 	}
 	if below {
 		return StartVerdict{Start: true, Reason: StartBelowShare}
@@ -303,10 +305,10 @@
 	return max(slots.Entries, int(math.Ceil(part*float64(slots.Total))))
 }
 
-// Elsewhere notes how many slots other entries hold for a workspace, as they
+// SetRemoteSlots notes how many slots other entries hold for a workspace, as they
 // said last. Without it a workspace that holds much here and little elsewhere
 // would count as above its share.
-func (s *Starter) Elsewhere(workspace string, slots int) {
+func (s *Starter) SetRemoteSlots(workspace string, slots int) {
 	if u, ok := s.running[workspace]; ok {
 		u.elsewhere = slots
 	}
@@ -349,7 +351,7 @@
 	}
 	share := slots.Total * own.weight / s.weights
 	held := own.slots + waiting
-	if held < Part(share, slots.Entries, slots.Entry+own.turn) {
+	if held < EntrySlots(share, slots.Entries, slots.Entry+own.turn) {
 		return true
 	}
 	return slots.Entries > 1 && held+own.elsewhere < share
--- a/policy/queue/start_test.go
+++ b/policy/queue/start_test.go
@@ -85,17 +85,17 @@
 	s.Seen(at(0), &Item{Workspace: "surge", Weight: 9, Cost: 200})
 	s.Started(at(0), quiet)
 	s.Started(at(0), quiet)
-	slots := Slots{Total: 100, Free: 3, Mine: 1, Entries: 7}
+	slots := Slots{Total: 100, Free: 3, Assigned: 1, Entries: 7}
 	assert.Equal(t, StartBelowShare, s.Decide(at(0), quiet, slots).Reason)
-	s.Elsewhere("quiet", 8)
+	s.SetRemoteSlots("quiet", 8)
 	assert.Equal(t, HeldForOthers, s.Decide(at(0), quiet, slots).Reason, "its share is ten")
-	s.Elsewhere("quiet", 7)
+	s.SetRemoteSlots("quiet", 7)
 	assert.Equal(t, HeldForOthers, s.DecideBehind(at(0), quiet, slots, 1).Reason, "the one before it takes the last")
 	quiet.Resumed = true
-	s.Elsewhere("quiet", 20)
+	s.SetRemoteSlots("quiet", 20)
 	assert.True(t, s.Decide(at(0), quiet, slots).Start, "its answer has begun")
-	slots.Mine = 0
-	assert.Equal(t, NotMine, s.Decide(at(0), quiet, slots).Reason)
+	slots.Assigned = 0
+	assert.Equal(t, AssignedElsewhere, s.Decide(at(0), quiet, slots).Reason)
 	assert.InDelta(t, 0.1, s.Share("quiet"), 1e-9)
 }
 
@@ -122,11 +122,11 @@
 		for number := range 7 {
 			sum := 0
 			for entry := range 7 {
-				sum += Part(n, 7, entry+number)
+				sum += EntrySlots(n, 7, entry+number)
 			}
 			assert.Equal(t, n, sum)
 		}
-		assert.Equal(t, n, Part(n, 1, 3))
+		assert.Equal(t, n, EntrySlots(n, 1, 3))
 	}
 }
 
@@ -138,7 +138,7 @@
 		sums, least, most := make([]int, len(free)), 1<<30, 0
 		for entry := range entries {
 			all := 0
-			for i, n := range Parts(slices.Clone(free), entries, entry) {
+			for i, n := range SplitSlots(slices.Clone(free), entries, entry) {
 				sums[i] += n
 				all += max(0, n)
 			}
--- a/policy/supply/need.go
+++ b/policy/supply/need.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Use is what the load makes of a service's servers at a moment.
-type Use struct {
+// Usage is what the load makes of a service's servers at a moment.
+type Usage struct {
 	Tokens  float64 // prompt tokens a second that arrive to be read
 	Running float64 // requests that run
 	Slots   int     // requests that a server runs at once
@@ -66,8 +66,8 @@
 	l.peak = max(l.now, l.now+(l.peak-l.now)*math.Exp(-elapsed.Seconds()/holdTime.Seconds()))
 }
 
-// Note takes the load of a moment.
-func (d *Demand) Note(u Use, now time.Time) {
+// Observe takes the load of a moment.
+func (d *Demand) Observe(u Usage, now time.Time) {
 	full := u.Running / float64(max(u.Slots, 1))
 	if d.since.IsZero() {
 		if u.Tokens == 0 && u.Running == 0 {
@@ -82,10 +82,10 @@
 	d.at = now
 }
 
-// Need returns how many servers serve the load in time. began is how many the service
+// ServersNeeded returns how many servers serve the load in time. began is how many the service
 // began with, and rate how many tokens a server reads in a second; 0: it is not known.
 // Until the load is known the service needs what it began with.
-func (d *Demand) Need(began int, rate float64) int {
+func (d *Demand) ServersNeeded(began int, rate float64) int {
 	if d.since.IsZero() || d.at.Sub(d.since) < warmTime || d.reading.peak > 0 && rate <= 0 {
 		return began
 	}
@@ -98,10 +98,10 @@
 	return d.need
 }
 
-// Load returns how many servers serve the load of the moment, 0 where it is not known.
+// ServersForCurrentLoad returns how many servers serve the load of the moment, 0 where it is not known.
 // It lies below Need, which goes by the peak of late. A smaller number, with which most
 // answers are late, cost more on days with three waves than it saved on those with two.
-func (d *Demand) Load(rate float64) int {
+func (d *Demand) ServersForCurrentLoad(rate float64) int {
 	if d.reading.now > 0 && rate <= 0 {
 		return 0
 	}
--- a/policy/supply/supply.go
+++ b/policy/supply/supply.go
@@ -25,8 +25,8 @@
 	"slices"
 )
 
-// Kind is one way to have a server.
-type Kind struct {
+// CapacityPool is one way to have a server.
+type CapacityPool struct {
 	Zone        string
 	Reclaimable bool
 }
@@ -47,26 +47,26 @@
 	SpotPrice float64
 	// Need is how many servers the load takes.
 	Need int
-	// Began is how many servers the service began with. On-demand ones make up for no
+	// InitialServers is how many servers the service began with. On-demand ones make up for no
 	// more than that: what a surge takes beyond it is left to reclaimable ones, since the
 	// surge is mostly over before on-demand ones have paid for themselves. 0: no bound.
-	Began int
+	InitialServers int
 	// Load is how many servers the load of the moment takes, where Need goes by its peak
 	// of late. 0: it is not known.
 	Load int
 	// Serving counts the servers that serve and have not been told to leave, and
 	// Present also those that are about to go.
-	Serving map[Kind]int
-	Present map[Kind]int
+	Serving map[CapacityPool]int
+	Present map[CapacityPool]int
 	// Ordered counts the servers that were ordered last, which may still boot.
-	Ordered map[Kind]int
-	// Closed holds the kinds that are not to be had at the moment.
-	Closed map[Kind]bool
+	Ordered map[CapacityPool]int
+	// Unavailable holds the kinds that are not to be had at the moment.
+	Unavailable map[CapacityPool]bool
 }
 
 // Order is the number of servers wanted of a kind.
 type Order struct {
-	Kind
+	CapacityPool
 	Count int
 }
 
@@ -94,8 +94,8 @@
 	var orders []Order
 	for _, z := range zones {
 		orders = append(orders,
-			Order{Kind{z.Name, true}, spot[z.Name]},
-			Order{Kind{z.Name, false}, onDemand[z.Name]})
+			Order{CapacityPool{z.Name, true}, spot[z.Name]},
+			Order{CapacityPool{z.Name, false}, onDemand[z.Name]})
 	}
 	return orders
 }
@@ -106,9 +106,9 @@
 func (in *Input) expected(zones []Zone, wanted map[string]int) map[string]int {
 	out := make(map[string]int, len(zones))
 	for _, z := range zones {
-		kind := Kind{z.Name, true}
+		kind := CapacityPool{z.Name, true}
 		out[z.Name] = wanted[z.Name]
-		if in.Closed[kind] {
+		if in.Unavailable[kind] {
 			out[z.Name] = min(wanted[z.Name], in.Present[kind])
 		}
 	}
@@ -119,7 +119,7 @@
 // that are there. An order above a zone's bound is filled up to the bound, and not
 // looked at again when there is room.
 func (in *Input) room(zone string) int {
-	return max(in.Max-in.Present[Kind{zone, false}], min(in.Min, in.Max), 0)
+	return max(in.Max-in.Present[CapacityPool{zone, false}], min(in.Min, in.Max), 0)
 }
 
 // spare is how many zones may be lost with the load still served by reclaimable
@@ -153,7 +153,7 @@
 	total, most, with := 0, 0, 0
 	for _, z := range zones {
 		// More than what is wanted of them is about to go.
-		n := min(in.Serving[Kind{z.Name, true}], wanted[z.Name])
+		n := min(in.Serving[CapacityPool{z.Name, true}], wanted[z.Name])
 		total += n
 		most = max(most, n)
 		if n > 0 {
@@ -173,8 +173,8 @@
 	spot := in.expected(zones, wanted)
 	surviving, spread := in.surviving(zones, wanted)
 	need := in.Need
-	if in.Began > 0 {
-		need = min(need, in.Began)
+	if in.InitialServers > 0 {
+		need = min(need, in.InitialServers)
 	}
 	missing := need - surviving
 	if !spread {
@@ -185,7 +185,7 @@
 		missing -= out[z.Name]
 	}
 	for _, z := range zones {
-		kind := Kind{z.Name, false}
+		kind := CapacityPool{z.Name, false}
 		have := min(max(in.Serving[kind], in.Ordered[kind]), in.Max-spot[z.Name])
 		keep := clamp(have-out[z.Name], 0, max(missing, 0))
 		out[z.Name] += keep
--- a/policy/supply/supply_test.go
+++ b/policy/supply/supply_test.go
@@ -13,7 +13,7 @@
 
 func threeZones() Input {
 	return Input{
-		Zones: []Zone{{"a", 0.85}, {"b", 1.2}, {"c", 1}}, Min: 1, Max: 8, SpotPrice: 0.3, Need: 8, Serving: map[Kind]int{},
+		Zones: []Zone{{"a", 0.85}, {"b", 1.2}, {"c", 1}}, Min: 1, Max: 8, SpotPrice: 0.3, Need: 8, Serving: map[CapacityPool]int{},
 	}
 }
 
@@ -34,14 +34,14 @@
 	in := threeZones()
 	in.Need = 12
 	for _, z := range in.Zones {
-		in.Serving[Kind{z.Name, false}] = 4
+		in.Serving[CapacityPool{z.Name, false}] = 4
 	}
 	in.Present = in.Serving
 	spot, onDemand := counts(Plan(in))
 	require.Equal(t, 12, spot)
 	require.Equal(t, 12, onDemand)
 	for _, z := range in.Zones {
-		in.Serving[Kind{z.Name, true}] = 4
+		in.Serving[CapacityPool{z.Name, true}] = 4
 	}
 	spot, onDemand = counts(Plan(in))
 	require.Equal(t, 12, spot)
@@ -58,26 +58,26 @@
 // with half of the servers it needs for as long as a boot takes.
 func TestWaves(t *testing.T) {
 	in := threeZones()
-	in.Serving = map[Kind]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
+	in.Serving = map[CapacityPool]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
 	_, onDemand := counts(Plan(in))
 	require.Zero(t, onDemand)
 
-	in.Serving = map[Kind]int{{"a", true}: 4, {"b", true}: 4}
-	in.Closed = map[Kind]bool{{"c", true}: true}
+	in.Serving = map[CapacityPool]int{{"a", true}: 4, {"b", true}: 4}
+	in.Unavailable = map[CapacityPool]bool{{"c", true}: true}
 	orders := Plan(in)
 	_, onDemand = counts(orders)
 	require.Equal(t, 4, onDemand)
 
-	in.Ordered = map[Kind]int{}
+	in.Ordered = map[CapacityPool]int{}
 	for _, o := range orders {
-		in.Ordered[o.Kind] = o.Count
+		in.Ordered[o.CapacityPool] = o.Count
 	}
-	in.Serving = map[Kind]int{{"b", true}: 4}
-	in.Closed[Kind{"a", true}] = true
+	in.Serving = map[CapacityPool]int{{"b", true}: 4}
+	in.Unavailable[CapacityPool{"a", true}] = true
 	again := Plan(in)
 	for _, o := range again {
 		if !o.Reclaimable {
-			require.GreaterOrEqual(t, o.Count, in.Ordered[o.Kind], "servers that boot are not given up")
+			require.GreaterOrEqual(t, o.Count, in.Ordered[o.CapacityPool], "servers that boot are not given up")
 		}
 	}
 	_, onDemand = counts(again)
@@ -91,15 +91,15 @@
 // It breaks if all reclaimable servers of the last zone are counted on.
 func TestThirdWave(t *testing.T) {
 	in := threeZones()
-	in.Serving = map[Kind]int{{"a", true}: 4, {"b", false}: 4}
-	in.Closed = map[Kind]bool{{"b", true}: true, {"c", true}: true}
+	in.Serving = map[CapacityPool]int{{"a", true}: 4, {"b", false}: 4}
+	in.Unavailable = map[CapacityPool]bool{{"b", true}: true, {"c", true}: true}
 	for load, want := range map[int]int{0: 4, 3: 4, 6: 6, 8: 8, 100: 8} {
 		in.Load = load
 		_, onDemand := counts(Plan(in))
 		require.Equal(t, want, onDemand, "load %d", load)
 	}
-	in.Serving = map[Kind]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
-	in.Closed, in.Load = nil, 100
+	in.Serving = map[CapacityPool]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
+	in.Unavailable, in.Load = nil, 100
 	_, onDemand := counts(Plan(in))
 	require.Zero(t, onDemand, "a wave leaves two zones")
 }
@@ -111,7 +111,7 @@
 func TestWavesInAllZones(t *testing.T) {
 	in := threeZones()
 	in.Need = 20
-	in.Closed = map[Kind]bool{{"a", true}: true, {"b", true}: true, {"c", true}: true}
+	in.Unavailable = map[CapacityPool]bool{{"a", true}: true, {"b", true}: true, {"c", true}: true}
 	_, onDemand := counts(Plan(in))
 	require.Equal(t, 20, onDemand)
 }
@@ -135,8 +135,8 @@
 		in.Need = rapid.IntRange(0, 30).Draw(t, "need")
 		in.SpotPrice = rapid.SampledFrom([]float64{0, 0.2, 0.3, 0.9}).Draw(t, "price")
 		for _, z := range in.Zones {
-			in.Serving[Kind{z.Name, true}] = rapid.IntRange(0, 8).Draw(t, "spot")
-			in.Serving[Kind{z.Name, false}] = rapid.IntRange(0, 8).Draw(t, "on demand")
+			in.Serving[CapacityPool{z.Name, true}] = rapid.IntRange(0, 8).Draw(t, "spot")
+			in.Serving[CapacityPool{z.Name, false}] = rapid.IntRange(0, 8).Draw(t, "on demand")
 		}
 		perZone := map[string]int{}
 		total := 0
@@ -164,10 +164,10 @@
 	in.SpotPrice, in.Min = 0.2, 0
 	spot, _ := counts(Plan(in))
 	require.Equal(t, 24, spot)
-	in.Serving = map[Kind]int{{"a", true}: 8, {"b", true}: 8, {"c", true}: 8}
+	in.Serving = map[CapacityPool]int{{"a", true}: 8, {"b", true}: 8, {"c", true}: 8}
 	for _, lost := range []string{"c", "b"} {
-		delete(in.Serving, Kind{lost, true})
-		in.Closed = map[Kind]bool{{lost, true}: true}
+		delete(in.Serving, CapacityPool{lost, true})
+		in.Unavailable = map[CapacityPool]bool{{lost, true}: true}
 		_, onDemand := counts(Plan(in))
 		require.Zero(t, onDemand, "after the loss of %s", lost)
 	}
@@ -180,8 +180,8 @@
 // It breaks without Input.Began.
 func TestSurgeIsLeftToReclaimableServers(t *testing.T) {
 	in := threeZones()
-	in.Need, in.Began = 18, 12
-	in.Serving = map[Kind]int{{"a", true}: 6, {"b", true}: 6, {"c", true}: 6}
+	in.Need, in.InitialServers = 18, 12
+	in.Serving = map[CapacityPool]int{{"a", true}: 6, {"b", true}: 6, {"c", true}: 6}
 	spot, onDemand := counts(Plan(in))
 	require.Equal(t, 24, spot)
 	require.Zero(t, onDemand)
--- a/policy/urgency/urgency.go
+++ b/policy/urgency/urgency.go
@@ -19,12 +19,12 @@
 
 // Request is what the decision knows of a request.
 type Request struct {
-	Rank      int // by its workspace or route; 0 is the most urgent
-	Objective time.Duration
-	Waited    time.Duration // since it came
-	Expected  time.Duration // from now until its answer begins, at the chosen server
-	Read      time.Duration // of that, what its own prompt takes to be read
-	CameBack  bool          // its objective has passed since its caller's first try
+	Rank        int // by its workspace or route; 0 is the most urgent
+	Objective   time.Duration
+	Waited      time.Duration // since it came
+	Expected    time.Duration // from now until its answer begins, at the chosen server
+	PrefillTime time.Duration // of that, what its own prompt takes to be read
+	Retried     bool          // its objective has passed since its caller's first try
 }
 
 // Reason says why a request has the rank that it has.
@@ -32,10 +32,10 @@
 
 // The reasons.
 const (
-	InTime      Reason = iota // it can be in time
-	Late                      // it can't, for what is ahead of it
-	CameBack                  // it can't, since its caller has been refused before
-	LargePrompt               // it never could: its prompt takes longer than its objective
+	InTime        Reason = iota // it can be in time
+	Late                        // it can't, for what is ahead of it
+	CallerRetried               // it can't, since its caller has been refused before
+	LargePrompt                 // it never could: its prompt takes longer than its objective
 )
 
 // String returns the reason for logs.
@@ -50,11 +50,11 @@
 // Decide returns the rank to be told to the server, and why.
 func Decide(r Request) (rank int, reason Reason) {
 	switch {
-	case r.CameBack:
-		return r.Rank + behind, CameBack
+	case r.Retried:
+		return r.Rank + behind, CallerRetried
 	case r.Objective <= 0 || r.Waited+r.Expected <= r.Objective:
 		return r.Rank, InTime
-	case r.Read > r.Objective:
+	case r.PrefillTime > r.Objective:
 		// Callers with the largest prompts would be served by nobody in an overload.
 		return r.Rank, LargePrompt
 	default:
--- a/policy/urgency/urgency_test.go
+++ b/policy/urgency/urgency_test.go
@@ -21,8 +21,8 @@
 		"in time":            {func(*Request) {}, 1, InTime},
 		"behind others":      {func(r *Request) { r.Expected = time.Second }, 1 + behind, Late},
 		"waited":             {func(r *Request) { r.Waited = time.Second }, 1 + behind, Late},
-		"came back":          {func(r *Request) { r.CameBack = true }, 1 + behind, CameBack},
-		"large by itself":    {func(r *Request) { r.Expected, r.Read = time.Second, 600*time.Millisecond }, 1, LargePrompt},
+		"came back":          {func(r *Request) { r.Retried = true }, 1 + behind, CallerRetried},
+		"large by itself":    {func(r *Request) { r.Expected, r.PrefillTime = time.Second, 600*time.Millisecond }, 1, LargePrompt},
 		"without objective":  {func(r *Request) { r.Objective, r.Expected = 0, time.Hour }, 1, InTime},
 		"at the last moment": {func(r *Request) { r.Expected = objective - r.Waited }, 1, InTime},
 	} {
@@ -43,7 +43,7 @@
 			return Request{
 				Rank: rapid.IntRange(0, behind-1).Draw(t, name+" rank"), Objective: objective,
 				Expected: time.Duration(rapid.IntRange(0, 1000).Draw(t, name+" expected")) * time.Millisecond,
-				CameBack: rapid.Bool().Draw(t, name+" came back"),
+				Retried:  rapid.Bool().Draw(t, name+" came back"),
 			}
 		}
 		a, b := draw("a"), draw("b")
@@ -95,7 +95,7 @@
 			}
 		}
 		expected := max(busyUntil-at, 0) + time.Duration(ahead+1)*read
-		queue = append(queue, job{at, decide(Request{Objective: objective, Expected: expected, Read: read})})
+		queue = append(queue, job{at, decide(Request{Objective: objective, Expected: expected, PrefillTime: read})})
 	}
 	return float64(inTime) / (float64(length) / float64(read))
 }
