--- a/contract/book.go
+++ b/contract/book.go
@@ -9,7 +9,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// HistoryLength bounds the changes that a Book remembers, and with them the
+// HistoryLength bounds the changes that a State remembers, and with them the
 // time within which a resend is known for one: at 580 changes a day, three and
 // a half days.
 const HistoryLength = 2048
@@ -32,7 +32,7 @@
 	Result Result `msgpack:"r"`
 }
 
-// NewState returns the empty Book, at version 0.
+// NewState returns the empty State, at version 0.
 func NewState() *State {
 	return &State{results: map[string]rememberedResult{}}
 }
@@ -190,7 +190,7 @@
 	return string(HashKey(string(enc)))
 }
 
-// bookSnapshot is a Book as it is written to disk.
+// bookSnapshot is a State as it is written to disk.
 type bookSnapshot struct {
 	Version   uint64                      `msgpack:"version"`
 	Catalogue Catalogue                   `msgpack:"catalogue"`
@@ -200,7 +200,7 @@
 	Order     []string                    `msgpack:"order"`
 }
 
-// Snapshot encodes the whole Book.
+// Snapshot encodes the whole State.
 func (b *State) Snapshot() ([]byte, error) {
 	enc, err := msgpack.Marshal(&bookSnapshot{
 		Version: b.version, Catalogue: b.catalogue, Stops: b.stops,
--- a/contract/book_test.go
+++ b/contract/book_test.go
@@ -38,7 +38,7 @@
 // The answer to an accepted change gets lost and the operator's client sends
 // the change again. Judged anew it would conflict with itself, and the operator
 // would believe that it had not taken hold.
-// Without the look-up in Book.Apply this test fails.
+// Without the look-up in State.Apply this test fails.
 func TestBookAnswersAResendWithTheFirstResult(t *testing.T) {
 	b := NewState()
 	first := b.Apply(applyChange("one", 0, "a"))
--- a/control/replicas_test.go
+++ b/control/replicas_test.go
@@ -54,7 +54,7 @@
 // knows the address from the message that asks for its vote. Otherwise it could
 // not answer, and there would be no leader.
 //
-// It breaks without Book.Hear.
+// It breaks without AddressBook.Observe.
 func TestAddressIsHeardBeforeItIsLearnt(t *testing.T) {
 	book := roster.NewAddressBook(map[uint64]string{1: "127.0.0.1:1"})
 	book.Observe(1, "127.0.0.1:9")
--- a/coordinator/catalogue.go
+++ b/coordinator/catalogue.go
@@ -52,7 +52,7 @@
 
 // Newest returns the newest catalogue that was acknowledged before the call, as
 // the operator sent it. document is nil if there has never been one. It fails
-// with ErrUnsettled where that cannot be proved.
+// with ErrOutcomeUnknown where that cannot be proved.
 func (c *Coordinator) Newest(ctx context.Context) (document []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/directory/record.go
+++ b/directory/record.go
@@ -10,7 +10,7 @@
 type Server struct {
 	instance.Announcement `msgpack:"a"`
 
-	// HeartbeatAge is how long before the message the last heartbeat came, and Unheard
+	// HeartbeatAge is how long before the message the last heartbeat came, and Overdue
 	// says that it came too long ago for a server that is well.
 	HeartbeatAge time.Duration `msgpack:"ago"`
 	Overdue      bool          `msgpack:"unheard"`
--- a/directory/store.go
+++ b/directory/store.go
@@ -366,7 +366,7 @@
 }
 
 // LiveEntries returns the entries that serve and have been heard within
-// EntrySilentAfter, ordered by name.
+// EntryExpiry, ordered by name.
 func (s *Store) LiveEntries(now time.Time) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/directory/store_test.go
+++ b/directory/store_test.go
@@ -72,7 +72,7 @@
 // that a replica gets of the old server is the late one. The new server must not
 // lose its address, and must not be lost with it.
 //
-// It breaks without Config.AddressKept.
+// It breaks without Config.AddressHold.
 func TestLateHeartbeatWithoutAStartTime(t *testing.T) {
 	s := newStore()
 	old, reused := beat("s1", 0, 5, instance.StateServing), beat("s2", 0, 1, instance.StateServing)
--- a/policy/booking/doc.go
+++ b/policy/booking/doc.go
@@ -17,5 +17,5 @@
 // Every entry works out by itself who owns a server, from the names of the entries that
 // are up. Where views differ for a while two entries keep one book, each a part of it.
 //
-// The package does no I/O and reads no clock. A Book is not safe for concurrent use.
+// The package does no I/O and reads no clock. A LoadTable is not safe for concurrent use.
 package booking
--- a/policy/limit/keeper.go
+++ b/policy/limit/keeper.go
@@ -28,7 +28,7 @@
 	asked  time.Time // by the entry that should keep the pool, for the last time
 }
 
-// NewPoolSet returns a Keeper that has no share yet.
+// NewPoolSet returns a PoolSet that has no share yet.
 func NewPoolSet(self string) *PoolSet { return &PoolSet{self: self, pools: make(map[Key]*kept)} }
 
 // SetShare sets this entry's share, of which nobody has used anything since a time. What is
--- a/policy/limit/pool.go
+++ b/policy/limit/pool.go
@@ -8,7 +8,7 @@
 type Limit struct {
 	Burst float64 // at once
 	Rate  float64 // in a second
-	// LateReserve is the part of Size that requests leave which can't be in time any more.
+	// LateReserve is the part of Burst that requests leave which can't be in time any more.
 	LateReserve float64
 }
 
--- a/policy/limit/words.go
+++ b/policy/limit/words.go
@@ -11,7 +11,7 @@
 // An entry that took its share by the word of a few replicas might be one of those that
 // are cut off with them, while the others have given its share to the rest. So most
 // replicas must have said it, and not too long ago: they count an entry for
-// SharesKept after its last call.
+// ShareTTL after its last call.
 type ShareVotes struct {
 	start     time.Time            // of this life
 	returned  map[string]bool      // entries that have given back what the life before lent
@@ -34,7 +34,7 @@
 // than a lease and a call take.
 const shareFor = ShareTTL - 10*time.Second
 
-// NewShareVotes returns Words of no replica, for an entry that starts.
+// NewShareVotes returns ShareVotes of no replica, for an entry that starts.
 func NewShareVotes(start time.Time) *ShareVotes {
 	return &ShareVotes{start: start, freeSince: start, returned: make(map[string]bool), words: make(map[string]heardWord)}
 }
--- a/policy/patience/patience.go
+++ b/policy/patience/patience.go
@@ -12,7 +12,7 @@
 // Callers wait for about the same time on each route, counted from their first try, and
 // say how long is left. One that has much less left than most is not at its first try.
 //
-// The package does no I/O and reads no clock. A Book is not safe for concurrent use.
+// The package does no I/O and reads no clock. An Estimator is not safe for concurrent use.
 package patience
 
 import (
@@ -54,7 +54,7 @@
 	return c.usual - time.Duration(beyond*float64(max(c.upper-c.usual, 0)))
 }
 
-// NewEstimator returns a Book that knows no route.
+// NewEstimator returns an Estimator that knows no route.
 func NewEstimator() *Estimator { return &Estimator{routes: make(map[string]*callers)} }
 
 // ObjectivePassed takes a request's time left and reports whether its objective has passed since
--- a/policy/queue/start.go
+++ b/policy/queue/start.go
@@ -57,7 +57,7 @@
 	Total    int
 	Free     int // of all, as last reported
 	Taken    int // how many of these this entry has taken since, less those it has given back
-	Assigned int // this entry's part of them by Parts, less what it has taken; not used with one entry
+	Assigned int // this entry's part of them by SplitSlots, less what it has taken; not used with one entry
 	Entries  int // how many entries start work on them; below 1 counts as 1
 	Entry    int // this one's number among them, from 0
 	Report   int // number of the report, the same at all entries
--- a/policy/supply/need.go
+++ b/policy/supply/need.go
@@ -99,7 +99,7 @@
 }
 
 // ServersForCurrentLoad returns how many servers serve the load of the moment, 0 where it is not known.
-// It lies below Need, which goes by the peak of late. A smaller number, with which most
+// It lies below ServersNeeded, which goes by the peak of late. A smaller number, with which most
 // answers are late, cost more on days with three waves than it saved on those with two.
 func (d *Demand) ServersForCurrentLoad(rate float64) int {
 	if d.reading.now > 0 && rate <= 0 {
--- a/policy/supply/supply_test.go
+++ b/policy/supply/supply_test.go
@@ -177,7 +177,7 @@
 // with. Cheap ones are ordered for it; on-demand ones would boot for seconds and be paid
 // for long after it.
 //
-// It breaks without Input.Began.
+// It breaks without Input.InitialServers.
 func TestSurgeIsLeftToReclaimableServers(t *testing.T) {
 	in := threeZones()
 	in.Need, in.InitialServers = 18, 12
