--- a/coordinator/observe.go
+++ b/coordinator/observe.go
@@ -30,7 +30,7 @@
 	f.observed = now
 	known := make(map[string][]directory.Server)
 	for _, rec := range f.servers(now) {
-		if rec.Silent || rec.State != instance.StateServing {
+		if rec.Unreachable || rec.State != instance.StateServing {
 			continue
 		}
 		for _, name := range rec.Services {
@@ -67,7 +67,7 @@
 	if !known {
 		return
 	}
-	d.Note(supply.Use{Tokens: perSecond, Running: float64(f.running(ids)), Slots: slots / len(servers)}, now)
+	d.Observe(supply.Usage{Tokens: perSecond, Running: float64(f.running(ids)), Slots: slots / len(servers)}, now)
 }
 
 func (f *fleet) demand(service string) *demand {
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -24,18 +24,18 @@
 // plainDialect marks answers with a few headers of its own.
 type plainDialect struct{}
 
-func (plainDialect) Head(r *Request, run Run) http.Header {
+func (plainDialect) RequestHeader(r *Request, run Attempt) http.Header {
 	h := r.Header.Clone()
 	h.Set("X-Id", r.ID)
-	h.Set("X-Left", fmt.Sprint(run.Left.Milliseconds()))
+	h.Set("X-Left", fmt.Sprint(run.Remaining.Milliseconds()))
 	h.Set("X-Workspace", run.Workspace)
 	h.Set("X-After", run.ResumeAfter)
 	return h
 }
 
-func (plainDialect) Belongs(r *Request, h http.Header) bool { return h.Get("X-Id") == r.ID }
+func (plainDialect) Matches(r *Request, h http.Header) bool { return h.Get("X-Id") == r.ID }
 
-func (plainDialect) Judge(status int, h http.Header) Proof {
+func (plainDialect) Classify(status int, h http.Header) AnswerClass {
 	switch {
 	case h.Get("X-Not-Run") != "":
 		return NotRun
@@ -102,7 +102,7 @@
 // haveWholeLimits has a control replica say that the gateway is the only entry, for long.
 func (r *rig) haveWholeLimits() {
 	r.skip.Add(int64(time.Minute))
-	r.shares.take("c1", limit.Word{Entries: 1, Allowed: true}, 1, r.now())
+	r.shares.take("c1", limit.ShareVote{Entries: 1, Allowed: true}, 1, r.now())
 	r.Gateway.limits.takePart()
 }
 
--- a/policy/supply/need.go
+++ b/policy/supply/need.go
@@ -6,7 +6,7 @@
 )
 
 // Usage is a sample of the load on the servers of a service.
-type Use struct {
+type Usage struct {
 	Tokens  float64 // prompt tokens that arrive per second
 	Running float64 // running requests
 	Slots   int     // requests that one server runs concurrently
@@ -63,7 +63,7 @@
 }
 
 // Observe records a sample of the load.
-func (d *Demand) Note(u Use, now time.Time) {
+func (d *Demand) Observe(u Usage, now time.Time) {
 	occupied := u.Running / float64(max(u.Slots, 1))
 	if d.firstSample.IsZero() {
 		if u.Tokens == 0 && u.Running == 0 {
@@ -82,7 +82,7 @@
 // number that the service started with, tokensPerSecond the prompt tokens that one server
 // reads per second, 0 if unknown. It returns initialServers while the load or the rate is
 // unknown.
-func (d *Demand) Need(initialServers int, tokensPerSecond float64) int {
+func (d *Demand) ServersNeeded(initialServers int, tokensPerSecond float64) int {
 	if d.firstSample.IsZero() || d.lastSample.Sub(d.firstSample) < warmUpTime || d.promptTokens.peak > 0 && tokensPerSecond <= 0 {
 		return initialServers
 	}
@@ -97,7 +97,7 @@
 
 // ServersForCurrentLoad returns how many servers the current load needs within its latency
 // objective, 0 if unknown. Unlike ServersNeeded it ignores the recent peak.
-func (d *Demand) Load(tokensPerSecond float64) int {
+func (d *Demand) ServersForCurrentLoad(tokensPerSecond float64) int {
 	if d.promptTokens.current > 0 && tokensPerSecond <= 0 {
 		return 0
 	}
--- a/policy/supply/supply.go
+++ b/policy/supply/supply.go
@@ -24,7 +24,7 @@
 )
 
 // CapacityPool is a zone and a market.
-type Kind struct {
+type CapacityPool struct {
 	Zone        string
 	Reclaimable bool
 }
@@ -48,22 +48,22 @@
 	// InitialServers is the number of servers that the service started with. On-demand
 	// servers are ordered only up to this number: a surge above it is usually too short for
 	// them to pay off. 0: no bound.
-	Began int
+	InitialServers int
 	// Load is the number of servers that the current load needs. 0: unknown.
 	Load int
 	// Serving counts the servers that serve and are not leaving; Present also counts those
 	// that are leaving.
-	Serving map[Kind]int
-	Present map[Kind]int
+	Serving map[CapacityPool]int
+	Present map[CapacityPool]int
 	// Ordered is the last accepted order of each pool; its servers may still be booting.
-	Ordered map[Kind]int
+	Ordered map[CapacityPool]int
 	// Unavailable contains the pools whose last order was refused recently.
-	Closed map[Kind]bool
+	Unavailable map[CapacityPool]bool
 }
 
 // Order is the wanted number of servers of a capacity pool.
 type Order struct {
-	Kind
+	CapacityPool
 	Count int
 }
 
@@ -89,8 +89,8 @@
 	var orders []Order
 	for _, z := range zones {
 		orders = append(orders,
-			Order{Kind{z.Name, true}, spot[z.Name]},
-			Order{Kind{z.Name, false}, onDemand[z.Name]})
+			Order{CapacityPool{z.Name, true}, spot[z.Name]},
+			Order{CapacityPool{z.Name, false}, onDemand[z.Name]})
 	}
 	return orders
 }
@@ -101,9 +101,9 @@
 func (in *Input) spotOccupancy(zones []Zone, wanted map[string]int) map[string]int {
 	out := make(map[string]int, len(zones))
 	for _, z := range zones {
-		kind := Kind{z.Name, true}
+		kind := CapacityPool{z.Name, true}
 		out[z.Name] = wanted[z.Name]
-		if in.Closed[kind] {
+		if in.Unavailable[kind] {
 			out[z.Name] = min(wanted[z.Name], in.Present[kind])
 		}
 	}
@@ -114,7 +114,7 @@
 // on-demand ones. The cloud fills an order above the zone's bound only up to the bound and
 // does not complete it later.
 func (in *Input) spotLimit(zone string) int {
-	return max(in.Max-in.Present[Kind{zone, false}], min(in.Min, in.Max), 0)
+	return max(in.Max-in.Present[CapacityPool{zone, false}], min(in.Min, in.Max), 0)
 }
 
 // spareZones returns the number of zones whose loss the reclaimable servers must
@@ -143,7 +143,7 @@
 	total, largest, servingZones := 0, 0, 0
 	for _, z := range zones {
 		// Servers above the wanted number are about to be stopped.
-		n := min(in.Serving[Kind{z.Name, true}], wanted[z.Name])
+		n := min(in.Serving[CapacityPool{z.Name, true}], wanted[z.Name])
 		total += n
 		largest = max(largest, n)
 		if n > 0 {
@@ -163,8 +163,8 @@
 	spot := in.spotOccupancy(zones, wanted)
 	survivors, spread := in.survivors(zones, wanted)
 	need := in.Need
-	if in.Began > 0 {
-		need = min(need, in.Began)
+	if in.InitialServers > 0 {
+		need = min(need, in.InitialServers)
 	}
 	missing := need - survivors
 	if !spread {
@@ -175,7 +175,7 @@
 		missing -= out[z.Name]
 	}
 	for _, z := range zones {
-		kind := Kind{z.Name, false}
+		kind := CapacityPool{z.Name, false}
 		available := min(max(in.Serving[kind], in.Ordered[kind]), in.Max-spot[z.Name])
 		retained := clamp(available-out[z.Name], 0, max(missing, 0))
 		out[z.Name] += retained
