--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -62,7 +62,7 @@
 	plan := v.planner.Decide(v.input(notice, on))
 	event.Log(v.entry.ctx, v.entry.deps.Log, slog.LevelInfo, event.EvacuationPlanned,
 		slog.String("server", s.ID), slog.Duration("notice", notice), slog.Int("requests", len(on)),
-		slog.Int("recomputed", plan.Recomputed))
+		slog.Int("recomputed", plan.RecomputedTokens))
 	for _, m := range plan.Moves {
 		w := on[m.ID]
 		time.AfterFunc(m.Start, func() { w.moveOff(s.ID, s.Incarnation, m.Method != evacuate.MethodRecompute) })
--- a/entry/life.go
+++ b/entry/life.go
@@ -115,7 +115,7 @@
 // spread of it: a stop ends when the catalogue says so and at no other time.
 func (e *Entry) planSelf(covered bool) {
 	begin, closed, back := e.life.plan(covered, func(unlisted time.Time) time.Time {
-		return e.picker.Drain(pick.DrainRequest{Now: e.deps.Now(), Leaving: unlisted}).AcceptUntil
+		return e.picker.Drain(pick.DrainRequest{Now: e.deps.Now(), LeavingSince: unlisted}).AcceptUntil
 	})
 	switch {
 	case begin:
@@ -140,7 +140,7 @@
 	e.tellLeaving()
 	event.Log(ctx, e.deps.Log, slog.LevelInfo, event.DrainBegun,
 		slog.String("cause", "leave"), slog.Duration("limit", limit), slog.Int("unfinished", e.unfinished()))
-	until := e.picker.Drain(pick.DrainRequest{Now: begun, Leaving: begun, End: begun.Add(limit / 3)})
+	until := e.picker.Drain(pick.DrainRequest{Now: begun, LeavingSince: begun, ReclaimedAt: begun.Add(limit / 3)})
 	e.waitUntil(ctx, until.AcceptUntil, func() bool { return false })
 	e.life.close()
 	finishBy := begun.Add(limit / 2)
--- a/policy/evacuate/evacuate.go
+++ b/policy/evacuate/evacuate.go
@@ -48,10 +48,10 @@
 
 // Request is one that runs on the server.
 type Request struct {
-	ID     string
-	Tokens int           // prompt and answer so far: what prefilling again would compute
-	Bytes  int64         // of its KV cache
-	Left   time.Duration // expected until its last token; 0: not known
+	ID        string
+	Tokens    int           // prompt and answer so far: what prefilling again would compute
+	Bytes     int64         // of its KV cache
+	Remaining time.Duration // expected until its last token; 0: not known
 }
 
 // Input is what a decision looks at.
@@ -108,17 +108,17 @@
 
 // Move is what to do with one request. Start counts from the decision.
 type Move struct {
-	ID     string
-	Method Method
-	Reason Reason
-	Start  time.Duration
-	Takes  time.Duration
+	ID       string
+	Method   Method
+	Reason   Reason
+	Start    time.Duration
+	Duration time.Duration
 }
 
 // Plan lists the moves by start. Requests run on until theirs.
 type Plan struct {
-	Moves      []Move
-	Recomputed int // tokens that will be prefilled again, if estimates hold
+	Moves            []Move
+	RecomputedTokens int // tokens that will be prefilled again, if estimates hold
 }
 
 // Planner decides on evacuations.
@@ -143,7 +143,7 @@
 	for _, r := range in.Requests {
 		c := p.candidate(r, in)
 		switch {
-		case r.Left > 0 && r.Left.Seconds() <= p.cfg.FinishPart*usable.Seconds():
+		case r.Remaining > 0 && r.Remaining.Seconds() <= p.cfg.FinishPart*usable.Seconds():
 			plan.Moves = append(plan.Moves, Move{r.ID, MethodFinish, ReasonEndsInTime, usable, c.prefill})
 		case c.transfer.Seconds() > p.cfg.MaxSlowdown*c.prefill.Seconds():
 			c.reason = ReasonPrefillFaster
@@ -237,6 +237,6 @@
 	for i, c := range candidates {
 		start := usable * time.Duration(i) / time.Duration(len(candidates))
 		p.Moves = append(p.Moves, Move{c.ID, MethodRecompute, c.reason, start, c.prefill})
-		p.Recomputed += c.Tokens
+		p.RecomputedTokens += c.Tokens
 	}
 }
--- a/policy/evacuate/evacuate_test.go
+++ b/policy/evacuate/evacuate_test.go
@@ -44,12 +44,12 @@
 	planned, byArrival, allTokens, lowerBound := 0, 0, 0, 0
 	for range 200 {
 		in := Input{Notice: 10 * time.Second, Bandwidth: 1.2e9, PrefillRate: 8000, Requests: mixedRequests(rng, 24)}
-		planned += newPlanner(t).Decide(in).Recomputed
+		planned += newPlanner(t).Decide(in).RecomputedTokens
 		transferTotal := time.Duration(0)
 		bound := -int(8 * in.Bandwidth / bytesPerToken) // what the network can carry at best
 		for _, r := range in.Requests {
 			allTokens += r.Tokens
-			if r.Left > 5600*time.Millisecond {
+			if r.Remaining > 5600*time.Millisecond {
 				bound += r.Tokens
 			}
 			transfer := 20*time.Millisecond + time.Duration(float64(r.Bytes)/in.Bandwidth*1e9)
@@ -96,8 +96,8 @@
 			require.LessOrEqual(t, m.Start, usable)
 			if m.Method == MethodExport {
 				require.GreaterOrEqual(t, m.Start, previousEnd)
-				previousEnd = m.Start + m.Takes
-				require.LessOrEqual(t, m.Start+m.Takes, usable)
+				previousEnd = m.Start + m.Duration
+				require.LessOrEqual(t, m.Start+m.Duration, usable)
 			}
 		}
 		bestSaved, maxSaved := 0, 0
@@ -119,7 +119,7 @@
 		for _, r := range in.Requests {
 			allTokens += r.Tokens
 		}
-		require.GreaterOrEqual(t, 2*(allTokens-plan.Recomputed), bestSaved)
+		require.GreaterOrEqual(t, 2*(allTokens-plan.RecomputedTokens), bestSaved)
 	})
 }
 
@@ -131,7 +131,7 @@
 		{ID: "short", Tokens: 10, Bytes: 10},
 		{ID: "long", Tokens: 300, Bytes: 980},
 	}}
-	require.Equal(t, 10, newPlanner(t).Decide(in).Recomputed)
+	require.Equal(t, 10, newPlanner(t).Decide(in).RecomputedTokens)
 }
 
 func TestShortRequestsFinishAndSlowTransfersAreRecomputed(t *testing.T) {
@@ -146,7 +146,7 @@
 		{"slow", MethodRecompute, ReasonPrefillFaster, 0, 100 * time.Millisecond},
 		{"ends", MethodFinish, ReasonEndsInTime, 8 * time.Second, time.Second},
 	}, plan.Moves)
-	require.Equal(t, 10, plan.Recomputed)
+	require.Equal(t, 10, plan.RecomputedTokens)
 }
 
 func TestConfigErrorNamesField(t *testing.T) {
--- a/policy/pick/drain.go
+++ b/policy/pick/drain.go
@@ -4,10 +4,10 @@
 
 // DrainRequest is what is known of an entry that leaves.
 type DrainRequest struct {
-	Now     time.Time
-	Leaving time.Time // when it began to leave, which is when its peers were told
-	Named   time.Time // latest end of an answer that names it, from all entries; zero: not known
-	End     time.Time // when the instance is taken away; zero: it may take its time
+	Now          time.Time
+	LeavingSince time.Time // when it began to leave, which is when its peers were told
+	LastExpiry   time.Time // latest end of an answer that names it, from all entries; zero: not known
+	ReclaimedAt  time.Time // when the instance is taken away; zero: it may take its time
 }
 
 // DrainReason says what ends the time of accepting.
@@ -38,7 +38,7 @@
 type DrainVerdict struct {
 	AcceptUntil time.Time
 	Reason      DrainReason
-	Short       time.Duration // how much sooner than the last answer's end, with DrainNoticeEnds
+	Shortfall   time.Duration // how much sooner than the last answer's end, with DrainNoticeEnds
 }
 
 // Drain decides how long a leaving entry must keep accepting. It closes no
@@ -47,14 +47,14 @@
 // as refused connections within Validity after each one. Its peers may go on
 // naming it for Spread after Leaving, with a validity of Validity from then.
 func (p *Picker) Drain(req DrainRequest) DrainVerdict {
-	lastExpiry := req.Leaving.Add(p.cfg.Spread + p.cfg.Validity)
-	if !req.Named.IsZero() && req.Named.Before(lastExpiry) && !req.Now.Before(req.Leaving.Add(p.cfg.Spread)) {
-		lastExpiry = req.Named
+	lastExpiry := req.LeavingSince.Add(p.cfg.Spread + p.cfg.Validity)
+	if !req.LastExpiry.IsZero() && req.LastExpiry.Before(lastExpiry) && !req.Now.Before(req.LeavingSince.Add(p.cfg.Spread)) {
+		lastExpiry = req.LastExpiry
 	}
 	v := DrainVerdict{AcceptUntil: lastExpiry.Add(p.cfg.Slack), Reason: DrainAnswersEnd}
-	if !req.End.IsZero() && req.End.Before(v.AcceptUntil) {
-		v.Short = v.AcceptUntil.Sub(req.End)
-		v.AcceptUntil = req.End
+	if !req.ReclaimedAt.IsZero() && req.ReclaimedAt.Before(v.AcceptUntil) {
+		v.Shortfall = v.AcceptUntil.Sub(req.ReclaimedAt)
+		v.AcceptUntil = req.ReclaimedAt
 		v.Reason = DrainNoticeEnds
 	}
 	if !req.Now.Before(v.AcceptUntil) {
--- a/policy/pick/pick_test.go
+++ b/policy/pick/pick_test.go
@@ -135,7 +135,7 @@
 		}
 		v := picker.Pick(req, entries)
 		require.Equal(t, v, picker.Pick(req, entries))
-		drain := picker.Drain(DrainRequest{Now: req.Now, Leaving: epoch})
+		drain := picker.Drain(DrainRequest{Now: req.Now, LeavingSince: epoch})
 		for _, e := range v.Entries {
 			require.Equal(t, instance.StateServing, e.State)
 			if e.ID == entries[leaving].ID {
@@ -174,9 +174,9 @@
 func TestDrainEndsWithNotice(t *testing.T) {
 	picker, err := New(DefaultConfig())
 	require.NoError(t, err)
-	v := picker.Drain(DrainRequest{Now: epoch, Leaving: epoch, End: epoch.Add(20 * time.Second)})
-	require.Equal(t, DrainVerdict{AcceptUntil: epoch.Add(20 * time.Second), Reason: DrainNoticeEnds, Short: 14 * time.Second}, v)
-	v = picker.Drain(DrainRequest{Now: epoch.Add(4 * time.Second), Leaving: epoch, Named: epoch.Add(7 * time.Second)})
+	v := picker.Drain(DrainRequest{Now: epoch, LeavingSince: epoch, ReclaimedAt: epoch.Add(20 * time.Second)})
+	require.Equal(t, DrainVerdict{AcceptUntil: epoch.Add(20 * time.Second), Reason: DrainNoticeEnds, Shortfall: 14 * time.Second}, v)
+	v = picker.Drain(DrainRequest{Now: epoch.Add(4 * time.Second), LeavingSince: epoch, LastExpiry: epoch.Add(7 * time.Second)})
 	require.Equal(t, epoch.Add(8*time.Second), v.AcceptUntil)
 }
 
--- a/policy/shift/shift.go
+++ b/policy/shift/shift.go
@@ -68,10 +68,10 @@
 type State struct {
 	Share      float64   `msgpack:"share"`
 	RolledBack bool      `msgpack:"back"` // for good: a new shift needs a new State
-	Moved      time.Time `msgpack:"moved"`
+	LastStep   time.Time `msgpack:"moved"`
 	// Totals at the last step: a step is judged by what came after the one before.
-	Old Answers `msgpack:"old"`
-	New Answers `msgpack:"new"`
+	OldAtLastStep Answers `msgpack:"old"`
+	NewAtLastStep Answers `msgpack:"new"`
 }
 
 // Input is what a decision looks at. The counts are totals since the shift
@@ -90,13 +90,13 @@
 
 // The reasons.
 const (
-	ReasonAdvance  Reason = iota // a step forward
-	ReasonWait                   // not yet time, or too few answers to judge by
-	ReasonCapacity               // the new servers cannot take more
-	ReasonErrors                 // back: more errors than the old version
-	ReasonLate                   // back: more late first tokens than the old version
-	ReasonBack                   // going on back
-	ReasonDone                   // all traffic is on the new version, or all is back
+	ReasonAdvance     Reason = iota // a step forward
+	ReasonWait                      // not yet time, or too few answers to judge by
+	ReasonCapacity                  // the new servers cannot take more
+	ReasonErrors                    // back: more errors than the old version
+	ReasonLate                      // back: more late first tokens than the old version
+	ReasonRollingBack               // going on back
+	ReasonDone                      // all traffic is on the new version, or all is back
 )
 
 // String returns the reason in lower case, for logs.
@@ -131,11 +131,11 @@
 // Call it every second or so.
 func (s *Shifter) Decide(state State, in Input) (State, Verdict) {
 	if state.RolledBack {
-		return s.rollBack(state, in, ReasonBack)
+		return s.rollBack(state, in, ReasonRollingBack)
 	}
 	if reason, regressed := s.detectRegression(state, in); regressed {
 		state.RolledBack = true
-		state.Moved = time.Time{} // the first step back is at once
+		state.LastStep = time.Time{} // the first step back is at once
 		return s.rollBack(state, in, reason)
 	}
 	return s.advance(state, in)
@@ -149,7 +149,7 @@
 // since the beginning, which finds a small difference that no single step shows.
 func (s *Shifter) detectRegression(state State, in Input) (Reason, bool) {
 	windows := [2][2]Answers{
-		{in.Old.minus(state.Old), in.New.minus(state.New)},
+		{in.Old.minus(state.OldAtLastStep), in.New.minus(state.NewAtLastStep)},
 		{in.Old, in.New},
 	}
 	for _, w := range windows {
@@ -182,8 +182,8 @@
 		return state, Verdict{state.Share, ReasonDone}
 	}
 	started := state.Share > 0
-	enoughAnswers := in.New.minus(state.New).All >= s.cfg.MinRequests
-	if started && (in.Now.Sub(state.Moved) < s.cfg.StepEvery || !enoughAnswers) {
+	enoughAnswers := in.New.minus(state.NewAtLastStep).All >= s.cfg.MinRequests
+	if started && (in.Now.Sub(state.LastStep) < s.cfg.StepEvery || !enoughAnswers) {
 		return state, Verdict{state.Share, ReasonWait}
 	}
 	step := min(max(state.Share, s.cfg.FirstStep), s.cfg.MaxStep)
@@ -204,7 +204,7 @@
 	if state.Share <= 0 {
 		return state, Verdict{0, ReasonDone}
 	}
-	if in.Now.Sub(state.Moved) < s.cfg.BackEvery {
+	if in.Now.Sub(state.LastStep) < s.cfg.BackEvery {
 		return state, Verdict{state.Share, reason}
 	}
 	minShare := 1 - capacityShare(in.OldCapacity, in.Rate)
@@ -217,9 +217,9 @@
 
 func (s *Shifter) recordStep(state State, in Input, share float64) State {
 	state.Share = share
-	state.Moved = in.Now
-	state.Old = in.Old
-	state.New = in.New
+	state.LastStep = in.Now
+	state.OldAtLastStep = in.Old
+	state.NewAtLastStep = in.New
 	return state
 }
 
@@ -231,11 +231,11 @@
 	return min(capacity/rate, 1)
 }
 
-// TakesNew reports whether a request goes to the new version at the given share.
+// UsesNewVersion reports whether a request goes to the new version at the given share.
 // key is what related requests have in common, a hash: a conversation stays on
 // one version and so with its cached prefix, and as the share grows each key
 // changes over once.
-func TakesNew(key uint64, share float64) bool {
+func UsesNewVersion(key uint64, share float64) bool {
 	key ^= key >> 33 // finalizer of MurmurHash3, in case the key is no good hash
 	key *= 0xff51afd7ed558ccd
 	key ^= key >> 33
--- a/policy/shift/shift_test.go
+++ b/policy/shift/shift_test.go
@@ -27,7 +27,7 @@
 		}
 		for range 40 {
 			version, rate := &in.Old, oldRate
-			if TakesNew(rng.Uint64(), verdict.Share) {
+			if UsesNewVersion(rng.Uint64(), verdict.Share) {
 				version, rate = &in.New, newRate
 			}
 			version.All++
@@ -103,12 +103,12 @@
 			switch change := next.Share - state.Share; {
 			case change > 0:
 				require.False(t, state.RolledBack)
-				require.True(t, state.Share == 0 || in.Now.Sub(state.Moved) >= cfg.StepEvery)
+				require.True(t, state.Share == 0 || in.Now.Sub(state.LastStep) >= cfg.StepEvery)
 				require.LessOrEqual(t, change, cfg.MaxStep+1e-9)
 				require.LessOrEqual(t, next.Share, in.NewCapacity/in.Rate+1e-9)
 			case change < 0:
 				require.True(t, next.RolledBack)
-				require.True(t, !state.RolledBack || in.Now.Sub(state.Moved) >= cfg.BackEvery)
+				require.True(t, !state.RolledBack || in.Now.Sub(state.LastStep) >= cfg.BackEvery)
 				require.LessOrEqual(t, -change, cfg.MaxBack+1e-9)
 				require.GreaterOrEqual(t, in.OldCapacity/in.Rate, 1-next.Share-1e-9)
 			}
@@ -124,11 +124,11 @@
 	for key := range uint64(1000) {
 		was := false
 		for share := 0.0; share <= 1; share += 0.05 {
-			is := TakesNew(key, share)
+			is := UsesNewVersion(key, share)
 			require.False(t, was && !is)
 			was = is
 		}
-		if TakesNew(key, 0.3) {
+		if UsesNewVersion(key, 0.3) {
 			onNew++
 		}
 	}
