--- a/policy/booking/book.go
+++ b/policy/booking/book.go
@@ -16,107 +16,107 @@
 	Life uint64
 }
 
-// holds is how long a word counts that is not renewed. Entries renew theirs a few times
+// reportTTL is how long a word counts that is not renewed. Entries renew theirs a few times
 // in that span, so that one lost datagram does not count.
-const holds = 4 * time.Second
+const reportTTL = 4 * time.Second
 
 // Book is what entries have running, by server.
 type Book struct {
-	servers map[string]*account
+	servers map[string]*serverLoad
 }
 
-// account is the book of one server.
-type account struct {
-	tellers map[string]word // by the entry's name
+// serverLoad is the book of one server.
+type serverLoad struct {
+	reports map[string]report // by the entry's name
 	total   Load
-	// progress is when a prompt was last known to have been read, or the first one
+	// lastProgress is when a prompt was last known to have been read, or the first one
 	// came to an idle server: since then the server reads on.
-	progress time.Time
-	down     time.Time // when it was last found not to be there
+	lastProgress time.Time
+	downAt       time.Time // when it was last found not to be there
 }
 
-// word is what an entry told last.
-type word struct {
-	life     uint64
-	sequence uint64
-	load     Load
-	at       time.Time
+// report is what an entry told last.
+type report struct {
+	incarnation uint64
+	sequence    uint64
+	load        Load
+	receivedAt  time.Time
 }
 
 // NewBook returns a book that knows of nothing.
-func NewBook() *Book { return &Book{servers: make(map[string]*account)} }
+func NewBook() *Book { return &Book{servers: make(map[string]*serverLoad)} }
 
 // Note takes what an entry has running at a server now, in place of what it told
 // before. sequence grows with each word of a life: datagrams may overtake each other.
 func (b *Book) Note(from Teller, sequence uint64, server string, l Load, now time.Time) {
-	a := b.servers[server]
-	if a == nil {
+	s := b.servers[server]
+	if s == nil {
 		if l == (Load{}) {
 			return
 		}
-		a = &account{tellers: make(map[string]word), progress: now}
-		b.servers[server] = a
+		s = &serverLoad{reports: make(map[string]report), lastProgress: now}
+		b.servers[server] = s
 	}
 	if l.Down {
-		a.down, l.Down = now, false
+		s.downAt, l.Down = now, false
 	}
-	held, known := a.tellers[from.Name]
-	if known && (from.Life < held.life || from.Life == held.life && sequence <= held.sequence) {
+	last, exists := s.reports[from.Name]
+	if exists && (from.Life < last.incarnation || from.Life == last.incarnation && sequence <= last.sequence) {
 		return
 	}
-	if l.Prefill < held.load.Prefill || a.total.Prefill == 0 {
-		a.progress = now
+	if l.Prefill < last.load.Prefill || s.total.Prefill == 0 {
+		s.lastProgress = now
 	}
-	a.total.Running += l.Running - held.load.Running
-	a.total.Prefill += l.Prefill - held.load.Prefill
+	s.total.Running += l.Running - last.load.Running
+	s.total.Prefill += l.Prefill - last.load.Prefill
 	// An empty word is kept for a while too: an older one may still come.
-	a.tellers[from.Name] = word{from.Life, sequence, l, now}
+	s.reports[from.Name] = report{from.Life, sequence, l, now}
 }
 
 // Others returns what all entries but one have at a server, and how many prompt tokens
 // are still to be read there at a rate in tokens per second.
-func (b *Book) Others(asker, server string, rate float64, now time.Time) Load {
-	a := b.servers[server]
-	if a == nil {
+func (b *Book) Others(entry, server string, rate float64, now time.Time) Load {
+	s := b.servers[server]
+	if s == nil {
 		return Load{}
 	}
-	a.forget(now)
-	own := a.tellers[asker].load
-	l := Load{Down: !a.down.IsZero() && now.Sub(a.down) < downFor, Running: max(a.total.Running-own.Running, 0), Prefill: max(a.total.Prefill-own.Prefill, 0)}
+	s.expire(now)
+	own := s.reports[entry].load
+	l := Load{Down: !s.downAt.IsZero() && now.Sub(s.downAt) < downTTL, Running: max(s.total.Running-own.Running, 0), Prefill: max(s.total.Prefill-own.Prefill, 0)}
 	if l.Prefill > 0 {
-		// What the server has read since is taken off the others' part by its share.
-		read := rate * max(now.Sub(a.progress).Seconds(), 0) * float64(l.Prefill) / float64(a.total.Prefill)
-		l.Prefill = max(l.Prefill-int(read), int(unread*float64(l.Prefill)))
+		// What the server has processed since is taken off the others' part by its share.
+		processed := rate * max(now.Sub(s.lastProgress).Seconds(), 0) * float64(l.Prefill) / float64(s.total.Prefill)
+		l.Prefill = max(l.Prefill-int(processed), int(minUnreadFraction*float64(l.Prefill)))
 	}
 	return l
 }
 
-// downFor is how long a server is taken to be down that was found so. All entries would
+// downTTL is how long a server is taken to be down that was found so. All entries would
 // find out one after the other meanwhile; after it the first one tries again.
-const downFor = time.Second
+const downTTL = time.Second
 
-// unread is the part of what was told that counts as not read until the answers come. A
+// minUnreadFraction is the part of what was told that counts as not read until the answers come. A
 // long prompt is read slower than the rate says, and whoever is sent behind one that was
 // taken to be read is late.
-const unread = 0.5
+const minUnreadFraction = 0.5
 
 // Sweep drops words that were not renewed, and servers of which none is left.
 func (b *Book) Sweep(now time.Time) {
-	for id, a := range b.servers {
-		if a.forget(now); len(a.tellers) == 0 && now.Sub(a.down) >= downFor {
+	for id, s := range b.servers {
+		if s.expire(now); len(s.reports) == 0 && now.Sub(s.downAt) >= downTTL {
 			delete(b.servers, id)
 		}
 	}
 }
 
-// forget drops the words of entries that have gone.
-func (a *account) forget(now time.Time) {
-	for name, w := range a.tellers {
-		if now.Sub(w.at) <= holds {
+// expire drops the words of entries that have gone.
+func (s *serverLoad) expire(now time.Time) {
+	for name, r := range s.reports {
+		if now.Sub(r.receivedAt) <= reportTTL {
 			continue
 		}
-		a.total.Running -= w.load.Running
-		a.total.Prefill -= w.load.Prefill
-		delete(a.tellers, name)
+		s.total.Running -= r.load.Running
+		s.total.Prefill -= r.load.Prefill
+		delete(s.reports, name)
 	}
 }
--- a/policy/booking/book_test.go
+++ b/policy/booking/book_test.go
@@ -12,7 +12,7 @@
 var start = time.Unix(1_700_000_000, 0)
 
 // What one asks for is what all others told last, whatever came before.
-func TestOthersAreWhatWasToldLast(t *testing.T) {
+func TestLoadOfOthersUsesLatestReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBook()
 		last := make(map[string]Load)
@@ -29,7 +29,7 @@
 
 // Datagrams overtake each other, and an entry starts anew while one of its old words is
 // still on its way. The older word would bring back work that has long ended.
-func TestLateWordsAreDropped(t *testing.T) {
+func TestOutOfOrderReportsAreDropped(t *testing.T) {
 	b := NewBook()
 	b.Note(Teller{"a", 1}, 2, "s", Load{}, start)
 	b.Note(Teller{"a", 1}, 1, "s", Load{Running: 3, Prefill: 900}, start)
@@ -44,32 +44,32 @@
 
 // An entry is killed while it has work at a server. Its word must not keep the server
 // from being used for good.
-func TestWordsOfTheDeadEnd(t *testing.T) {
+func TestReportsOfKilledEntryExpire(t *testing.T) {
 	b := NewBook()
 	b.Note(Teller{"a", 1}, 1, "s", Load{Running: 30, Prefill: 90_000}, start)
-	b.Note(Teller{"b", 1}, 1, "s", Load{Running: 1, Prefill: 100}, start.Add(holds))
-	require.Equal(t, 31, b.Others("c", "s", 0, start.Add(holds)).Running)
-	require.Equal(t, 1, b.Others("c", "s", 0, start.Add(holds+time.Millisecond)).Running)
-	b.Sweep(start.Add(3 * holds))
+	b.Note(Teller{"b", 1}, 1, "s", Load{Running: 1, Prefill: 100}, start.Add(reportTTL))
+	require.Equal(t, 31, b.Others("c", "s", 0, start.Add(reportTTL)).Running)
+	require.Equal(t, 1, b.Others("c", "s", 0, start.Add(reportTTL+time.Millisecond)).Running)
+	b.Sweep(start.Add(3 * reportTTL))
 	require.Empty(t, b.servers)
 }
 
 // A server crashes, and one entry finds that nobody is at its address. All others are
 // told for a moment, also if nothing was known of the server; then one may try again.
-func TestServerThatIsDown(t *testing.T) {
+func TestServerDownIsReturnedToAllEntries(t *testing.T) {
 	b := NewBook()
 	b.Note(Teller{"a", 1}, 1, "s", Load{Down: true}, start)
 	require.True(t, b.Others("b", "s", 0, start).Down)
-	b.Sweep(start.Add(2 * holds / 3))
-	require.False(t, b.Others("b", "s", 0, start.Add(downFor)).Down)
-	b.Note(Teller{"b", 1}, 1, "s", Load{Down: true}, start.Add(downFor))
-	b.Note(Teller{"c", 1}, 1, "s", Load{Running: 1}, start.Add(downFor))
-	require.True(t, b.Others("a", "s", 0, start.Add(downFor)).Down, "another one's word does not take it back")
+	b.Sweep(start.Add(2 * reportTTL / 3))
+	require.False(t, b.Others("b", "s", 0, start.Add(downTTL)).Down)
+	b.Note(Teller{"b", 1}, 1, "s", Load{Down: true}, start.Add(downTTL))
+	b.Note(Teller{"c", 1}, 1, "s", Load{Running: 1}, start.Add(downTTL))
+	require.True(t, b.Others("a", "s", 0, start.Add(downTTL)).Down, "another one's word does not take it back")
 }
 
 // A server reads a prompt while nobody tells anything. What is left of it shrinks, but
 // not to nothing: the rate may be too high for a prompt as long as this.
-func TestPromptsAreReadMeanwhile(t *testing.T) {
+func TestPrefillIsEstimatedBetweenReports(t *testing.T) {
 	b := NewBook()
 	b.Note(Teller{"a", 1}, 1, "s", Load{Running: 1, Prefill: 50_000}, start)
 	require.Equal(t, 40_000, b.Others("b", "s", 20_000, start.Add(500*time.Millisecond)).Prefill)
@@ -77,7 +77,7 @@
 }
 
 // One entry of many goes. Only its books change hands, and each has one owner.
-func TestOwnersMoveLittle(t *testing.T) {
+func TestRemovedEntryMovesOnlyItsServers(t *testing.T) {
 	var names []string
 	for i := range 70 {
 		names = append(names, fmt.Sprintf("entry-%d", i))
@@ -99,7 +99,7 @@
 }
 
 // What is kept at two entries must not be lost with one of them.
-func TestRankedOwnersDiffer(t *testing.T) {
+func TestOwnersAtPositionsDiffer(t *testing.T) {
 	o := NewOwners([]string{"a", "b", "c"})
 	for i := range 100 {
 		key := fmt.Sprint(i)
--- a/policy/booking/herd_test.go
+++ b/policy/booking/herd_test.go
@@ -14,53 +14,53 @@
 	"savoryreel.example/savoryreel/policy/route"
 )
 
-// herd is many entries that choose among the same servers in virtual time. A server
+// simulation is many entries that choose among the same servers in virtual time. A server
 // reads one prompt after the other.
-type herd struct {
+type simulation struct {
 	entries, servers int
-	asking           bool          // entries ask the owners' books
+	queryOwners      bool          // entries ask the owners' books
 	reportEvery      time.Duration // of what all others have running
-	firstComes       time.Duration // after the start; the other servers are there at once
-
-	rng     *rand.Rand
-	now     time.Time
-	routers []*route.Router
-	book    *Book
-	free    []time.Time    // when each server has read all that it was given
-	pending []map[int]Load // by server: each entry's
-	events  events
-	told    uint64
-	late    int
-	all     int
-
-	firstLate, firstAll int // of the server that came last
+	firstJoinsAfter  time.Duration // after the start; the other servers are there at once
+
+	rng       *rand.Rand
+	now       time.Time
+	routers   []*route.Router
+	book      *Book
+	idleAt    []time.Time    // when each server has read all that it was given
+	pending   []map[int]Load // by server: each entry's
+	events    eventHeap
+	sequence  uint64
+	lateCount int
+	total     int
+
+	firstServerLate, firstServerTotal int // of the server that came last
 }
 
 // The load of the pattern: short prompts among some long ones, at six tenths of what
 // the servers can read.
 const (
-	herdRate      = 50_000.0 // prompt tokens a second
-	herdUse       = 0.6
-	herdObjective = 500 * time.Millisecond
-	herdSeconds   = 12
-	shortPrompt   = 1_500
-	longPrompt    = 20_000
-	longPart      = 0.1
+	prefillTokensPerSecond = 50_000.0 // prompt tokens a second
+	utilization            = 0.6
+	objective              = 500 * time.Millisecond
+	simulatedSeconds       = 12
+	shortPromptTokens      = 1_500
+	longPromptTokens       = 20_000
+	longPromptFraction     = 0.1
 )
 
-// happening is something that happens at a time.
-type happening struct {
+// event is something that happens at a time.
+type event struct {
 	at time.Time
 	do func()
 }
 
-type events []happening
+type eventHeap []event
 
-func (e events) Len() int           { return len(e) }
-func (e events) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)        { *e = append(*e, x.(happening)) }
-func (e *events) Pop() any {
+func (e eventHeap) Len() int           { return len(e) }
+func (e eventHeap) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e eventHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *eventHeap) Push(x any)        { *e = append(*e, x.(event)) }
+func (e *eventHeap) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
@@ -68,47 +68,47 @@
 
 func serverName(i int) string { return fmt.Sprintf("s%d", i) }
 
-// play returns the part of the short requests that were late.
-func (h *herd) play(t *testing.T) float64 {
+// run returns the part of the short requests that were late.
+func (h *simulation) run(t *testing.T) float64 {
 	h.rng = rand.New(rand.NewPCG(1, 2))
 	h.now = start
 	h.book = NewBook()
-	h.free = make([]time.Time, h.servers)
+	h.idleAt = make([]time.Time, h.servers)
 	h.pending = make([]map[int]Load, h.servers)
 	for i := range h.pending {
 		h.pending[i] = make(map[int]Load)
 	}
 	for range h.entries {
 		cfg := route.DefaultConfig()
-		cfg.Entries, cfg.PrefillRate, cfg.CountSenders, cfg.LoadFactor = h.entries, herdRate, true, 5
+		cfg.Entries, cfg.PrefillRate, cfg.CountSenders, cfg.LoadFactor = h.entries, prefillTokensPerSecond, true, 5
 		cfg.SlowStart, cfg.BusyCost = 0, 10*time.Millisecond
 		r, err := route.New(cfg)
 		require.NoError(t, err)
 		h.routers = append(h.routers, r)
 	}
-	h.report()
-	h.arrive()
-	for h.now.Sub(start) < herdSeconds*time.Second {
-		next := heap.Pop(&h.events).(happening)
+	h.deliverReports()
+	h.sendNext()
+	for h.now.Sub(start) < simulatedSeconds*time.Second {
+		next := heap.Pop(&h.events).(event)
 		h.now = next.at
 		next.do()
 	}
-	return float64(h.late) / float64(h.all)
+	return float64(h.lateCount) / float64(h.total)
 }
 
-func (h *herd) after(d time.Duration, do func()) {
-	heap.Push(&h.events, happening{h.now.Add(d), do})
+func (h *simulation) schedule(d time.Duration, do func()) {
+	heap.Push(&h.events, event{h.now.Add(d), do})
 }
 
-// report tells all entries what the others have running, as it is now.
-func (h *herd) report() {
-	h.told++
+// deliverReports tells all entries what the others have running, as it is now.
+func (h *simulation) deliverReports() {
+	h.sequence++
 	for e, r := range h.routers {
 		for i := range h.servers {
-			if i == 0 && h.now.Sub(start) < h.firstComes {
+			if i == 0 && h.now.Sub(start) < h.firstJoinsAfter {
 				continue
 			}
-			a := instance.Announcement{ID: serverName(i), Incarnation: 1, Sequence: h.told, Slots: 64, State: instance.StateServing}
+			a := instance.Announcement{ID: serverName(i), Incarnation: 1, Sequence: h.sequence, Slots: 64, State: instance.StateServing}
 			for other, l := range h.pending[i] {
 				a.Load.Running += l.Running
 				if other != e {
@@ -118,27 +118,27 @@
 			r.Announce(&a, h.now, h.now)
 		}
 	}
-	h.after(h.reportEvery, h.report)
+	h.schedule(h.reportEvery, h.deliverReports)
 }
 
-// arrive has one request come to one of the entries, and the next one later.
-func (h *herd) arrive() {
-	mean := shortPrompt*(1-longPart) + longPrompt*longPart
-	perSecond := herdUse * herdRate * float64(h.servers) / mean
-	h.after(time.Duration(-math.Log(1-h.rng.Float64())/perSecond*float64(time.Second)), h.arrive)
-	tokens := shortPrompt
-	if h.rng.Float64() < longPart {
-		tokens = longPrompt
+// sendNext has one request come to one of the entries, and the next one later.
+func (h *simulation) sendNext() {
+	mean := shortPromptTokens*(1-longPromptFraction) + longPromptTokens*longPromptFraction
+	perSecond := utilization * prefillTokensPerSecond * float64(h.servers) / mean
+	h.schedule(time.Duration(-math.Log(1-h.rng.Float64())/perSecond*float64(time.Second)), h.sendNext)
+	tokens := shortPromptTokens
+	if h.rng.Float64() < longPromptFraction {
+		tokens = longPromptTokens
 	}
 	h.send(h.rng.IntN(h.entries), tokens)
 }
 
-func (h *herd) send(e, tokens int) {
+func (h *simulation) send(e, tokens int) {
 	r := h.routers[e]
 	req := &route.Request{Now: h.now, Seed: h.rng.Uint64(), PromptTokens: tokens}
-	if h.asking {
+	if h.queryOwners {
 		for _, id := range r.Candidates(req, nil) {
-			l := h.book.Others(entryName(e), id, herdRate, h.now)
+			l := h.book.Others(entryName(e), id, prefillTokensPerSecond, h.now)
 			r.NoteLoad(id, l.Running, l.Prefill, h.now)
 		}
 	}
@@ -146,45 +146,45 @@
 	attempt := r.Started(&v, h.now)
 	var server int
 	_, _ = fmt.Sscanf(v.Server, "s%d", &server) // the name is our own
-	h.note(e, server, 1, tokens)
-	h.free[server] = later(h.free[server], h.now).Add(time.Duration(float64(tokens) / herdRate * float64(time.Second)))
-	wait := h.free[server].Sub(h.now)
-	if tokens == shortPrompt {
-		h.count(server, wait > herdObjective)
+	h.recordLoad(e, server, 1, tokens)
+	h.idleAt[server] = laterOf(h.idleAt[server], h.now).Add(time.Duration(float64(tokens) / prefillTokensPerSecond * float64(time.Second)))
+	wait := h.idleAt[server].Sub(h.now)
+	if tokens == shortPromptTokens {
+		h.count(server, wait > objective)
 	}
-	h.after(wait, func() {
+	h.schedule(wait, func() {
 		r.Finished(&attempt, h.now)
-		h.note(e, server, -1, -tokens)
+		h.recordLoad(e, server, -1, -tokens)
 	})
 }
 
-func (h *herd) count(server int, late bool) {
-	h.all++
+func (h *simulation) count(server int, late bool) {
+	h.total++
 	if late {
-		h.late++
+		h.lateCount++
 	}
 	if server > 0 {
 		return
 	}
-	h.firstAll++
+	h.firstServerTotal++
 	if late {
-		h.firstLate++
+		h.firstServerLate++
 	}
 }
 
-// note counts what an entry has at a server, and tells its owner.
-func (h *herd) note(e, server, running, tokens int) {
+// recordLoad counts what an entry has at a server, and tells its owner.
+func (h *simulation) recordLoad(e, server, running, tokens int) {
 	l := h.pending[server][e]
 	l.Running += running
 	l.Prefill += tokens
 	h.pending[server][e] = l
-	h.told++
-	h.book.Note(Teller{entryName(e), 1}, h.told, serverName(server), l, h.now)
+	h.sequence++
+	h.book.Note(Teller{entryName(e), 1}, h.sequence, serverName(server), l, h.now)
 }
 
 func entryName(e int) string { return fmt.Sprintf("entry-%d", e) }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -196,14 +196,14 @@
 // long prompts that their entry has not heard of, while other servers stand idle: of
 // seventy entries' short requests one in twenty is late. Asked of the one entry that keeps a server's
 // book, hardly any is.
-func TestHerd(t *testing.T) {
+func TestLoadQueriesPreventHerding(t *testing.T) {
 	for _, entries := range []int{8, 70, 190, 370} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
-			reports := (&herd{entries: entries, servers: 60, reportEvery: 500 * time.Millisecond}).play(t)
-			asked := (&herd{entries: entries, servers: 60, reportEvery: 500 * time.Millisecond, asking: true}).play(t)
-			t.Logf("short requests late: %.3f by reports, %.3f asked", reports, asked)
-			require.Less(t, asked, 0.02)
-			require.Greater(t, reports, asked)
+			byReports := (&simulation{entries: entries, servers: 60, reportEvery: 500 * time.Millisecond}).run(t)
+			byQuery := (&simulation{entries: entries, servers: 60, reportEvery: 500 * time.Millisecond, queryOwners: true}).run(t)
+			t.Logf("short requests late: %.3f by reports, %.3f asked", byReports, byQuery)
+			require.Less(t, byQuery, 0.02)
+			require.Greater(t, byReports, byQuery)
 		})
 	}
 }
@@ -212,16 +212,16 @@
 // what it has until it hears of the others, and the server is buried: most that is sent
 // there is late. Asked of its book, it gets its share from the first moment, and needs no
 // time in which it is kept from its work.
-func TestNewServerIsNotBuried(t *testing.T) {
-	play := func(asking bool) (late float64, sent int) {
-		h := &herd{entries: 70, servers: 20, reportEvery: 500 * time.Millisecond, asking: asking, firstComes: 9 * time.Second}
-		h.play(t)
-		return float64(h.firstLate) / float64(h.firstAll), h.firstAll
+func TestNewServerIsNotOverloaded(t *testing.T) {
+	simulate := func(queryOwners bool) (late float64, sent int) {
+		h := &simulation{entries: 70, servers: 20, reportEvery: 500 * time.Millisecond, queryOwners: queryOwners, firstJoinsAfter: 9 * time.Second}
+		h.run(t)
+		return float64(h.firstServerLate) / float64(h.firstServerTotal), h.firstServerTotal
 	}
-	byReports, _ := play(false)
-	asked, sent := play(true)
-	t.Logf("short requests late at the new server: %.3f by reports, %.3f asked (of %d)", byReports, asked, sent)
-	require.Less(t, asked, 0.02)
-	require.Greater(t, byReports, 2*asked)
+	byReports, _ := simulate(false)
+	byQuery, sent := simulate(true)
+	t.Logf("short requests late at the new server: %.3f by reports, %.3f asked (of %d)", byReports, byQuery, sent)
+	require.Less(t, byQuery, 0.02)
+	require.Greater(t, byReports, 2*byQuery)
 	require.Greater(t, sent, 20, "it is used")
 }
--- a/policy/booking/owner.go
+++ b/policy/booking/owner.go
@@ -29,21 +29,21 @@
 
 // Ranked returns the name of the entry that comes after so many others as the owner of what
 // key stands for. Where there are fewer entries it begins again with the first one.
-func (o *Owners) Ranked(key string, place int) string {
+func (o *Owners) Ranked(key string, position int) string {
 	if len(o.names) == 0 {
 		return ""
 	}
-	sum := xxhash.Sum64String(key)
-	below, name := uint64(math.MaxUint64), ""
-	for range place%len(o.names) + 1 {
-		best := uint64(0)
+	keyHash := xxhash.Sum64String(key)
+	previousScore, name := uint64(math.MaxUint64), ""
+	for range position%len(o.names) + 1 {
+		bestScore := uint64(0)
 		name = ""
 		for i, h := range o.hashes {
-			if rank := hash.Pair(sum, h); rank < below && (name == "" || rank > best) {
-				best, name = rank, o.names[i]
+			if score := hash.Pair(keyHash, h); score < previousScore && (name == "" || score > bestScore) {
+				bestScore, name = score, o.names[i]
 			}
 		}
-		below = best
+		previousScore = bestScore
 	}
 	return name
 }
