--- a/policy/booking/book.go
+++ b/policy/booking/book.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// Load is what runs and waits at a server.
+// Load is the load of a server, or the part of it that one entry has placed there.
 type Load struct {
-	Running int // requests
-	Prefill int // prompt tokens of those of them that have no answer yet
-	// Down says that somebody has just found that the server is not there any more.
+	Running int // requests, running or waiting
+	Prefill int // prompt tokens of the requests that have no first token yet
+	// Down is set if an entry has just found the server unreachable.
 	Down bool
 }
 
-// Teller is one life of an entry. What a life told ends with it.
+// Reporter identifies one incarnation of an entry. The reports of a new incarnation
+// replace those of the one before.
 type Teller struct {
 	Name string
 	Life uint64
 }
 
-// reportTTL is how long a word counts that is not renewed. Entries renew theirs a few times
-// in that span, so that one lost datagram does not count.
+// reportTTL is how long a report is valid unless it is renewed. Entries renew several
+// times within it, so that the loss of one datagram has no effect.
 const reportTTL = 4 * time.Second
 
-// Book is what entries have running, by server.
+// LoadTable holds the load that entries have reported, by server.
 type Book struct {
 	servers map[string]*serverLoad
 }
 
-// serverLoad is the book of one server.
+// serverLoad is the reported load of one server.
 type serverLoad struct {
-	reports map[string]report // by the entry's name
+	reports map[string]report // by name of the entry
 	total   Load
-	// lastProgress is when a prompt was last known to have been read, or the first one
-	// came to an idle server: since then the server reads on.
+	// lastProgress is when a report last lowered the unread prompt tokens, or added the
+	// first ones to an idle server. The server is assumed to have read prompts since.
 	lastProgress time.Time
-	downAt       time.Time // when it was last found not to be there
+	downAt       time.Time // when an entry last found the server unreachable
 }
 
-// report is what an entry told last.
+// report is the last report of an entry.
 type report struct {
 	incarnation uint64
 	sequence    uint64
@@ -43,11 +44,12 @@
 	receivedAt  time.Time
 }
 
-// NewBook returns a book that knows of nothing.
+// NewLoadTable returns an empty table.
 func NewBook() *Book { return &Book{servers: make(map[string]*serverLoad)} }
 
-// Note takes what an entry has running at a server now, in place of what it told
-// before. sequence grows with each word of a life: datagrams may overtake each other.
+// Record replaces what an entry last reported for a server. sequence must grow with each
+// report of an incarnation, since datagrams can arrive out of order: an older report is
+// dropped, except that its Down still counts.
 func (b *Book) Note(from Teller, sequence uint64, server string, l Load, now time.Time) {
 	s := b.servers[server]
 	if s == nil {
@@ -69,12 +71,13 @@
 	}
 	s.total.Running += l.Running - last.load.Running
 	s.total.Prefill += l.Prefill - last.load.Prefill
-	// An empty word is kept for a while too: an older one may still come.
+	// Empty reports are stored too, so that an older one that arrives later is dropped.
 	s.reports[from.Name] = report{from.Life, sequence, l, now}
 }
 
-// Others returns what all entries but one have at a server, and how many prompt tokens
-// are still to be read there at a rate in tokens per second.
+// LoadOfOthers returns the load that all entries but one have placed on a server. Prefill
+// is reduced by what the server is estimated to have read since the last progress, at a
+// rate in tokens per second.
 func (b *Book) Others(entry, server string, rate float64, now time.Time) Load {
 	s := b.servers[server]
 	if s == nil {
@@ -84,23 +87,23 @@
 	own := s.reports[entry].load
 	l := Load{Down: !s.downAt.IsZero() && now.Sub(s.downAt) < downTTL, Running: max(s.total.Running-own.Running, 0), Prefill: max(s.total.Prefill-own.Prefill, 0)}
 	if l.Prefill > 0 {
-		// What the server has processed since is taken off the others' part by its share.
+		// Only the others' fraction of the tokens read counts.
 		processed := rate * max(now.Sub(s.lastProgress).Seconds(), 0) * float64(l.Prefill) / float64(s.total.Prefill)
 		l.Prefill = max(l.Prefill-int(processed), int(minUnreadFraction*float64(l.Prefill)))
 	}
 	return l
 }
 
-// downTTL is how long a server is taken to be down that was found so. All entries would
-// find out one after the other meanwhile; after it the first one tries again.
+// downTTL is how long a server counts as down after an entry has found it unreachable. It
+// saves the other entries from failing too; afterwards the first of them tries again.
 const downTTL = time.Second
 
-// minUnreadFraction is the part of what was told that counts as not read until the answers come. A
-// long prompt is read slower than the rate says, and whoever is sent behind one that was
-// taken to be read is late.
+// minUnreadFraction is the fraction of the reported prompt tokens that counts as unread
+// until the next report. Long prompts are read more slowly than the rate says, and a
+// request placed behind one that was taken to be read would be late.
 const minUnreadFraction = 0.5
 
-// Sweep drops words that were not renewed, and servers of which none is left.
+// Sweep drops expired reports, and servers that have no reports and are not down.
 func (b *Book) Sweep(now time.Time) {
 	for id, s := range b.servers {
 		if s.expire(now); len(s.reports) == 0 && now.Sub(s.downAt) >= downTTL {
@@ -109,7 +112,7 @@
 	}
 }
 
-// expire drops the words of entries that have gone.
+// expire drops the reports that were not renewed within reportTTL.
 func (s *serverLoad) expire(now time.Time) {
 	for name, r := range s.reports {
 		if now.Sub(r.receivedAt) <= reportTTL {
--- a/policy/booking/book_test.go
+++ b/policy/booking/book_test.go
@@ -11,12 +11,13 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// What one asks for is what all others told last, whatever came before.
+// Guards against a load that includes replaced reports, or those of the entry that
+// queries.
 func TestLoadOfOthersUsesLatestReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBook()
 		last := make(map[string]Load)
-		for i := range rapid.IntRange(1, 40).Draw(t, "words") {
+		for i := range rapid.IntRange(1, 40).Draw(t, "reports") {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "entry")
 			l := Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), Prefill: rapid.IntRange(0, 9000).Draw(t, "prefill")}
 			b.Note(Teller{name, 1}, uint64(i+1), "s", l, start)
@@ -27,13 +28,13 @@
 	})
 }
 
-// Datagrams overtake each other, and an entry starts anew while one of its old words is
-// still on its way. The older word would bring back work that has long ended.
+// Guards against a report that arrives after a newer one, or after a restart of its entry,
+// and restores load of requests that have ended.
 func TestOutOfOrderReportsAreDropped(t *testing.T) {
 	b := NewBook()
 	b.Note(Teller{"a", 1}, 2, "s", Load{}, start)
 	b.Note(Teller{"a", 1}, 1, "s", Load{Running: 3, Prefill: 900}, start)
-	require.Equal(t, Load{Running: 3, Prefill: 900}, b.Others("b", "s", 0, start), "nothing was known of the server before")
+	require.Equal(t, Load{Running: 3, Prefill: 900}, b.Others("b", "s", 0, start), "the empty report of an unknown server is not stored")
 	b.Note(Teller{"a", 1}, 4, "s", Load{}, start)
 	b.Note(Teller{"a", 1}, 3, "s", Load{Running: 5, Prefill: 100}, start)
 	require.Zero(t, b.Others("b", "s", 0, start))
@@ -42,8 +43,8 @@
 	require.Equal(t, Load{Running: 1, Prefill: 10}, b.Others("b", "s", 0, start))
 }
 
-// An entry is killed while it has work at a server. Its word must not keep the server
-// from being used for good.
+// Guards against the last report of a killed entry counting forever, which would keep a
+// server from being used.
 func TestReportsOfKilledEntryExpire(t *testing.T) {
 	b := NewBook()
 	b.Note(Teller{"a", 1}, 1, "s", Load{Running: 30, Prefill: 90_000}, start)
@@ -54,8 +55,8 @@
 	require.Empty(t, b.servers)
 }
 
-// A server crashes, and one entry finds that nobody is at its address. All others are
-// told for a moment, also if nothing was known of the server; then one may try again.
+// Guards against each entry finding out by itself that a server has crashed, also one
+// without any load, and against a server that stays down.
 func TestServerDownIsReturnedToAllEntries(t *testing.T) {
 	b := NewBook()
 	b.Note(Teller{"a", 1}, 1, "s", Load{Down: true}, start)
@@ -64,11 +65,11 @@
 	require.False(t, b.Others("b", "s", 0, start.Add(downTTL)).Down)
 	b.Note(Teller{"b", 1}, 1, "s", Load{Down: true}, start.Add(downTTL))
 	b.Note(Teller{"c", 1}, 1, "s", Load{Running: 1}, start.Add(downTTL))
-	require.True(t, b.Others("a", "s", 0, start.Add(downTTL)).Down, "another one's word does not take it back")
+	require.True(t, b.Others("a", "s", 0, start.Add(downTTL)).Down, "the report of another entry does not clear Down")
 }
 
-// A server reads a prompt while nobody tells anything. What is left of it shrinks, but
-// not to nothing: the rate may be too high for a prompt as long as this.
+// Guards against prompt tokens that stay unread until the next report, and against an
+// estimate that falls to zero while a long prompt is read more slowly than the rate.
 func TestPrefillIsEstimatedBetweenReports(t *testing.T) {
 	b := NewBook()
 	b.Note(Teller{"a", 1}, 1, "s", Load{Running: 1, Prefill: 50_000}, start)
@@ -76,7 +77,8 @@
 	require.Equal(t, 25_000, b.Others("b", "s", 20_000, start.Add(3*time.Second)).Prefill)
 }
 
-// One entry of many goes. Only its books change hands, and each has one owner.
+// Guards against servers of other entries changing owner when one entry leaves, and
+// against an uneven distribution.
 func TestRemovedEntryMovesOnlyItsServers(t *testing.T) {
 	var names []string
 	for i := range 70 {
@@ -98,7 +100,7 @@
 	require.Empty(t, NewOwners(nil).Of("s"))
 }
 
-// What is kept at two entries must not be lost with one of them.
+// Guards against a copy that is stored at the same entry as the original and lost with it.
 func TestOwnersAtPositionsDiffer(t *testing.T) {
 	o := NewOwners([]string{"a", "b", "c"})
 	for i := range 100 {
--- a/policy/booking/doc.go
+++ b/policy/booking/doc.go
@@ -1,21 +1,21 @@
-// Package booking keeps what all entries have running at a backend server in one
-// place: the book of that server, which one entry keeps, its owner.
+// Package booking tracks the load that all entries have placed on each backend server. The
+// load of a server is held in the load table of one entry, its owner.
 //
-// Load pattern answered: many entries, each with a few requests a second, choose among
-// many servers. What an entry hears of the others by way of reports is some hundred
-// milliseconds old, and in that time a server begins several requests.
+// Load pattern: many entries, each with a few requests per second, choose among many
+// servers. The periodic load reports are several hundred milliseconds old, and a server
+// starts several requests in that time.
 //
-// Without it each entry takes a server for idle that others have just sent work to.
-// Short requests wait behind prompts that their entry had not heard of, and are late,
-// while other servers stand idle.
+// Without it: an entry takes a server for idle to which others have just sent requests.
+// Short requests wait behind prompts that their entry does not know of and miss their
+// objective, while other servers are idle.
 //
-// An entry asks the owners of the few servers that come into question what runs there
-// now, chooses, and tells the owner of the chosen one. Nobody grants anything: an owner
-// that does not answer in time, or has gone, costs the age of the reports that the
-// choice is made from then, and no request waits for it for long.
+// An entry queries the owners of its candidate servers for their current load, chooses
+// one, and reports the request to the owner of that server. An owner grants nothing: if it
+// does not respond in time, the choice is based on the older periodic reports, and no
+// request waits longer for it.
 //
-// Every entry works out by itself who owns a server, from the names of the entries that
-// are up. Where views differ for a while two entries keep one book, each a part of it.
+// Each entry computes the owners from the names of the entries that are up. While entries
+// disagree on these, the load of a server can be split between two load tables.
 //
-// The package does no I/O and reads no clock. A Book is not safe for concurrent use.
+// The package does no I/O and reads no clock. A LoadTable is not safe for concurrent use.
 package booking
--- a/policy/booking/herd_test.go
+++ b/policy/booking/herd_test.go
@@ -14,32 +14,31 @@
 	"savoryreel.example/savoryreel/policy/route"
 )
 
-// simulation is many entries that choose among the same servers in virtual time. A server
-// reads one prompt after the other.
+// simulation runs many entries that choose among the same servers, in virtual time. A
+// server prefills one prompt after the other.
 type simulation struct {
 	entries, servers int
-	queryOwners      bool          // entries ask the owners' books
-	reportEvery      time.Duration // of what all others have running
-	firstJoinsAfter  time.Duration // after the start; the other servers are there at once
+	queryOwners      bool          // entries query the load tables of the owners
+	reportEvery      time.Duration // interval of the reports of what all entries have running
+	firstJoinsAfter  time.Duration // when the first server joins, after the start; the others are present from the start
 
 	rng       *rand.Rand
 	now       time.Time
 	routers   []*route.Router
 	book      *Book
-	idleAt    []time.Time    // when each server has read all that it was given
-	pending   []map[int]Load // by server: each entry's
+	idleAt    []time.Time    // when each server has prefilled all its prompts
+	pending   []map[int]Load // by server: load by entry
 	events    eventHeap
 	sequence  uint64
 	lateCount int
 	total     int
 
-	firstServerLate, firstServerTotal int // of the server that came last
+	firstServerLate, firstServerTotal int // of the server that joins late
 }
 
-// The load of the pattern: short prompts among some long ones, at six tenths of what
-// the servers can read.
+// Short prompts among some long ones, at a fraction of the prefill rate of the servers.
 const (
-	prefillTokensPerSecond = 50_000.0 // prompt tokens a second
+	prefillTokensPerSecond = 50_000.0 // of each server
 	utilization            = 0.6
 	objective              = 500 * time.Millisecond
 	simulatedSeconds       = 12
@@ -48,7 +47,7 @@
 	longPromptFraction     = 0.1
 )
 
-// event is something that happens at a time.
+// event is a callback at a virtual time.
 type event struct {
 	at time.Time
 	do func()
@@ -68,7 +67,7 @@
 
 func serverName(i int) string { return fmt.Sprintf("s%d", i) }
 
-// run returns the part of the short requests that were late.
+// run returns the fraction of the short requests that were late.
 func (h *simulation) run(t *testing.T) float64 {
 	h.rng = rand.New(rand.NewPCG(1, 2))
 	h.now = start
@@ -100,7 +99,8 @@
 	heap.Push(&h.events, event{h.now.Add(d), do})
 }
 
-// deliverReports tells all entries what the others have running, as it is now.
+// deliverReports gives all entries the current load of the servers, and schedules the next
+// reports.
 func (h *simulation) deliverReports() {
 	h.sequence++
 	for e, r := range h.routers {
@@ -121,7 +121,7 @@
 	h.schedule(h.reportEvery, h.deliverReports)
 }
 
-// sendNext has one request come to one of the entries, and the next one later.
+// sendNext sends one request to a random entry and schedules the next arrival.
 func (h *simulation) sendNext() {
 	mean := shortPromptTokens*(1-longPromptFraction) + longPromptTokens*longPromptFraction
 	perSecond := utilization * prefillTokensPerSecond * float64(h.servers) / mean
@@ -145,7 +145,7 @@
 	v := r.Choose(req)
 	attempt := r.Started(&v, h.now)
 	var server int
-	_, _ = fmt.Sscanf(v.Server, "s%d", &server) // the name is our own
+	_, _ = fmt.Sscanf(v.Server, "s%d", &server) // always a name from serverName
 	h.recordLoad(e, server, 1, tokens)
 	h.idleAt[server] = laterOf(h.idleAt[server], h.now).Add(time.Duration(float64(tokens) / prefillTokensPerSecond * float64(time.Second)))
 	wait := h.idleAt[server].Sub(h.now)
@@ -172,7 +172,8 @@
 	}
 }
 
-// recordLoad counts what an entry has at a server, and tells its owner.
+// recordLoad changes what an entry has running at a server, and reports it to the load
+// table.
 func (h *simulation) recordLoad(e, server, running, tokens int) {
 	l := h.pending[server][e]
 	l.Running += running
@@ -191,27 +192,23 @@
 	return b
 }
 
-// Up to some hundred entries choose among as many servers, which have six tenths of the
-// work that they can do, and hear of each other every half a second. Callers wait behind
-// long prompts that their entry has not heard of, while other servers stand idle: of
-// seventy entries' short requests one in twenty is late. Asked of the one entry that keeps a server's
-// book, hardly any is.
+// Guards against herding: with periodic reports alone, entries choose servers to which
+// others have just sent long prompts, and short requests are late while other servers are
+// idle.
 func TestLoadQueriesPreventHerding(t *testing.T) {
 	for _, entries := range []int{8, 70, 190, 370} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			byReports := (&simulation{entries: entries, servers: 60, reportEvery: 500 * time.Millisecond}).run(t)
 			byQuery := (&simulation{entries: entries, servers: 60, reportEvery: 500 * time.Millisecond, queryOwners: true}).run(t)
-			t.Logf("short requests late: %.3f by reports, %.3f asked", byReports, byQuery)
+			t.Logf("short requests late: %.3f by reports, %.3f by queries", byReports, byQuery)
 			require.Less(t, byQuery, 0.02)
 			require.Greater(t, byReports, byQuery)
 		})
 	}
 }
 
-// A server comes, or comes back, and looks idle to seventy entries at once. Each sends it
-// what it has until it hears of the others, and the server is buried: most that is sent
-// there is late. Asked of its book, it gets its share from the first moment, and needs no
-// time in which it is kept from its work.
+// Guards against overload of a server that joins: it looks idle to all entries at once,
+// and with periodic reports alone most requests sent to it are late.
 func TestNewServerIsNotOverloaded(t *testing.T) {
 	simulate := func(queryOwners bool) (late float64, sent int) {
 		h := &simulation{entries: 70, servers: 20, reportEvery: 500 * time.Millisecond, queryOwners: queryOwners, firstJoinsAfter: 9 * time.Second}
@@ -220,8 +217,8 @@
 	}
 	byReports, _ := simulate(false)
 	byQuery, sent := simulate(true)
-	t.Logf("short requests late at the new server: %.3f by reports, %.3f asked (of %d)", byReports, byQuery, sent)
+	t.Logf("short requests late at the new server: %.3f by reports, %.3f by queries (of %d)", byReports, byQuery, sent)
 	require.Less(t, byQuery, 0.02)
 	require.Greater(t, byReports, 2*byQuery)
-	require.Greater(t, sent, 20, "it is used")
+	require.Greater(t, sent, 20, "the new server is used")
 }
--- a/policy/booking/owner.go
+++ b/policy/booking/owner.go
@@ -8,14 +8,14 @@
 	"savoryreel.example/savoryreel/policy/hash"
 )
 
-// Owners says which entry keeps the book of which server, by rendezvous hashing: where
-// an entry comes or goes only the books that it has or had change hands.
+// Owners assigns each server to an entry by rendezvous hashing: when an entry joins or
+// leaves, only the servers that it gains or loses change owner.
 type Owners struct {
 	names  []string
 	hashes []uint64
 }
 
-// NewOwners returns the owners among entries of these names.
+// NewOwners returns the owners among entries with these names. It retains names.
 func NewOwners(names []string) *Owners {
 	o := &Owners{names: names, hashes: make([]uint64, len(names))}
 	for i, name := range names {
@@ -24,11 +24,12 @@
 	return o
 }
 
-// Of returns the name of a server's owner; empty where there are no entries.
+// Owner returns the name of the entry that owns a server; empty if there are no entries.
 func (o *Owners) Of(server string) string { return o.Ranked(server, 0) }
 
-// Ranked returns the name of the entry that comes after so many others as the owner of what
-// key stands for. Where there are fewer entries it begins again with the first one.
+// OwnerAt returns the name of the entry at a position of the key's rendezvous order, in
+// which the owner has position 0. Positions beyond the last entry wrap around. The name is
+// empty if there are no entries.
 func (o *Owners) Ranked(key string, position int) string {
 	if len(o.names) == 0 {
 		return ""
--- a/policy/evacuate/doc.go
+++ b/policy/evacuate/doc.go
@@ -1,21 +1,21 @@
-// Package evacuate decides which requests leave a backend server first, and how,
-// when it is to be reclaimed within seconds.
+// Package evacuate plans how requests leave a backend server that is reclaimed within
+// seconds: which are exported with their KV cache, which are recomputed on another server,
+// which finish in place, and when each of them moves.
 //
-// Load pattern answered: a server full of long and short answers gets notice of
-// its end, alone or with its whole zone.
+// Load pattern: a server that runs long and short requests receives a reclaim notice,
+// alone or together with its whole zone.
 //
-// Without it: requests are moved in the order in which they came, and the time
-// runs out while short ones are copied; the long ones are prefilled again from
-// the start, seen as recomputed tokens and as answers that stall for seconds.
+// Without it: requests move in order of arrival and the notice is spent on copying short
+// ones. Long ones are prefilled again from the start, which costs prefill capacity, and
+// their answers stall for seconds.
 //
-// A request can finish in time by itself, have its KV cache exported (bytes over
-// bandwidth), or be prefilled again elsewhere (its tokens over the prefill
-// rate). The exports that fit the notice should save the most tokens. That is a
-// knapsack; the order by tokens saved per second of transfer, or the one largest
-// request alone if that saves more, saves at least half of the most that is
-// possible (Vazirani, Approximation Algorithms, 2001, exercise 8.1), and it is
-// the right order also when the bandwidth proves lower than believed: what has
-// been done by then was the best to do.
+// A request finishes within the notice, has its KV cache exported (bytes over bandwidth),
+// or is prefilled again on another server (tokens over prefill rate). Choosing the exports
+// that save the most tokens within the notice is a knapsack problem. Exporting in order of
+// tokens saved per second of transfer, or only the largest request if that saves more,
+// saves at least half of the optimum (Vazirani, Approximation Algorithms, 2001, exercise
+// 8.1). If the bandwidth is lower than estimated, this order has still completed the
+// exports that save the most per second.
 //
 // The package does no I/O and reads no clock. Decide is a pure function.
 package evacuate
--- a/policy/evacuate/evacuate.go
+++ b/policy/evacuate/evacuate.go
@@ -8,25 +8,21 @@
 	"savoryreel.example/savoryreel/policy"
 )
 
-// Config holds the thresholds of a decision. Start from DefaultConfig.
+// Config holds the parameters of a Planner. DefaultConfig returns the usual ones.
 type Config struct {
-	// Reserve is kept free at the end of the notice.
+	// Reserve is the time at the end of the notice that the plan leaves unused.
 	Reserve time.Duration
-	// Setup is the time that each export takes beside the transfer.
+	// Setup is the fixed time of an export, added to its transfer time.
 	Setup time.Duration
-	// MaxSlowdown is how many times the time to prefill again a transfer may take.
+	// MaxSlowdown bounds the transfer time of an export, as a multiple of the time to
+	// prefill the request again.
 	MaxSlowdown float64
-	// FinishPart is the part of the usable notice in which a request must be
-	// expected to finish to be left alone.
+	// FinishPart is the fraction of the usable notice within which a request must be
+	// expected to finish to be left running.
 	FinishPart float64
 }
 
-// DefaultConfig returns the thresholds. Reserve 2 s covers the time until the
-// notice is heard (the users allow leaving "a few seconds") and the last
-// hand-over. MaxSlowdown 4: tokens prefilled again are paid for, while a stalled
-// answer is waited for; with 0 the caller's wait alone would count. FinishPart
-// 0.7: lengths of answers are guesses, and a guess that fails costs all tokens of
-// the request.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		Reserve:     2 * time.Second,
@@ -46,33 +42,32 @@
 	)
 }
 
-// Request is one that runs on the server.
+// Request is a request that runs on the server.
 type Request struct {
 	ID        string
-	Tokens    int           // prompt and answer so far: what prefilling again would compute
-	Bytes     int64         // of its KV cache
-	Remaining time.Duration // expected until its last token; 0: not known
+	Tokens    int           // of the prompt and the answer so far: recomputing prefills them again
+	Bytes     int64         // size of the KV cache
+	Remaining time.Duration // expected time until the last token; 0 if unknown
 }
 
-// Input is what a decision looks at.
+// Input holds the inputs of Decide.
 type Input struct {
-	Notice      time.Duration // until the server is taken away
-	Bandwidth   float64       // bytes per second that this server's exports may use
-	PrefillRate float64       // tokens per second where requests are prefilled again
+	Notice      time.Duration // time until the server is reclaimed
+	Bandwidth   float64       // bytes per second available to this server's exports
+	PrefillRate float64       // tokens per second of the servers that recompute
 	Requests    []Request
 }
 
-// Method is how a request leaves.
+// Method is how a request leaves the server.
 type Method uint8
 
-// The methods.
 const (
-	MethodExport    Method = iota // export the KV cache, import it elsewhere, resume
-	MethodRecompute               // resume elsewhere from prompt and tokens so far
-	MethodFinish                  // leave it alone; recompute at Move.Start if it is still running
+	MethodExport    Method = iota // export the KV cache, import it on another server and resume there
+	MethodRecompute               // resume on another server by prefilling the prompt and the answer so far
+	MethodFinish                  // let it finish; recompute at Move.Start if it is still running
 )
 
-// String returns the method in lower case, for logs.
+// String returns the method as it appears in logs.
 func (m Method) String() string {
 	switch m {
 	case MethodExport:
@@ -86,18 +81,17 @@
 	}
 }
 
-// Reason says why the method was chosen.
+// Reason explains the method of a Move.
 type Reason uint8
 
-// The reasons.
 const (
-	ReasonSavesMost     Reason = iota // export: among the most tokens saved per second
-	ReasonNoTime                      // recompute: its transfer does not fit the notice beside the others
-	ReasonPrefillFaster               // recompute: the transfer would take too much longer
-	ReasonEndsInTime                  // finish: expected to end well within the notice
+	ReasonSavesMost     Reason = iota // export: saves the most tokens per second, or the most tokens alone
+	ReasonNoTime                      // recompute: the transfer does not fit the notice after the other exports
+	ReasonPrefillFaster               // recompute: the transfer exceeds MaxSlowdown
+	ReasonEndsInTime                  // finish: expected to end within FinishPart of the usable notice
 )
 
-// String returns the reason in lower case with underscores, for logs.
+// String returns the reason as it appears in logs.
 func (r Reason) String() string {
 	names := [...]string{"saves_most", "no_time", "prefill_faster", "ends_in_time"}
 	if int(r) < len(names) {
@@ -106,22 +100,23 @@
 	return "unknown"
 }
 
-// Move is what to do with one request. Start counts from the decision.
+// Move is the planned move of one request.
 type Move struct {
 	ID       string
 	Method   Method
 	Reason   Reason
-	Start    time.Duration
-	Duration time.Duration
+	Start    time.Duration // counted from the decision
+	Duration time.Duration // time of the transfer or of prefilling again
 }
 
-// Plan lists the moves by start. Requests run on until theirs.
+// Plan lists the moves in order of Start. A request runs on the server until its move
+// starts.
 type Plan struct {
 	Moves            []Move
-	RecomputedTokens int // tokens that will be prefilled again, if estimates hold
+	RecomputedTokens int // tokens that will be prefilled again if the estimates hold
 }
 
-// Planner decides on evacuations.
+// Planner plans evacuations. It is safe for concurrent use.
 type Planner struct {
 	cfg Config
 }
@@ -134,8 +129,8 @@
 	return &Planner{cfg: cfg}, nil
 }
 
-// Decide plans the evacuation of one server. Call it again when the notice is
-// shortened or a transfer takes longer than planned.
+// Decide plans the evacuation of one server. Call it again when the notice is shortened or
+// a transfer takes longer than planned.
 func (p *Planner) Decide(in Input) Plan {
 	usable := max(in.Notice-p.cfg.Reserve, 0)
 	var plan Plan
@@ -162,11 +157,12 @@
 	return plan
 }
 
+// candidate is a request with its estimated costs.
 type candidate struct {
 	Request
 	transfer time.Duration
 	prefill  time.Duration
-	reason   Reason
+	reason   Reason // used if the request is recomputed
 }
 
 func (p *Planner) candidate(r Request, in Input) candidate {
@@ -178,8 +174,8 @@
 	}
 }
 
-// timeToProcess divides an amount by a rate. Without a rate it takes for ever, here an
-// hour, so that sums do not overflow.
+// timeToProcess returns how long an amount takes at a rate per second. It is limited to an
+// hour, also for a rate of 0, so that sums do not overflow.
 func timeToProcess(amount, rate float64) time.Duration {
 	if rate <= 0 || amount/rate > time.Hour.Seconds() {
 		return time.Hour
@@ -187,7 +183,8 @@
 	return time.Duration(amount / rate * float64(time.Second))
 }
 
-// selectExports splits the candidates into those to export, in order, and the rest.
+// selectExports splits the candidates into those to export, in order, and the rest. It
+// sorts candidates.
 func selectExports(candidates []candidate, usable time.Duration) (exports, rest []candidate) {
 	slices.SortFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(-cmp.Compare(a.savedPerSecond(), b.savedPerSecond()), cmp.Compare(a.ID, b.ID))
@@ -212,13 +209,13 @@
 	return candidates[largest : largest+1 : largest+1], slices.Concat(candidates[:largest], candidates[largest+1:])
 }
 
-// savedPerSecond is the tokens saved per second of transfer.
+// savedPerSecond returns the tokens saved per second of transfer.
 func (c *candidate) savedPerSecond() float64 {
 	return float64(c.Tokens) / max(c.transfer.Seconds(), 1e-9)
 }
 
-// addExports puts the transfers one after another: side by side, they would share
-// the bandwidth and all end late.
+// addExports schedules the transfers one after another. Concurrent transfers would share
+// the bandwidth, and all of them would complete late.
 func (p *Plan) addExports(exports []candidate) {
 	start := time.Duration(0)
 	for _, c := range exports {
@@ -227,9 +224,9 @@
 	}
 }
 
-// addRecomputes spreads the others evenly over the notice, shortest first. Moved all
-// at its end they would meet as one burst of prefills on the remaining servers,
-// with first tokens late for everybody there.
+// addRecomputes spreads the other requests evenly over the notice, shortest first. Moved
+// together they would cause a burst of prefills on the remaining servers that delays every
+// first token there.
 func (p *Plan) addRecomputes(candidates []candidate, usable time.Duration) {
 	slices.SortFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.Tokens, b.Tokens), cmp.Compare(a.ID, b.ID))
--- a/policy/evacuate/evacuate_test.go
+++ b/policy/evacuate/evacuate_test.go
@@ -18,10 +18,11 @@
 	return p
 }
 
-// bytesPerToken is 128 KiB, that of a model with 32 layers, 8 KV heads of 128
-// values and 2 bytes each.
+// bytesPerToken is the KV cache of a model with 32 layers and 8 KV heads of 128 values of
+// 2 bytes each.
 const bytesPerToken = 128 << 10
 
+// mixedRequests returns n requests of which one in five is long.
 func mixedRequests(rng *rand.Rand, n int) []Request {
 	var requests []Request
 	for i := range n {
@@ -35,10 +36,8 @@
 	return requests
 }
 
-// A server with long briefings among short replies has ten seconds. Moved in the
-// order of arrival, the time goes to short replies, and briefings that took
-// half a minute to write are prefilled again; their readers see them stall.
-// Breaks without the sort in choose.
+// Guards against exports in order of arrival: short requests would use up the notice, and
+// long ones would be prefilled again while their callers wait.
 func TestFewerTokensRecomputedThanInOrderOfArrival(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 9))
 	planned, byArrival, allTokens, lowerBound := 0, 0, 0, 0
@@ -46,7 +45,7 @@
 		in := Input{Notice: 10 * time.Second, Bandwidth: 1.2e9, PrefillRate: 8000, Requests: mixedRequests(rng, 24)}
 		planned += newPlanner(t).Decide(in).RecomputedTokens
 		transferTotal := time.Duration(0)
-		bound := -int(8 * in.Bandwidth / bytesPerToken) // what the network can carry at best
+		bound := -int(8 * in.Bandwidth / bytesPerToken) // tokens that the bandwidth can transfer in the usable notice
 		for _, r := range in.Requests {
 			allTokens += r.Tokens
 			if r.Remaining > 5600*time.Millisecond {
@@ -68,9 +67,8 @@
 	require.Less(t, planned*10, lowerBound*11)
 }
 
-// The exports of any plan fit the notice, every request is in it once, and it
-// saves at least half of what the best choice could. A plan that overran would
-// lose the last request's tokens with the server.
+// Guards against a plan that exceeds the notice, which loses the KV cache of the last
+// request, and against one that saves less than half of the optimum.
 func TestPlanFitsNoticeAndSavesHalfOfBest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Input{
@@ -89,7 +87,7 @@
 		require.Len(t, plan.Moves, len(in.Requests))
 		usable := max(in.Notice-p.cfg.Reserve, 0)
 		seen := map[string]bool{}
-		previousEnd := time.Duration(0) // of the transfer before
+		previousEnd := time.Duration(0) // of the previous transfer
 		for _, m := range plan.Moves {
 			require.False(t, seen[m.ID])
 			seen[m.ID] = true
@@ -123,9 +121,8 @@
 	})
 }
 
-// One long request would fill the notice. A short one that is a little better
-// per second must not push it out. Breaks without the comparison with the
-// largest request in choose.
+// Guards against a small request with a slightly higher rate displacing a large one that
+// fills the notice.
 func TestLargestAloneBeatsManySmall(t *testing.T) {
 	in := Input{Notice: 3 * time.Second, Bandwidth: 1000, PrefillRate: 100, Requests: []Request{
 		{ID: "short", Tokens: 10, Bytes: 10},
@@ -134,6 +131,8 @@
 	require.Equal(t, 10, newPlanner(t).Decide(in).RecomputedTokens)
 }
 
+// Guards against moving a request that ends within the notice, and against an export that
+// is slower than prefilling again.
 func TestShortRequestsFinishAndSlowTransfersAreRecomputed(t *testing.T) {
 	in := Input{Notice: 10 * time.Second, Bandwidth: 1000, PrefillRate: 100, Requests: []Request{
 		{"ends", 100, 100, 2 * time.Second},
@@ -149,6 +148,7 @@
 	require.Equal(t, 10, plan.RecomputedTokens)
 }
 
+// Guards against a configuration error that does not name the field at fault.
 func TestConfigErrorNamesField(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxSlowdown = 0
--- a/policy/hash/hash.go
+++ b/policy/hash/hash.go
@@ -1,10 +1,10 @@
-// Package hash joins hashes. What it returns spreads rendezvous ranks and the
-// samples of single decisions evenly; it is no cryptographic hash.
+// Package hash combines 64-bit hashes, for rendezvous hashing and for sampling. The
+// results are uniformly distributed but not cryptographic.
 package hash
 
-// Pair returns the hash of two words in their order: the finalizer of splitmix64
-// over both. A choice among all servers takes two for each of them, and a hash of
-// 16 bytes makes it two thirds slower.
+// Pair returns a hash of a and b that depends on their order: the finalizer of splitmix64
+// over both. It is cheaper than hashing 16 bytes, and a choice among all servers calls it
+// twice for each of them.
 func Pair(a, b uint64) uint64 {
 	z := a ^ (b * 0x9e3779b97f4a7c15)
 	z ^= z >> 30
--- a/policy/pick/config.go
+++ b/policy/pick/config.go
@@ -6,36 +6,30 @@
 	"savoryreel.example/savoryreel/policy"
 )
 
-// Config holds the thresholds of a Picker. Start from DefaultConfig.
+// Config holds the parameters of a Picker. DefaultConfig returns the usual ones.
 type Config struct {
-	// ListLength is the most entries that an answer names.
+	// ListLength is the maximum number of entries in a list.
 	ListLength int
-	// Validity is how long a small caller may keep its answer, HeavyValidity a
-	// large one.
+	// Validity is how long a small caller may cache its list, HeavyValidity a large
+	// caller.
 	Validity      time.Duration
 	HeavyValidity time.Duration
-	// HeavyPart is the part of an entry's fair share of all requests from which
-	// on a caller counts as large.
+	// HeavyPart is the fraction of an entry's fair share of all requests from which on a
+	// caller counts as large.
 	HeavyPart float64
-	// MinWeight is the weight of an entry under full load; an idle one has 1.
+	// MinWeight is the rendezvous weight of a fully loaded entry; an idle one has 1.
 	MinWeight float64
-	// SpillFactor is how far above the mean load an entry of the caller's zone
-	// may be and still come first for being near.
+	// SpillFactor bounds the load, as a multiple of the region's mean load, up to which an
+	// entry of the caller's zone is preferred.
 	SpillFactor float64
-	// Spread is how long it takes until all entries know that one leaves.
+	// Spread is how long it takes until all entries have learned that one leaves.
 	Spread time.Duration
-	// Slack is added to the end of an answer's life, for the time on the wire
-	// and the caller's own rounding.
+	// Slack extends the accept time of a leaving entry, for network delay and rounding by
+	// the caller.
 	Slack time.Duration
 }
 
-// DefaultConfig returns the thresholds. Validity 30 s keeps questions below one
-// in a hundred requests for a caller of 3 requests a second, and bounds the
-// time that a leaving entry must wait. HeavyValidity 5 s lets a large caller go
-// round seven entries in 35 s. HeavyPart 0.25: callers below it are at most
-// 1/28 of all load at seven entries, and chance spreads them. SpillFactor 1.25
-// is the bound that package route uses between servers. Spread 3 s is the
-// users' bound for a leaving instance to be known everywhere.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		ListLength:    3,
@@ -52,7 +46,7 @@
 // Validate returns a *policy.ConfigError for the first field that is out of range.
 func (c Config) Validate() error {
 	return policy.Check("pick",
-		policy.Require("ListLength", c.ListLength >= 2, "at least 2, so that a caller can go on when one is lost"),
+		policy.Require("ListLength", c.ListLength >= 2, "at least 2, so that a caller has another entry when one is lost"),
 		policy.Require("Validity", c.Validity >= time.Second, "at least 1 s"),
 		policy.Require("HeavyValidity", c.HeavyValidity >= time.Second && c.HeavyValidity <= c.Validity, "between 1 s and Validity"),
 		policy.Require("HeavyPart", c.HeavyPart > 0 && c.HeavyPart <= 1, "in (0, 1]"),
--- a/policy/pick/doc.go
+++ b/policy/pick/doc.go
@@ -1,24 +1,22 @@
-// Package pick decides which entries a caller is told to use, for how long, and
-// how long an entry that leaves must go on accepting.
+// Package pick decides which entries a caller is to use, how long it may cache that list,
+// and how long an entry that leaves keeps accepting requests.
 //
-// Load patterns answered: a few large callers among many small ones, callers
-// that keep an answer for its whole validity, the loss of an entry, and most
-// callers in one zone.
+// Load patterns: a few large callers among many small ones, callers that cache a list for
+// its whole validity, the loss of an entry, and most callers in one zone.
 //
-// Without it: callers that all hold the same list use its first entry; a caller
-// with a quarter of all requests puts them on one entry of seven, which then
-// has almost twice its fair load; when an entry is lost, all its callers move to
-// the same neighbour; and an entry that closes as soon as it leaves refuses
-// callers whose answer still names it.
+// Without it: callers with the same list all use its first entry; a caller with a quarter
+// of all requests sends them to one entry of seven, which then has almost twice its fair
+// load; when an entry is lost, all its callers move to the same neighbour; and an entry
+// that closes as soon as it leaves refuses callers whose cached list still names it.
 //
-// Small callers get a weighted rendezvous order of their key (Thaler and
-// Ravishankar, IEEE/ACM Transactions on Networking 6(1), 1998; weights after
-// Schindelhauer and Schomaker, SPAA 2005): each has an order of its own, so the
-// callers of a lost entry spread over all others, and all entries give the same
-// answer without talking. Callers above a part of the fair share get a short
-// validity and an order that moves on by one entry per validity window and per
-// client, so that over a few windows they load every entry alike.
+// A small caller gets a weighted rendezvous order of its key (Thaler and Ravishankar,
+// IEEE/ACM Transactions on Networking 6(1), 1998; weights after Schindelhauer and
+// Schomaker, SPAA 2005). Each caller has its own order, so the callers of a lost entry
+// spread over all others, and all entries return the same list without coordination. A
+// large caller, one above HeavyPart, gets a short validity and an order that rotates by
+// one entry per validity window and client, so that over several windows it loads every
+// entry evenly.
 //
-// The package does no I/O and reads no clock. All functions are pure and safe
-// for concurrent use.
+// The package does no I/O and reads no clock. All functions are pure and safe for
+// concurrent use.
 package pick
--- a/policy/pick/drain.go
+++ b/policy/pick/drain.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// DrainRequest is what is known of an entry that leaves.
+// DrainRequest describes an entry that leaves.
 type DrainRequest struct {
 	Now          time.Time
-	LeavingSince time.Time // when it began to leave, which is when its peers were told
-	LastExpiry   time.Time // latest end of an answer that names it, from all entries; zero: not known
-	ReclaimedAt  time.Time // when the instance is taken away; zero: it may take its time
+	LeavingSince time.Time // when it started to leave and announced it to the other entries
+	LastExpiry   time.Time // latest expiry of a list that names it, over all entries; zero if unknown
+	ReclaimedAt  time.Time // when the instance is reclaimed; zero if there is no limit
 }
 
-// DrainReason says what ends the time of accepting.
+// DrainReason is what determines DrainVerdict.AcceptUntil.
 type DrainReason uint8
 
-// The reasons.
 const (
-	DrainAnswersEnd DrainReason = iota // every answer that names the entry will have ended
-	DrainNoticeEnds                    // the instance is taken away before that
-	DrainDone                          // the time has passed; finish what was accepted and stop
+	DrainAnswersEnd DrainReason = iota // the last list that names the entry expires
+	DrainNoticeEnds                    // the instance is reclaimed before that
+	DrainDone                          // AcceptUntil has passed: finish accepted requests and stop
 )
 
-// String returns the reason in lower case, for logs.
+// String returns the reason as it appears in logs.
 func (r DrainReason) String() string {
 	switch r {
 	case DrainAnswersEnd:
@@ -34,18 +33,17 @@
 	}
 }
 
-// DrainVerdict says until when a leaving entry accepts new requests.
+// DrainVerdict holds the time until which a leaving entry accepts new requests.
 type DrainVerdict struct {
 	AcceptUntil time.Time
 	Reason      DrainReason
-	Shortfall   time.Duration // how much sooner than the last answer's end, with DrainNoticeEnds
+	Shortfall   time.Duration // how much earlier than the last expiry, with DrainNoticeEnds
 }
 
-// Drain decides how long a leaving entry must keep accepting. It closes no
-// sooner than the last answer that names it: a caller with a valid answer that
-// finds the port closed has lost a request through a planned stop, and shows up
-// as refused connections within Validity after each one. Its peers may go on
-// naming it for Spread after Leaving, with a validity of Validity from then.
+// Drain returns until when a leaving entry must accept requests: until every list that
+// names it has expired, or until it is reclaimed. If it closed earlier, callers with a
+// valid list would have their connections refused. The other entries may name it until
+// Spread after LeavingSince, and each of those lists is valid for Validity.
 func (p *Picker) Drain(req DrainRequest) DrainVerdict {
 	lastExpiry := req.LeavingSince.Add(p.cfg.Spread + p.cfg.Validity)
 	if !req.LastExpiry.IsZero() && req.LastExpiry.Before(lastExpiry) && !req.Now.Before(req.LeavingSince.Add(p.cfg.Spread)) {
--- a/policy/pick/pick.go
+++ b/policy/pick/pick.go
@@ -11,38 +11,37 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Entry is an entry as the answering one knows it.
+// Entry is an entry as reported to the one that answers the caller.
 type Entry struct {
 	ID      string
 	Address string // host:port for callers
 	Zone    string
 	Region  string
 	State   instance.State
-	Load    float64 // part of its capacity in use, 0..1
+	Load    float64 // fraction of its capacity in use, 0..1
 }
 
-// Request is a caller's question.
+// Request describes the caller that asks for a list.
 type Request struct {
 	Now    time.Time
 	Caller string  // stable name of the caller: its workspace
-	Client uint64  // tells the clients of one caller apart, such as a hash of the address
-	Zone   string  // where the caller is; empty: not known
-	Region string  // empty: not known
-	Share  float64 // the caller's part of all requests lately, 0..1
+	Client uint64  // distinguishes the clients of one caller, such as a hash of the address
+	Zone   string  // the caller's zone; empty if unknown
+	Region string  // the caller's region; empty if unknown
+	Share  float64 // the caller's recent fraction of all requests, 0..1
 }
 
-// Reason says how the order came about.
+// Reason explains the order of a Verdict.
 type Reason uint8
 
-// The reasons.
 const (
 	ReasonNear    Reason = iota // entries of the caller's zone first, each group in rendezvous order
-	ReasonFar                   // no entry of the zone can take more: rendezvous order over the region
-	ReasonRotated               // large caller: the next entry in turn
-	ReasonNoEntry               // no entry serves
+	ReasonFar                   // zone unknown or all its entries above the spill limit: rendezvous order over the region
+	ReasonRotated               // large caller: rotated order
+	ReasonNoEntry               // no entry is serving
 )
 
-// String returns the reason in lower case, for logs.
+// String returns the reason as it appears in logs.
 func (r Reason) String() string {
 	switch r {
 	case ReasonNear:
@@ -58,15 +57,15 @@
 	}
 }
 
-// Verdict is the answer to a caller: entries in the order to try, and how long
-// the caller may keep it (a whole number of seconds).
+// Verdict is the list for a caller: the entries in the order to try, and how long the
+// caller may cache them.
 type Verdict struct {
 	Entries  []Entry
 	Validity time.Duration
 	Reason   Reason
 }
 
-// Picker answers callers.
+// Picker chooses the entries for callers.
 type Picker struct {
 	cfg Config
 }
@@ -79,9 +78,8 @@
 	return &Picker{cfg: cfg}, nil
 }
 
-// Pick chooses among entries, which may be in any order. An entry that is not
-// serving is never named: a caller that was sent to a leaving one would hold on
-// to it until it closes, and see its connection refused.
+// Pick chooses among entries, which may be in any order. Only serving entries are listed:
+// a caller would use a leaving one until it closes and then have its connection refused.
 func (p *Picker) Pick(req Request, entries []Entry) Verdict {
 	serving := make([]rankedEntry, 0, len(entries))
 	for _, e := range entries {
@@ -104,7 +102,7 @@
 	return v
 }
 
-// rankedEntry is an entry with its place in one caller's order: lower groups first,
+// rankedEntry is an entry with its position in one caller's order: lower groups first,
 // higher ranks first within a group.
 type rankedEntry struct {
 	Entry
@@ -118,8 +116,8 @@
 	})
 }
 
-// orderByWeight sorts the entries for a small caller: near ones first, by weighted
-// rendezvous within.
+// orderByWeight sorts the entries for a small caller: nearest group first, by weighted
+// rendezvous hashing within a group.
 func (p *Picker) orderByWeight(req Request, entries []rankedEntry) Verdict {
 	maxZoneLoad := p.cfg.SpillFactor * meanLoad(req, entries)
 	reason := ReasonFar
@@ -139,10 +137,9 @@
 	return Verdict{Validity: p.cfg.Validity, Reason: reason}
 }
 
-// orderByRotation puts the entries of the caller's region into an order of the caller's
-// own and begins at a place that moves on with each window and each client.
-// Load has no say in it: as the caller is a good part of the load, its weight
-// would follow its own last place and make it jump back and forth.
+// orderByRotation sorts the entries of the caller's region into an order of the caller and
+// rotates it by one entry per validity window and client. Load is ignored: a large caller
+// causes much of it, and weights that follow its own last choice would make it oscillate.
 func (p *Picker) orderByRotation(req Request, entries []rankedEntry) Verdict {
 	inRegion := 0
 	for i := range entries {
@@ -173,13 +170,15 @@
 	slices.Reverse(entries)
 }
 
-// Groups by distance.
+// Groups of entries by distance from the caller. orderByWeight also puts overloaded
+// entries of the caller's zone into groupRegion.
 const (
 	groupZone = iota
 	groupRegion
 	groupRemote
 )
 
+// groupOf returns the group of an entry by its distance from the caller.
 func groupOf(req Request, e Entry) int {
 	switch {
 	case req.Region != "" && e.Region != req.Region:
@@ -191,8 +190,8 @@
 	}
 }
 
-// meanLoad is taken over the caller's region: idle entries elsewhere are no
-// reason to leave the zone.
+// meanLoad returns the mean load over the caller's region. Idle entries of other regions
+// must not make callers leave the zone.
 func meanLoad(req Request, entries []rankedEntry) float64 {
 	sum, count := 0.0, 0
 	for _, e := range entries {
@@ -204,11 +203,11 @@
 	return sum / float64(max(count, 1))
 }
 
-// rendezvousHash hashes a caller with an entry to (0, 1).
+// rendezvousHash hashes a caller and an entry to (0, 1).
 func rendezvousHash(caller, entry string) float64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(caller) // a Digest never fails
+	_, _ = digest.WriteString(caller) // writes to a Digest never fail
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.WriteString(entry)
 	return (float64(digest.Sum64()>>11) + 0.5) / (1 << 53)
--- a/policy/pick/pick_test.go
+++ b/policy/pick/pick_test.go
@@ -16,8 +16,8 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// client is one process of a caller: it uses the first entry of its answer that
-// is alive, and asks again when the answer has run out.
+// client is one process of a caller: it uses the first serving entry of its list and
+// requests a new list when that one has expired.
 type client struct {
 	Request
 	rate    float64
@@ -25,9 +25,9 @@
 	expires time.Time
 }
 
-// simulate runs seven entries and callers for ten minutes in steps of a second,
-// loses an entry halfway without notice, and returns for each half the highest
-// mean load and the highest load over 10 s of an entry, both over the fair load.
+// simulate runs seven entries and their callers for ten minutes in steps of a second, and
+// stops one entry halfway without notice. For each half it returns the highest mean load
+// of an entry and the highest load over 10 s, both relative to the fair load.
 func simulate(t *testing.T, pickEntries func(Request, []Entry) Verdict) (mean, peak [2]float64) {
 	rng := rand.New(rand.NewPCG(4, 2))
 	entries := make([]Entry, 7)
@@ -72,7 +72,7 @@
 					}
 				}
 			}
-			for i := range entries { // a load report that is up to 10 s old
+			for i := range entries { // load reports are up to 10 s old
 				if second%10 == 9 {
 					entries[i].Load = min(per10s[second/10][i]/10*float64(alive)*0.6, 1)
 				}
@@ -86,11 +86,8 @@
 	return mean, peak
 }
 
-// Three callers send sixty in a hundred requests, two of them from one or two
-// processes that keep their answer. With an order by caller alone, the entries
-// they land on carry them for good, and the other callers there see long waits.
-// Then an entry is lost without notice, and its callers move on. Breaks without
-// window or Client in rotate.
+// Guards against callers with a large share of the requests that use one entry for the
+// whole validity of their list: the other callers of that entry see long waits.
 func TestLargeCallersLoadEntriesEvenly(t *testing.T) {
 	picker, err := New(DefaultConfig())
 	require.NoError(t, err)
@@ -113,9 +110,8 @@
 	require.Less(t, mean[1], 1.25)
 }
 
-// An entry leaves while callers hold answers that name it, some given by peers
-// that did not know yet. If it closed sooner than they end, a planned stop would
-// show up as refused connections. Breaks without Spread in Drain.
+// Guards against an entry that closes while valid lists name it, some of them from entries
+// that have not learned of its leaving: a planned stop would cause refused connections.
 func TestLeavingEntryAcceptsUntilAnswersExpire(t *testing.T) {
 	cfg := DefaultConfig()
 	picker, err := New(cfg)
@@ -145,9 +141,8 @@
 	})
 }
 
-// All callers are in one zone. Its entries must not take them all while those of
-// the other zones, half a millisecond away, have nothing to do. Breaks without
-// SpillFactor in order.
+// Guards against overload of the entries of one zone while those of the other zones in the
+// region are idle.
 func TestOverloadedZoneSpills(t *testing.T) {
 	picker, err := New(DefaultConfig())
 	require.NoError(t, err)
@@ -171,6 +166,8 @@
 	require.Greater(t, spilled, 60)
 }
 
+// Guards against a drain that plans to accept requests after the instance is reclaimed, or
+// longer than the last list that names it is valid.
 func TestDrainEndsWithNotice(t *testing.T) {
 	picker, err := New(DefaultConfig())
 	require.NoError(t, err)
@@ -180,6 +177,7 @@
 	require.Equal(t, epoch.Add(8*time.Second), v.AcceptUntil)
 }
 
+// Guards against a configuration error that does not name the field at fault.
 func TestConfigErrorNamesField(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.HeavyValidity = time.Hour
--- a/policy/shift/shift.go
+++ b/policy/shift/shift.go
@@ -7,25 +7,19 @@
 	"savoryreel.example/savoryreel/policy"
 )
 
-// Config holds the thresholds of a Shifter. Start from DefaultConfig.
+// Config holds the parameters of a Shifter. DefaultConfig returns the usual ones.
 type Config struct {
-	FirstStep   float64       // share at the start
-	MaxStep     float64       // most that the share grows by in a step
-	StepEvery   time.Duration // between steps forward
-	MaxBack     float64       // most that the share falls by in a step
-	BackEvery   time.Duration // between steps back
-	MinRequests int           // answers of the new version that a step forward needs
-	Tolerance   float64       // rate of bad answers above the old one's that is accepted
-	Confidence  float64       // standard deviations beyond which a difference is not chance
-}
-
-// DefaultConfig returns the thresholds. FirstStep 0.02 and MaxStep 0.1 with
-// StepEvery 30 s take about 7 min, so that a tenth of the prefix caches at a
-// time has to warm up. MaxBack 0.25 every 5 s is back from anywhere in 20 s.
-// MinRequests 50 is what Confidence 3 needs to see a version that fails one
-// answer in five. Three deviations are exceeded by chance once in 700 times, and
-// a shift is judged many times; Tolerance 0.01 on top keeps that rare (run: no
-// good version in 100 was rolled back).
+	FirstStep   float64       // share after the first step
+	MaxStep     float64       // largest increase of the share in a step
+	StepEvery   time.Duration // minimum time between steps forward
+	MaxBack     float64       // largest decrease of the share in a step of a rollback
+	BackEvery   time.Duration // minimum time between steps of a rollback
+	MinRequests int           // answers of the new version since the last step that a further step needs
+	Tolerance   float64       // accepted difference between the rates of bad answers of the two versions
+	Confidence  float64       // standard deviations above which a difference is significant
+}
+
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		FirstStep:   0.02,
@@ -64,19 +58,19 @@
 	return Answers{a.All - b.All, a.Errors - b.Errors, a.Late - b.Late}
 }
 
-// State is where a shift stands. The zero State is one that has not begun.
+// State holds the progress of a shift. The zero State is a shift that has not started.
 type State struct {
 	Share      float64   `msgpack:"share"`
-	RolledBack bool      `msgpack:"back"` // for good: a new shift needs a new State
+	RolledBack bool      `msgpack:"back"` // permanent: a new shift needs a new State
 	LastStep   time.Time `msgpack:"moved"`
-	// Totals at the last step: a step is judged by what came after the one before.
+	// Totals at the last step. Answers are compared since that step.
 	OldAtLastStep Answers `msgpack:"old"`
 	NewAtLastStep Answers `msgpack:"new"`
 }
 
-// Input is what a decision looks at. The counts are totals since the shift
-// began. Capacities are in requests per second within the latency target, of the
-// servers that serve now.
+// Input holds the inputs of Decide. The counts are totals since the start of the shift.
+// Capacities are in requests per second within the latency target, of the servers that
+// serve now.
 type Input struct {
 	Now         time.Time
 	Old, New    Answers
@@ -85,21 +79,20 @@
 	NewCapacity float64
 }
 
-// Reason says why the share is as it is.
+// Reason explains a Verdict.
 type Reason uint8
 
-// The reasons.
 const (
 	ReasonAdvance     Reason = iota // a step forward
-	ReasonWait                      // not yet time, or too few answers to judge by
-	ReasonCapacity                  // the new servers cannot take more
-	ReasonErrors                    // back: more errors than the old version
-	ReasonLate                      // back: more late first tokens than the old version
-	ReasonRollingBack               // going on back
-	ReasonDone                      // all traffic is on the new version, or all is back
+	ReasonWait                      // the step interval has not elapsed, or there are too few answers
+	ReasonCapacity                  // the servers that the traffic moves to have no capacity for more
+	ReasonErrors                    // rollback: more errors than the old version
+	ReasonLate                      // rollback: more late first tokens than the old version
+	ReasonRollingBack               // a rollback continues
+	ReasonDone                      // all traffic is on the new version, or all is back on the old one
 )
 
-// String returns the reason in lower case, for logs.
+// String returns the reason as it appears in logs.
 func (r Reason) String() string {
 	names := [...]string{"advance", "wait", "capacity", "errors", "late", "back", "done"}
 	if int(r) < len(names) {
@@ -108,13 +101,13 @@
 	return "unknown"
 }
 
-// Verdict is the share of the new version, with the reason.
+// Verdict holds the share of the new version and the reason for it.
 type Verdict struct {
 	Share  float64
 	Reason Reason
 }
 
-// Shifter decides on shifts.
+// Shifter decides on shifts. It is safe for concurrent use.
 type Shifter struct {
 	cfg Config
 }
@@ -127,26 +120,28 @@
 	return &Shifter{cfg: cfg}, nil
 }
 
-// Decide returns the share to use from now on and the State for the next call.
-// Call it every second or so.
+// Decide returns the share to use from now on and the State for the next call. Call it
+// about once per second.
 func (s *Shifter) Decide(state State, in Input) (State, Verdict) {
 	if state.RolledBack {
 		return s.rollBack(state, in, ReasonRollingBack)
 	}
 	if reason, regressed := s.detectRegression(state, in); regressed {
 		state.RolledBack = true
-		state.LastStep = time.Time{} // the first step back is at once
+		state.LastStep = time.Time{} // lets the first step of the rollback happen at once
 		return s.rollBack(state, in, reason)
 	}
 	return s.advance(state, in)
 }
 
-// minAnswersForRollback is the fewest answers by which a version is judged bad. The test
-// allows for chance in small numbers by itself: of five answers, four must fail.
+// minAnswersForRollback is the number of answers below which a version is not judged.
+// significantlyWorse allows for chance by itself: with the default parameters, four of
+// five answers must be bad.
 const minAnswersForRollback = 5
 
-// detectRegression compares what the two versions answered since the last step, and also
-// since the beginning, which finds a small difference that no single step shows.
+// detectRegression compares the answers of both versions since the last step, and since
+// the start of the shift: the longer window reveals a small difference that no single step
+// shows.
 func (s *Shifter) detectRegression(state State, in Input) (Reason, bool) {
 	windows := [2][2]Answers{
 		{in.Old.minus(state.OldAtLastStep), in.New.minus(state.NewAtLastStep)},
@@ -167,9 +162,9 @@
 	return ReasonWait, false
 }
 
-// significantlyWorse reports whether the rate of bad answers after exceeds the one before by
-// more than Tolerance and chance. One answer is added to each side's bad ones,
-// as with few answers and no bad one the deviation would come out as 0.
+// significantlyWorse reports whether the new version's rate of bad answers exceeds the old
+// one's by more than Tolerance and chance. Each side gets one bad and one good answer
+// added: without them the standard deviation would be 0 when there are no bad answers.
 func (s *Shifter) significantlyWorse(oldAll, oldBad, newAll, newBad int) bool {
 	n, m := float64(oldAll)+2, float64(newAll)+2
 	oldRate, newRate := (float64(oldBad)+1)/n, (float64(newBad)+1)/m
@@ -177,6 +172,8 @@
 	return newRate-oldRate > s.cfg.Tolerance+s.cfg.Confidence*stdDev
 }
 
+// advance takes a step forward if the step interval has elapsed, there are enough answers
+// and the new servers have capacity.
 func (s *Shifter) advance(state State, in Input) (State, Verdict) {
 	if state.Share >= 1 {
 		return state, Verdict{state.Share, ReasonDone}
@@ -197,9 +194,9 @@
 	return s.recordStep(state, in, next), Verdict{next, ReasonAdvance}
 }
 
-// rollBack takes the share down a step, no further than the old servers can take.
-// They may have been stopped when the new version seemed good; sent all traffic
-// at once, they would fail where the new version merely fails in part.
+// rollBack lowers the share by a step, within the capacity of the old servers. Some of
+// them may have been stopped; all traffic at once would overload the rest, while the new
+// version fails only in part.
 func (s *Shifter) rollBack(state State, in Input, reason Reason) (State, Verdict) {
 	if state.Share <= 0 {
 		return state, Verdict{0, ReasonDone}
@@ -215,6 +212,7 @@
 	return s.recordStep(state, in, next), Verdict{next, reason}
 }
 
+// recordStep sets the share, and the time and the totals of the step.
 func (s *Shifter) recordStep(state State, in Input, share float64) State {
 	state.Share = share
 	state.LastStep = in.Now
@@ -223,7 +221,7 @@
 	return state
 }
 
-// capacityShare is the share of the rate that a capacity can take, at most 1.
+// capacityShare returns the fraction of the rate that a capacity can serve, at most 1.
 func capacityShare(capacity, rate float64) float64 {
 	if rate <= 0 {
 		return 1
@@ -231,12 +229,11 @@
 	return min(capacity/rate, 1)
 }
 
-// UsesNewVersion reports whether a request goes to the new version at the given share.
-// key is what related requests have in common, a hash: a conversation stays on
-// one version and so with its cached prefix, and as the share grows each key
-// changes over once.
+// UsesNewVersion reports whether a request goes to the new version at the given share. key
+// is a hash that related requests have in common: a conversation stays on one version,
+// which has its prefix cached, and changes version at most once while the share grows.
 func UsesNewVersion(key uint64, share float64) bool {
-	key ^= key >> 33 // finalizer of MurmurHash3, in case the key is no good hash
+	key ^= key >> 33 // finalizer of MurmurHash3, in case the key is not uniformly distributed
 	key *= 0xff51afd7ed558ccd
 	key ^= key >> 33
 	key *= 0xc4ceb9fe1a85ec53
--- a/policy/shift/shift_test.go
+++ b/policy/shift/shift_test.go
@@ -13,8 +13,9 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// simulate shifts a service of 40 requests a second for 15 minutes. It returns how
-// many answers were bad beyond the old version's rate, and the last verdict.
+// simulate shifts a service with 40 requests per second for 15 minutes. It returns the
+// number of errors of the new version, the last verdict, and the time of the first verdict
+// with ReasonDone.
 func simulate(t require.TestingT, seed uint64, oldRate, newRate float64, decide func(State, Input) (State, Verdict)) (newErrors int, verdict Verdict, doneAfter time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var state State
@@ -42,9 +43,8 @@
 	return newErrors, verdict, doneAfter
 }
 
-// An operator rolls out a version that fails one answer in five. Turned over at
-// once, callers see that until somebody looks; here it must be back within
-// seconds, and stay back. Breaks without judge in Decide.
+// Guards against a faulty version that stays in use: callers would see its errors until an
+// operator intervenes.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	s, err := New(DefaultConfig())
 	require.NoError(t, err)
@@ -58,7 +58,8 @@
 	}
 }
 
-// A good version must arrive, and chance alone must not send it back.
+// Guards against a good version that is rolled back by chance, or that never gets all
+// traffic.
 func TestGoodVersionGetsAllTraffic(t *testing.T) {
 	s, err := New(DefaultConfig())
 	require.NoError(t, err)
@@ -76,10 +77,8 @@
 	require.LessOrEqual(t, rolledBack, 2)
 }
 
-// Whatever the answers and capacities, the share moves by no more than its
-// bounds, not beyond what the servers it moves to can take, and never forward
-// again after a rollback. Breaks without MaxStep, MaxBack, StepEvery,
-// BackEvery or either capacity.
+// Guards against a share that changes by more than its step, exceeds the capacity of the
+// servers that the traffic moves to, or grows again after a rollback.
 func TestShareStaysWithinStepsAndCapacity(t *testing.T) {
 	cfg := DefaultConfig()
 	s, err := New(cfg)
@@ -117,8 +116,8 @@
 	})
 }
 
-// A conversation that changed versions back and forth would be prefilled anew at
-// each change.
+// Guards against a conversation that switches versions back and forth and is prefilled
+// again at each switch.
 func TestKeysChangeVersionOnce(t *testing.T) {
 	onNew := 0
 	for key := range uint64(1000) {
@@ -135,6 +134,7 @@
 	require.InDelta(t, 300, onNew, 60)
 }
 
+// Guards against a configuration error that does not name the field at fault.
 func TestConfigErrorNamesField(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxBack = 0
