--- a/policy/booking/herd_test.go
+++ b/policy/booking/herd_test.go
@@ -25,7 +25,7 @@
 	rng       *rand.Rand
 	now       time.Time
 	routers   []*route.Router
-	book      *Book
+	loadTable *Book
 	idleAt    []time.Time    // when each server has prefilled all its prompts
 	pending   []map[int]Load // by server: load by entry
 	events    eventHeap
@@ -71,7 +71,7 @@
 func (h *simulation) run(t *testing.T) float64 {
 	h.rng = rand.New(rand.NewPCG(1, 2))
 	h.now = start
-	h.book = NewBook()
+	h.loadTable = NewBook()
 	h.idleAt = make([]time.Time, h.servers)
 	h.pending = make([]map[int]Load, h.servers)
 	for i := range h.pending {
@@ -138,7 +138,7 @@
 	req := &route.Request{Now: h.now, Seed: h.rng.Uint64(), PromptTokens: tokens}
 	if h.queryOwners {
 		for _, id := range r.Candidates(req, nil) {
-			l := h.book.Others(entryName(e), id, prefillTokensPerSecond, h.now)
+			l := h.loadTable.Others(entryName(e), id, prefillTokensPerSecond, h.now)
 			r.NoteLoad(id, l.Running, l.Prefill, h.now)
 		}
 	}
@@ -180,7 +180,7 @@
 	l.Prefill += tokens
 	h.pending[server][e] = l
 	h.sequence++
-	h.book.Note(Teller{entryName(e), 1}, h.sequence, serverName(server), l, h.now)
+	h.loadTable.Note(Teller{entryName(e), 1}, h.sequence, serverName(server), l, h.now)
 }
 
 func entryName(e int) string { return fmt.Sprintf("entry-%d", e) }
--- a/policy/evacuate/evacuate_test.go
+++ b/policy/evacuate/evacuate_test.go
@@ -30,8 +30,8 @@
 		if rng.IntN(5) == 0 {
 			tokens = 8000 + rng.IntN(24_000)
 		}
-		left := time.Duration(1+rng.IntN(60)) * time.Second
-		requests = append(requests, Request{fmt.Sprint(i), tokens, int64(tokens) * bytesPerToken, left})
+		remaining := time.Duration(1+rng.IntN(60)) * time.Second
+		requests = append(requests, Request{fmt.Sprint(i), tokens, int64(tokens) * bytesPerToken, remaining})
 	}
 	return requests
 }
@@ -45,11 +45,11 @@
 		in := Input{Notice: 10 * time.Second, Bandwidth: 1.2e9, PrefillRate: 8000, Requests: mixedRequests(rng, 24)}
 		planned += newPlanner(t).Decide(in).RecomputedTokens
 		transferTotal := time.Duration(0)
-		bound := -int(8 * in.Bandwidth / bytesPerToken) // tokens that the bandwidth can transfer in the usable notice
+		minRecomputed := -int(8 * in.Bandwidth / bytesPerToken) // tokens that the bandwidth can transfer in the usable notice
 		for _, r := range in.Requests {
 			allTokens += r.Tokens
 			if r.Remaining > 5600*time.Millisecond {
-				bound += r.Tokens
+				minRecomputed += r.Tokens
 			}
 			transfer := 20*time.Millisecond + time.Duration(float64(r.Bytes)/in.Bandwidth*1e9)
 			if transferTotal+transfer > 8*time.Second {
@@ -58,7 +58,7 @@
 			}
 			transferTotal += transfer
 		}
-		lowerBound += max(bound, 0)
+		lowerBound += max(minRecomputed, 0)
 	}
 	percent := func(n int) float64 { return 100 * float64(n) / float64(allTokens) }
 	t.Logf("tokens recomputed of %d: in order of arrival %.1f%%, planned %.1f%%, bandwidth allows %.1f%%",
@@ -86,11 +86,11 @@
 		require.Equal(t, plan, p.Decide(in))
 		require.Len(t, plan.Moves, len(in.Requests))
 		usable := max(in.Notice-p.cfg.Reserve, 0)
-		seen := map[string]bool{}
+		plannedIDs := map[string]bool{}
 		previousEnd := time.Duration(0) // of the previous transfer
 		for _, m := range plan.Moves {
-			require.False(t, seen[m.ID])
-			seen[m.ID] = true
+			require.False(t, plannedIDs[m.ID])
+			plannedIDs[m.ID] = true
 			require.LessOrEqual(t, m.Start, usable)
 			if m.Method == MethodExport {
 				require.GreaterOrEqual(t, m.Start, previousEnd)
--- a/policy/pick/pick_test.go
+++ b/policy/pick/pick_test.go
@@ -21,7 +21,7 @@
 type client struct {
 	Request
 	rate    float64
-	answer  Verdict
+	list    Verdict
 	expires time.Time
 }
 
@@ -60,10 +60,10 @@
 			for _, c := range clients {
 				if !now.Before(c.expires) {
 					c.Now = now
-					c.answer = pickEntries(c.Request, entries)
-					c.expires = now.Add(c.answer.Validity)
+					c.list = pickEntries(c.Request, entries)
+					c.expires = now.Add(c.list.Validity)
 				}
-				for _, e := range c.answer.Entries {
+				for _, e := range c.list.Entries {
 					i := slices.IndexFunc(entries, func(x Entry) bool { return x.ID == e.ID })
 					if entries[i].State == instance.StateServing {
 						sums[i] += c.rate
@@ -112,7 +112,7 @@
 
 // Guards against an entry that closes while valid lists name it, some of them from entries
 // that have not learned of its leaving: a planned stop would cause refused connections.
-func TestLeavingEntryAcceptsUntilAnswersExpire(t *testing.T) {
+func TestLeavingEntryAcceptsUntilListsExpire(t *testing.T) {
 	cfg := DefaultConfig()
 	picker, err := New(cfg)
 	require.NoError(t, err)
--- a/policy/shift/shift_test.go
+++ b/policy/shift/shift_test.go
@@ -121,11 +121,11 @@
 func TestKeysChangeVersionOnce(t *testing.T) {
 	onNew := 0
 	for key := range uint64(1000) {
-		was := false
+		wasOnNewVersion := false
 		for share := 0.0; share <= 1; share += 0.05 {
-			is := UsesNewVersion(key, share)
-			require.False(t, was && !is)
-			was = is
+			onNewVersion := UsesNewVersion(key, share)
+			require.False(t, wasOnNewVersion && !onNewVersion)
+			wasOnNewVersion = onNewVersion
 		}
 		if UsesNewVersion(key, 0.3) {
 			onNew++
