--- a/policy/booking/herd_test.go
+++ b/policy/booking/herd_test.go
@@ -99,8 +99,8 @@
 	heap.Push(&h.events, event{h.now.Add(d), do})
 }
 
-// deliverReports gives all entries the current load of the servers, and schedules the next
-// reports.
+// deliverReports gives all entries the current load of the servers, without the prompt
+// tokens of the entry itself, and schedules the next reports.
 func (h *simulation) deliverReports() {
 	h.sequence++
 	for e, r := range h.routers {
--- a/policy/evacuate/evacuate_test.go
+++ b/policy/evacuate/evacuate_test.go
@@ -45,7 +45,7 @@
 		in := Input{Notice: 10 * time.Second, Bandwidth: 1.2e9, PrefillRate: 8000, Requests: mixedRequests(rng, 24)}
 		planned += newPlanner(t).Decide(in).RecomputedTokens
 		transferTotal := time.Duration(0)
-		minRecomputed := -int(8 * in.Bandwidth / bytesPerToken) // tokens that the bandwidth can transfer in the usable notice
+		minRecomputed := -int(8 * in.Bandwidth / bytesPerToken) // minus the tokens that can be transferred in the usable notice
 		for _, r := range in.Requests {
 			allTokens += r.Tokens
 			if r.Remaining > 5600*time.Millisecond {
--- a/policy/pick/drain.go
+++ b/policy/pick/drain.go
@@ -37,7 +37,7 @@
 type DrainVerdict struct {
 	AcceptUntil time.Time
 	Reason      DrainReason
-	Shortfall   time.Duration // how much earlier than the last expiry, with DrainNoticeEnds
+	Shortfall   time.Duration // how much earlier than the last expiry plus Slack, with DrainNoticeEnds
 }
 
 // Drain returns until when a leaving entry must accept requests: until every list that
--- a/policy/pick/pick.go
+++ b/policy/pick/pick.go
@@ -11,7 +11,7 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Entry is an entry as reported to the one that answers the caller.
+// Entry describes an entry that callers can use.
 type Entry struct {
 	ID      string
 	Address string // host:port for callers
@@ -110,6 +110,7 @@
 	rank  float64
 }
 
+// sortByRank sorts by group, then by descending rank.
 func sortByRank(entries []rankedEntry) {
 	slices.SortFunc(entries, func(a, b rankedEntry) int {
 		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(b.rank, a.rank), cmp.Compare(a.ID, b.ID))
