--- a/policy/booking/herd_test.go
+++ b/policy/booking/herd_test.go
@@ -19,7 +19,7 @@
 type simulation struct {
 	entries, servers int
 	queryOwners      bool          // entries query the load tables of the owners
-	reportEvery      time.Duration // interval of the reports of what all entries have running
+	reportInterval   time.Duration // of what all entries have running
 	firstJoinsAfter  time.Duration // when the first server joins, after the start; the others are present from the start
 
 	rng       *rand.Rand
@@ -118,7 +118,7 @@
 			r.Announce(&a, h.now, h.now)
 		}
 	}
-	h.schedule(h.reportEvery, h.deliverReports)
+	h.schedule(h.reportInterval, h.deliverReports)
 }
 
 // sendNext sends one request to a random entry and schedules the next arrival.
@@ -198,8 +198,8 @@
 func TestLoadQueriesPreventHerding(t *testing.T) {
 	for _, entries := range []int{8, 70, 190, 370} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
-			byReports := (&simulation{entries: entries, servers: 60, reportEvery: 500 * time.Millisecond}).run(t)
-			byQuery := (&simulation{entries: entries, servers: 60, reportEvery: 500 * time.Millisecond, queryOwners: true}).run(t)
+			byReports := (&simulation{entries: entries, servers: 60, reportInterval: 500 * time.Millisecond}).run(t)
+			byQuery := (&simulation{entries: entries, servers: 60, reportInterval: 500 * time.Millisecond, queryOwners: true}).run(t)
 			t.Logf("short requests late: %.3f by reports, %.3f by queries", byReports, byQuery)
 			require.Less(t, byQuery, 0.02)
 			require.Greater(t, byReports, byQuery)
@@ -211,7 +211,7 @@
 // and with periodic reports alone most requests sent to it are late.
 func TestNewServerIsNotOverloaded(t *testing.T) {
 	simulate := func(queryOwners bool) (late float64, sent int) {
-		h := &simulation{entries: 70, servers: 20, reportEvery: 500 * time.Millisecond, queryOwners: queryOwners, firstJoinsAfter: 9 * time.Second}
+		h := &simulation{entries: 70, servers: 20, reportInterval: 500 * time.Millisecond, queryOwners: queryOwners, firstJoinsAfter: 9 * time.Second}
 		h.run(t)
 		return float64(h.firstServerLate) / float64(h.firstServerTotal), h.firstServerTotal
 	}
