--- a/policy/booking/book.go
+++ b/policy/booking/book.go
@@ -2,121 +2,124 @@
 
 import "time"
 
-// Load is what runs and waits at a server.
+// Load is the load of a server, or the part of it that one entry has placed there.
 type Load struct {
-	Running int // requests
-	Prefill int // prompt tokens of those of them that have no answer yet
-	// Down says that somebody has just found that the server is not there any more.
+	Running int // requests, running or waiting
+	Prefill int // prompt tokens of the requests that have no first token yet
+	// Down is set if an entry has just found the server unreachable.
 	Down bool
 }
 
-// Reporter is one life of an entry. What a life told ends with it.
+// Reporter identifies one incarnation of an entry. The reports of a new incarnation
+// replace those of the one before.
 type Reporter struct {
 	Name        string
 	Incarnation uint64
 }
 
-// holds is how long a word counts that is not renewed. Entries renew theirs a few times
-// in that span, so that one lost datagram does not count.
-const holds = 4 * time.Second
+// reportTTL is how long a report is valid unless it is renewed. Entries renew several
+// times within it, so that the loss of one datagram has no effect.
+const reportTTL = 4 * time.Second
 
-// LoadTable is what entries have running, by server.
+// LoadTable holds the load that entries have reported, by server.
 type LoadTable struct {
-	servers map[string]*account
+	servers map[string]*serverLoad
 }
 
-// account is the book of one server.
-type account struct {
-	tellers map[string]word // by the entry's name
+// serverLoad is the reported load of one server.
+type serverLoad struct {
+	reports map[string]report // by name of the entry
 	total   Load
-	// progress is when a prompt was last known to have been read, or the first one
-	// came to an idle server: since then the server reads on.
-	progress time.Time
-	down     time.Time // when it was last found not to be there
+	// lastProgress is when a report last lowered the unread prompt tokens, or added the
+	// first ones to an idle server. The server is assumed to have read prompts since.
+	lastProgress time.Time
+	downAt       time.Time // when an entry last found the server unreachable
 }
 
-// word is what an entry told last.
-type word struct {
-	life     uint64
-	sequence uint64
-	load     Load
-	at       time.Time
+// report is the last report of an entry.
+type report struct {
+	incarnation uint64
+	sequence    uint64
+	load        Load
+	receivedAt  time.Time
 }
 
-// NewLoadTable returns a book that knows of nothing.
-func NewLoadTable() *LoadTable { return &LoadTable{servers: make(map[string]*account)} }
+// NewLoadTable returns an empty table.
+func NewLoadTable() *LoadTable { return &LoadTable{servers: make(map[string]*serverLoad)} }
 
-// Record takes what an entry has running at a server now, in place of what it told
-// before. sequence grows with each word of a life: datagrams may overtake each other.
+// Record replaces what an entry last reported for a server. sequence must grow with each
+// report of an incarnation, since datagrams can arrive out of order: an older report is
+// dropped, except that its Down still counts.
 func (b *LoadTable) Record(from Reporter, sequence uint64, server string, l Load, now time.Time) {
-	a := b.servers[server]
-	if a == nil {
+	s := b.servers[server]
+	if s == nil {
 		if l == (Load{}) {
 			return
 		}
-		a = &account{tellers: make(map[string]word), progress: now}
-		b.servers[server] = a
+		s = &serverLoad{reports: make(map[string]report), lastProgress: now}
+		b.servers[server] = s
 	}
 	if l.Down {
-		a.down, l.Down = now, false
+		s.downAt, l.Down = now, false
 	}
-	held, known := a.tellers[from.Name]
-	if known && (from.Incarnation < held.life || from.Incarnation == held.life && sequence <= held.sequence) {
+	last, exists := s.reports[from.Name]
+	if exists && (from.Incarnation < last.incarnation || from.Incarnation == last.incarnation && sequence <= last.sequence) {
 		return
 	}
-	if l.Prefill < held.load.Prefill || a.total.Prefill == 0 {
-		a.progress = now
+	if l.Prefill < last.load.Prefill || s.total.Prefill == 0 {
+		s.lastProgress = now
 	}
-	a.total.Running += l.Running - held.load.Running
-	a.total.Prefill += l.Prefill - held.load.Prefill
-	// An empty word is kept for a while too: an older one may still come.
-	a.tellers[from.Name] = word{from.Incarnation, sequence, l, now}
+	s.total.Running += l.Running - last.load.Running
+	s.total.Prefill += l.Prefill - last.load.Prefill
+	// Empty reports are stored too, so that an older one that arrives later is dropped.
+	s.reports[from.Name] = report{from.Incarnation, sequence, l, now}
 }
 
-// LoadOfOthers returns what all entries but one have at a server, and how many prompt tokens
-// are still to be read there at a rate in tokens per second.
-func (b *LoadTable) LoadOfOthers(asker, server string, rate float64, now time.Time) Load {
-	a := b.servers[server]
-	if a == nil {
+// LoadOfOthers returns the load that all entries but one have placed on a server. Prefill
+// is reduced by what the server is estimated to have read since the last progress, at a
+// rate in tokens per second.
+func (b *LoadTable) LoadOfOthers(entry, server string, rate float64, now time.Time) Load {
+	s := b.servers[server]
+	if s == nil {
 		return Load{}
 	}
-	a.forget(now)
-	own := a.tellers[asker].load
-	l := Load{Down: !a.down.IsZero() && now.Sub(a.down) < downFor, Running: max(a.total.Running-own.Running, 0), Prefill: max(a.total.Prefill-own.Prefill, 0)}
+	s.expire(now)
+	own := s.reports[entry].load
+	l := Load{Down: !s.downAt.IsZero() && now.Sub(s.downAt) < downTTL, Running: max(s.total.Running-own.Running, 0), Prefill: max(s.total.Prefill-own.Prefill, 0)}
 	if l.Prefill > 0 {
-		// What the server has read since is taken off the others' part by its share.
-		read := rate * max(now.Sub(a.progress).Seconds(), 0) * float64(l.Prefill) / float64(a.total.Prefill)
-		l.Prefill = max(l.Prefill-int(read), int(unread*float64(l.Prefill)))
+		// Only the others' fraction of the tokens read counts.
+		processed := rate * max(now.Sub(s.lastProgress).Seconds(), 0) * float64(l.Prefill) / float64(s.total.Prefill)
+		l.Prefill = max(l.Prefill-int(processed), int(minUnreadFraction*float64(l.Prefill)))
 	}
 	return l
 }
 
-// downFor is how long a server is taken to be down that was found so. All entries would
-// find out one after the other meanwhile; after it the first one tries again.
-const downFor = time.Second
+// downTTL is how long a server counts as down after an entry has found it unreachable. It
+// saves the other entries from failing too; afterwards the first of them tries again.
+const downTTL = time.Second
 
-// unread is the part of what was told that counts as not read until the answers come. A
-// long prompt is read slower than the rate says, and whoever is sent behind one that was
-// taken to be read is late.
-const unread = 0.5
+// minUnreadFraction is the fraction of the reported prompt tokens that counts as unread
+// until the next report. Long prompts are read more slowly than the rate says, and a
+// request placed behind one that was taken to be read would be late.
+const minUnreadFraction = 0.5
 
-// Sweep drops words that were not renewed, and servers of which none is left.
+// Sweep drops expired reports, and servers that have no reports and are not down.
 func (b *LoadTable) Sweep(now time.Time) {
-	for id, a := range b.servers {
-		if a.forget(now); len(a.tellers) == 0 && now.Sub(a.down) >= downFor {
+	for id, s := range b.servers {
+		if s.expire(now); len(s.reports) == 0 && now.Sub(s.downAt) >= downTTL {
 			delete(b.servers, id)
 		}
 	}
 }
 
-// forget drops the words of entries that have gone.
-func (a *account) forget(now time.Time) {
-	for name, w := range a.tellers {
-		if now.Sub(w.at) <= holds {
+// expire drops the reports that were not renewed within reportTTL.
+func (s *serverLoad) expire(now time.Time) {
+	for name, r := range s.reports {
+		if now.Sub(r.receivedAt) <= reportTTL {
 			continue
 		}
-		a.total.Running -= w.load.Running
-		a.total.Prefill -= w.load.Prefill
-		delete(a.tellers, name)
+		s.total.Running -= r.load.Running
+		s.total.Prefill -= r.load.Prefill
+		delete(s.reports, name)
 	}
 }
