--- a/replica/core.go
+++ b/replica/core.go
@@ -31,29 +31,29 @@
 // Core is one replica's protocol. It is not safe for concurrent use. Every input
 // carries the replica's monotonic clock, as a duration since any fixed point.
 type Core struct {
-	cfg   Config
-	now   time.Duration
-	hard  HardState // Term and Vote; the log holds the commit index
-	saved HardState // as synced
-	log   entryLog
+	cfg             Config
+	now             time.Duration
+	hardState       HardState // Term and Vote; the log holds the commit index
+	syncedHardState HardState // as synced
+	log             entryLog
 
 	role   Role
 	leader uint64
 
-	// promisedUntil: no vote for another replica before this. It outlives the
+	// ignoreVoteRequestsUntil: no vote for another replica before this. It outlives the
 	// term in which it was given.
-	promisedUntil time.Duration
-	electionAt    time.Duration
-	votes         map[uint64]bool
-
-	memberships []membership // ascending by index, never empty
-	snapshot    Snapshot     // the latest one, kept for replicas that are far behind
-	installing  *Snapshot
-	incoming    *incomingSnapshot
-
-	lead       leadership
-	messages   []Message
-	readStates []ReadState
+	ignoreVoteRequestsUntil time.Duration
+	electionDue             time.Duration
+	votes                   map[uint64]bool
+
+	memberships     []membership // ascending by index, never empty
+	snapshot        Snapshot     // the latest one, kept for replicas that are far behind
+	pendingSnapshot *Snapshot
+	partialSnapshot *incomingSnapshot
+
+	leaderState leadershipState
+	messages    []Message
+	readStates  []ReadState
 }
 
 // NewCore returns a replica that goes on from what its disk holds.
@@ -63,82 +63,82 @@
 		return nil, err
 	}
 	c := &Core{
-		cfg:         cfg,
-		now:         now,
-		hard:        state.HardState,
-		saved:       state.HardState,
-		log:         newEntryLog(state.Snapshot.Meta, state.Entries),
-		snapshot:    state.Snapshot,
-		memberships: []membership{{index: state.Snapshot.Meta.Index, members: state.Snapshot.Meta.Members}},
+		cfg:             cfg,
+		now:             now,
+		hardState:       state.HardState,
+		syncedHardState: state.HardState,
+		log:             newEntryLog(state.Snapshot.Meta, state.Entries),
+		snapshot:        state.Snapshot,
+		memberships:     []membership{{index: state.Snapshot.Meta.Index, members: state.Snapshot.Meta.Members}},
 	}
-	if err := c.noteMemberships(state.Entries); err != nil {
+	if err := c.recordMemberships(state.Entries); err != nil {
 		return nil, err
 	}
-	c.log.commit = max(c.log.commit, min(state.HardState.Commit, c.log.last()))
-	c.startTimers()
+	c.log.commit = max(c.log.commit, min(state.HardState.Commit, c.log.lastIndex()))
+	c.initElectionTimer()
 	return c, nil
 }
 
-// startTimers sets the first election. A replica that restarts has forgotten
+// initElectionTimer sets the first election. A replica that restarts has forgotten
 // when it last heard from a leader. If it voted at once, a second leader could
 // be elected while the first one still holds its lease, and two would give
 // orders; so it waits as if it had heard from one just now. A replica that has
 // never been in any term has promised nothing, and a sole voter only itself.
-func (c *Core) startTimers() {
-	if c.hard.Term > 0 {
-		c.promisedUntil = c.now + c.cfg.ElectionTimeout
+func (c *Core) initElectionTimer() {
+	if c.hardState.Term > 0 {
+		c.ignoreVoteRequestsUntil = c.now + c.cfg.ElectionTimeout
 	}
-	c.resetElection()
-	if c.soleVoter() {
-		c.promisedUntil = c.now
-		c.electionAt = c.now
+	c.resetElectionTimer()
+	if c.isSoleVoter() {
+		c.ignoreVoteRequestsUntil = c.now
+		c.electionDue = c.now
 	}
 }
 
-func (c *Core) soleVoter() bool {
+func (c *Core) isSoleVoter() bool {
 	voters := c.Members().Voters
 	return len(voters) == 1 && voters[0] == c.cfg.ID
 }
 
 // Tick tells the time. Call it several times in a heartbeat interval.
 func (c *Core) Tick(now time.Duration) {
-	c.observe(now)
+	c.advanceClock(now)
 	if c.role == Leader {
 		c.tickLeader()
 		return
 	}
-	if c.now >= c.electionAt && c.Members().Voter(c.cfg.ID) {
+	if c.now >= c.electionDue && c.Members().IsVoter(c.cfg.ID) {
 		c.preCampaign()
 	}
 }
 
-// observe takes a clock reading; time never goes back.
-func (c *Core) observe(now time.Duration) { c.now = max(c.now, now) }
+// advanceClock takes a clock reading; time never goes back.
+func (c *Core) advanceClock(now time.Duration) { c.now = max(c.now, now) }
 
 // Step takes a message from another replica. An error means that the log is
 // beyond repair, by a fault of the program or of a disk: the replica must stop.
 // A message for another replica or one that makes no sense is dropped.
 func (c *Core) Step(now time.Duration, m Message) error {
-	c.observe(now)
+	c.advanceClock(now)
 	if m.To != c.cfg.ID || m.From == c.cfg.ID || !m.wellFormed() {
 		return nil
 	}
-	if m.Term > c.hard.Term && !c.enterTerm(m) {
+	if m.Term > c.hardState.Term && !c.handleHigherTerm(m) {
 		return nil
 	}
-	if m.Term < c.hard.Term {
-		c.answerStale(m)
+	if m.Term < c.hardState.Term {
+		c.replyToLowerTerm(m)
 		return nil
 	}
 	return c.dispatch(m)
 }
 
-// enterTerm handles a message of a later term and reports whether to go on with
+// handleHigherTerm handles a message of a later term and reports whether to go on with
 // it. Someone who asks for a vote while the leader is well is ignored and does
 // not even raise the term: otherwise one replica with a bad link could depose
 // leader after leader, and callers would see commits stop again and again.
-func (c *Core) enterTerm(m Message) bool {
-	if m.asksVote() && !m.Force && c.bound() {
+func (c *Core) handleHigherTerm(m Message) bool {
+	if m.requestsVote() && !m.Force && c.ignoresVoteRequests() {
 		return false
 	}
 	if m.Type == MsgPreVote || (m.Type == MsgPreVoteReply && !m.Reject) {
@@ -148,12 +148,14 @@
 	return true
 }
 
-// bound reports whether this replica still owes its vote to a leader.
-func (c *Core) bound() bool { return c.role == Leader || c.now < c.promisedUntil }
+// ignoresVoteRequests reports whether this replica still owes its vote to a leader.
+func (c *Core) ignoresVoteRequests() bool {
+	return c.role == Leader || c.now < c.ignoreVoteRequestsUntil
+}
 
-// answerStale tells a sender of an earlier term that there is a later one. A
+// replyToLowerTerm tells a sender of an earlier term that there is a later one. A
 // deposed leader would otherwise wait for replies until its timeout.
-func (c *Core) answerStale(m Message) {
+func (c *Core) replyToLowerTerm(m Message) {
 	switch {
 	case m.fromLeader():
 		c.send(Message{Type: MsgHeartbeatReply, To: m.From, Reject: true})
@@ -187,8 +189,8 @@
 }
 
 func (c *Core) dispatchToLeader(m Message) {
-	p := c.lead.peers[m.From]
-	if c.role != Leader || p == nil || p.lost {
+	p := c.leaderState.peers[m.From]
+	if c.role != Leader || p == nil || p.lostLog {
 		return
 	}
 	switch m.Type {
@@ -205,7 +207,7 @@
 func (c *Core) send(m Message) {
 	m.From = c.cfg.ID
 	if m.Term == 0 {
-		m.Term = c.hard.Term
+		m.Term = c.hardState.Term
 	}
 	c.messages = append(c.messages, m)
 }
@@ -215,42 +217,42 @@
 // its lease just before, and its own vote counted towards that lease.
 func (c *Core) becomeFollower(term uint64) {
 	if c.role == Leader {
-		c.promisedUntil = c.now + c.cfg.ElectionTimeout
-		c.resetElection()
+		c.ignoreVoteRequestsUntil = c.now + c.cfg.ElectionTimeout
+		c.resetElectionTimer()
 	}
-	if term > c.hard.Term {
-		c.hard.Term = term
-		c.hard.Vote = 0
-		c.incoming = nil
+	if term > c.hardState.Term {
+		c.hardState.Term = term
+		c.hardState.Vote = 0
+		c.partialSnapshot = nil
 	}
 	c.role = Follower
 	c.leader = 0
-	c.lead = leadership{}
+	c.leaderState = leadershipState{}
 }
 
-// follow records that the leader of this term has been heard.
-func (c *Core) follow(leader uint64) {
+// followLeader records that the leader of this term has been heard.
+func (c *Core) followLeader(leader uint64) {
 	if c.role != Follower {
-		c.becomeFollower(c.hard.Term)
+		c.becomeFollower(c.hardState.Term)
 	}
 	c.leader = leader
-	c.promisedUntil = c.now + c.cfg.ElectionTimeout
-	c.resetElection()
+	c.ignoreVoteRequestsUntil = c.now + c.cfg.ElectionTimeout
+	c.resetElectionTimer()
 }
 
-// resetElection puts off the next candidacy by one to two election timeouts.
+// resetElectionTimer puts off the next candidacy by one to two election timeouts.
 // Without the random part replicas would stand at the same time, split the
 // votes, and callers would wait for several rounds.
-func (c *Core) resetElection() {
+func (c *Core) resetElectionTimer() {
 	timeout := c.cfg.ElectionTimeout
-	c.electionAt = c.now + timeout + time.Duration(c.cfg.Rand(int64(timeout)))
+	c.electionDue = c.now + timeout + time.Duration(c.cfg.Rand(int64(timeout)))
 }
 
 // ID returns the replica's id.
 func (c *Core) ID() uint64 { return c.cfg.ID }
 
 // Term returns the current term.
-func (c *Core) Term() uint64 { return c.hard.Term }
+func (c *Core) Term() uint64 { return c.hardState.Term }
 
 // Role returns the current role.
 func (c *Core) Role() Role { return c.role }
@@ -259,7 +261,7 @@
 func (c *Core) Leader() uint64 { return c.leader }
 
 // LastIndex returns the index of the last entry, synced or not.
-func (c *Core) LastIndex() uint64 { return c.log.last() }
+func (c *Core) LastIndex() uint64 { return c.log.lastIndex() }
 
 // LastTerm returns the term of the last entry, 0 for an empty log.
 func (c *Core) LastTerm() uint64 { return c.log.lastTerm() }
@@ -275,4 +277,4 @@
 
 // LastIndexOf returns the highest index of an entry of this kind in the log,
 // committed or not, compacted or not; 0 if there is none.
-func (c *Core) LastIndexOf(kind uint8) uint64 { return c.log.lastOf[kind] }
+func (c *Core) LastIndexOf(kind uint8) uint64 { return c.log.lastByKind[kind] }
--- a/replica/election.go
+++ b/replica/election.go
@@ -6,27 +6,27 @@
 func (c *Core) preCampaign() {
 	c.role = PreCandidate
 	c.leader = 0
-	c.askVotes(MsgPreVote, c.hard.Term+1, false)
-	if c.won() {
+	c.requestVotes(MsgPreVote, c.hardState.Term+1, false)
+	if c.hasVoteQuorum() {
 		c.campaign(false)
 	}
 }
 
 // campaign stands for leader in a new term.
 func (c *Core) campaign(force bool) {
-	c.hard.Term++
-	c.hard.Vote = c.cfg.ID
+	c.hardState.Term++
+	c.hardState.Vote = c.cfg.ID
 	c.role = Candidate
 	c.leader = 0
-	c.incoming = nil
-	c.askVotes(MsgVote, c.hard.Term, force)
-	if c.won() {
+	c.partialSnapshot = nil
+	c.requestVotes(MsgVote, c.hardState.Term, force)
+	if c.hasVoteQuorum() {
 		c.becomeLeader()
 	}
 }
 
-func (c *Core) askVotes(kind MessageType, term uint64, force bool) {
-	c.resetElection()
+func (c *Core) requestVotes(kind MessageType, term uint64, force bool) {
+	c.resetElectionTimer()
 	c.votes = map[uint64]bool{c.cfg.ID: true}
 	for _, id := range c.Members().Voters {
 		if id == c.cfg.ID {
@@ -34,13 +34,13 @@
 		}
 		c.send(Message{
 			Type: kind, To: id, Term: term, Force: force,
-			Index: c.log.last(), LogTerm: c.log.lastTerm(),
+			Index: c.log.lastIndex(), LogTerm: c.log.lastTerm(),
 		})
 	}
 }
 
-// won counts the votes of current voters only.
-func (c *Core) won() bool {
+// hasVoteQuorum counts the votes of current voters only.
+func (c *Core) hasVoteQuorum() bool {
 	granted := 0
 	for _, id := range c.Members().Voters {
 		if c.votes[id] {
@@ -51,7 +51,7 @@
 }
 
 func (c *Core) handlePreVote(m Message) {
-	grant := m.Term > c.hard.Term && !c.bound() && c.log.upToDate(m.Index, m.LogTerm)
+	grant := m.Term > c.hardState.Term && !c.ignoresVoteRequests() && c.log.isUpToDate(m.Index, m.LogTerm)
 	reply := Message{Type: MsgPreVoteReply, To: m.From, Reject: !grant}
 	if grant {
 		reply.Term = m.Term
@@ -60,11 +60,11 @@
 }
 
 func (c *Core) handlePreVoteReply(m Message) {
-	if c.role != PreCandidate || m.Reject || m.Term != c.hard.Term+1 {
+	if c.role != PreCandidate || m.Reject || m.Term != c.hardState.Term+1 {
 		return
 	}
 	c.votes[m.From] = true
-	if c.won() {
+	if c.hasVoteQuorum() {
 		c.campaign(false)
 	}
 }
@@ -72,12 +72,12 @@
 // handleVote grants at most one vote a term, and only to a log that holds every
 // committed entry that this replica has acknowledged.
 func (c *Core) handleVote(m Message) {
-	free := c.hard.Vote == 0 || c.hard.Vote == m.From
-	mayVote := m.Force || !c.bound()
-	grant := free && mayVote && c.log.upToDate(m.Index, m.LogTerm)
+	voteAvailable := c.hardState.Vote == 0 || c.hardState.Vote == m.From
+	acceptsRequest := m.Force || !c.ignoresVoteRequests()
+	grant := voteAvailable && acceptsRequest && c.log.isUpToDate(m.Index, m.LogTerm)
 	if grant {
-		c.hard.Vote = m.From
-		c.resetElection()
+		c.hardState.Vote = m.From
+		c.resetElectionTimer()
 	}
 	c.send(Message{Type: MsgVoteReply, To: m.From, Reject: !grant})
 }
@@ -87,7 +87,7 @@
 		return
 	}
 	c.votes[m.From] = true
-	if c.won() {
+	if c.hasVoteQuorum() {
 		c.becomeLeader()
 	}
 }
@@ -96,7 +96,7 @@
 // holds for this one candidacy: a late copy must not depose a later leader, and
 // cannot, because its term has passed.
 func (c *Core) handleTimeoutNow(m Message) {
-	if c.role == Leader || m.From != c.leader || !c.Members().Voter(c.cfg.ID) {
+	if c.role == Leader || m.From != c.leader || !c.Members().IsVoter(c.cfg.ID) {
 		return
 	}
 	c.campaign(true)
--- a/replica/entry.go
+++ b/replica/entry.go
@@ -47,14 +47,14 @@
 	Learners []uint64 `msgpack:"l,omitempty"`
 }
 
-// Voter reports whether id is a voter.
-func (m Members) Voter(id uint64) bool { return slices.Contains(m.Voters, id) }
+// IsVoter reports whether id is a voter.
+func (m Members) IsVoter(id uint64) bool { return slices.Contains(m.Voters, id) }
 
-// Learner reports whether id is a learner.
-func (m Members) Learner(id uint64) bool { return slices.Contains(m.Learners, id) }
+// IsLearner reports whether id is a learner.
+func (m Members) IsLearner(id uint64) bool { return slices.Contains(m.Learners, id) }
 
 // Has reports whether id is a voter or a learner.
-func (m Members) Has(id uint64) bool { return m.Voter(id) || m.Learner(id) }
+func (m Members) Has(id uint64) bool { return m.IsVoter(id) || m.IsLearner(id) }
 
 // Clone returns a copy that shares nothing with m.
 func (m Members) Clone() Members {
@@ -71,10 +71,10 @@
 
 // SnapshotMeta says what a snapshot stands for: every entry up to Index.
 type SnapshotMeta struct {
-	Index   uint64      `msgpack:"i"`
-	Term    uint64      `msgpack:"t"`
-	Members Members     `msgpack:"m"`
-	LastOf  []KindIndex `msgpack:"k,omitempty"`
+	Index      uint64      `msgpack:"i"`
+	Term       uint64      `msgpack:"t"`
+	Members    Members     `msgpack:"m"`
+	LastByKind []KindIndex `msgpack:"k,omitempty"`
 }
 
 // Snapshot is the state machine's state after the entry at Meta.Index.
--- a/replica/follower.go
+++ b/replica/follower.go
@@ -1,15 +1,15 @@
 package replica
 
 func (c *Core) handleHeartbeat(m Message) {
-	c.follow(m.From)
-	c.commitTo(min(m.Commit, c.log.last()))
+	c.followLeader(m.From)
+	c.commitTo(min(m.Commit, c.log.lastIndex()))
 	c.send(Message{Type: MsgHeartbeatReply, To: m.From, Round: m.Round, Sent: m.Sent})
 }
 
 // handleAppend takes entries that follow one that this log holds. The reply is
 // sent after the entries are synced, see Ready.
 func (c *Core) handleAppend(m Message) error {
-	c.follow(m.From)
+	c.followLeader(m.From)
 	if m.Index < c.log.commit {
 		c.send(Message{Type: MsgAppendReply, To: m.From, Index: c.log.commit})
 		return nil
@@ -23,8 +23,8 @@
 		return err
 	}
 	if first > 0 {
-		c.forgetMemberships(first)
-		if err := c.noteMemberships(c.log.after(first - 1)); err != nil {
+		c.truncateMemberships(first)
+		if err := c.recordMemberships(c.log.entriesAfter(first - 1)); err != nil {
 			return err
 		}
 	}
@@ -37,7 +37,7 @@
 // rejectAppend names the last entry that may match, so that the leader skips a
 // whole term of conflicting entries in one round instead of one entry a round.
 func (c *Core) rejectAppend(m Message) {
-	hint := c.log.lastAtMost(m.Index, m.LogTerm)
+	hint := c.log.findConflictByTerm(m.Index, m.LogTerm)
 	c.send(Message{
 		Type: MsgAppendReply, To: m.From, Reject: true, Index: m.Index,
 		Hint: hint.Index, HintTerm: hint.Term, Round: m.Round,
--- a/replica/host/loop.go
+++ b/replica/host/loop.go
@@ -343,7 +343,7 @@
 
 // reportLost logs a replica that came back without its data under its old id.
 func (h *Host) reportLost() {
-	lost := h.core.Lost()
+	lost := h.core.ReplicasWithLostLog()
 	if len(lost) > h.loop.lost {
 		h.deps.Logger.Error("replica has lost acknowledged entries; remove it and let it come back under a new id",
 			slog.Any("peers", lost), slog.Uint64("replica", h.cfg.ID))
--- a/replica/host/status.go
+++ b/replica/host/status.go
@@ -85,7 +85,7 @@
 		ID: c.ID(), Term: c.Term(), Leader: c.Leader(), Role: c.Role(),
 		Last: c.LastIndex(), Commit: c.CommitIndex(), Applied: c.AppliedIndex(),
 		Snapshot: c.SnapshotIndex(),
-		Voters:   members.Voters, Learners: members.Learners, Lost: c.Lost(),
+		Voters:   members.Voters, Learners: members.Learners, Lost: c.ReplicasWithLostLog(),
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// leadership is the state that only a leader has; it ends with the term.
-type leadership struct {
-	start     uint64 // index of the first entry of the term
-	since     time.Duration
-	peers     map[uint64]*progress
-	round     uint64 // of the latest heartbeat
-	appends   uint64 // sent so far, numbers them
-	beatAt    time.Duration
-	beatDue   bool
-	reads     []pendingRead
-	handover  *handover
-	leaseHeld time.Duration // end of the longest lease given out so far
+// leadershipState is the state that only a leader has; it ends with the term.
+type leadershipState struct {
+	firstIndex      uint64 // index of the first entry of the term
+	electedAt       time.Duration
+	peers           map[uint64]*progress
+	heartbeatRound  uint64 // of the latest heartbeat
+	lastAppendRound uint64 // sent so far, numbers them
+	nextHeartbeat   time.Duration
+	heartbeatDue    bool
+	pendingReads    []pendingRead
+	transfer        *leadershipTransfer
+	leaseEnd        time.Duration // end of the longest lease given out so far
 }
 
 // becomeLeader starts a term with an entry of its own. Entries of earlier terms
@@ -25,27 +25,27 @@
 func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leader = c.cfg.ID
-	c.lead = leadership{
-		start:   c.log.last() + 1,
-		since:   c.now,
-		peers:   make(map[uint64]*progress),
-		beatDue: true,
+	c.leaderState = leadershipState{
+		firstIndex:   c.log.lastIndex() + 1,
+		electedAt:    c.now,
+		peers:        make(map[uint64]*progress),
+		heartbeatDue: true,
 	}
-	c.syncPeers()
-	c.appendOwn(KindNone, nil)
+	c.updatePeers()
+	c.appendEntry(KindNone, nil)
 }
 
-// syncPeers makes the tracked replicas those of the current membership.
-func (c *Core) syncPeers() {
+// updatePeers makes the tracked replicas those of the current membership.
+func (c *Core) updatePeers() {
 	m := c.Members()
-	for id := range c.lead.peers {
+	for id := range c.leaderState.peers {
 		if !m.Has(id) {
-			delete(c.lead.peers, id)
+			delete(c.leaderState.peers, id)
 		}
 	}
 	for _, id := range slices.Concat(m.Voters, m.Learners) {
-		if id != c.cfg.ID && c.lead.peers[id] == nil {
-			c.lead.peers[id] = &progress{next: c.log.last() + 1, probing: true}
+		if id != c.cfg.ID && c.leaderState.peers[id] == nil {
+			c.leaderState.peers[id] = &progress{next: c.log.lastIndex() + 1, probing: true}
 		}
 	}
 }
@@ -53,16 +53,16 @@
 // peerIDs returns the tracked replicas in ascending order, so that a run can be
 // repeated message by message.
 func (c *Core) peerIDs() []uint64 {
-	ids := make([]uint64, 0, len(c.lead.peers))
-	for id := range c.lead.peers {
+	ids := make([]uint64, 0, len(c.leaderState.peers))
+	for id := range c.leaderState.peers {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-func (c *Core) appendOwn(kind uint8, data []byte) Position {
-	e := Entry{Index: c.log.last() + 1, Term: c.hard.Term, Kind: kind, Data: data}
+func (c *Core) appendEntry(kind uint8, data []byte) Position {
+	e := Entry{Index: c.log.lastIndex() + 1, Term: c.hardState.Term, Kind: kind, Data: data}
 	c.log.append(e)
 	return Position{Index: e.Index, Term: e.Term}
 }
@@ -71,17 +71,17 @@
 // in Ready.Committed with the returned term; another term at that index means
 // that it is lost. An error means that nothing was appended.
 func (c *Core) Propose(kind uint8, data []byte) (Position, error) {
-	if err := c.canAppend(); err != nil {
+	if err := c.checkCanAppend(); err != nil {
 		return Position{}, err
 	}
-	return c.appendOwn(kind, data), nil
+	return c.appendEntry(kind, data), nil
 }
 
-func (c *Core) canAppend() error {
+func (c *Core) checkCanAppend() error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	if h := c.lead.handover; h != nil && h.asked {
+	if t := c.leaderState.transfer; t != nil && t.timeoutNowSent {
 		return ErrTransferring
 	}
 	return nil
@@ -92,31 +92,31 @@
 // that it can never commit, and its callers would wait instead of turning to the
 // new leader.
 func (c *Core) tickLeader() {
-	basis := max(c.quorumAck(), c.lead.since)
-	if c.now-basis >= c.cfg.ElectionTimeout {
-		c.becomeFollower(c.hard.Term)
+	lastQuorumAck := max(c.quorumAckTime(), c.leaderState.electedAt)
+	if c.now-lastQuorumAck >= c.cfg.ElectionTimeout {
+		c.becomeFollower(c.hardState.Term)
 		return
 	}
-	c.tickHandover()
-	if c.now >= c.lead.beatAt {
-		c.lead.beatDue = true
+	c.tickTransfer()
+	if c.now >= c.leaderState.nextHeartbeat {
+		c.leaderState.heartbeatDue = true
 	}
 }
 
 // flushHeartbeat sends one heartbeat to all if one is due, for the interval or
 // for reads.
 func (c *Core) flushHeartbeat() {
-	if !c.lead.beatDue {
+	if !c.leaderState.heartbeatDue {
 		return
 	}
-	c.lead.beatDue = false
-	c.lead.round++
-	c.lead.beatAt = c.now + c.cfg.HeartbeatInterval
+	c.leaderState.heartbeatDue = false
+	c.leaderState.heartbeatRound++
+	c.leaderState.nextHeartbeat = c.now + c.cfg.HeartbeatInterval
 	for _, id := range c.peerIDs() {
 		c.send(Message{
 			Type: MsgHeartbeat, To: id,
-			Commit: min(c.log.commit, c.lead.peers[id].match),
-			Round:  c.lead.round, Sent: c.now,
+			Commit: min(c.log.commit, c.leaderState.peers[id].match),
+			Round:  c.leaderState.heartbeatRound, Sent: c.now,
 		})
 	}
 }
@@ -125,17 +125,17 @@
 // It runs once for many proposals and replies, which is what batches them.
 func (c *Core) flushAppends() {
 	for _, id := range c.peerIDs() {
-		p := c.lead.peers[id]
-		for p.ready(c.cfg.MaxInflight) && c.owes(p) {
+		p := c.leaderState.peers[id]
+		for p.canSend(c.cfg.MaxInflight) && c.needsAppend(p) {
 			c.sendAppend(id, p)
 		}
 		c.flushSnapshot(id, p)
 	}
 }
 
-func (c *Core) owes(p *progress) bool {
-	news := min(c.log.commit, p.match) > p.sentCommit
-	return p.nudge || p.probing || p.next <= c.log.last() || news
+func (c *Core) needsAppend(p *progress) bool {
+	commitAdvanced := min(c.log.commit, p.match) > p.sentCommit
+	return p.appendRequested || p.probing || p.next <= c.log.lastIndex() || commitAdvanced
 }
 
 func (c *Core) sendAppend(id uint64, p *progress) {
@@ -148,13 +148,13 @@
 	entries := c.log.batch(prev, c.cfg.MaxMessageBytes)
 	last := prev + uint64(len(entries))
 	commit := min(c.log.commit, last)
-	c.lead.appends++
+	c.leaderState.lastAppendRound++
 	c.send(Message{
 		Type: MsgAppend, To: id, Index: prev, LogTerm: prevTerm,
-		Entries: entries, Commit: commit, Round: c.lead.appends,
+		Entries: entries, Commit: commit, Round: c.leaderState.lastAppendRound,
 	})
 	p.sentCommit = commit
-	p.sent(last, len(entries))
+	p.recordSent(last, len(entries))
 }
 
 func (c *Core) handleAppendReply(p *progress, m Message) {
@@ -162,15 +162,15 @@
 		c.handleAppendReject(p, m)
 		return
 	}
-	if m.Index > c.log.last() {
+	if m.Index > c.log.lastIndex() {
 		return
 	}
-	p.acknowledge(m.Index, c.lead.appends)
-	if p.sending != nil && p.match >= p.sending.snapshot.Meta.Index {
-		p.sending = nil
+	p.acknowledge(m.Index, c.leaderState.lastAppendRound)
+	if p.outgoing != nil && p.match >= p.outgoing.snapshot.Meta.Index {
+		p.outgoing = nil
 	}
 	c.maybeCommit()
-	c.tryHandover()
+	c.tryTransfer()
 }
 
 // handleAppendReject goes back to where the logs may still agree. A replica
@@ -179,73 +179,73 @@
 // entry be reported as committed that a majority does not hold.
 func (c *Core) handleAppendReject(p *progress, m Message) {
 	if m.Round > p.matchRound && m.Hint < p.match {
-		p.lost = true
+		p.lostLog = true
 		return
 	}
 	stale := m.Index <= p.match || (p.probing && m.Index != p.next-1)
 	if stale {
 		return
 	}
-	at := c.log.lastAtMost(m.Hint, m.HintTerm)
-	p.probe(at.Index + 1)
+	at := c.log.findConflictByTerm(m.Hint, m.HintTerm)
+	p.startProbe(at.Index + 1)
 }
 
 // handleHeartbeatReply extends the lease and answers reads. It also stands in
 // for replies that were lost: the replica is asked again for what it lacks.
 func (c *Core) handleHeartbeatReply(p *progress, m Message) {
-	if m.Reject || m.Round > c.lead.round {
+	if m.Reject || m.Round > c.leaderState.heartbeatRound {
 		return
 	}
-	p.acked = true
-	p.ackSent = max(p.ackSent, m.Sent)
-	p.ackRound = max(p.ackRound, m.Round)
-	p.waiting = false
-	if !p.probing && p.match < c.log.last() {
-		p.nudge = true
+	p.heartbeatAcked = true
+	p.lastAckSent = max(p.lastAckSent, m.Sent)
+	p.lastAckRound = max(p.lastAckRound, m.Round)
+	p.probeSent = false
+	if !p.probing && p.match < c.log.lastIndex() {
+		p.appendRequested = true
 		if len(p.inflight) >= c.cfg.MaxInflight {
 			p.inflight = p.inflight[1:]
 		}
 	}
 	p.resendStalledChunk()
-	c.tryHandover()
+	c.tryTransfer()
 }
 
 // maybeCommit advances the commit index to what a majority of voters has synced.
 func (c *Core) maybeCommit() {
 	index := c.quorumMatch()
-	if index <= c.log.commit || index < c.lead.start {
+	if index <= c.log.commit || index < c.leaderState.firstIndex {
 		return
 	}
 	c.log.commit = index
-	c.releaseReads()
+	c.completeReads()
 }
 
 func (c *Core) quorumMatch() uint64 {
 	voters := c.Members().Voters
 	matches := make([]uint64, 0, len(voters))
 	for _, id := range voters {
-		matches = append(matches, c.matchOf(id))
+		matches = append(matches, c.matchIndex(id))
 	}
 	return quorumValue(matches)
 }
 
-// Lost returns the replicas that have forgotten entries they had acknowledged in
+// ReplicasWithLostLog returns the replicas that have forgotten entries they had acknowledged in
 // this term. Each must be removed and come back under a new id.
-func (c *Core) Lost() []uint64 {
+func (c *Core) ReplicasWithLostLog() []uint64 {
 	var ids []uint64
 	for _, id := range c.peerIDs() {
-		if c.lead.peers[id].lost {
+		if c.leaderState.peers[id].lostLog {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-func (c *Core) matchOf(id uint64) uint64 {
+func (c *Core) matchIndex(id uint64) uint64 {
 	if id == c.cfg.ID {
 		return c.log.stable
 	}
-	return c.lead.peers[id].match
+	return c.leaderState.peers[id].match
 }
 
 // quorumValue returns the highest value that a majority has reached.
--- a/replica/leader_test.go
+++ b/replica/leader_test.go
@@ -53,7 +53,7 @@
 			step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Reject: true, Index: m.Index, Round: m.Round})
 		}
 	}
-	require.Equal(t, []uint64{2}, c.Lost())
+	require.Equal(t, []uint64{2}, c.ReplicasWithLostLog())
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 4})
 	require.Equal(t, uint64(3), c.CommitIndex())
 }
--- a/replica/lease.go
+++ b/replica/lease.go
@@ -18,40 +18,40 @@
 // socket would believe in a lease that has long run out, and two leaders would
 // give orders.
 func (c *Core) Lease() (term uint64, until time.Duration, ok bool) {
-	if c.role != Leader || c.log.commit < c.lead.start {
-		return c.hard.Term, 0, false
+	if c.role != Leader || c.log.commit < c.leaderState.firstIndex {
+		return c.hardState.Term, 0, false
 	}
-	if c.lead.handover == nil {
+	if c.leaderState.transfer == nil {
 		c.extendLease()
 	}
-	return c.hard.Term, c.lead.leaseHeld, c.lead.leaseHeld > c.now
+	return c.hardState.Term, c.leaderState.leaseEnd, c.leaderState.leaseEnd > c.now
 }
 
 func (c *Core) extendLease() {
-	ack := c.quorumAck()
+	ack := c.quorumAckTime()
 	if ack == never {
 		return
 	}
-	c.lead.leaseHeld = max(c.lead.leaseHeld, ack+c.cfg.leaseDuration())
+	c.leaderState.leaseEnd = max(c.leaderState.leaseEnd, ack+c.cfg.leaseDuration())
 }
 
-// quorumAck returns the time at which the latest heartbeat that a majority of
+// quorumAckTime returns the time at which the latest heartbeat that a majority of
 // voters has answered was sent, or never.
-func (c *Core) quorumAck() time.Duration {
+func (c *Core) quorumAckTime() time.Duration {
 	voters := c.Members().Voters
 	times := make([]time.Duration, 0, len(voters))
 	for _, id := range voters {
-		times = append(times, c.ackOf(id))
+		times = append(times, c.ackTime(id))
 	}
 	return quorumValue(times)
 }
 
-func (c *Core) ackOf(id uint64) time.Duration {
+func (c *Core) ackTime(id uint64) time.Duration {
 	if id == c.cfg.ID {
 		return c.now
 	}
-	if p := c.lead.peers[id]; p.acked {
-		return p.ackSent
+	if p := c.leaderState.peers[id]; p.heartbeatAcked {
+		return p.lastAckSent
 	}
 	return never
 }
--- a/replica/log.go
+++ b/replica/log.go
@@ -5,7 +5,7 @@
 // kindIndexes holds the highest index of each kind of entry.
 type kindIndexes [256]uint64
 
-func (k *kindIndexes) note(entries []Entry) {
+func (k *kindIndexes) add(entries []Entry) {
 	for _, e := range entries {
 		k[e.Kind] = max(k[e.Kind], e.Index)
 	}
@@ -21,7 +21,7 @@
 	return out
 }
 
-func kindIndexesOf(list []KindIndex) kindIndexes {
+func newKindIndexes(list []KindIndex) kindIndexes {
 	var k kindIndexes
 	for _, x := range list {
 		k[x.Kind] = x.Index
@@ -34,34 +34,34 @@
 // Slices of entries are handed out to messages, so elements are never
 // overwritten: truncation and compaction copy.
 type entryLog struct {
-	base     Position
-	baseLast kindIndexes // as of base
-	lastOf   kindIndexes // as of the last entry
-	entries  []Entry
-	stable   uint64 // last index known to be synced
-	commit   uint64
-	applied  uint64
+	base           Position
+	baseLastByKind kindIndexes // as of base
+	lastByKind     kindIndexes // as of the last entry
+	entries        []Entry
+	stable         uint64 // last index known to be synced
+	commit         uint64
+	applied        uint64
 }
 
 func newEntryLog(meta SnapshotMeta, entries []Entry) entryLog {
 	l := entryLog{}
 	l.restore(meta)
 	l.append(entries...)
-	l.stable = l.last()
+	l.stable = l.lastIndex()
 	return l
 }
 
 func (l *entryLog) restore(meta SnapshotMeta) {
 	l.base = Position{Index: meta.Index, Term: meta.Term}
-	l.baseLast = kindIndexesOf(meta.LastOf)
-	l.lastOf = l.baseLast
+	l.baseLastByKind = newKindIndexes(meta.LastByKind)
+	l.lastByKind = l.baseLastByKind
 	l.entries = nil
 	l.stable = meta.Index
 	l.commit = meta.Index
 	l.applied = meta.Index
 }
 
-func (l *entryLog) last() uint64 { return l.base.Index + uint64(len(l.entries)) }
+func (l *entryLog) lastIndex() uint64 { return l.base.Index + uint64(len(l.entries)) }
 
 func (l *entryLog) lastTerm() uint64 {
 	if len(l.entries) == 0 {
@@ -76,7 +76,7 @@
 	if index == l.base.Index {
 		return l.base.Term, true
 	}
-	if index < l.base.Index || index > l.last() {
+	if index < l.base.Index || index > l.lastIndex() {
 		return 0, false
 	}
 	return l.entries[index-l.base.Index-1].Term, true
@@ -87,23 +87,23 @@
 	return ok && have == term
 }
 
-// after returns the entries after index, all of them.
-func (l *entryLog) after(index uint64) []Entry {
-	if index >= l.last() {
+// entriesAfter returns the entries entriesAfter index, all of them.
+func (l *entryLog) entriesAfter(index uint64) []Entry {
+	if index >= l.lastIndex() {
 		return nil
 	}
 	return l.entries[index-l.base.Index:]
 }
 
-// between returns the entries with lo < index <= hi.
-func (l *entryLog) between(lo, hi uint64) []Entry {
-	return l.after(lo)[:hi-lo]
+// entriesBetween returns the entries with lo < index <= hi.
+func (l *entryLog) entriesBetween(lo, hi uint64) []Entry {
+	return l.entriesAfter(lo)[:hi-lo]
 }
 
 // batch returns entries after index of at most limit bytes, and at least one if
 // there is one.
 func (l *entryLog) batch(index uint64, limit int) []Entry {
-	entries := l.after(index)
+	entries := l.entriesAfter(index)
 	size := 0
 	for i, e := range entries {
 		size += e.size()
@@ -116,7 +116,7 @@
 
 func (l *entryLog) append(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
-	l.lastOf.note(entries)
+	l.lastByKind.add(entries)
 }
 
 // appendAfter takes over the entries that follow a matching one and reports the
@@ -139,13 +139,13 @@
 
 // truncate drops the entries from index on.
 func (l *entryLog) truncate(index uint64) {
-	if index > l.last() {
+	if index > l.lastIndex() {
 		return
 	}
 	l.entries = slices.Clone(l.entries[:index-l.base.Index-1])
 	l.stable = min(l.stable, index-1)
-	l.lastOf = l.baseLast
-	l.lastOf.note(l.entries)
+	l.lastByKind = l.baseLastByKind
+	l.lastByKind.add(l.entries)
 }
 
 // compact drops the entries up to index from memory.
@@ -155,18 +155,18 @@
 	}
 	term, _ := l.term(index)
 	dropped := index - l.base.Index
-	l.baseLast.note(l.entries[:dropped])
+	l.baseLastByKind.add(l.entries[:dropped])
 	l.entries = slices.Clone(l.entries[dropped:])
 	l.base = Position{Index: index, Term: term}
 }
 
-// keepAfter returns the position after which at most so many entries and bytes
+// retainAfter returns the position after which at most so many entries and bytes
 // lie up to index.
-func (l *entryLog) keepAfter(index, entries uint64, bytes int) uint64 {
+func (l *entryLog) retainAfter(index, maxEntries uint64, maxBytes int) uint64 {
 	at := index
-	for at > l.base.Index && index-at < entries {
-		bytes -= l.entries[at-l.base.Index-1].size()
-		if bytes < 0 {
+	for at > l.base.Index && index-at < maxEntries {
+		maxBytes -= l.entries[at-l.base.Index-1].size()
+		if maxBytes < 0 {
 			break
 		}
 		at--
@@ -174,28 +174,28 @@
 	return at
 }
 
-// lastOfAt returns the highest index of each kind among entries up to index.
-func (l *entryLog) lastOfAt(index uint64) kindIndexes {
-	k := l.baseLast
-	k.note(l.between(l.base.Index, index))
+// lastByKindAt returns the highest index of each kind among entries up to index.
+func (l *entryLog) lastByKindAt(index uint64) kindIndexes {
+	k := l.baseLastByKind
+	k.add(l.entriesBetween(l.base.Index, index))
 	return k
 }
 
-// upToDate reports whether a log that ends in (index, term) holds everything
+// isUpToDate reports whether a log that ends in (index, term) holds everything
 // that this one may have committed.
-func (l *entryLog) upToDate(index, term uint64) bool {
+func (l *entryLog) isUpToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
 	}
-	return index >= l.last()
+	return index >= l.lastIndex()
 }
 
-// lastAtMost returns the last position at or before index whose term is not
+// findConflictByTerm returns the last position at or before index whose term is not
 // above term. If there is none in memory, it returns a position before the base,
 // of no term: a leader that offered the base again and again to a replica whose
 // log differs there would never get to send it the snapshot.
-func (l *entryLog) lastAtMost(index, term uint64) Position {
-	index = min(index, l.last())
+func (l *entryLog) findConflictByTerm(index, term uint64) Position {
+	index = min(index, l.lastIndex())
 	for ; index > l.base.Index; index-- {
 		if t, _ := l.term(index); t <= term {
 			return Position{Index: index, Term: t}
--- a/replica/membership.go
+++ b/replica/membership.go
@@ -49,9 +49,9 @@
 	return c.memberships[0].members
 }
 
-// noteMemberships takes over the membership entries among entries, which were
+// recordMemberships takes over the membership entries among entries, which were
 // just appended.
-func (c *Core) noteMemberships(entries []Entry) error {
+func (c *Core) recordMemberships(entries []Entry) error {
 	for _, e := range entries {
 		if e.Kind != KindMembership {
 			continue
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// forgetMemberships drops those from index on, whose entries were truncated.
-func (c *Core) forgetMemberships(index uint64) {
+// truncateMemberships drops those from index on, whose entries were truncated.
+func (c *Core) truncateMemberships(index uint64) {
 	for n := len(c.memberships); n > 1 && c.memberships[n-1].index >= index; n-- {
 		c.memberships = c.memberships[:n-1]
 	}
@@ -80,14 +80,14 @@
 // elected side by side. For the same reason a new leader first commits an entry
 // of its own term.
 func (c *Core) ProposeChange(ch Change) (Position, error) {
-	if err := c.canAppend(); err != nil {
+	if err := c.checkCanAppend(); err != nil {
 		return Position{}, err
 	}
 	pending := c.memberships[len(c.memberships)-1].index > c.log.commit
-	if pending || c.log.commit < c.lead.start {
+	if pending || c.log.commit < c.leaderState.firstIndex {
 		return Position{}, ErrChangePending
 	}
-	next, err := c.changed(ch)
+	next, err := c.membersAfter(ch)
 	if err != nil {
 		return Position{}, err
 	}
@@ -95,14 +95,14 @@
 	if err != nil {
 		return Position{}, fmt.Errorf("%w: %w", ErrBadChange, err)
 	}
-	at := c.appendOwn(KindMembership, data)
+	at := c.appendEntry(KindMembership, data)
 	c.memberships = append(c.memberships, membership{index: at.Index, members: next})
-	c.syncPeers()
+	c.updatePeers()
 	return at, nil
 }
 
-// changed returns the membership after ch.
-func (c *Core) changed(ch Change) (Members, error) {
+// membersAfter returns the membership after ch.
+func (c *Core) membersAfter(ch Change) (Members, error) {
 	next := c.Members().Clone()
 	switch {
 	case ch.ID == 0:
@@ -110,29 +110,29 @@
 	case ch.Kind == AddLearner && !next.Has(ch.ID):
 		next.Learners = append(next.Learners, ch.ID)
 		return next, nil
-	case ch.Kind == Promote && next.Learner(ch.ID):
-		next.Learners = without(next.Learners, ch.ID)
+	case ch.Kind == Promote && next.IsLearner(ch.ID):
+		next.Learners = removeID(next.Learners, ch.ID)
 		next.Voters = append(next.Voters, ch.ID)
-		return next, c.caughtUp(ch.ID)
+		return next, c.checkCaughtUp(ch.ID)
 	case ch.Kind == Remove && ch.ID == c.cfg.ID:
 		return next, ErrRemoveLeader
 	case ch.Kind == Remove && next.Has(ch.ID):
-		next.Learners = without(next.Learners, ch.ID)
-		next.Voters = without(next.Voters, ch.ID)
+		next.Learners = removeID(next.Learners, ch.ID)
+		next.Voters = removeID(next.Voters, ch.ID)
 		return next, nil
 	}
 	return next, ErrBadChange
 }
 
-func (c *Core) caughtUp(id uint64) error {
-	p := c.lead.peers[id]
-	recent := p.acked && c.now-p.ackSent < c.cfg.ElectionTimeout
-	if p.lost || !recent || p.match+maxPromotionLag < c.log.last() {
+func (c *Core) checkCaughtUp(id uint64) error {
+	p := c.leaderState.peers[id]
+	recent := p.heartbeatAcked && c.now-p.lastAckSent < c.cfg.ElectionTimeout
+	if p.lostLog || !recent || p.match+maxPromotionLag < c.log.lastIndex() {
 		return ErrNotCaughtUp
 	}
 	return nil
 }
 
-func without(ids []uint64, id uint64) []uint64 {
+func removeID(ids []uint64, id uint64) []uint64 {
 	return slices.DeleteFunc(ids, func(x uint64) bool { return x == id })
 }
--- a/replica/message.go
+++ b/replica/message.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// asksVote reports whether m asks for a vote or a pre-vote.
-func (m Message) asksVote() bool { return m.Type == MsgVote || m.Type == MsgPreVote }
+// requestsVote reports whether m asks for a vote or a pre-vote.
+func (m Message) requestsVote() bool { return m.Type == MsgVote || m.Type == MsgPreVote }
 
 // wellFormed reports whether the parts of m fit together. A message that does not
 // come from a Core, after a mix-up of versions or addresses, would otherwise leave
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -9,39 +9,39 @@
 	next       uint64 // next index to send
 
 	// probing: the point where the logs part is not known; one message at a time.
-	probing bool
-	waiting bool
+	probing   bool
+	probeSent bool
 
-	inflight   []uint64 // last index of each unacknowledged append, ascending
-	nudge      bool     // send an append even if it is empty
-	sentCommit uint64
+	inflight        []uint64 // last index of each unacknowledged append, ascending
+	appendRequested bool     // send an append even if it is empty
+	sentCommit      uint64
 
-	sending *outgoingSnapshot
+	outgoing *outgoingSnapshot
 
-	acked    bool          // has answered a heartbeat of this term
-	ackSent  time.Duration // when the latest heartbeat it has answered was sent
-	ackRound uint64
+	heartbeatAcked bool          // has answered a heartbeat of this term
+	lastAckSent    time.Duration // when the latest heartbeat it has answered was sent
+	lastAckRound   uint64
 
-	// lost: it has forgotten entries that it had acknowledged.
-	lost bool
+	// lostLog: it has forgotten entries that it had acknowledged.
+	lostLog bool
 }
 
-// ready reports whether another append may be sent.
-func (p *progress) ready(maxInflight int) bool {
-	if p.lost || p.sending != nil {
+// canSend reports whether another append may be sent.
+func (p *progress) canSend(maxInflight int) bool {
+	if p.lostLog || p.outgoing != nil {
 		return false
 	}
 	if p.probing {
-		return !p.waiting
+		return !p.probeSent
 	}
 	return len(p.inflight) < maxInflight
 }
 
-// sent records an append that ends in index last.
-func (p *progress) sent(last uint64, entries int) {
-	p.nudge = false
+// recordSent records an append that ends in index last.
+func (p *progress) recordSent(last uint64, entries int) {
+	p.appendRequested = false
 	if p.probing {
-		p.waiting = true
+		p.probeSent = true
 		return
 	}
 	if entries > 0 {
@@ -58,17 +58,17 @@
 		p.matchRound = round
 	}
 	p.next = max(p.next, p.match+1)
-	p.waiting = false
+	p.probeSent = false
 	p.probing = false
 	for len(p.inflight) > 0 && p.inflight[0] <= index {
 		p.inflight = p.inflight[1:]
 	}
 }
 
-// probe starts again to look for the point where the logs part.
-func (p *progress) probe(next uint64) {
+// startProbe starts again to look for the point where the logs part.
+func (p *progress) startProbe(next uint64) {
 	p.next = max(next, p.match+1)
 	p.probing = true
-	p.waiting = false
+	p.probeSent = false
 	p.inflight = nil
 }
--- a/replica/read.go
+++ b/replica/read.go
@@ -17,45 +17,45 @@
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	c.lead.reads = append(c.lead.reads, pendingRead{id: id})
-	c.assignReads()
+	c.leaderState.pendingReads = append(c.leaderState.pendingReads, pendingRead{id: id})
+	c.assignReadIndexes()
 	return nil
 }
 
-// assignReads fixes the index of reads that waited for the term's first entry.
+// assignReadIndexes fixes the index of reads that waited for the term's first entry.
 // Before that entry is committed the commit index may be behind what an earlier
 // leader has acknowledged.
-func (c *Core) assignReads() {
-	if c.log.commit < c.lead.start {
+func (c *Core) assignReadIndexes() {
+	if c.log.commit < c.leaderState.firstIndex {
 		return
 	}
-	for i := range c.lead.reads {
-		r := &c.lead.reads[i]
+	for i := range c.leaderState.pendingReads {
+		r := &c.leaderState.pendingReads[i]
 		if r.round > 0 {
 			continue
 		}
 		r.index = c.log.commit
-		r.round = c.lead.round + 1
-		c.lead.beatDue = true
+		r.round = c.leaderState.heartbeatRound + 1
+		c.leaderState.heartbeatDue = true
 	}
 }
 
-// releaseReads answers the reads whose heartbeat a majority has answered.
-func (c *Core) releaseReads() {
-	c.assignReads()
-	if len(c.lead.reads) == 0 {
+// completeReads answers the reads whose heartbeat a majority has answered.
+func (c *Core) completeReads() {
+	c.assignReadIndexes()
+	if len(c.leaderState.pendingReads) == 0 {
 		return
 	}
-	confirmed := c.quorumRound()
-	waiting := c.lead.reads[:0]
-	for _, r := range c.lead.reads {
-		if r.round == 0 || r.round > confirmed {
-			waiting = append(waiting, r)
+	ackedRound := c.quorumRound()
+	unconfirmed := c.leaderState.pendingReads[:0]
+	for _, r := range c.leaderState.pendingReads {
+		if r.round == 0 || r.round > ackedRound {
+			unconfirmed = append(unconfirmed, r)
 			continue
 		}
 		c.readStates = append(c.readStates, ReadState{ID: r.id, Index: r.index})
 	}
-	c.lead.reads = waiting
+	c.leaderState.pendingReads = unconfirmed
 }
 
 func (c *Core) quorumRound() uint64 {
@@ -63,10 +63,10 @@
 	rounds := make([]uint64, 0, len(voters))
 	for _, id := range voters {
 		if id == c.cfg.ID {
-			rounds = append(rounds, c.lead.round)
+			rounds = append(rounds, c.leaderState.heartbeatRound)
 			continue
 		}
-		rounds = append(rounds, c.lead.peers[id].ackRound)
+		rounds = append(rounds, c.leaderState.peers[id].lastAckRound)
 	}
 	return quorumValue(rounds)
 }
--- a/replica/ready.go
+++ b/replica/ready.go
@@ -32,18 +32,18 @@
 	if c.role == Leader {
 		c.flushHeartbeat()
 		c.flushAppends()
-		c.releaseReads()
+		c.completeReads()
 	}
 	rd = Ready{
-		Snapshot:  c.installing,
-		HardState: HardState{Term: c.hard.Term, Vote: c.hard.Vote, Commit: c.log.commit},
-		Entries:   c.log.after(c.log.stable),
-		Committed: c.log.between(c.log.applied, c.log.commit),
+		Snapshot:  c.pendingSnapshot,
+		HardState: HardState{Term: c.hardState.Term, Vote: c.hardState.Vote, Commit: c.log.commit},
+		Entries:   c.log.entriesAfter(c.log.stable),
+		Committed: c.log.entriesBetween(c.log.applied, c.log.commit),
 		Reads:     c.readStates,
 	}
-	voted := c.hard.Term != c.saved.Term || c.hard.Vote != c.saved.Vote
-	rd.MustSync = voted || len(rd.Entries) > 0
-	rd.Early, rd.Messages = c.splitMessages(voted)
+	termOrVoteChanged := c.hardState.Term != c.syncedHardState.Term || c.hardState.Vote != c.syncedHardState.Vote
+	rd.MustSync = termOrVoteChanged || len(rd.Entries) > 0
+	rd.Early, rd.Messages = c.splitMessages(termOrVoteChanged)
 	c.messages = nil
 	c.readStates = nil
 	ok = rd.MustSync || rd.Snapshot != nil || len(rd.Early)+len(rd.Messages)+len(rd.Committed)+len(rd.Reads) > 0
@@ -53,25 +53,25 @@
 // splitMessages sets apart what may go out before the sync. The leader's own
 // acknowledgement counts only after Advance, so its entries may travel while its
 // disk still writes; a term that is not synced yet may not.
-func (c *Core) splitMessages(voted bool) (early, late []Message) {
-	if voted {
+func (c *Core) splitMessages(termOrVoteChanged bool) (beforeSync, afterSync []Message) {
+	if termOrVoteChanged {
 		return nil, c.messages
 	}
 	for _, m := range c.messages {
 		if m.Type == MsgAppend || m.Type == MsgHeartbeat {
-			early = append(early, m)
+			beforeSync = append(beforeSync, m)
 			continue
 		}
-		late = append(late, m)
+		afterSync = append(afterSync, m)
 	}
-	return early, late
+	return beforeSync, afterSync
 }
 
 // Advance says that the work of rd is done.
 func (c *Core) Advance(rd Ready) {
-	c.installing = nil
+	c.pendingSnapshot = nil
 	if rd.MustSync {
-		c.saved = rd.HardState
+		c.syncedHardState = rd.HardState
 	}
 	if n := len(rd.Entries); n > 0 {
 		c.log.stable = rd.Entries[n-1].Index
--- a/replica/snapshot.go
+++ b/replica/snapshot.go
@@ -3,10 +3,10 @@
 // outgoingSnapshot is a snapshot on its way to one replica, a chunk at a time.
 // It is pinned: a later snapshot does not start the transfer over.
 type outgoingSnapshot struct {
-	snapshot Snapshot
-	offset   uint64 // of the next chunk
-	waiting  bool   // a chunk is unanswered
-	stalled  bool   // a heartbeat was answered since, and the chunk was not
+	snapshot      Snapshot
+	offset        uint64 // of the next chunk
+	chunkInflight bool   // a chunk is unanswered
+	stalled       bool   // a heartbeat was answered since, and the chunk was not
 }
 
 // incomingSnapshot collects the chunks of one snapshot.
@@ -18,17 +18,17 @@
 // startSnapshot begins to send the latest snapshot to a replica that needs
 // entries which are no longer in the log.
 func (c *Core) startSnapshot(p *progress) {
-	p.probe(p.next)
-	p.nudge = false
-	p.sending = &outgoingSnapshot{snapshot: c.snapshot}
+	p.startProbe(p.next)
+	p.appendRequested = false
+	p.outgoing = &outgoingSnapshot{snapshot: c.snapshot}
 }
 
 func (c *Core) flushSnapshot(id uint64, p *progress) {
-	s := p.sending
-	if s == nil || s.waiting || p.lost {
+	s := p.outgoing
+	if s == nil || s.chunkInflight || p.lostLog {
 		return
 	}
-	s.waiting = true
+	s.chunkInflight = true
 	s.stalled = false
 	data := s.snapshot.Data[s.offset:]
 	data = data[:min(len(data), c.cfg.MaxMessageBytes)]
@@ -41,46 +41,46 @@
 // resendStalledChunk runs at each heartbeat answered; a chunk that has been
 // passed by two of them was lost.
 func (p *progress) resendStalledChunk() {
-	s := p.sending
+	s := p.outgoing
 	if s == nil {
 		return
 	}
-	s.waiting = s.waiting && !s.stalled
+	s.chunkInflight = s.chunkInflight && !s.stalled
 	s.stalled = true
 }
 
 func (c *Core) handleSnapshotReply(p *progress, m Message) {
-	s := p.sending
+	s := p.outgoing
 	if s == nil || m.Index != s.snapshot.Meta.Index || m.Hint > uint64(len(s.snapshot.Data)) {
 		return
 	}
 	s.offset = m.Hint
-	s.waiting = false
+	s.chunkInflight = false
 }
 
 // handleSnapshot takes a chunk. Chunks out of order are dropped and the reply
 // names the one wanted.
 func (c *Core) handleSnapshot(m Message) {
-	c.follow(m.From)
+	c.followLeader(m.From)
 	chunk := m.Chunk
 	if chunk.Meta.Index <= c.log.commit {
-		c.incoming = nil
+		c.partialSnapshot = nil
 		c.send(Message{Type: MsgAppendReply, To: m.From, Index: c.log.commit})
 		return
 	}
-	in := c.collect(chunk)
+	in := c.addChunk(chunk)
 	if uint64(len(in.data)) == chunk.Total {
-		c.install(m.From, Snapshot{Meta: in.meta, Data: in.data})
+		c.installSnapshot(m.From, Snapshot{Meta: in.meta, Data: in.data})
 		return
 	}
 	c.send(Message{Type: MsgSnapshotReply, To: m.From, Index: in.meta.Index, Hint: uint64(len(in.data))})
 }
 
-func (c *Core) collect(chunk *SnapshotChunk) *incomingSnapshot {
-	in := c.incoming
+func (c *Core) addChunk(chunk *SnapshotChunk) *incomingSnapshot {
+	in := c.partialSnapshot
 	if in == nil || in.meta.Index != chunk.Meta.Index || in.meta.Term != chunk.Meta.Term {
 		in = &incomingSnapshot{meta: chunk.Meta}
-		c.incoming = in
+		c.partialSnapshot = in
 	}
 	if chunk.Offset == uint64(len(in.data)) {
 		in.data = append(in.data, chunk.Data...)
@@ -88,17 +88,17 @@
 	return in
 }
 
-// install replaces the log and the state machine's state, unless the log already
+// installSnapshot replaces the log and the state machine's state, unless the log already
 // holds what the snapshot stands for.
-func (c *Core) install(leader uint64, s Snapshot) {
-	c.incoming = nil
+func (c *Core) installSnapshot(leader uint64, s Snapshot) {
+	c.partialSnapshot = nil
 	if c.log.matches(s.Meta.Index, s.Meta.Term) {
 		c.commitTo(s.Meta.Index)
 	} else {
 		c.log.restore(s.Meta)
 		c.memberships = []membership{{index: s.Meta.Index, members: s.Meta.Members}}
 		c.snapshot = s
-		c.installing = &s
+		c.pendingSnapshot = &s
 	}
 	c.send(Message{Type: MsgAppendReply, To: leader, Index: s.Meta.Index})
 }
@@ -108,11 +108,11 @@
 func (c *Core) SnapshotMeta() SnapshotMeta {
 	index := c.log.applied
 	term, _ := c.log.term(index)
-	last := c.log.lastOfAt(index)
+	last := c.log.lastByKindAt(index)
 	return SnapshotMeta{
 		Index: index, Term: term,
-		Members: c.membersAt(index).Clone(),
-		LastOf:  last.list(),
+		Members:    c.membersAt(index).Clone(),
+		LastByKind: last.list(),
 	}
 }
 
@@ -121,7 +121,7 @@
 // by less is sent entries instead of the whole snapshot.
 func (c *Core) Compact(s Snapshot, keepEntries uint64, keepBytes int) {
 	c.snapshot = s
-	c.log.compact(c.log.keepAfter(min(s.Meta.Index, c.log.stable), keepEntries, keepBytes))
+	c.log.compact(c.log.retainAfter(min(s.Meta.Index, c.log.stable), keepEntries, keepBytes))
 	for len(c.memberships) > 1 && c.memberships[1].index <= s.Meta.Index {
 		c.memberships = c.memberships[1:]
 	}
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// handover is a leadership transfer under way.
-type handover struct {
-	to       uint64
-	deadline time.Duration
-	asked    bool // MsgTimeoutNow was sent
+// leadershipTransfer is a leadership transfer under way.
+type leadershipTransfer struct {
+	target         uint64
+	deadline       time.Duration
+	timeoutNowSent bool // MsgTimeoutNow was sent
 }
 
 // Transfer hands leadership to another voter, for a planned stop. It is done
@@ -17,60 +17,60 @@
 // would break this leader's lease. So the lease is extended no more from here
 // on, and the target is asked only after the last one has ended. Proposals are
 // taken until then.
-func (c *Core) Transfer(to uint64) error {
+func (c *Core) Transfer(target uint64) error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	if to == c.cfg.ID || !c.Members().Voter(to) {
+	if target == c.cfg.ID || !c.Members().IsVoter(target) {
 		return ErrNotVoter
 	}
-	if c.lead.handover != nil {
+	if c.leaderState.transfer != nil {
 		return ErrTransferring
 	}
 	c.Lease()
-	c.lead.handover = &handover{to: to, deadline: c.now + 2*c.cfg.ElectionTimeout}
+	c.leaderState.transfer = &leadershipTransfer{target: target, deadline: c.now + 2*c.cfg.ElectionTimeout}
 	return nil
 }
 
 // Transferring reports whether a transfer is under way.
-func (c *Core) Transferring() bool { return c.lead.handover != nil }
+func (c *Core) Transferring() bool { return c.leaderState.transfer != nil }
 
-// tryHandover asks the target once it holds the whole log and the lease is over.
+// tryTransfer asks the target once it holds the whole log and the lease is over.
 // The request is repeated at each reply, as it may be lost; it names the term,
 // so a late copy does no harm.
-func (c *Core) tryHandover() {
-	h := c.lead.handover
-	if h == nil || c.now < c.lead.leaseHeld {
+func (c *Core) tryTransfer() {
+	t := c.leaderState.transfer
+	if t == nil || c.now < c.leaderState.leaseEnd {
 		return
 	}
-	p := c.lead.peers[h.to]
+	p := c.leaderState.peers[t.target]
 	if p == nil {
 		return
 	}
-	near := c.log.last()-p.match <= uint64(c.cfg.MaxInflight)
-	if !h.asked && !near {
+	nearlyCaughtUp := c.log.lastIndex()-p.match <= uint64(c.cfg.MaxInflight)
+	if !t.timeoutNowSent && !nearlyCaughtUp {
 		return
 	}
-	h.asked = true
-	if p.match == c.log.last() {
-		c.send(Message{Type: MsgTimeoutNow, To: h.to})
+	t.timeoutNowSent = true
+	if p.match == c.log.lastIndex() {
+		c.send(Message{Type: MsgTimeoutNow, To: t.target})
 	}
 }
 
-// tickHandover gives up after the deadline. A leader that has asked the target
+// tickTransfer gives up after the deadline. A leader that has asked the target
 // may not hold a lease again in this term, because the request may still be
 // under way; it steps down, and an ordinary election follows.
-func (c *Core) tickHandover() {
-	h := c.lead.handover
-	if h == nil {
+func (c *Core) tickTransfer() {
+	t := c.leaderState.transfer
+	if t == nil {
 		return
 	}
-	if c.now < h.deadline {
-		c.tryHandover()
+	if c.now < t.deadline {
+		c.tryTransfer()
 		return
 	}
-	c.lead.handover = nil
-	if h.asked {
-		c.becomeFollower(c.hard.Term)
+	c.leaderState.transfer = nil
+	if t.timeoutNowSent {
+		c.becomeFollower(c.hardState.Term)
 	}
 }
