--- a/replica/config.go
+++ b/replica/config.go
@@ -13,24 +13,26 @@
 	DefaultMaxDriftPercent = 10
 )
 
-// Config is the settings of a Core. Durations are on the replica's own
-// monotonic clock.
+// Config configures a Core. Durations are measured on the replica's own monotonic
+// clock.
 type Config struct {
 	ID uint64
 
-	// ElectionTimeout is how long a replica that has heard from a leader helps to
-	// elect no other one. Candidates wait between one and two of it.
+	// ElectionTimeout is how long after the last message from a leader a replica
+	// ignores vote requests. A follower starts an election after one to two
+	// election timeouts without such a message.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
 
-	// MaxDriftPercent bounds by how much two replicas' clocks may differ in rate;
-	// a lease is that much shorter than the election timeout.
+	// MaxDriftPercent bounds the difference in rate between two replicas' clocks.
+	// A lease is shorter than the election timeout by this percentage.
 	MaxDriftPercent int
 
-	MaxMessageBytes int // of entries or snapshot data in one message
-	MaxInflight     int // unacknowledged append messages to one replica
+	MaxMessageBytes int // limit on entries or snapshot data in one message
+	MaxInflight     int // limit on unacknowledged MsgAppend messages to one replica
 
-	// Rand returns a number in [0, n). The same sequence gives the same run.
+	// Rand returns a number in [0, n). A run is reproducible if Rand returns the
+	// same sequence.
 	Rand func(n int64) int64
 }
 
@@ -44,19 +46,19 @@
 func (c Config) validate() error {
 	switch {
 	case c.ID == 0:
-		return fmt.Errorf("%w: id 0 stands for no replica", ErrBadConfig)
+		return fmt.Errorf("%w: id must not be 0", ErrBadConfig)
 	case c.HeartbeatInterval <= 0 || c.ElectionTimeout < 2*c.HeartbeatInterval:
-		return fmt.Errorf("%w: election timeout %v needs two heartbeats of %v", ErrBadConfig, c.ElectionTimeout, c.HeartbeatInterval)
+		return fmt.Errorf("%w: election timeout %v must be at least twice the heartbeat interval %v, and both positive", ErrBadConfig, c.ElectionTimeout, c.HeartbeatInterval)
 	case c.MaxDriftPercent < 0 || c.MaxDriftPercent > 50:
-		return fmt.Errorf("%w: drift of %d%%, want 0 to 50", ErrBadConfig, c.MaxDriftPercent)
+		return fmt.Errorf("%w: maximum clock drift %d%% is not between 0 and 50", ErrBadConfig, c.MaxDriftPercent)
 	case c.Rand == nil:
-		return fmt.Errorf("%w: no source of randomness", ErrBadConfig)
+		return fmt.Errorf("%w: Rand is not set", ErrBadConfig)
 	}
 	return nil
 }
 
-// leaseDuration is how long after a heartbeat was sent its acknowledgement
-// still proves that no other leader is elected.
+// leaseDuration returns the length of a lease, counted from the sending of a
+// heartbeat that a majority has acknowledged.
 func (c Config) leaseDuration() time.Duration {
 	return c.ElectionTimeout * time.Duration(100-c.MaxDriftPercent) / 100
 }
--- a/replica/core.go
+++ b/replica/core.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// Role is what a replica does in its term.
+// Role is a replica's role in its current term.
 type Role uint8
 
-// The roles. A learner is always a follower.
+// The roles. A learner is always a Follower.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -28,27 +28,28 @@
 	}
 }
 
-// Core is one replica's protocol. It is not safe for concurrent use. Every input
-// carries the replica's monotonic clock, as a duration since any fixed point.
+// Core is the consensus state machine of one replica. It is not safe for
+// concurrent use. Clock readings passed to it come from the replica's monotonic
+// clock, as durations since any fixed point.
 type Core struct {
 	cfg             Config
 	now             time.Duration
-	hardState       HardState // Term and Vote; the log holds the commit index
-	syncedHardState HardState // as synced
+	hardState       HardState // only Term and Vote are used; the commit index is log.commit
+	syncedHardState HardState // last one synced to disk
 	log             entryLog
 
 	role   Role
 	leader uint64
 
-	// ignoreVoteRequestsUntil: no vote for another replica before this. It outlives the
-	// term in which it was given.
+	// ignoreVoteRequestsUntil is the end of the period in which this replica
+	// refuses its vote to other candidates. It is not reset when the term changes.
 	ignoreVoteRequestsUntil time.Duration
-	electionDue             time.Duration
+	electionDue             time.Duration // when this replica starts an election
 	votes                   map[uint64]bool
 
 	memberships     []membership // ascending by index, never empty
-	snapshot        Snapshot     // the latest one, kept for replicas that are far behind
-	pendingSnapshot *Snapshot
+	snapshot        Snapshot     // latest one, sent to replicas that need compacted entries
+	pendingSnapshot *Snapshot    // received, to be installed in the next Ready
 	partialSnapshot *incomingSnapshot
 
 	leaderState leadershipState
@@ -56,7 +57,8 @@
 	readStates  []ReadState
 }
 
-// NewCore returns a replica that goes on from what its disk holds.
+// NewCore returns a Core that starts from the state on disk. It returns an error
+// if cfg is invalid or a membership entry cannot be decoded.
 func NewCore(cfg Config, state State, now time.Duration) (*Core, error) {
 	cfg = cfg.withDefaults()
 	if err := cfg.validate(); err != nil {
@@ -79,11 +81,11 @@
 	return c, nil
 }
 
-// initElectionTimer sets the first election. A replica that restarts has forgotten
-// when it last heard from a leader. If it voted at once, a second leader could
-// be elected while the first one still holds its lease, and two would give
-// orders; so it waits as if it had heard from one just now. A replica that has
-// never been in any term has promised nothing, and a sole voter only itself.
+// initElectionTimer sets the first election after a start. A restarted replica
+// does not know when it last received a message from a leader. Voting at once
+// could elect a second leader during the first one's lease, so it waits as if it
+// had just received a message. This is not needed for a replica that has never
+// been in a term, nor for a sole voter.
 func (c *Core) initElectionTimer() {
 	if c.hardState.Term > 0 {
 		c.ignoreVoteRequestsUntil = c.now + c.cfg.ElectionTimeout
@@ -100,7 +102,8 @@
 	return len(voters) == 1 && voters[0] == c.cfg.ID
 }
 
-// Tick tells the time. Call it several times in a heartbeat interval.
+// Tick advances the clock and runs what is due: heartbeats, elections, the
+// leader's check for a quorum. Call it several times per heartbeat interval.
 func (c *Core) Tick(now time.Duration) {
 	c.advanceClock(now)
 	if c.role == Leader {
@@ -112,12 +115,12 @@
 	}
 }
 
-// advanceClock takes a clock reading; time never goes back.
+// advanceClock sets the clock to now; the clock never goes back.
 func (c *Core) advanceClock(now time.Duration) { c.now = max(c.now, now) }
 
-// Step takes a message from another replica. An error means that the log is
-// beyond repair, by a fault of the program or of a disk: the replica must stop.
-// A message for another replica or one that makes no sense is dropped.
+// Step handles a message from another replica. Malformed messages and those
+// addressed to another replica are ignored. An error means that the log is
+// corrupt, by a fault of the program or of a disk; the replica must then stop.
 func (c *Core) Step(now time.Duration, m Message) error {
 	c.advanceClock(now)
 	if m.To != c.cfg.ID || m.From == c.cfg.ID || !m.wellFormed() {
@@ -133,10 +136,10 @@
 	return c.dispatch(m)
 }
 
-// handleHigherTerm handles a message of a later term and reports whether to go on with
-// it. Someone who asks for a vote while the leader is well is ignored and does
-// not even raise the term: otherwise one replica with a bad link could depose
-// leader after leader, and callers would see commits stop again and again.
+// handleHigherTerm handles a message of a higher term and reports whether it
+// should be processed further. Vote requests are ignored while a leader is active
+// and do not raise the term: otherwise one replica with a faulty link could depose
+// one leader after another and interrupt commits.
 func (c *Core) handleHigherTerm(m Message) bool {
 	if m.requestsVote() && !m.Force && c.ignoresVoteRequests() {
 		return false
@@ -148,13 +151,15 @@
 	return true
 }
 
-// ignoresVoteRequests reports whether this replica still owes its vote to a leader.
+// ignoresVoteRequests reports whether this replica must refuse its vote because it
+// is the leader or a leader was active within the last election timeout.
 func (c *Core) ignoresVoteRequests() bool {
 	return c.role == Leader || c.now < c.ignoreVoteRequestsUntil
 }
 
-// replyToLowerTerm tells a sender of an earlier term that there is a later one. A
-// deposed leader would otherwise wait for replies until its timeout.
+// replyToLowerTerm replies to a message of a lower term, so that its sender learns
+// the current term. Without the reply a deposed leader would wait until its
+// election timeout.
 func (c *Core) replyToLowerTerm(m Message) {
 	switch {
 	case m.fromLeader():
@@ -203,7 +208,7 @@
 	}
 }
 
-// send queues a message; the term is filled in where the caller set none.
+// send queues m, in the current term unless m.Term is set.
 func (c *Core) send(m Message) {
 	m.From = c.cfg.ID
 	if m.Term == 0 {
@@ -212,9 +217,9 @@
 	c.messages = append(c.messages, m)
 }
 
-// becomeFollower ends whatever role the replica has. A leader that steps down
-// still binds itself for one election timeout: a caller may have read the end of
-// its lease just before, and its own vote counted towards that lease.
+// becomeFollower makes the replica a follower, in a new term if term is higher. A
+// leader that steps down refuses its vote for one election timeout: its own vote
+// counted towards the lease, which a caller may have read just before.
 func (c *Core) becomeFollower(term uint64) {
 	if c.role == Leader {
 		c.ignoreVoteRequestsUntil = c.now + c.cfg.ElectionTimeout
@@ -230,7 +235,7 @@
 	c.leaderState = leadershipState{}
 }
 
-// followLeader records that the leader of this term has been heard.
+// followLeader records a message from the leader of the current term.
 func (c *Core) followLeader(leader uint64) {
 	if c.role != Follower {
 		c.becomeFollower(c.hardState.Term)
@@ -240,9 +245,8 @@
 	c.resetElectionTimer()
 }
 
-// resetElectionTimer puts off the next candidacy by one to two election timeouts.
-// Without the random part replicas would stand at the same time, split the
-// votes, and callers would wait for several rounds.
+// resetElectionTimer schedules the next election in one to two election timeouts.
+// The random part prevents repeated split votes.
 func (c *Core) resetElectionTimer() {
 	timeout := c.cfg.ElectionTimeout
 	c.electionDue = c.now + timeout + time.Duration(c.cfg.Rand(int64(timeout)))
@@ -260,21 +264,22 @@
 // Leader returns the leader of the current term, or 0 if unknown.
 func (c *Core) Leader() uint64 { return c.leader }
 
-// LastIndex returns the index of the last entry, synced or not.
+// LastIndex returns the index of the last entry, whether synced or not.
 func (c *Core) LastIndex() uint64 { return c.log.lastIndex() }
 
-// LastTerm returns the term of the last entry, 0 for an empty log.
+// LastTerm returns the term of the last entry, or 0 if the log is empty.
 func (c *Core) LastTerm() uint64 { return c.log.lastTerm() }
 
 // CommitIndex returns the index of the last entry known to be committed.
 func (c *Core) CommitIndex() uint64 { return c.log.commit }
 
-// AppliedIndex returns the index of the last entry given out as committed.
+// AppliedIndex returns the index of the last entry returned in Ready.Committed for
+// which Advance was called, or that of an installed snapshot.
 func (c *Core) AppliedIndex() uint64 { return c.log.applied }
 
 // SnapshotIndex returns the index of the latest snapshot.
 func (c *Core) SnapshotIndex() uint64 { return c.snapshot.Meta.Index }
 
 // LastIndexOf returns the highest index of an entry of this kind in the log,
-// committed or not, compacted or not; 0 if there is none.
+// including uncommitted and compacted entries, or 0 if there is none.
 func (c *Core) LastIndexOf(kind uint8) uint64 { return c.log.lastByKind[kind] }
--- a/replica/doc.go
+++ b/replica/doc.go
@@ -1,18 +1,19 @@
-// Package replica is a replicated log: a small set of replicas agree on one
-// sequence of entries, and an entry that was acknowledged is never lost while a
+// Package replica implements a replicated log: a small group of replicas agrees on
+// one sequence of entries, and an acknowledged entry survives as long as a
 // majority of the replicas keep their disks.
 //
-// Core is the whole protocol as one deterministic state machine, after Raft
-// (Ongaro and Ousterhout, 2014; Ongaro's thesis for pre-vote, leadership
-// transfer, single-step membership change and writing to the leader's disk in
-// parallel). Messages, clock readings and proposals go in; Ready values come
-// out. It has no goroutine, clock, I/O or randomness of its own, so tests drive
-// it with lost messages, frozen replicas and restarts without a network.
+// Core is the consensus protocol as a deterministic state machine. It follows Raft
+// (Ongaro and Ousterhout, 2014), with pre-vote, leadership transfer, single-server
+// membership changes and parallel writes to the leader's disk from Ongaro's
+// thesis. Its inputs are messages, clock readings and proposals; its output is
+// Ready values. It starts no goroutines, reads no clock, does no I/O and takes
+// random numbers from Config.Rand, so tests can simulate lost messages, frozen
+// processes and restarts without a network.
 //
-// Package replica/storage keeps a replica's state on disk, and package
-// replica/host runs a Core with a storage, a transport and a state machine.
+// Package replica/storage stores a replica's state on disk. Package replica/host
+// runs a Core with a storage, a transport and a state machine.
 //
-// A replica that has lost its disk must come back under a new id, as a learner.
-// Under its old id it would have forgotten which entries it acknowledged and
-// for whom it voted, and a second leader could be elected without those entries.
+// A replica that has lost its disk must rejoin under a new id, as a learner. Under
+// its old id it no longer has the entries that it acknowledged or its votes, and a
+// leader without committed entries could be elected.
 package replica
--- a/replica/election.go
+++ b/replica/election.go
@@ -1,8 +1,8 @@
 package replica
 
-// preCampaign asks whether an election could be won, without raising the term.
-// A replica that was cut off would otherwise come back with a high term and
-// depose a leader that everyone else is content with.
+// preCampaign asks the voters whether they would elect this replica, without
+// raising the term. Without pre-vote, a replica that was partitioned would return
+// with a higher term and depose a healthy leader.
 func (c *Core) preCampaign() {
 	c.role = PreCandidate
 	c.leader = 0
@@ -12,7 +12,7 @@
 	}
 }
 
-// campaign stands for leader in a new term.
+// campaign starts an election in a new term.
 func (c *Core) campaign(force bool) {
 	c.hardState.Term++
 	c.hardState.Vote = c.cfg.ID
@@ -25,6 +25,8 @@
 	}
 }
 
+// requestVotes sends vote or pre-vote requests to the other voters and counts this
+// replica's own vote.
 func (c *Core) requestVotes(kind MessageType, term uint64, force bool) {
 	c.resetElectionTimer()
 	c.votes = map[uint64]bool{c.cfg.ID: true}
@@ -39,7 +41,8 @@
 	}
 }
 
-// hasVoteQuorum counts the votes of current voters only.
+// hasVoteQuorum reports whether a majority of the current voters has granted its
+// vote.
 func (c *Core) hasVoteQuorum() bool {
 	granted := 0
 	for _, id := range c.Members().Voters {
@@ -69,8 +72,8 @@
 	}
 }
 
-// handleVote grants at most one vote a term, and only to a log that holds every
-// committed entry that this replica has acknowledged.
+// handleVote grants at most one vote per term, and only to a candidate whose log
+// is at least as up to date as this one (Raft paper, section 5.4.1).
 func (c *Core) handleVote(m Message) {
 	voteAvailable := c.hardState.Vote == 0 || c.hardState.Vote == m.From
 	acceptsRequest := m.Force || !c.ignoresVoteRequests()
@@ -92,9 +95,8 @@
 	}
 }
 
-// handleTimeoutNow stands for leader at once, as the leader asked. The message
-// holds for this one candidacy: a late copy must not depose a later leader, and
-// cannot, because its term has passed.
+// handleTimeoutNow starts an election at once, at the request of the current
+// leader. A delayed copy of the message is ignored because its term has passed.
 func (c *Core) handleTimeoutNow(m Message) {
 	if c.role == Leader || m.From != c.leader || !c.Members().IsVoter(c.cfg.ID) {
 		return
--- a/replica/entry.go
+++ b/replica/entry.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// The kinds of entry that the package itself writes. Kinds from
-// KindApplication on belong to the application; those between are reserved.
+// Kinds of entries written by this package. KindApplication and above belong to
+// the application; the values in between are reserved.
 const (
-	KindNone        uint8 = 0 // a leader's first entry of its term, no data
-	KindMembership  uint8 = 1 // data: Members in msgpack
+	KindNone        uint8 = 0 // first entry of a leader's term, without data
+	KindMembership  uint8 = 1 // Data is the new Members in msgpack
 	KindApplication uint8 = 16
 )
 
-// entryOverhead is what an entry costs in a message beyond its data, in bytes:
-// three integers and the field names.
+// entryOverhead is the encoded size of an entry without its data, in bytes: three
+// integers and the field names.
 const entryOverhead = 40
 
-// Entry is one element of the log. Index starts at 1 and has no gaps. Data must
-// not be changed after the entry was proposed.
+// Entry is an entry of the log. The first has index 1, and there are no gaps. Data
+// must not be modified once the entry is proposed.
 type Entry struct {
 	Index uint64 `msgpack:"i"`
 	Term  uint64 `msgpack:"t"`
@@ -25,23 +25,22 @@
 
 func (e Entry) size() int { return len(e.Data) + entryOverhead }
 
-// HardState is what a replica must have synced before it sends a message that
-// depends on it. Commit may lag behind on disk: it is a hint that saves work
-// after a restart.
+// HardState is the state that must be synced before messages that depend on it are
+// sent. Commit may lag on disk: it only saves work after a restart.
 type HardState struct {
 	Term   uint64 `msgpack:"t"`
 	Vote   uint64 `msgpack:"v"`
 	Commit uint64 `msgpack:"c"`
 }
 
-// Position names one entry of the log.
+// Position identifies an entry of the log.
 type Position struct {
 	Index uint64 `msgpack:"i"`
 	Term  uint64 `msgpack:"t"`
 }
 
-// Members are the replicas that hold the log. Voters elect and commit; learners
-// only receive.
+// Members is the membership of the group. Voters elect leaders and count towards
+// commits; learners only receive the log.
 type Members struct {
 	Voters   []uint64 `msgpack:"v"`
 	Learners []uint64 `msgpack:"l,omitempty"`
@@ -56,7 +55,7 @@
 // Has reports whether id is a voter or a learner.
 func (m Members) Has(id uint64) bool { return m.IsVoter(id) || m.IsLearner(id) }
 
-// Clone returns a copy that shares nothing with m.
+// Clone returns a deep copy of m.
 func (m Members) Clone() Members {
 	return Members{Voters: slices.Clone(m.Voters), Learners: slices.Clone(m.Learners)}
 }
@@ -69,7 +68,8 @@
 	Index uint64 `msgpack:"i"`
 }
 
-// SnapshotMeta says what a snapshot stands for: every entry up to Index.
+// SnapshotMeta describes a snapshot that replaces all entries up to Index.
+// LastByKind has the highest index of each kind among them.
 type SnapshotMeta struct {
 	Index      uint64      `msgpack:"i"`
 	Term       uint64      `msgpack:"t"`
@@ -77,21 +77,23 @@
 	LastByKind []KindIndex `msgpack:"k,omitempty"`
 }
 
-// Snapshot is the state machine's state after the entry at Meta.Index.
+// Snapshot is the state of the state machine after the entry at Meta.Index was
+// applied.
 type Snapshot struct {
 	Meta SnapshotMeta `msgpack:"m"`
 	Data []byte       `msgpack:"d"`
 }
 
-// State is what a replica's disk holds: the input of a restart. Entries follow
-// Snapshot.Meta.Index without a gap.
+// State is a replica's state on disk. The first of Entries has the index
+// Snapshot.Meta.Index+1.
 type State struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
 }
 
-// LastIndex returns the index of the last entry, or the snapshot's.
+// LastIndex returns the index of the last entry, or the snapshot's if there is
+// none.
 func (s State) LastIndex() uint64 {
 	if len(s.Entries) == 0 {
 		return s.Snapshot.Meta.Index
--- a/replica/follower.go
+++ b/replica/follower.go
@@ -6,8 +6,8 @@
 	c.send(Message{Type: MsgHeartbeatReply, To: m.From, Round: m.Round, Sent: m.Sent})
 }
 
-// handleAppend takes entries that follow one that this log holds. The reply is
-// sent after the entries are synced, see Ready.
+// handleAppend appends entries if the log holds the entry before them. The reply
+// is sent after the entries are synced; see Ready.
 func (c *Core) handleAppend(m Message) error {
 	c.followLeader(m.From)
 	if m.Index < c.log.commit {
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// rejectAppend names the last entry that may match, so that the leader skips a
-// whole term of conflicting entries in one round instead of one entry a round.
+// rejectAppend replies with the last entry that may match, so that the leader
+// skips a whole term of conflicting entries per round trip.
 func (c *Core) rejectAppend(m Message) {
 	hint := c.log.findConflictByTerm(m.Index, m.LogTerm)
 	c.send(Message{
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// leadershipState is the state that only a leader has; it ends with the term.
+// leadershipState is the state that only a leader has. It is discarded when the
+// leader steps down.
 type leadershipState struct {
-	firstIndex      uint64 // index of the first entry of the term
+	firstIndex      uint64 // index of the first entry of this leader's term
 	electedAt       time.Duration
 	peers           map[uint64]*progress
-	heartbeatRound  uint64 // of the latest heartbeat
-	lastAppendRound uint64 // sent so far, numbers them
+	heartbeatRound  uint64 // number of the latest heartbeat
+	lastAppendRound uint64 // number of the latest MsgAppend
 	nextHeartbeat   time.Duration
 	heartbeatDue    bool
 	pendingReads    []pendingRead
 	transfer        *leadershipTransfer
-	leaseEnd        time.Duration // end of the longest lease given out so far
+	leaseEnd        time.Duration // latest end of a lease computed by Lease
 }
 
-// becomeLeader starts a term with an entry of its own. Entries of earlier terms
-// count as committed only beneath an entry of this term: a majority may hold an
-// earlier entry and a later leader still replace it.
+// becomeLeader starts the leader's term with an empty entry. Entries of earlier
+// terms are committed only together with an entry of this term: even if a majority
+// holds such an entry, a later leader may still replace it (Raft paper, section
+// 5.4.2).
 func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leader = c.cfg.ID
@@ -35,7 +37,8 @@
 	c.appendEntry(KindNone, nil)
 }
 
-// updatePeers makes the tracked replicas those of the current membership.
+// updatePeers tracks the progress of exactly the other replicas in the current
+// membership. New ones start at the end of the log.
 func (c *Core) updatePeers() {
 	m := c.Members()
 	for id := range c.leaderState.peers {
@@ -50,8 +53,8 @@
 	}
 }
 
-// peerIDs returns the tracked replicas in ascending order, so that a run can be
-// repeated message by message.
+// peerIDs returns the ids of the tracked replicas in ascending order, which makes
+// the order of messages deterministic.
 func (c *Core) peerIDs() []uint64 {
 	ids := make([]uint64, 0, len(c.leaderState.peers))
 	for id := range c.leaderState.peers {
@@ -67,9 +70,10 @@
 	return Position{Index: e.Index, Term: e.Term}
 }
 
-// Propose appends an application entry. The entry is committed when it comes out
-// in Ready.Committed with the returned term; another term at that index means
-// that it is lost. An error means that nothing was appended.
+// Propose appends an application entry and returns its position. The entry is
+// committed when Ready.Committed contains it with that index and term; an entry of
+// another term at that index means that the proposal was lost. On error nothing
+// was appended.
 func (c *Core) Propose(kind uint8, data []byte) (Position, error) {
 	if err := c.checkCanAppend(); err != nil {
 		return Position{}, err
@@ -87,9 +91,9 @@
 	return nil
 }
 
-// tickLeader steps down if no majority has answered a heartbeat sent within the
-// last election timeout. A leader that is cut off would otherwise take proposals
-// that it can never commit, and its callers would wait instead of turning to the
+// tickLeader steps down if no majority has acknowledged a heartbeat sent within
+// the last election timeout. A partitioned leader would otherwise accept proposals
+// that it cannot commit, and callers would wait for it instead of turning to the
 // new leader.
 func (c *Core) tickLeader() {
 	lastQuorumAck := max(c.quorumAckTime(), c.leaderState.electedAt)
@@ -103,8 +107,8 @@
 	}
 }
 
-// flushHeartbeat sends one heartbeat to all if one is due, for the interval or
-// for reads.
+// flushHeartbeat sends a heartbeat to all other replicas if one is due, because of
+// the interval or of pending reads.
 func (c *Core) flushHeartbeat() {
 	if !c.leaderState.heartbeatDue {
 		return
@@ -121,8 +125,9 @@
 	}
 }
 
-// flushAppends sends every replica what it lacks, as far as flow control lets.
-// It runs once for many proposals and replies, which is what batches them.
+// flushAppends sends each replica the entries or snapshot chunk that it needs,
+// within flow control. Ready calls it once for all proposals and replies since the
+// last Ready, which batches their entries.
 func (c *Core) flushAppends() {
 	for _, id := range c.peerIDs() {
 		p := c.leaderState.peers[id]
@@ -133,6 +138,8 @@
 	}
 }
 
+// needsAppend reports whether a replica needs entries, a probe or a newer commit
+// index.
 func (c *Core) needsAppend(p *progress) bool {
 	commitAdvanced := min(c.log.commit, p.match) > p.sentCommit
 	return p.appendRequested || p.probing || p.next <= c.log.lastIndex() || commitAdvanced
@@ -173,10 +180,10 @@
 	c.tryTransfer()
 }
 
-// handleAppendReject goes back to where the logs may still agree. A replica
-// whose log ends before what it has acknowledged has lost its disk and kept its
-// id: its acknowledgements are worth nothing, and counting them would let an
-// entry be reported as committed that a majority does not hold.
+// handleAppendReject moves back to the last position at which the logs may match.
+// A replica whose log ends before its acknowledged entries has lost its disk and
+// kept its id. Its acknowledgements are no longer counted: otherwise an entry
+// could be reported as committed that no majority holds.
 func (c *Core) handleAppendReject(p *progress, m Message) {
 	if m.Round > p.matchRound && m.Hint < p.match {
 		p.lostLog = true
@@ -190,8 +197,9 @@
 	p.startProbe(at.Index + 1)
 }
 
-// handleHeartbeatReply extends the lease and answers reads. It also stands in
-// for replies that were lost: the replica is asked again for what it lacks.
+// handleHeartbeatReply records the acknowledgement, which extends the lease and
+// confirms reads. If the replica lacks entries, it also triggers an append, in
+// case an earlier append or its reply was lost.
 func (c *Core) handleHeartbeatReply(p *progress, m Message) {
 	if m.Reject || m.Round > c.leaderState.heartbeatRound {
 		return
@@ -210,7 +218,8 @@
 	c.tryTransfer()
 }
 
-// maybeCommit advances the commit index to what a majority of voters has synced.
+// maybeCommit advances the commit index to the highest entry that a majority of
+// voters has synced, if that is an entry of the current term.
 func (c *Core) maybeCommit() {
 	index := c.quorumMatch()
 	if index <= c.log.commit || index < c.leaderState.firstIndex {
@@ -220,6 +229,7 @@
 	c.completeReads()
 }
 
+// quorumMatch returns the highest index that a majority of voters has synced.
 func (c *Core) quorumMatch() uint64 {
 	voters := c.Members().Voters
 	matches := make([]uint64, 0, len(voters))
@@ -229,8 +239,9 @@
 	return quorumValue(matches)
 }
 
-// ReplicasWithLostLog returns the replicas that have forgotten entries they had acknowledged in
-// this term. Each must be removed and come back under a new id.
+// ReplicasWithLostLog returns the replicas that have lost entries which they
+// acknowledged in this term, in ascending order. Each must be removed and may
+// rejoin under a new id.
 func (c *Core) ReplicasWithLostLog() []uint64 {
 	var ids []uint64
 	for _, id := range c.peerIDs() {
@@ -248,7 +259,8 @@
 	return c.leaderState.peers[id].match
 }
 
-// quorumValue returns the highest value that a majority has reached.
+// quorumValue returns the highest value that a majority has reached. It sorts
+// values.
 func quorumValue[T uint64 | time.Duration](values []T) T {
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
--- a/replica/lease.go
+++ b/replica/lease.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// never is earlier than every clock reading.
+// never is earlier than any clock reading.
 const never = time.Duration(math.MinInt64)
 
-// Lease returns until when, on this replica's clock, no other replica can hold a
-// lease or commit anything; ok is false if there is no such time ahead.
+// Lease returns the time on this replica's clock until which no other replica can
+// hold a lease or commit an entry; ok is false if this replica holds no lease now.
 //
-// A voter that answers a heartbeat votes for nobody else for one election
-// timeout after it received it. The leader knows only when it sent it, which was
-// earlier, so it counts from there. Counting from the reply would be wrong by
-// the time the reply was under way: a leader that was frozen with a reply in its
-// socket would believe in a lease that has long run out, and two leaders would
-// give orders.
+// A voter that acknowledges a heartbeat grants no vote to another candidate for
+// one election timeout after it received the heartbeat. The lease counts from the
+// sending of the heartbeat, which is earlier. Counting from the reply would be
+// unsafe: a leader that was frozen while the reply waited in its socket would
+// assume a lease that has expired, at the same time as a new leader.
 func (c *Core) Lease() (term uint64, until time.Duration, ok bool) {
 	if c.role != Leader || c.log.commit < c.leaderState.firstIndex {
 		return c.hardState.Term, 0, false
@@ -35,8 +34,8 @@
 	c.leaderState.leaseEnd = max(c.leaderState.leaseEnd, ack+c.cfg.leaseDuration())
 }
 
-// quorumAckTime returns the time at which the latest heartbeat that a majority of
-// voters has answered was sent, or never.
+// quorumAckTime returns when the latest heartbeat that a majority of voters has
+// acknowledged was sent, or never.
 func (c *Core) quorumAckTime() time.Duration {
 	voters := c.Members().Voters
 	times := make([]time.Duration, 0, len(voters))
@@ -46,6 +45,8 @@
 	return quorumValue(times)
 }
 
+// ackTime returns when the latest heartbeat that voter id has acknowledged was
+// sent, or never. For this replica itself it is now.
 func (c *Core) ackTime(id uint64) time.Duration {
 	if id == c.cfg.ID {
 		return c.now
--- a/replica/log.go
+++ b/replica/log.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// kindIndexes holds the highest index of each kind of entry.
+// kindIndexes holds the highest index of an entry of each kind, or 0.
 type kindIndexes [256]uint64
 
 func (k *kindIndexes) add(entries []Entry) {
@@ -29,14 +29,14 @@
 	return k
 }
 
-// entryLog is the part of the log in memory: all entries after base.
+// entryLog is the in-memory part of the log: all entries after base.
 //
-// Slices of entries are handed out to messages, so elements are never
-// overwritten: truncation and compaction copy.
+// Messages share slices of entries, so elements are never overwritten: truncation
+// and compaction copy.
 type entryLog struct {
 	base           Position
-	baseLastByKind kindIndexes // as of base
-	lastByKind     kindIndexes // as of the last entry
+	baseLastByKind kindIndexes // of entries up to base
+	lastByKind     kindIndexes // of all entries
 	entries        []Entry
 	stable         uint64 // last index known to be synced
 	commit         uint64
@@ -51,6 +51,7 @@
 	return l
 }
 
+// restore replaces the log by a snapshot.
 func (l *entryLog) restore(meta SnapshotMeta) {
 	l.base = Position{Index: meta.Index, Term: meta.Term}
 	l.baseLastByKind = newKindIndexes(meta.LastByKind)
@@ -70,8 +71,8 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// term returns the term of the entry at index; ok is false if it was compacted
-// away or isn't there yet.
+// term returns the term of the entry at index; ok is false if the entry is
+// compacted or beyond the end of the log.
 func (l *entryLog) term(index uint64) (term uint64, ok bool) {
 	if index == l.base.Index {
 		return l.base.Term, true
@@ -87,7 +88,7 @@
 	return ok && have == term
 }
 
-// entriesAfter returns the entries entriesAfter index, all of them.
+// entriesAfter returns all entries after index, which must not be before base.
 func (l *entryLog) entriesAfter(index uint64) []Entry {
 	if index >= l.lastIndex() {
 		return nil
@@ -100,8 +101,8 @@
 	return l.entriesAfter(lo)[:hi-lo]
 }
 
-// batch returns entries after index of at most limit bytes, and at least one if
-// there is one.
+// batch returns the entries after index up to limit bytes, but at least one if
+// there is any.
 func (l *entryLog) batch(index uint64, limit int) []Entry {
 	entries := l.entriesAfter(index)
 	size := 0
@@ -119,9 +120,10 @@
 	l.lastByKind.add(entries)
 }
 
-// appendAfter takes over the entries that follow a matching one and reports the
-// index of the first entry that is new, or 0. An entry already held is left
-// alone: truncating after it would drop entries that a newer message brought.
+// appendAfter adds the entries that the log does not hold yet and returns the
+// index of the first one added, or 0. The entry before them must match. Existing
+// entries are truncated only from a conflict on: an out-of-order message must not
+// drop entries that a newer one has added.
 func (l *entryLog) appendAfter(entries []Entry) (first uint64, err error) {
 	for i, e := range entries {
 		if l.matches(e.Index, e.Term) {
@@ -137,7 +139,7 @@
 	return 0, nil
 }
 
-// truncate drops the entries from index on.
+// truncate removes the entries from index on.
 func (l *entryLog) truncate(index uint64) {
 	if index > l.lastIndex() {
 		return
@@ -148,7 +150,7 @@
 	l.lastByKind.add(l.entries)
 }
 
-// compact drops the entries up to index from memory.
+// compact removes the entries up to index from memory.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.base.Index {
 		return
@@ -160,8 +162,8 @@
 	l.base = Position{Index: index, Term: term}
 }
 
-// retainAfter returns the position after which at most so many entries and bytes
-// lie up to index.
+// retainAfter returns the lowest index such that the entries after it, up to
+// index, number at most maxEntries and take at most maxBytes.
 func (l *entryLog) retainAfter(index, maxEntries uint64, maxBytes int) uint64 {
 	at := index
 	for at > l.base.Index && index-at < maxEntries {
@@ -174,15 +176,16 @@
 	return at
 }
 
-// lastByKindAt returns the highest index of each kind among entries up to index.
+// lastByKindAt returns the highest index of each kind among the entries up to
+// index.
 func (l *entryLog) lastByKindAt(index uint64) kindIndexes {
 	k := l.baseLastByKind
 	k.add(l.entriesBetween(l.base.Index, index))
 	return k
 }
 
-// isUpToDate reports whether a log that ends in (index, term) holds everything
-// that this one may have committed.
+// isUpToDate reports whether a log that ends in (index, term) is at least as up to
+// date as this one, in the sense of the Raft paper, section 5.4.1.
 func (l *entryLog) isUpToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -190,10 +193,10 @@
 	return index >= l.lastIndex()
 }
 
-// findConflictByTerm returns the last position at or before index whose term is not
-// above term. If there is none in memory, it returns a position before the base,
-// of no term: a leader that offered the base again and again to a replica whose
-// log differs there would never get to send it the snapshot.
+// findConflictByTerm returns the last position at or before index whose term is at
+// most term. If there is none in memory, it returns a position before base with
+// term 0. Returning base instead would make a leader probe forever at base with a
+// replica whose log conflicts there, and never send it the snapshot.
 func (l *entryLog) findConflictByTerm(index, term uint64) Position {
 	index = min(index, l.lastIndex())
 	for ; index > l.base.Index; index-- {
--- a/replica/membership.go
+++ b/replica/membership.go
@@ -7,35 +7,36 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ChangeKind names a change of the membership.
+// ChangeKind is a kind of membership change.
 type ChangeKind uint8
 
-// The changes. A replica joins as a learner, which receives the log and counts
-// for nothing, and is promoted once it has caught up: a voter with an empty log
-// would make every commit wait for it as soon as another replica fails.
+// The membership changes. A replica joins as a learner and is promoted once it has
+// caught up: if a voter with an empty log joined, commits could have to wait for
+// it as soon as another replica fails.
 const (
 	AddLearner ChangeKind = iota + 1
 	Promote
 	Remove
 )
 
-// Change alters the membership by one replica.
+// Change adds, promotes or removes one replica.
 type Change struct {
 	Kind ChangeKind
 	ID   uint64
 }
 
-// maxPromotionLag is how many entries a learner may lack when it is promoted.
+// maxPromotionLag is the number of entries that a learner may lack when it is
+// promoted.
 const maxPromotionLag = 64
 
-// membership is the membership from one entry on.
+// membership is the membership in effect from the entry at index on.
 type membership struct {
 	index   uint64
 	members Members
 }
 
-// Members returns the membership in force: that of the latest entry in the log,
-// committed or not.
+// Members returns the membership in effect, which is that of the latest membership
+// entry in the log, committed or not. The caller must not modify it.
 func (c *Core) Members() Members {
 	return c.memberships[len(c.memberships)-1].members
 }
@@ -49,8 +50,7 @@
 	return c.memberships[0].members
 }
 
-// recordMemberships takes over the membership entries among entries, which were
-// just appended.
+// recordMemberships records the membership entries among newly appended entries.
 func (c *Core) recordMemberships(entries []Entry) error {
 	for _, e := range entries {
 		if e.Kind != KindMembership {
@@ -65,20 +65,21 @@
 	return nil
 }
 
-// truncateMemberships drops those from index on, whose entries were truncated.
+// truncateMemberships removes the memberships from index on, whose entries were
+// truncated.
 func (c *Core) truncateMemberships(index uint64) {
 	for n := len(c.memberships); n > 1 && c.memberships[n-1].index >= index; n-- {
 		c.memberships = c.memberships[:n-1]
 	}
 }
 
-// ProposeChange appends a membership change. It is in force at once at this
-// replica and done when it is committed.
+// ProposeChange appends a membership change and returns its position. The change
+// is in effect at this replica at once, and complete once it is committed. On
+// error nothing was appended.
 //
-// One change at a time: majorities of two memberships that differ by one replica
-// always overlap, majorities further apart need not, and two leaders could be
-// elected side by side. For the same reason a new leader first commits an entry
-// of its own term.
+// Only one change may be uncommitted, and the leader must have committed an entry
+// of its own term before. Majorities of two memberships that differ by one replica
+// overlap; with larger differences two leaders could be elected in one term.
 func (c *Core) ProposeChange(ch Change) (Position, error) {
 	if err := c.checkCanAppend(); err != nil {
 		return Position{}, err
@@ -101,7 +102,7 @@
 	return at, nil
 }
 
-// membersAfter returns the membership after ch.
+// membersAfter returns the membership that results from ch.
 func (c *Core) membersAfter(ch Change) (Members, error) {
 	next := c.Members().Clone()
 	switch {
@@ -124,6 +125,8 @@
 	return next, ErrBadChange
 }
 
+// checkCaughtUp returns ErrNotCaughtUp unless the learner has recently
+// acknowledged a heartbeat and lacks at most maxPromotionLag entries.
 func (c *Core) checkCaughtUp(id uint64) error {
 	p := c.leaderState.peers[id]
 	recent := p.heartbeatAcked && c.now-p.lastAckSent < c.cfg.ElectionTimeout
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// progress is what a leader knows of one other replica.
+// progress is the leader's view of another replica.
 type progress struct {
-	match      uint64 // highest index it has acknowledged as synced
-	matchRound uint64 // the latest append sent when match last rose
-	next       uint64 // next index to send
+	match      uint64 // highest index acknowledged as synced
+	matchRound uint64 // lastAppendRound of the leader when match last rose
+	next       uint64 // index of the next entry to send
 
-	// probing: the point where the logs part is not known; one message at a time.
+	// probing is set while the last matching entry is unknown. Only one append is
+	// sent at a time then; probeSent is set while it is unanswered.
 	probing   bool
 	probeSent bool
 
 	inflight        []uint64 // last index of each unacknowledged append, ascending
 	appendRequested bool     // send an append even if it is empty
-	sentCommit      uint64
+	sentCommit      uint64   // commit index in the latest append
 
-	outgoing *outgoingSnapshot
+	outgoing *outgoingSnapshot // nil unless a snapshot is being sent
 
-	heartbeatAcked bool          // has answered a heartbeat of this term
-	lastAckSent    time.Duration // when the latest heartbeat it has answered was sent
-	lastAckRound   uint64
+	heartbeatAcked bool          // whether it has acknowledged a heartbeat of this term
+	lastAckSent    time.Duration // when the latest heartbeat that it has acknowledged was sent
+	lastAckRound   uint64        // round of that heartbeat
 
-	// lostLog: it has forgotten entries that it had acknowledged.
+	// lostLog is set once the replica lacks entries that it had acknowledged.
 	lostLog bool
 }
 
@@ -37,7 +38,7 @@
 	return len(p.inflight) < maxInflight
 }
 
-// recordSent records an append that ends in index last.
+// recordSent records an append of so many entries, the last one at index last.
 func (p *progress) recordSent(last uint64, entries int) {
 	p.appendRequested = false
 	if p.probing {
@@ -50,8 +51,8 @@
 	}
 }
 
-// acknowledge records that everything up to index is synced there. Appends are
-// numbered, round is the latest one sent.
+// acknowledge records that the replica has synced everything up to index. round is
+// the number of the latest append sent.
 func (p *progress) acknowledge(index, round uint64) {
 	if index > p.match {
 		p.match = index
@@ -65,7 +66,7 @@
 	}
 }
 
-// startProbe starts again to look for the point where the logs part.
+// startProbe searches for the last matching entry again, from next-1 down.
 func (p *progress) startProbe(next uint64) {
 	p.next = max(next, p.match+1)
 	p.probing = true
--- a/replica/read.go
+++ b/replica/read.go
@@ -1,18 +1,19 @@
 package replica
 
-// pendingRead waits for a majority to answer a heartbeat sent after it came.
+// pendingRead is a read that waits until a majority has acknowledged a heartbeat
+// sent after the read was requested.
 type pendingRead struct {
 	id    uint64
 	index uint64
-	round uint64 // 0: the term's first entry is not committed yet
+	round uint64 // of that heartbeat; 0 until the first entry of the term is committed
 }
 
-// ReadIndex asks for a point from which a read sees everything acknowledged
-// before now. The answer comes in Ready.Reads; if this replica stops being the
-// leader first, none comes.
+// ReadIndex requests a read index: an index whose state includes everything
+// acknowledged before the call. It is returned in Ready.Reads with this id, or
+// never if the replica stops being the leader.
 //
-// The leader asks a majority before it answers. Without that a leader that was
-// replaced while it was cut off would serve old state as if it were current.
+// The leader first confirms its leadership with a majority. Otherwise a
+// partitioned leader that was replaced would serve stale reads.
 func (c *Core) ReadIndex(id uint64) error {
 	if c.role != Leader {
 		return ErrNotLeader
@@ -22,9 +23,9 @@
 	return nil
 }
 
-// assignReadIndexes fixes the index of reads that waited for the term's first entry.
-// Before that entry is committed the commit index may be behind what an earlier
-// leader has acknowledged.
+// assignReadIndexes sets the index of new reads once the first entry of the term
+// is committed. Until then the commit index may be behind what an earlier leader
+// has acknowledged.
 func (c *Core) assignReadIndexes() {
 	if c.log.commit < c.leaderState.firstIndex {
 		return
@@ -40,7 +41,8 @@
 	}
 }
 
-// completeReads answers the reads whose heartbeat a majority has answered.
+// completeReads moves the reads whose heartbeat a majority has acknowledged to
+// readStates.
 func (c *Core) completeReads() {
 	c.assignReadIndexes()
 	if len(c.leaderState.pendingReads) == 0 {
@@ -58,6 +60,8 @@
 	c.leaderState.pendingReads = unconfirmed
 }
 
+// quorumRound returns the number of the latest heartbeat that a majority of voters
+// has acknowledged.
 func (c *Core) quorumRound() uint64 {
 	voters := c.Members().Voters
 	rounds := make([]uint64, 0, len(voters))
--- a/replica/ready.go
+++ b/replica/ready.go
@@ -1,33 +1,37 @@
 package replica
 
-// Ready is the work that a Core asks for. The order is binding:
+// Ready is the work that a Core requests. The caller must, in this order:
 //
-//  1. send Early, 2. install Snapshot, 3. sync HardState and Entries if MustSync,
-//  4. send Messages, 5. restore Snapshot and apply Committed, 6. call Advance.
+//  1. send Early,
+//  2. install Snapshot,
+//  3. sync HardState and Entries if MustSync,
+//  4. send Messages,
+//  5. restore Snapshot into the state machine and apply Committed,
+//  6. call Advance.
 //
-// A message sent before the sync that it depends on would acknowledge an entry
-// or a vote that a crash then takes back: acknowledged entries would be lost.
+// A message that is sent before the sync it depends on would acknowledge an entry
+// or a vote that a crash can still undo: acknowledged entries could be lost.
 type Ready struct {
-	Early     []Message // a leader's appends and heartbeats, which its own disk need not have yet
+	Early     []Message // a leader's appends and heartbeats, which need not wait for its own sync
 	Snapshot  *Snapshot // replaces the log and the state machine's state
 	HardState HardState
-	Entries   []Entry // to be written; the first one replaces all held from its index on
+	Entries   []Entry // to be written; they replace all existing entries from the first one's index on
 	MustSync  bool
 	Messages  []Message
 	Committed []Entry
-	Reads     []ReadState // answered once Committed is applied
+	Reads     []ReadState // can be served once Committed is applied
 }
 
-// ReadState answers ReadIndex: once the entry at Index is applied, the state
-// machine holds everything acknowledged before the read was asked for. That entry
-// is in Committed or was applied before.
+// ReadState is the result of ReadIndex: once the entry at Index is applied, the
+// state machine includes everything acknowledged before the read was requested.
+// That entry is in Committed or was applied earlier.
 type ReadState struct {
 	ID    uint64
 	Index uint64
 }
 
-// Ready returns the next work; ok is false if there is none. Advance must follow
-// before the next call.
+// Ready returns the next work; ok is false if there is none. The caller must call
+// Advance before it calls Ready again.
 func (c *Core) Ready() (rd Ready, ok bool) {
 	if c.role == Leader {
 		c.flushHeartbeat()
@@ -50,9 +54,10 @@
 	return rd, ok
 }
 
-// splitMessages sets apart what may go out before the sync. The leader's own
-// acknowledgement counts only after Advance, so its entries may travel while its
-// disk still writes; a term that is not synced yet may not.
+// splitMessages separates the messages that may be sent before the sync. A
+// leader's appends may be sent while its own disk writes, because its own
+// acknowledgement counts only after Advance. After a change of term or vote all
+// messages wait for the sync.
 func (c *Core) splitMessages(termOrVoteChanged bool) (beforeSync, afterSync []Message) {
 	if termOrVoteChanged {
 		return nil, c.messages
@@ -67,7 +72,7 @@
 	return beforeSync, afterSync
 }
 
-// Advance says that the work of rd is done.
+// Advance confirms that the work of rd is done.
 func (c *Core) Advance(rd Ready) {
 	c.pendingSnapshot = nil
 	if rd.MustSync {
--- a/replica/snapshot.go
+++ b/replica/snapshot.go
@@ -1,22 +1,22 @@
 package replica
 
-// outgoingSnapshot is a snapshot on its way to one replica, a chunk at a time.
-// It is pinned: a later snapshot does not start the transfer over.
+// outgoingSnapshot is a snapshot being sent to a replica, one chunk at a time. A
+// newer snapshot does not replace it during the transfer.
 type outgoingSnapshot struct {
 	snapshot      Snapshot
 	offset        uint64 // of the next chunk
-	chunkInflight bool   // a chunk is unanswered
-	stalled       bool   // a heartbeat was answered since, and the chunk was not
+	chunkInflight bool   // the latest chunk is unanswered
+	stalled       bool   // a heartbeat was acknowledged since the chunk was sent
 }
 
-// incomingSnapshot collects the chunks of one snapshot.
+// incomingSnapshot collects the chunks of a snapshot being received.
 type incomingSnapshot struct {
 	meta SnapshotMeta
 	data []byte
 }
 
-// startSnapshot begins to send the latest snapshot to a replica that needs
-// entries which are no longer in the log.
+// startSnapshot starts sending the latest snapshot to a replica that needs
+// compacted entries.
 func (c *Core) startSnapshot(p *progress) {
 	p.startProbe(p.next)
 	p.appendRequested = false
@@ -38,8 +38,8 @@
 	}})
 }
 
-// resendStalledChunk runs at each heartbeat answered; a chunk that has been
-// passed by two of them was lost.
+// resendStalledChunk is called at each acknowledged heartbeat. A chunk that is
+// still unanswered at the second one is considered lost and sent again.
 func (p *progress) resendStalledChunk() {
 	s := p.outgoing
 	if s == nil {
@@ -58,8 +58,9 @@
 	s.chunkInflight = false
 }
 
-// handleSnapshot takes a chunk. Chunks out of order are dropped and the reply
-// names the one wanted.
+// handleSnapshot adds a chunk to the snapshot being received and installs the
+// snapshot once it is complete. Chunks out of order are dropped; the reply holds
+// the offset of the next one.
 func (c *Core) handleSnapshot(m Message) {
 	c.followLeader(m.From)
 	chunk := m.Chunk
@@ -88,8 +89,8 @@
 	return in
 }
 
-// installSnapshot replaces the log and the state machine's state, unless the log already
-// holds what the snapshot stands for.
+// installSnapshot replaces the log and the state of the state machine by s. If the
+// log holds the snapshot's last entry, it only advances the commit index.
 func (c *Core) installSnapshot(leader uint64, s Snapshot) {
 	c.partialSnapshot = nil
 	if c.log.matches(s.Meta.Index, s.Meta.Term) {
@@ -103,8 +104,8 @@
 	c.send(Message{Type: MsgAppendReply, To: leader, Index: s.Meta.Index})
 }
 
-// SnapshotMeta describes a snapshot of the state machine as it is after the last
-// applied entry.
+// SnapshotMeta returns the metadata for a snapshot of the state machine after the
+// last applied entry.
 func (c *Core) SnapshotMeta() SnapshotMeta {
 	index := c.log.applied
 	term, _ := c.log.term(index)
@@ -116,9 +117,9 @@
 	}
 }
 
-// Compact takes over a snapshot that is on disk and drops the entries before it,
-// but for the last ones, at most so many and so many bytes: a replica that lags
-// by less is sent entries instead of the whole snapshot.
+// Compact sets the latest snapshot, which must be on disk, and drops the entries
+// that it covers. It keeps the last ones, at most keepEntries and keepBytes, so
+// that a replica slightly behind is sent entries instead of the snapshot.
 func (c *Core) Compact(s Snapshot, keepEntries uint64, keepBytes int) {
 	c.snapshot = s
 	c.log.compact(c.log.retainAfter(min(s.Meta.Index, c.log.stable), keepEntries, keepBytes))
--- a/replica/transfer.go
+++ b/replica/transfer.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// leadershipTransfer is a leadership transfer under way.
+// leadershipTransfer is a leadership transfer in progress.
 type leadershipTransfer struct {
 	target         uint64
 	deadline       time.Duration
-	timeoutNowSent bool // MsgTimeoutNow was sent
+	timeoutNowSent bool
 }
 
-// Transfer hands leadership to another voter, for a planned stop. It is done
-// when this replica is no longer the leader; if it still is after two election
-// timeouts, the transfer was given up.
+// Transfer starts a transfer of leadership to another voter, for a planned stop.
+// The transfer is complete when this replica is no longer the leader. If it still
+// is after two election timeouts, the transfer has failed.
 //
-// The target stands for election without waiting for promises to run out, which
-// would break this leader's lease. So the lease is extended no more from here
-// on, and the target is asked only after the last one has ended. Proposals are
-// taken until then.
+// Voters accept the target's vote request even within their election timeout, on
+// which this leader's lease relies. The lease is therefore no longer extended, and
+// the target is told to start its election only after the lease has ended. Until
+// then proposals are accepted.
 func (c *Core) Transfer(target uint64) error {
 	if c.role != Leader {
 		return ErrNotLeader
@@ -32,12 +32,14 @@
 	return nil
 }
 
-// Transferring reports whether a transfer is under way.
+// Transferring reports whether a transfer is in progress.
 func (c *Core) Transferring() bool { return c.leaderState.transfer != nil }
 
-// tryTransfer asks the target once it holds the whole log and the lease is over.
-// The request is repeated at each reply, as it may be lost; it names the term,
-// so a late copy does no harm.
+// tryTransfer sends MsgTimeoutNow once the lease has ended and the target has the
+// whole log. While the target lacks only a few entries, proposals are already
+// refused so that it can catch up. The message may be lost, so it is repeated at
+// each reply from a replica; a delayed copy is ignored because its term has
+// passed.
 func (c *Core) tryTransfer() {
 	t := c.leaderState.transfer
 	if t == nil || c.now < c.leaderState.leaseEnd {
@@ -57,9 +59,10 @@
 	}
 }
 
-// tickTransfer gives up after the deadline. A leader that has asked the target
-// may not hold a lease again in this term, because the request may still be
-// under way; it steps down, and an ordinary election follows.
+// tickTransfer abandons the transfer after its deadline. If MsgTimeoutNow may have
+// been sent, the leader steps down and an ordinary election follows: it must not
+// hold a lease again in this term, because a delayed MsgTimeoutNow could still
+// make the target the leader.
 func (c *Core) tickTransfer() {
 	t := c.leaderState.transfer
 	if t == nil {
