--- a/replica/core_test.go
+++ b/replica/core_test.go
@@ -13,13 +13,13 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-var long = flag.Bool("replica.long", false, "run the random faults ten times as long")
+var longRun = flag.Bool("replica.long", false, "run the random faults ten times as long")
 
 // step lets a little time pass, with whatever faults come up.
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now += simStep
-	w.misfortune()
-	w.clients()
+	w.injectFaults()
+	w.runClients()
 	w.deliver()
 	for _, n := range w.nodes {
 		w.advance(n)
@@ -28,38 +28,38 @@
 }
 
 // advance ticks a replica that runs, and starts one whose time has come.
-func (w *world) advance(n *node) {
+func (w *simulation) advance(n *node) {
 	switch {
-	case n.lost || w.now < n.busyUntil:
+	case n.diskLost || w.now < n.frozenUntil:
 	case n.core != nil:
 		n.core.Tick(n.clock(w.now))
-		w.work(n)
-	case w.now >= n.upAt:
+		w.processReady(n)
+	case w.now >= n.restartAt:
 		w.boot(n)
 	}
 }
 
-func (w *world) deliver() {
-	flights := w.flights
-	w.flights = nil
+func (w *simulation) deliver() {
+	flights := w.delayed
+	w.delayed = nil
 	for _, f := range flights {
-		n := w.find(f.m.To)
+		n := w.findNode(f.m.To)
 		switch {
-		case f.at > w.now || (n != nil && w.now < n.busyUntil):
-			w.flights = append(w.flights, f)
-		case n == nil || n.core == nil || w.now < n.cutUntil:
+		case f.deliverAt > w.now || (n != nil && w.now < n.frozenUntil):
+			w.delayed = append(w.delayed, f)
+		case n == nil || n.core == nil || w.now < n.isolatedUntil:
 		default:
 			if err := n.core.Step(n.clock(w.now), f.m); err != nil {
 				w.failf("replica %d: %v", n.id, err)
 			}
 			if w.rng.IntN(3) == 0 {
-				w.work(n)
+				w.processReady(n)
 			}
 		}
 	}
 }
 
-func (w *world) find(id uint64) *node {
+func (w *simulation) findNode(id uint64) *node {
 	for _, n := range w.nodes {
 		if n.id == id {
 			return n
@@ -68,68 +68,68 @@
 	return nil
 }
 
-func (w *world) misfortune() {
+func (w *simulation) injectFaults() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if w.chance(w.faults.Crash) {
-		n.crashAt = 1 + w.rng.IntN(3)
+		n.crashStep = 1 + w.rng.IntN(3)
 	}
 	if w.chance(w.faults.Freeze) {
-		n.busyUntil = w.now + time.Duration(w.rng.Int64N(int64(4*simElection)))
+		n.frozenUntil = w.now + time.Duration(w.rng.Int64N(int64(4*simElectionTimeout)))
 	}
-	if w.chance(w.faults.Cut) {
-		n.cutUntil = w.now + time.Duration(w.rng.Int64N(int64(6*simElection)))
+	if w.chance(w.faults.Isolate) {
+		n.isolatedUntil = w.now + time.Duration(w.rng.Int64N(int64(6*simElectionTimeout)))
 	}
-	if w.chance(w.faults.Link) {
+	if w.chance(w.faults.CutLink) {
 		other := w.nodes[w.rng.IntN(len(w.nodes))]
-		w.links[link{n.id, other.id}] = w.now + time.Duration(w.rng.Int64N(int64(6*simElection)))
+		w.links[link{n.id, other.id}] = w.now + time.Duration(w.rng.Int64N(int64(6*simElectionTimeout)))
 	}
-	if w.chance(w.faults.Lose) && w.mayLose(n) {
-		n.lost = true
+	if w.chance(w.faults.LoseDisk) && w.mayLoseDisk(n) {
+		n.diskLost = true
 		n.core = nil
-		n.until = 0
+		n.leaseEnd = 0
 	}
 }
 
-// mayLose allows one lost disk at a time: the next only after the membership no
+// mayLoseDisk allows one lost disk at a time: the next only after the membership no
 // longer names the last one, but then at once.
-func (w *world) mayLose(n *node) bool {
+func (w *simulation) mayLoseDisk(n *node) bool {
 	if !w.members.Has(n.id) || len(w.members.Voters) < 3 {
 		return false
 	}
-	return !slices.ContainsFunc(w.nodes, func(x *node) bool { return x.lost && w.members.Has(x.id) })
+	return !slices.ContainsFunc(w.nodes, func(x *node) bool { return x.diskLost && w.members.Has(x.id) })
 }
 
-// clients propose, read and operate at a random replica.
-func (w *world) clients() {
+// runClients propose, read and operate at a random replica.
+func (w *simulation) runClients() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	if n.core == nil || w.now < n.busyUntil {
+	if n.core == nil || w.now < n.frozenUntil {
 		return
 	}
 	if w.rng.IntN(100) < w.faults.Load {
-		w.ask(n)
+		w.proposeAndRead(n)
 	}
-	if w.chance(w.faults.Hand) {
+	if w.chance(w.faults.Transfer) {
 		_ = n.core.Transfer(w.members.Voters[w.rng.IntN(len(w.members.Voters))])
 	}
-	if w.chance(w.faults.Change) {
-		w.operate(n)
+	if w.chance(w.faults.ChangeMembers) {
+		w.changeMembers(n)
 	}
 }
 
-func (w *world) ask(n *node) {
-	w.value++
-	if at, err := n.core.Propose(simKind, encode(w.value)); err == nil {
-		n.proposed[at] = w.value
+func (w *simulation) proposeAndRead(n *node) {
+	w.lastValue++
+	if at, err := n.core.Propose(simKind, encode(w.lastValue)); err == nil {
+		n.proposed[at] = w.lastValue
 	}
-	if n.core.ReadIndex(w.value) == nil {
-		n.reads[w.value] = w.ackIndex
+	if n.core.ReadIndex(w.lastValue) == nil {
+		n.reads[w.lastValue] = w.ackIndex
 	}
 }
 
-// operate replaces lost replicas and otherwise adds and removes one.
-func (w *world) operate(n *node) {
+// changeMembers replaces lost replicas and otherwise adds and removes one.
+func (w *simulation) changeMembers(n *node) {
 	m := n.core.Members()
-	lost := slices.IndexFunc(w.nodes, func(x *node) bool { return x.lost && m.Has(x.id) })
+	lost := slices.IndexFunc(w.nodes, func(x *node) bool { return x.diskLost && m.Has(x.id) })
 	switch {
 	case n.core.Role() != replica.Leader:
 	case lost >= 0 && len(m.Voters) > 3:
@@ -141,35 +141,35 @@
 	default:
 		w.nextID++
 		if _, err := n.core.ProposeChange(replica.Change{Kind: replica.AddLearner, ID: w.nextID}); err == nil {
-			w.boot(w.add(w.nextID))
+			w.boot(w.addNode(w.nextID))
 		}
 	}
 }
 
 // heal ends all faults and reports whether every member then holds everything
 // that was chosen, with one more entry.
-func (w *world) heal() bool {
-	w.faults = faults{Load: 100, DriftMill: w.faults.DriftMill}
+func (w *simulation) heal() bool {
+	w.faults = faults{Load: 100, DriftPerMille: w.faults.DriftPerMille}
 	clear(w.links)
 	for _, n := range w.nodes {
-		n.busyUntil, n.cutUntil, n.upAt, n.crashAt = 0, 0, 0, 0
+		n.frozenUntil, n.isolatedUntil, n.restartAt, n.crashStep = 0, 0, 0, 0
 	}
-	before := len(w.acked)
+	before := len(w.ackedValues)
 	for range 200 {
-		for range int(simElection / simStep) {
+		for range int(simElectionTimeout / simStep) {
 			w.step()
 		}
-		if w.fault != nil || (len(w.acked) > before && w.converged()) {
+		if w.violation != nil || (len(w.ackedValues) > before && w.converged()) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) converged() bool {
+func (w *simulation) converged() bool {
 	for _, n := range w.nodes {
-		behind := n.core == nil || int(n.core.AppliedIndex())+200 < len(w.chosen)
-		if w.members.Has(n.id) && !n.lost && behind {
+		behind := n.core == nil || int(n.core.AppliedIndex())+200 < len(w.applied)
+		if w.members.Has(n.id) && !n.diskLost && behind {
 			return false
 		}
 	}
@@ -177,14 +177,14 @@
 }
 
 // checkAcked holds that each acknowledged value was applied, and once.
-func (w *world) checkAcked() error {
+func (w *simulation) checkAcked() error {
 	count := map[uint64]int{}
-	for _, e := range w.chosen {
+	for _, e := range w.applied {
 		if e.Kind == simKind {
 			count[decodeValue(e.Data)]++
 		}
 	}
-	for _, value := range w.acked {
+	for _, value := range w.ackedValues {
 		if count[value] != 1 {
 			return fmt.Errorf("acknowledged value %d was applied %d times", value, count[value])
 		}
@@ -194,9 +194,9 @@
 
 // checkStates holds that each state machine is a prefix of what was chosen, also
 // after snapshots.
-func (w *world) checkStates() error {
+func (w *simulation) checkStates() error {
 	var all []uint64
-	for _, e := range w.chosen {
+	for _, e := range w.applied {
 		if e.Kind == simKind {
 			all = append(all, decodeValue(e.Data))
 		}
@@ -209,20 +209,20 @@
 	return nil
 }
 
-// run plays the faults and returns the first promise that broke.
-func run(seed uint64, size, steps int, f faults) (*world, error) {
-	w := newWorld(seed, size, f)
+// runSimulation plays the faults and returns the first promise that broke.
+func runSimulation(seed uint64, size, steps int, f faults) (*simulation, error) {
+	w := newSimulation(seed, size, f)
 	for range steps {
 		w.step()
-		if w.fault != nil {
-			return w, w.fault
+		if w.violation != nil {
+			return w, w.violation
 		}
 	}
 	if !w.heal() {
 		return w, fmt.Errorf("no progress after all faults ended")
 	}
-	if w.fault != nil {
-		return w, w.fault
+	if w.violation != nil {
+		return w, w.violation
 	}
 	return w, w.checkAcked()
 }
@@ -231,10 +231,10 @@
 	draw := func(name string, limit int) int { return rapid.IntRange(0, limit).Draw(t, name) }
 	return faults{
 		Load: draw("load", 100),
-		Drop: draw("drop", 30), Double: draw("double", 20), Late: draw("late", 10),
-		Crash: draw("crash", 20), Freeze: draw("freeze", 20), Cut: draw("cut", 15), Link: draw("link", 60),
-		Lose: draw("lose", 5), Change: draw("change", 100), Hand: draw("hand", 30),
-		Snapshot: draw("snapshot", 60), DriftMill: draw("drift", 50),
+		Drop: draw("drop", 30), Duplicate: draw("double", 20), Delay: draw("late", 10),
+		Crash: draw("crash", 20), Freeze: draw("freeze", 20), Isolate: draw("cut", 15), CutLink: draw("link", 60),
+		LoseDisk: draw("lose", 5), ChangeMembers: draw("change", 100), Transfer: draw("hand", 30),
+		Snapshot: draw("snapshot", 60), DriftPerMille: draw("drift", 50),
 	}
 }
 
@@ -250,36 +250,36 @@
 // in handleHeartbeatReply; the wait for leaseHeld in tryHandover; the halt of
 // extendLease in Lease; round+1 and lead.start in assignReads; stalled in
 // resendStalledChunk. The directed tests beside it name those that it misses.
-func TestPromisesUnderRandomFaults(t *testing.T) {
+func TestSafetyUnderRandomFaults(t *testing.T) {
 	steps := 1500
-	if *long {
+	if *longRun {
 		steps *= 10
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		size := rapid.SampledFrom([]int{3, 5}).Draw(t, "size")
 		f := drawFaults(t)
-		if _, err := run(seed, size, steps, f); err != nil {
+		if _, err := runSimulation(seed, size, steps, f); err != nil {
 			t.Fatalf("seed %d, size %d, faults %+v: %v", seed, size, f, err)
 		}
 	})
 }
 
-func TestRandomFaultsReachTheirTargets(t *testing.T) {
-	f := faults{Load: 50, Drop: 5, Double: 5, Late: 2, Crash: 5, Freeze: 5, Cut: 5, Link: 10, Lose: 3, Change: 100, Hand: 10, Snapshot: 50, DriftMill: 50}
-	w, err := run(1, 3, 5000, f)
+func TestRandomFaultsAreExercised(t *testing.T) {
+	f := faults{Load: 50, Drop: 5, Duplicate: 5, Delay: 2, Crash: 5, Freeze: 5, Isolate: 5, CutLink: 10, LoseDisk: 3, ChangeMembers: 100, Transfer: 10, Snapshot: 50, DriftPerMille: 50}
+	w, err := runSimulation(1, 3, 5000, f)
 	require.NoError(t, err)
 	lost := 0
 	for _, n := range w.nodes {
-		if n.lost {
+		if n.diskLost {
 			lost++
 		}
 	}
 	t.Logf("terms led %d, chosen %d, acknowledged %d, reads %d, snapshots installed %d, replicas %d, disks lost %d",
-		len(w.leaders), len(w.chosen), len(w.acked), w.reads, w.installs, len(w.nodes), lost)
+		len(w.leaders), len(w.applied), len(w.ackedValues), w.readCount, w.snapshotInstalls, len(w.nodes), lost)
 	require.Greater(t, len(w.leaders), 5)
-	require.Greater(t, len(w.acked), 100)
-	require.Greater(t, w.reads, 100)
-	require.Positive(t, w.installs)
+	require.Greater(t, len(w.ackedValues), 100)
+	require.Greater(t, w.readCount, 100)
+	require.Positive(t, w.snapshotInstalls)
 	require.Greater(t, lost, 1)
 }
--- a/replica/election_test.go
+++ b/replica/election_test.go
@@ -12,7 +12,7 @@
 // time 0.
 func follower1(t *testing.T) *replica.Core {
 	c, err := replica.NewCore(replica.Config{
-		ID: 1, ElectionTimeout: simElection, HeartbeatInterval: simHeartbeat,
+		ID: 1, ElectionTimeout: simElectionTimeout, HeartbeatInterval: simHeartbeatInterval,
 		Rand: func(int64) int64 { return 0 },
 	}, replica.State{
 		HardState: replica.HardState{Term: 3},
@@ -26,7 +26,7 @@
 // leader1 makes replica 1 the leader of term 4, with its first entry at index 3.
 func leader1(t *testing.T) *replica.Core {
 	c := follower1(t)
-	c.Tick(simElection)
+	c.Tick(simElectionTimeout)
 	step(t, c, replica.Message{Type: replica.MsgPreVoteReply, From: 2, Term: 4})
 	step(t, c, replica.Message{Type: replica.MsgVoteReply, From: 2, Term: 4})
 	require.Equal(t, replica.Leader, c.Role())
@@ -37,7 +37,7 @@
 // step hands m to replica 1 at the end of its first election timeout.
 func step(t *testing.T, c *replica.Core, m replica.Message) {
 	m.To = 1
-	require.NoError(t, c.Step(simElection, m))
+	require.NoError(t, c.Step(simElectionTimeout, m))
 }
 
 // drain does all the work and returns the messages sent.
@@ -52,7 +52,7 @@
 	}
 }
 
-func askVote(term uint64, force bool) replica.Message {
+func voteRequest(term uint64, force bool) replica.Message {
 	return replica.Message{Type: replica.MsgVote, From: 2, To: 1, Term: term, Index: 9, LogTerm: 9, Force: force}
 }
 
@@ -60,13 +60,13 @@
 // for election. If it voted, two leaders would hold leases and give orders.
 //
 // Breaks without the promise in startTimers.
-func TestRestartedReplicaKeepsItsPromise(t *testing.T) {
+func TestRestartedReplicaDelaysVote(t *testing.T) {
 	c := follower1(t)
-	require.NoError(t, c.Step(simElection-1, askVote(4, false)))
+	require.NoError(t, c.Step(simElectionTimeout-1, voteRequest(4, false)))
 	require.Empty(t, drain(c))
 	require.Equal(t, uint64(3), c.Term())
 
-	require.NoError(t, c.Step(simElection, askVote(4, false)))
+	require.NoError(t, c.Step(simElectionTimeout, voteRequest(4, false)))
 	require.False(t, drain(c)[0].Reject)
 }
 
@@ -75,13 +75,13 @@
 // Only a candidate that the leader itself has asked for is helped.
 //
 // Breaks without bound in enterTerm.
-func TestVoterKeepsToTheLeaderItHears(t *testing.T) {
+func TestVoterIgnoresVoteRequestsWhileLeaderIsActive(t *testing.T) {
 	c := follower1(t)
 	step(t, c, replica.Message{Type: replica.MsgHeartbeat, From: 3, Term: 3})
 	drain(c)
-	require.NoError(t, c.Step(2*simElection-1, askVote(4, false)))
+	require.NoError(t, c.Step(2*simElectionTimeout-1, voteRequest(4, false)))
 	require.Empty(t, drain(c))
-	require.NoError(t, c.Step(2*simElection-1, askVote(4, true)))
+	require.NoError(t, c.Step(2*simElectionTimeout-1, voteRequest(4, true)))
 	require.False(t, drain(c)[0].Reject)
 }
 
@@ -90,13 +90,13 @@
 // help to elect another leader before the lease has ended.
 //
 // Breaks without the promise in becomeFollower.
-func TestDeposedLeaderKeepsItsPromise(t *testing.T) {
+func TestDeposedLeaderDelaysVoteUntilLeaseEnds(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgHeartbeatReply, From: 3, Term: 5, Reject: true})
 	require.Equal(t, replica.Follower, c.Role())
 	drain(c)
-	require.NoError(t, c.Step(2*simElection-1, askVote(6, false)))
+	require.NoError(t, c.Step(2*simElectionTimeout-1, voteRequest(6, false)))
 	require.Empty(t, drain(c))
-	require.NoError(t, c.Step(2*simElection, askVote(6, false)))
+	require.NoError(t, c.Step(2*simElectionTimeout, voteRequest(6, false)))
 	require.False(t, drain(c)[0].Reject)
 }
--- a/replica/leader.go
+++ b/replica/leader.go
@@ -205,8 +205,8 @@
 		return
 	}
 	p.heartbeatAcked = true
-	p.lastAckSent = max(p.lastAckSent, m.Sent)
-	p.lastAckRound = max(p.lastAckRound, m.Round)
+	p.ackedHeartbeatSent = max(p.ackedHeartbeatSent, m.Sent)
+	p.ackedHeartbeatRound = max(p.ackedHeartbeatRound, m.Round)
 	p.probeSent = false
 	if !p.probing && p.match < c.log.lastIndex() {
 		p.appendRequested = true
--- a/replica/leader_test.go
+++ b/replica/leader_test.go
@@ -13,7 +13,7 @@
 // told that it was committed would see it vanish.
 //
 // Breaks without lead.start in maybeCommit.
-func TestEntryOfEarlierTermIsNotCommittedAlone(t *testing.T) {
+func TestEntryOfEarlierTermIsNotCommittedByCount(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 2})
 	require.Zero(t, c.CommitIndex())
@@ -26,7 +26,7 @@
 // leader without it, and an acknowledged change is gone.
 //
 // Breaks when matchOf counts the leader's last entry.
-func TestOwnEntryCountsOnceSynced(t *testing.T) {
+func TestLeaderEntryCountsOnlyOnceSynced(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
 	_, err := c.Propose(simKind, nil)
@@ -42,7 +42,7 @@
 // the operator is told.
 //
 // Breaks without the first branch of handleAppendReject.
-func TestReplicaThatForgotIsFoundOut(t *testing.T) {
+func TestReplicaWithLostLogIsNotCounted(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
 	drain(c)
@@ -62,13 +62,13 @@
 // wait until somebody else proposes something.
 //
 // Breaks without nudge in handleHeartbeatReply.
-func TestLostAppendIsRepeatedAfterAHeartbeat(t *testing.T) {
+func TestLostAppendIsResentAfterHeartbeat(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
 	_, err := c.Propose(simKind, nil)
 	require.NoError(t, err)
 	drain(c)
-	step(t, c, replica.Message{Type: replica.MsgHeartbeatReply, From: 2, Term: 4, Round: 1, Sent: simElection})
+	step(t, c, replica.Message{Type: replica.MsgHeartbeatReply, From: 2, Term: 4, Round: 1, Sent: simElectionTimeout})
 	sent := drain(c)
 	require.Len(t, sent, 1)
 	require.Equal(t, replica.MsgAppend, sent[0].Type)
--- a/replica/lease.go
+++ b/replica/lease.go
@@ -52,7 +52,7 @@
 		return c.now
 	}
 	if p := c.leaderState.peers[id]; p.heartbeatAcked {
-		return p.lastAckSent
+		return p.ackedHeartbeatSent
 	}
 	return never
 }
--- a/replica/lease_test.go
+++ b/replica/lease_test.go
@@ -14,25 +14,25 @@
 // clocks, would outlast the voter's promise, and two leaders would give orders.
 //
 // Breaks when handleHeartbeatReply takes c.now, or leaseDuration has no margin.
-func TestLeaseCountsFromTheSendingOfTheHeartbeat(t *testing.T) {
-	const late = 3 * simElection / 2
+func TestLeaseStartsWhenHeartbeatIsSent(t *testing.T) {
+	const replyReceived = 3 * simElectionTimeout / 2
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
 	_, _, ok := c.Lease()
 	require.False(t, ok, "no heartbeat is answered yet")
 
-	answer := replica.Message{Type: replica.MsgHeartbeatReply, From: 2, To: 1, Term: 4, Round: 1, Sent: simElection}
-	require.NoError(t, c.Step(late, answer))
+	reply := replica.Message{Type: replica.MsgHeartbeatReply, From: 2, To: 1, Term: 4, Round: 1, Sent: simElectionTimeout}
+	require.NoError(t, c.Step(replyReceived, reply))
 	term, until, ok := c.Lease()
 	require.True(t, ok)
 	require.Equal(t, uint64(4), term)
-	require.Equal(t, simElection+simElection*(100-replica.DefaultMaxDriftPercent)/100, until)
+	require.Equal(t, simElectionTimeout+simElectionTimeout*(100-replica.DefaultMaxDriftPercent)/100, until)
 
 	c.Tick(until)
 	_, _, ok = c.Lease()
 	require.False(t, ok)
-	c.Tick(simElection + simElection - time.Nanosecond)
+	c.Tick(simElectionTimeout + simElectionTimeout - time.Nanosecond)
 	require.Equal(t, replica.Leader, c.Role())
-	c.Tick(simElection + simElection)
+	c.Tick(simElectionTimeout + simElectionTimeout)
 	require.Equal(t, replica.Follower, c.Role(), "a leader that no majority answers steps down")
 }
--- a/replica/membership.go
+++ b/replica/membership.go
@@ -129,7 +129,7 @@
 // acknowledged a heartbeat and lacks at most maxPromotionLag entries.
 func (c *Core) checkCaughtUp(id uint64) error {
 	p := c.leaderState.peers[id]
-	recent := p.heartbeatAcked && c.now-p.lastAckSent < c.cfg.ElectionTimeout
+	recent := p.heartbeatAcked && c.now-p.ackedHeartbeatSent < c.cfg.ElectionTimeout
 	if p.lostLog || !recent || p.match+maxPromotionLag < c.log.lastIndex() {
 		return ErrNotCaughtUp
 	}
--- a/replica/membership_test.go
+++ b/replica/membership_test.go
@@ -14,7 +14,7 @@
 // second leader could be elected.
 //
 // Breaks without forgetMemberships in handleAppend.
-func TestMembershipGoesWithItsEntry(t *testing.T) {
+func TestMembershipIsRevertedWithItsTruncatedEntry(t *testing.T) {
 	c := follower1(t)
 	changed := replica.Members{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}
 	change := replica.Entry{Index: 3, Term: 3, Kind: replica.KindMembership, Data: encode(changed)}
@@ -32,7 +32,7 @@
 // could stop the group or split it.
 //
 // Breaks without the checks in ProposeChange, changed and caughtUp.
-func TestChangesThatDoNotApply(t *testing.T) {
+func TestInvalidMembershipChangesAreRejected(t *testing.T) {
 	c := leader1(t)
 	propose := func(kind replica.ChangeKind, id uint64) error {
 		_, err := c.ProposeChange(replica.Change{Kind: kind, ID: id})
--- a/replica/message_test.go
+++ b/replica/message_test.go
@@ -30,7 +30,7 @@
 		}
 		m.To = 1
 		for _, c := range []*replica.Core{follower1(t), leader1(t)} {
-			if c.Step(simElection, m) == nil {
+			if c.Step(simElectionTimeout, m) == nil {
 				drain(c)
 			}
 		}
--- a/replica/network_test.go
+++ b/replica/network_test.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	simElection  = 100 * time.Millisecond
-	simHeartbeat = 20 * time.Millisecond
-	simStep      = 2 * time.Millisecond
-	simKind      = replica.KindApplication
+	simElectionTimeout   = 100 * time.Millisecond
+	simHeartbeatInterval = 20 * time.Millisecond
+	simStep              = 2 * time.Millisecond
+	simKind              = replica.KindApplication
 )
 
 // faults says how often each fault happens; percentages, unless said otherwise.
 type faults struct {
-	Load                int // of steps with a proposal; a group at rest elects others than a busy one
-	Drop, Double, Late  int // of messages
-	Crash, Freeze, Cut  int // per 1,000 steps, for some replica
-	Link                int // per 1,000 steps: one direction between two replicas is cut
-	Lose, Change, Hand  int // per 1,000 steps: lost disk, membership change, transfer
-	Snapshot, DriftMill int // per 1,000 steps and replica; clock rate off by up to this per mille
+	Load                              int // of steps with a proposal; a group at rest elects others than a busy one
+	Drop, Duplicate, Delay            int // of messages
+	Crash, Freeze, Isolate            int // per 1,000 steps, for some replica
+	CutLink                           int // per 1,000 steps: one direction between two replicas is cut
+	LoseDisk, ChangeMembers, Transfer int // per 1,000 steps: lost disk, membership change, transfer
+	Snapshot, DriftPerMille           int // per 1,000 steps and replica; clock rate off by up to this per mille
 }
 
-// flight is a message under way.
-type flight struct {
-	at time.Duration
-	m  replica.Message
+// delayedMessage is a message under way.
+type delayedMessage struct {
+	deliverAt time.Duration
+	m         replica.Message
 }
 
 // link is one direction between two replicas.
@@ -39,46 +39,46 @@
 
 // node is one replica with a disk that holds only what was synced.
 type node struct {
-	id     uint64
-	core   *replica.Core // nil: down
-	disk   replica.State
-	lost   bool // disk gone for good
-	rate   int64
-	offset time.Duration
-
-	busyUntil time.Duration // frozen until
-	cutUntil  time.Duration
-	upAt      time.Duration
-	crashAt   int // step of the next Ready at which the process dies; 0: none
+	id          uint64
+	core        *replica.Core // nil: down
+	disk        replica.State
+	diskLost    bool // disk gone for good
+	clockRate   int64
+	clockOffset time.Duration
+
+	frozenUntil   time.Duration // frozen until
+	isolatedUntil time.Duration
+	restartAt     time.Duration
+	crashStep     int // step of the next Ready at which the process dies; 0: none
 
 	values   []uint64 // state machine: proposals applied, in order
 	proposed map[replica.Position]uint64
 	reads    map[uint64]uint64 // read id to the index that it must see
-	until    time.Duration     // longest lease given out, on the replica's clock
+	leaseEnd time.Duration     // longest lease given out, on the replica's clock
 }
 
-// world is a group of replicas in virtual time, and what must hold of it.
-type world struct {
-	rng     *rand.Rand
-	faults  faults
-	now     time.Duration
-	nodes   []*node
-	flights []flight
-	links   map[link]time.Duration // cut until
-	nextID  uint64
-	value   uint64
-
-	leaders   map[uint64]uint64                 // by term
-	chosen    []replica.Entry                   // applied anywhere; index i+1
-	chosenIn  []uint64                          // term of the replica that applied it first
-	written   map[replica.Position]writtenEntry // synced anywhere
-	members   replica.Members                   // latest committed
-	membersAt uint64
-	acked     []uint64 // values acknowledged
-	ackIndex  uint64   // highest index acknowledged
-	reads     int
-	installs  int
-	fault     error // first broken promise
+// simulation is a group of replicas in virtual time, and what must hold of it.
+type simulation struct {
+	rng       *rand.Rand
+	faults    faults
+	now       time.Duration
+	nodes     []*node
+	delayed   []delayedMessage
+	links     map[link]time.Duration // cut until
+	nextID    uint64
+	lastValue uint64
+
+	leaders          map[uint64]uint64                 // by term
+	applied          []replica.Entry                   // applied anywhere; index i+1
+	appliedInTerm    []uint64                          // term of the replica that applied it first
+	written          map[replica.Position]writtenEntry // synced anywhere
+	members          replica.Members                   // latest committed
+	membersIndex     uint64
+	ackedValues      []uint64 // values acknowledged
+	ackIndex         uint64   // highest index acknowledged
+	readCount        int
+	snapshotInstalls int
+	violation        error // first broken promise
 }
 
 type writtenEntry struct {
@@ -86,8 +86,8 @@
 	data     string
 }
 
-func newWorld(seed uint64, size int, f faults) *world {
-	w := &world{
+func newSimulation(seed uint64, size int, f faults) *simulation {
+	w := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 7)), faults: f,
 		links: map[link]time.Duration{}, leaders: map[uint64]uint64{}, written: map[replica.Position]writtenEntry{},
 	}
@@ -96,36 +96,36 @@
 		w.members.Voters = append(w.members.Voters, w.nextID)
 	}
 	for _, id := range w.members.Voters {
-		n := w.add(id)
+		n := w.addNode(id)
 		n.disk.Snapshot.Meta.Members = w.members.Clone()
 		w.boot(n)
 	}
 	return w
 }
 
-func (w *world) add(id uint64) *node {
-	drift := int64(w.faults.DriftMill)
-	n := &node{id: id, rate: 1000 - drift + w.rng.Int64N(2*drift+1), offset: time.Duration(w.rng.Int64N(int64(time.Hour)))}
+func (w *simulation) addNode(id uint64) *node {
+	drift := int64(w.faults.DriftPerMille)
+	n := &node{id: id, clockRate: 1000 - drift + w.rng.Int64N(2*drift+1), clockOffset: time.Duration(w.rng.Int64N(int64(time.Hour)))}
 	w.nodes = append(w.nodes, n)
 	return n
 }
 
 func (n *node) clock(now time.Duration) time.Duration {
-	return n.offset + now*time.Duration(n.rate)/1000
+	return n.clockOffset + now*time.Duration(n.clockRate)/1000
 }
 
-func (w *world) failf(format string, args ...any) {
-	if w.fault == nil {
-		w.fault = fmt.Errorf("at %v: "+format, append([]any{w.now}, args...)...)
+func (w *simulation) failf(format string, args ...any) {
+	if w.violation == nil {
+		w.violation = fmt.Errorf("at %v: "+format, append([]any{w.now}, args...)...)
 	}
 }
 
-func (w *world) chance(perMille int) bool { return w.rng.IntN(1000) < perMille }
+func (w *simulation) chance(perMille int) bool { return w.rng.IntN(1000) < perMille }
 
 // boot starts a replica from its disk.
-func (w *world) boot(n *node) {
+func (w *simulation) boot(n *node) {
 	core, err := replica.NewCore(replica.Config{
-		ID: n.id, ElectionTimeout: simElection, HeartbeatInterval: simHeartbeat,
+		ID: n.id, ElectionTimeout: simElectionTimeout, HeartbeatInterval: simHeartbeatInterval,
 		MaxMessageBytes: 200, MaxInflight: 4, Rand: w.rng.Int64N,
 	}, n.disk, n.clock(w.now))
 	if err != nil {
@@ -138,13 +138,13 @@
 	n.reads = map[uint64]uint64{}
 }
 
-func (w *world) crash(n *node) {
+func (w *simulation) crash(n *node) {
 	n.core = nil
-	n.until = 0
-	n.crashAt = 0
-	n.upAt = w.now
+	n.leaseEnd = 0
+	n.crashStep = 0
+	n.restartAt = w.now
 	if w.rng.IntN(2) == 0 {
-		n.upAt += time.Duration(w.rng.Int64N(int64(3 * simElection)))
+		n.restartAt += time.Duration(w.rng.Int64N(int64(3 * simElectionTimeout)))
 	}
 }
 
@@ -173,72 +173,72 @@
 	return b
 }
 
-func (w *world) send(n *node, messages []replica.Message) {
+func (w *simulation) send(n *node, messages []replica.Message) {
 	for _, m := range messages {
-		cut := w.now < n.cutUntil || w.now < w.links[link{m.From, m.To}]
+		cut := w.now < n.isolatedUntil || w.now < w.links[link{m.From, m.To}]
 		if cut || w.rng.IntN(100) < w.faults.Drop {
 			continue
 		}
-		w.fly(m)
-		if w.rng.IntN(100) < w.faults.Double {
-			w.fly(m)
+		w.enqueue(m)
+		if w.rng.IntN(100) < w.faults.Duplicate {
+			w.enqueue(m)
 		}
 	}
 }
 
-// fly sends a copy of m through its encoding; some messages take very long.
-func (w *world) fly(m replica.Message) {
+// enqueue sends a copy of m through its encoding; some messages take very long.
+func (w *simulation) enqueue(m replica.Message) {
 	delay := w.rng.Int64N(int64(5 * time.Millisecond))
-	if w.rng.IntN(100) < w.faults.Late {
-		delay = w.rng.Int64N(int64(5 * simElection))
+	if w.rng.IntN(100) < w.faults.Delay {
+		delay = w.rng.Int64N(int64(5 * simElectionTimeout))
 	}
 	var copied replica.Message
 	if err := msgpack.Unmarshal(encode(m), &copied); err != nil {
 		panic(err)
 	}
-	w.flights = append(w.flights, flight{at: w.now + time.Duration(delay), m: copied})
+	w.delayed = append(w.delayed, delayedMessage{deliverAt: w.now + time.Duration(delay), m: copied})
 }
 
-// work does what the core asks for; the process may die between any two steps.
-func (w *world) work(n *node) {
-	for n.core != nil && w.fault == nil {
+// processReady does what the core asks for; the process may die between any two steps.
+func (w *simulation) processReady(n *node) {
+	for n.core != nil && w.violation == nil {
 		rd, ok := n.core.Ready()
 		if !ok {
 			break
 		}
 		w.send(n, rd.Early)
-		if w.diesAt(n, 1) {
+		if w.crashesAt(n, 1) {
 			return
 		}
 		w.sync(n, rd)
-		if w.diesAt(n, 2) {
+		if w.crashesAt(n, 2) {
 			return
 		}
 		w.send(n, rd.Messages)
-		if w.diesAt(n, 3) {
+		if w.crashesAt(n, 3) {
 			return
 		}
 		w.apply(n, rd)
 		n.core.Advance(rd)
-		w.answerReads(n, rd.Reads)
+		w.checkReads(n, rd.Reads)
 		if w.chance(w.faults.Snapshot) && n.core.AppliedIndex() > n.core.SnapshotIndex() {
-			w.snapshot(n)
+			w.takeSnapshot(n)
 		}
 	}
-	w.observe(n)
+	w.checkNode(n)
 }
 
-func (w *world) diesAt(n *node, step int) bool {
-	if n.crashAt != step {
+func (w *simulation) crashesAt(n *node, step int) bool {
+	if n.crashStep != step {
 		return false
 	}
 	w.crash(n)
 	return true
 }
 
-func (w *world) sync(n *node, rd replica.Ready) {
+func (w *simulation) sync(n *node, rd replica.Ready) {
 	if rd.Snapshot != nil {
-		w.installs++
+		w.snapshotInstalls++
 		n.disk = replica.State{HardState: rd.HardState, Snapshot: *rd.Snapshot}
 	}
 	if !rd.MustSync {
@@ -261,7 +261,7 @@
 
 // checkWritten holds log matching: the same index and term mean the same entry
 // after the same predecessor.
-func (w *world) checkWritten(n *node, e replica.Entry, entry writtenEntry) {
+func (w *simulation) checkWritten(n *node, e replica.Entry, entry writtenEntry) {
 	at := replica.Position{Index: e.Index, Term: e.Term}
 	have, ok := w.written[at]
 	if ok && have != entry {
@@ -270,70 +270,70 @@
 	w.written[at] = entry
 }
 
-func (w *world) apply(n *node, rd replica.Ready) {
+func (w *simulation) apply(n *node, rd replica.Ready) {
 	if rd.Snapshot != nil {
 		n.values = decodeValues(rd.Snapshot.Data)
 	}
 	for _, e := range rd.Committed {
-		w.choose(n, e)
+		w.checkApplied(n, e)
 		if e.Kind == simKind {
 			n.values = append(n.values, decodeValue(e.Data))
 		}
 		at := replica.Position{Index: e.Index, Term: e.Term}
 		if value, ok := n.proposed[at]; ok {
-			w.acked = append(w.acked, value)
+			w.ackedValues = append(w.ackedValues, value)
 			w.ackIndex = max(w.ackIndex, e.Index)
 		}
 	}
 }
 
-// choose holds state-machine safety: all replicas apply the same entries.
-func (w *world) choose(n *node, e replica.Entry) {
-	switch next := uint64(len(w.chosen)) + 1; {
+// checkApplied holds state-machine safety: all replicas apply the same entries.
+func (w *simulation) checkApplied(n *node, e replica.Entry) {
+	switch next := uint64(len(w.applied)) + 1; {
 	case e.Index > next:
 		w.failf("replica %d applied %d before anyone applied %d", n.id, e.Index, next)
 	case e.Index == next:
-		w.chosen = append(w.chosen, e)
-		w.chosenIn = append(w.chosenIn, n.core.Term())
+		w.applied = append(w.applied, e)
+		w.appliedInTerm = append(w.appliedInTerm, n.core.Term())
 	default:
-		if have := w.chosen[e.Index-1]; have.Term != e.Term || string(have.Data) != string(e.Data) {
+		if have := w.applied[e.Index-1]; have.Term != e.Term || string(have.Data) != string(e.Data) {
 			w.failf("state-machine safety: replica %d applied another entry %d", n.id, e.Index)
 		}
 	}
-	if e.Kind == replica.KindMembership && e.Index > w.membersAt {
+	if e.Kind == replica.KindMembership && e.Index > w.membersIndex {
 		w.members = replica.Members{}
-		w.membersAt = e.Index
+		w.membersIndex = e.Index
 		if err := msgpack.Unmarshal(e.Data, &w.members); err != nil {
 			panic(err)
 		}
 	}
 }
 
-func (w *world) answerReads(n *node, reads []replica.ReadState) {
+func (w *simulation) checkReads(n *node, reads []replica.ReadState) {
 	for _, r := range reads {
-		w.reads++
-		if must, ok := n.reads[r.ID]; ok && r.Index < must {
-			w.failf("read at replica %d sees %d, %d was acknowledged before", n.id, r.Index, must)
+		w.readCount++
+		if minIndex, ok := n.reads[r.ID]; ok && r.Index < minIndex {
+			w.failf("read at replica %d sees %d, %d was acknowledged before", n.id, r.Index, minIndex)
 		}
 		delete(n.reads, r.ID)
 	}
 }
 
-func (w *world) snapshot(n *node) {
+func (w *simulation) takeSnapshot(n *node) {
 	s := replica.Snapshot{Meta: n.core.SnapshotMeta(), Data: encode(n.values)}
 	n.disk.Entries = n.disk.Entries[s.Meta.Index-n.disk.Snapshot.Meta.Index:]
 	n.disk.Snapshot = s
 	n.core.Compact(s, uint64(w.rng.IntN(10)), 300)
 }
 
-// observe publishes the lease and holds election safety, leader completeness and
+// checkNode publishes the lease and holds election safety, leader completeness and
 // the index by kind.
-func (w *world) observe(n *node) {
+func (w *simulation) checkNode(n *node) {
 	if n.core == nil {
 		return
 	}
 	if _, until, ok := n.core.Lease(); ok {
-		n.until = max(n.until, until)
+		n.leaseEnd = max(n.leaseEnd, until)
 	}
 	w.checkLastIndexOf(n)
 	if n.core.Role() != replica.Leader {
@@ -347,16 +347,16 @@
 		return
 	}
 	w.leaders[term] = n.id
-	w.checkComplete(n, term)
+	w.checkLeaderCompleteness(n, term)
 }
 
-// checkComplete looks for the entries committed in earlier terms. A candidate
+// checkLeaderCompleteness looks for the entries committed in earlier terms. A candidate
 // that was frozen with its votes may come to lead an old term late; it need not
 // hold what was committed in later ones.
-func (w *world) checkComplete(n *node, term uint64) {
+func (w *simulation) checkLeaderCompleteness(n *node, term uint64) {
 	base := n.disk.Snapshot.Meta.Index
-	for i, e := range w.chosen {
-		if e.Index <= base || w.chosenIn[i] >= term {
+	for i, e := range w.applied {
+		if e.Index <= base || w.appliedInTerm[i] >= term {
 			continue
 		}
 		at := e.Index - base - 1
@@ -367,9 +367,9 @@
 	}
 }
 
-func (w *world) checkLastIndexOf(n *node) {
+func (w *simulation) checkLastIndexOf(n *node) {
 	want := uint64(0)
-	for _, e := range w.chosen[:min(int(n.disk.Snapshot.Meta.Index), len(w.chosen))] {
+	for _, e := range w.applied[:min(int(n.disk.Snapshot.Meta.Index), len(w.applied))] {
 		if e.Kind == simKind {
 			want = e.Index
 		}
@@ -387,10 +387,10 @@
 // checkLeases holds that no two replicas, running or frozen, hold a lease. One
 // that was given out counts to its end, also after its leader has stepped down:
 // an order that relies on it may be under way.
-func (w *world) checkLeases() {
+func (w *simulation) checkLeases() {
 	holder := uint64(0)
 	for _, n := range w.nodes {
-		if n.until <= n.clock(w.now) {
+		if n.leaseEnd <= n.clock(w.now) {
 			continue
 		}
 		if holder != 0 {
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -19,9 +19,9 @@
 
 	outgoing *outgoingSnapshot // nil unless a snapshot is being sent
 
-	heartbeatAcked bool          // whether it has acknowledged a heartbeat of this term
-	lastAckSent    time.Duration // when the latest heartbeat that it has acknowledged was sent
-	lastAckRound   uint64        // round of that heartbeat
+	heartbeatAcked      bool          // whether it has acknowledged a heartbeat of this term
+	ackedHeartbeatSent  time.Duration // when the latest heartbeat that it has acknowledged was sent
+	ackedHeartbeatRound uint64        // round of that heartbeat
 
 	// lostLog is set once the replica lacks entries that it had acknowledged.
 	lostLog bool
--- a/replica/read.go
+++ b/replica/read.go
@@ -70,7 +70,7 @@
 			rounds = append(rounds, c.leaderState.heartbeatRound)
 			continue
 		}
-		rounds = append(rounds, c.leaderState.peers[id].lastAckRound)
+		rounds = append(rounds, c.leaderState.peers[id].ackedHeartbeatRound)
 	}
 	return quorumValue(rounds)
 }
--- a/replica/snapshot_test.go
+++ b/replica/snapshot_test.go
@@ -14,9 +14,9 @@
 // another term; its operator would see a replica that never catches up.
 //
 // Breaks when lastAtMost returns the base whatever its term.
-func TestReplicaThatDiffersAtTheSnapshotIsSentIt(t *testing.T) {
+func TestReplicaConflictingAtSnapshotIndexReceivesSnapshot(t *testing.T) {
 	c, err := replica.NewCore(replica.Config{
-		ID: 1, ElectionTimeout: simElection, HeartbeatInterval: simHeartbeat,
+		ID: 1, ElectionTimeout: simElectionTimeout, HeartbeatInterval: simHeartbeatInterval,
 		MaxMessageBytes: 4, Rand: func(int64) int64 { return 0 },
 	}, replica.State{
 		HardState: replica.HardState{Term: 3},
@@ -26,7 +26,7 @@
 		},
 	}, 0)
 	require.NoError(t, err)
-	c.Tick(simElection)
+	c.Tick(simElectionTimeout)
 	step(t, c, replica.Message{Type: replica.MsgPreVoteReply, From: 2, Term: 4})
 	step(t, c, replica.Message{Type: replica.MsgVoteReply, From: 2, Term: 4})
 	drain(c)
--- a/replica/transfer_test.go
+++ b/replica/transfer_test.go
@@ -13,7 +13,7 @@
 // make the target a second leader during that lease; so it steps down.
 //
 // Breaks when tickHandover goes on after it has asked.
-func TestLeaderThatAskedAnotherToLeadGoesOnNoMore(t *testing.T) {
+func TestLeaderStepsDownAfterUnfinishedTransfer(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
 	require.ErrorIs(t, c.Transfer(1), replica.ErrNotVoter)
@@ -21,16 +21,16 @@
 	require.NoError(t, c.Transfer(2))
 	require.ErrorIs(t, c.Transfer(3), replica.ErrTransferring)
 	drain(c)
-	answer := replica.Message{Type: replica.MsgHeartbeatReply, From: 2, To: 1, Term: 4, Round: 1, Sent: 2 * simElection}
-	require.NoError(t, c.Step(2*simElection, answer))
+	reply := replica.Message{Type: replica.MsgHeartbeatReply, From: 2, To: 1, Term: 4, Round: 1, Sent: 2 * simElectionTimeout}
+	require.NoError(t, c.Step(2*simElectionTimeout, reply))
 	require.Contains(t, drain(c), replica.Message{Type: replica.MsgTimeoutNow, From: 1, To: 2, Term: 4})
 	_, _, leased := c.Lease()
 	require.False(t, leased)
 	_, err := c.Propose(simKind, nil)
 	require.ErrorIs(t, err, replica.ErrTransferring)
 
-	answer.Sent = 3*simElection - 1
-	require.NoError(t, c.Step(3*simElection-1, answer))
-	c.Tick(3 * simElection)
+	reply.Sent = 3*simElectionTimeout - 1
+	require.NoError(t, c.Step(3*simElectionTimeout-1, reply))
+	c.Tick(3 * simElectionTimeout)
 	require.Equal(t, replica.Follower, c.Role())
 }
