--- a/replica/core_test.go
+++ b/replica/core_test.go
@@ -13,9 +13,9 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-var longRun = flag.Bool("replica.long", false, "run the random faults ten times as long")
+var longRun = flag.Bool("replica.long", false, "run the random-fault simulation ten times longer")
 
-// step lets a little time pass, with whatever faults come up.
+// step advances time by simStep and injects faults.
 func (w *simulation) step() {
 	w.now += simStep
 	w.injectFaults()
@@ -27,7 +27,7 @@
 	w.checkLeases()
 }
 
-// advance ticks a replica that runs, and starts one whose time has come.
+// advance ticks a running replica or restarts one that is due.
 func (w *simulation) advance(n *node) {
 	switch {
 	case n.diskLost || w.now < n.frozenUntil:
@@ -90,8 +90,8 @@
 	}
 }
 
-// mayLoseDisk allows one lost disk at a time: the next only after the membership no
-// longer names the last one, but then at once.
+// mayLoseDisk allows one lost disk at a time: the next may follow as soon as the
+// previous replica is removed from the membership.
 func (w *simulation) mayLoseDisk(n *node) bool {
 	if !w.members.Has(n.id) || len(w.members.Voters) < 3 {
 		return false
@@ -99,7 +99,8 @@
 	return !slices.ContainsFunc(w.nodes, func(x *node) bool { return x.diskLost && w.members.Has(x.id) })
 }
 
-// runClients propose, read and operate at a random replica.
+// runClients proposes, reads, transfers leadership and changes the membership at a
+// random replica.
 func (w *simulation) runClients() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if n.core == nil || w.now < n.frozenUntil {
@@ -126,7 +127,8 @@
 	}
 }
 
-// changeMembers replaces lost replicas and otherwise adds and removes one.
+// changeMembers replaces replicas that have lost their disks; otherwise it adds
+// and removes replicas.
 func (w *simulation) changeMembers(n *node) {
 	m := n.core.Members()
 	lost := slices.IndexFunc(w.nodes, func(x *node) bool { return x.diskLost && m.Has(x.id) })
@@ -146,8 +148,8 @@
 	}
 }
 
-// heal ends all faults and reports whether every member then holds everything
-// that was chosen, with one more entry.
+// heal ends all faults and reports whether a further value is acknowledged and
+// every member catches up.
 func (w *simulation) heal() bool {
 	w.faults = faults{Load: 100, DriftPerMille: w.faults.DriftPerMille}
 	clear(w.links)
@@ -176,7 +178,7 @@
 	return true
 }
 
-// checkAcked holds that each acknowledged value was applied, and once.
+// checkAcked checks that each acknowledged value was applied exactly once.
 func (w *simulation) checkAcked() error {
 	count := map[uint64]int{}
 	for _, e := range w.applied {
@@ -192,8 +194,8 @@
 	return w.checkStates()
 }
 
-// checkStates holds that each state machine is a prefix of what was chosen, also
-// after snapshots.
+// checkStates checks that the state of each replica is a prefix of the applied
+// values, also after snapshots.
 func (w *simulation) checkStates() error {
 	var all []uint64
 	for _, e := range w.applied {
@@ -203,13 +205,13 @@
 	}
 	for _, n := range w.nodes {
 		if n.core != nil && !slices.Equal(n.values, all[:min(len(n.values), len(all))]) {
-			return fmt.Errorf("replica %d has another state", n.id)
+			return fmt.Errorf("replica %d has a different state", n.id)
 		}
 	}
 	return nil
 }
 
-// runSimulation plays the faults and returns the first promise that broke.
+// runSimulation runs the simulation with faults and returns the first violation.
 func runSimulation(seed uint64, size, steps int, f faults) (*simulation, error) {
 	w := newSimulation(seed, size, f)
 	for range steps {
@@ -219,7 +221,7 @@
 		}
 	}
 	if !w.heal() {
-		return w, fmt.Errorf("no progress after all faults ended")
+		return w, fmt.Errorf("no progress after the end of all faults")
 	}
 	if w.violation != nil {
 		return w, w.violation
@@ -238,18 +240,19 @@
 	}
 }
 
-// Messages are lost, doubled, late and out of order; processes freeze or die at
-// any step and lose what was not synced; disks are lost and replaced, a second
-// one right after the repair; operators change the membership and plan stops. A
-// user would notice a statement credited that later is gone, two leaders giving
-// orders at once, or a read that shows old state.
+// Guards against violations of Raft's safety properties, the lease and
+// linearizable reads under message loss, duplication and reordering, crashes,
+// frozen processes, lost disks, membership changes and leadership transfers. A
+// caller would see an acknowledged entry vanish, two leaders with a lease, or a
+// stale read.
 //
-// Breaks without any one of these, as was seen with 1,500 runs: free, and upToDate
-// in both votes (handleVote, handlePreVote); bound in enterTerm and both votes;
-// matches in handleAppend and appendAfter; the reset of lastOf in truncate; Sent
-// in handleHeartbeatReply; the wait for leaseHeld in tryHandover; the halt of
-// extendLease in Lease; round+1 and lead.start in assignReads; stalled in
-// resendStalledChunk. The directed tests beside it name those that it misses.
+// With 1,500 runs it fails if any one of these is removed: voteAvailable, and
+// isUpToDate in both votes (handleVote, handlePreVote); ignoresVoteRequests in handleHigherTerm and
+// both votes; matches in handleAppend and appendAfter; the reset of lastByKind in
+// truncate; Sent in handleHeartbeatReply; the wait for leaseEnd in tryTransfer;
+// the condition on extendLease in Lease; heartbeatRound+1 and firstIndex in
+// assignReadIndexes; stalled in resendStalledChunk. The other tests of this
+// package cover what this one misses.
 func TestSafetyUnderRandomFaults(t *testing.T) {
 	steps := 1500
 	if *longRun {
@@ -265,6 +268,8 @@
 	})
 }
 
+// Guards against a simulation that passes because its faults no longer occur: it
+// must reach elections, reads, snapshot installs and lost disks.
 func TestRandomFaultsAreExercised(t *testing.T) {
 	f := faults{Load: 50, Drop: 5, Duplicate: 5, Delay: 2, Crash: 5, Freeze: 5, Isolate: 5, CutLink: 10, LoseDisk: 3, ChangeMembers: 100, Transfer: 10, Snapshot: 50, DriftPerMille: 50}
 	w, err := runSimulation(1, 3, 5000, f)
--- a/replica/election_test.go
+++ b/replica/election_test.go
@@ -23,7 +23,8 @@
 	return c
 }
 
-// leader1 makes replica 1 the leader of term 4, with its first entry at index 3.
+// leader1 returns replica 1 as the leader of term 4, with its first entry at index
+// 3.
 func leader1(t *testing.T) *replica.Core {
 	c := follower1(t)
 	c.Tick(simElectionTimeout)
@@ -34,13 +35,13 @@
 	return c
 }
 
-// step hands m to replica 1 at the end of its first election timeout.
+// step passes m to replica 1 at the end of its first election timeout.
 func step(t *testing.T, c *replica.Core, m replica.Message) {
 	m.To = 1
 	require.NoError(t, c.Step(simElectionTimeout, m))
 }
 
-// drain does all the work and returns the messages sent.
+// drain processes all Ready values and returns the messages sent.
 func drain(c *replica.Core) (sent []replica.Message) {
 	for {
 		rd, ok := c.Ready()
@@ -56,10 +57,10 @@
 	return replica.Message{Type: replica.MsgVote, From: 2, To: 1, Term: term, Index: 9, LogTerm: 9, Force: force}
 }
 
-// A replica restarts right after it answered a heartbeat, and another one stands
-// for election. If it voted, two leaders would hold leases and give orders.
+// A replica that acknowledged a heartbeat just before a restart must not vote
+// during the leader's lease: two leaders could hold leases.
 //
-// Breaks without the promise in startTimers.
+// Fails without ignoreVoteRequestsUntil in initElectionTimer.
 func TestRestartedReplicaDelaysVote(t *testing.T) {
 	c := follower1(t)
 	require.NoError(t, c.Step(simElectionTimeout-1, voteRequest(4, false)))
@@ -70,11 +71,11 @@
 	require.False(t, drain(c)[0].Reject)
 }
 
-// One replica cannot hear the leader and stands for election again and again.
-// The others hear it well; if they helped, commits would stop at every attempt.
-// Only a candidate that the leader itself has asked for is helped.
+// A replica that does not receive the leader's messages must not depose it while
+// others do: commits would stop at each attempt. Only a candidate that the leader
+// itself chose may be elected.
 //
-// Breaks without bound in enterTerm.
+// Fails without ignoresVoteRequests in handleHigherTerm.
 func TestVoterIgnoresVoteRequestsWhileLeaderIsActive(t *testing.T) {
 	c := follower1(t)
 	step(t, c, replica.Message{Type: replica.MsgHeartbeat, From: 3, Term: 3})
@@ -85,11 +86,11 @@
 	require.False(t, drain(c)[0].Reject)
 }
 
-// A leader learns of a later term and steps down, while an order that relies on
-// its lease is under way. Its own vote counted towards that lease, so it may not
-// help to elect another leader before the lease has ended.
+// A deposed leader's own vote counted towards its lease, on which an operation in
+// progress may rely. It must not help to elect another leader before the lease has
+// ended.
 //
-// Breaks without the promise in becomeFollower.
+// Fails without ignoreVoteRequestsUntil in becomeFollower.
 func TestDeposedLeaderDelaysVoteUntilLeaseEnds(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgHeartbeatReply, From: 3, Term: 5, Reject: true})
--- a/replica/leader_test.go
+++ b/replica/leader_test.go
@@ -8,11 +8,11 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// A new leader copies an entry of an earlier term to a majority and dies. Another
-// replica with a later entry at that index may then win and replace it; a caller
-// told that it was committed would see it vanish.
+// An entry of an earlier term on a majority of replicas can still be replaced by a
+// later leader (Raft paper, figure 8). If it were committed, an acknowledged entry
+// could vanish.
 //
-// Breaks without lead.start in maybeCommit.
+// Fails without firstIndex in maybeCommit.
 func TestEntryOfEarlierTermIsNotCommittedByCount(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 2})
@@ -21,11 +21,10 @@
 	require.Equal(t, uint64(3), c.CommitIndex())
 }
 
-// A follower is faster than the leader's own disk, which then fails: the leader
-// has lost the entry that it counted. With the other follower it would elect a
-// leader without it, and an acknowledged change is gone.
+// A follower syncs an entry before the leader does. If the leader counted its own
+// copy and lost it in a crash, an acknowledged entry could vanish.
 //
-// Breaks when matchOf counts the leader's last entry.
+// Fails if matchIndex returns the leader's last index.
 func TestLeaderEntryCountsOnlyOnceSynced(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
@@ -37,11 +36,10 @@
 	require.Equal(t, uint64(4), c.CommitIndex())
 }
 
-// A replica loses its disk and is started under its old id. What it acknowledged
-// before counts towards commits although it is gone; so it counts no more and
-// the operator is told.
+// A replica restarts with an empty disk under its old id. It must be reported and
+// no longer count towards commits.
 //
-// Breaks without the first branch of handleAppendReject.
+// Fails without the first branch of handleAppendReject.
 func TestReplicaWithLostLogIsNotCounted(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
@@ -58,10 +56,10 @@
 	require.Equal(t, uint64(3), c.CommitIndex())
 }
 
-// The last message before a quiet hour is lost. Without a repeat its caller would
-// wait until somebody else proposes something.
+// A lost append must be resent after a heartbeat. Otherwise its caller would wait
+// until the next proposal.
 //
-// Breaks without nudge in handleHeartbeatReply.
+// Fails without appendRequested in handleHeartbeatReply.
 func TestLostAppendIsResentAfterHeartbeat(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
@@ -72,11 +70,11 @@
 	sent := drain(c)
 	require.Len(t, sent, 1)
 	require.Equal(t, replica.MsgAppend, sent[0].Type)
-	require.Equal(t, uint64(4), sent[0].Index, "a replica without entry 4 rejects this and is sent it again")
+	require.Equal(t, uint64(4), sent[0].Index, "a replica without entry 4 rejects this append and is then sent the entry")
 }
 
-// A busy leader must not strain the collector, which would delay heartbeats for
-// everybody: one proposal, its round and its two replies stay within a bound.
+// Bounds the allocations of a commit at the leader, as garbage collection delays
+// heartbeats.
 func TestAllocationsOfACommit(t *testing.T) {
 	c := leader1(t)
 	index := uint64(3)
@@ -91,6 +89,6 @@
 	}
 	commit()
 	allocations := testing.AllocsPerRun(1000, commit)
-	t.Logf("%.1f allocations a commit at a leader of three", allocations)
+	t.Logf("%.1f allocations per commit at the leader of a group of three", allocations)
 	require.Less(t, allocations, 24.0)
 }
--- a/replica/membership_test.go
+++ b/replica/membership_test.go
@@ -8,12 +8,11 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// A leader appends a membership change and is lost before it is committed; the
-// next leader's log has another entry in its place. A replica that kept to the
-// change would count majorities of a membership that never came to be, and a
-// second leader could be elected.
+// An uncommitted membership change is truncated by the next leader. A replica that
+// still applied it would count majorities of a membership that never existed, and
+// a second leader could be elected.
 //
-// Breaks without forgetMemberships in handleAppend.
+// Fails without truncateMemberships in handleAppend.
 func TestMembershipIsRevertedWithItsTruncatedEntry(t *testing.T) {
 	c := follower1(t)
 	changed := replica.Members{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}
@@ -27,18 +26,18 @@
 	require.Empty(t, c.Members().Learners)
 }
 
-// An operator resends a change, removes the leader, promotes a learner that has
-// nothing yet, or changes two replicas at once. Each must be refused, as each
-// could stop the group or split it.
+// Repeated changes, removal of the leader, promotion of a learner that has not
+// caught up and overlapping changes must be rejected: they could block or split
+// the group.
 //
-// Breaks without the checks in ProposeChange, changed and caughtUp.
+// Fails without the checks in ProposeChange, membersAfter and checkCaughtUp.
 func TestInvalidMembershipChangesAreRejected(t *testing.T) {
 	c := leader1(t)
 	propose := func(kind replica.ChangeKind, id uint64) error {
 		_, err := c.ProposeChange(replica.Change{Kind: kind, ID: id})
 		return err
 	}
-	require.ErrorIs(t, propose(replica.AddLearner, 4), replica.ErrChangePending, "the term's first entry is not committed")
+	require.ErrorIs(t, propose(replica.AddLearner, 4), replica.ErrChangePending, "the first entry of the term is not committed")
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
 	require.ErrorIs(t, propose(replica.AddLearner, 3), replica.ErrBadChange)
 	require.ErrorIs(t, propose(replica.Remove, 1), replica.ErrRemoveLeader)
--- a/replica/message_test.go
+++ b/replica/message_test.go
@@ -8,8 +8,8 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// FuzzStep feeds a follower and a leader any bytes that decode to a message. They
-// may refuse it or stop with an error; they must not panic.
+// FuzzStep passes arbitrary decoded messages to a follower and a leader. They may
+// drop a message or return an error, but must not panic.
 func FuzzStep(f *testing.F) {
 	entry := replica.Entry{Index: 3, Term: 3, Kind: replica.KindMembership, Data: encode(replica.Members{Voters: []uint64{1}})}
 	chunk := &replica.SnapshotChunk{Meta: replica.SnapshotMeta{Index: 9, Term: 3}, Total: 4, Data: []byte("data")}
--- a/replica/network_test.go
+++ b/replica/network_test.go
@@ -18,71 +18,73 @@
 	simKind              = replica.KindApplication
 )
 
-// faults says how often each fault happens; percentages, unless said otherwise.
+// faults holds the rate of each fault, in percent unless noted otherwise.
 type faults struct {
-	Load                              int // of steps with a proposal; a group at rest elects others than a busy one
+	Load                              int // of steps with a proposal; elections in an idle group differ from those under load
 	Drop, Duplicate, Delay            int // of messages
-	Crash, Freeze, Isolate            int // per 1,000 steps, for some replica
-	CutLink                           int // per 1,000 steps: one direction between two replicas is cut
-	LoseDisk, ChangeMembers, Transfer int // per 1,000 steps: lost disk, membership change, transfer
-	Snapshot, DriftPerMille           int // per 1,000 steps and replica; clock rate off by up to this per mille
+	Crash, Freeze, Isolate            int // per 1,000 steps, at a random replica
+	CutLink                           int // per 1,000 steps: one direction between two replicas fails
+	LoseDisk, ChangeMembers, Transfer int // per 1,000 steps: disk loss, membership change, leadership transfer
+	Snapshot, DriftPerMille           int // per 1,000 steps and replica; maximum deviation of clock rates, per mille
 }
 
-// delayedMessage is a message under way.
+// delayedMessage is a message in transit.
 type delayedMessage struct {
 	deliverAt time.Duration
 	m         replica.Message
 }
 
-// link is one direction between two replicas.
+// link is one direction of the connection between two replicas.
 type link struct{ from, to uint64 }
 
-// node is one replica with a disk that holds only what was synced.
+// node is a replica with a disk that holds only what was synced.
 type node struct {
 	id          uint64
-	core        *replica.Core // nil: down
+	core        *replica.Core // nil while the process is down
 	disk        replica.State
-	diskLost    bool // disk gone for good
-	clockRate   int64
+	diskLost    bool  // the node does not come back
+	clockRate   int64 // per mille of real time
 	clockOffset time.Duration
 
-	frozenUntil   time.Duration // frozen until
+	frozenUntil   time.Duration
 	isolatedUntil time.Duration
 	restartAt     time.Duration
-	crashStep     int // step of the next Ready at which the process dies; 0: none
+	crashStep     int // step of the next Ready at which the process crashes; 0 for none
 
-	values   []uint64 // state machine: proposals applied, in order
+	values   []uint64 // state machine: applied values in order
 	proposed map[replica.Position]uint64
-	reads    map[uint64]uint64 // read id to the index that it must see
-	leaseEnd time.Duration     // longest lease given out, on the replica's clock
+	reads    map[uint64]uint64 // minimum index by read id
+	leaseEnd time.Duration     // latest lease end returned, on the replica's clock
 }
 
-// simulation is a group of replicas in virtual time, and what must hold of it.
+// simulation runs a group of replicas in virtual time and checks its safety
+// properties.
 type simulation struct {
 	rng       *rand.Rand
 	faults    faults
 	now       time.Duration
 	nodes     []*node
 	delayed   []delayedMessage
-	links     map[link]time.Duration // cut until
+	links     map[link]time.Duration // end of the failure
 	nextID    uint64
 	lastValue uint64
 
-	leaders          map[uint64]uint64                 // by term
-	applied          []replica.Entry                   // applied anywhere; index i+1
-	appliedInTerm    []uint64                          // term of the replica that applied it first
-	written          map[replica.Position]writtenEntry // synced anywhere
-	members          replica.Members                   // latest committed
+	leaders          map[uint64]uint64                 // leader by term
+	applied          []replica.Entry                   // entries applied by any replica, at index i+1
+	appliedInTerm    []uint64                          // term of the first replica that applied the entry
+	written          map[replica.Position]writtenEntry // entries synced by any replica
+	members          replica.Members                   // latest committed membership
 	membersIndex     uint64
-	ackedValues      []uint64 // values acknowledged
-	ackIndex         uint64   // highest index acknowledged
+	ackedValues      []uint64 // acknowledged values
+	ackIndex         uint64   // highest acknowledged index
 	readCount        int
 	snapshotInstalls int
-	violation        error // first broken promise
+	violation        error // first violated property
 }
 
+// writtenEntry identifies an entry's content and its predecessor.
 type writtenEntry struct {
-	previous uint64 // term of the entry before
+	previous uint64 // term of the preceding entry
 	data     string
 }
 
@@ -129,7 +131,7 @@
 		MaxMessageBytes: 200, MaxInflight: 4, Rand: w.rng.Int64N,
 	}, n.disk, n.clock(w.now))
 	if err != nil {
-		w.failf("replica %d does not start: %v", n.id, err)
+		w.failf("replica %d fails to start: %v", n.id, err)
 		return
 	}
 	n.core = core
@@ -186,7 +188,7 @@
 	}
 }
 
-// enqueue sends a copy of m through its encoding; some messages take very long.
+// enqueue encodes and decodes m and delivers it after a random delay.
 func (w *simulation) enqueue(m replica.Message) {
 	delay := w.rng.Int64N(int64(5 * time.Millisecond))
 	if w.rng.IntN(100) < w.faults.Delay {
@@ -199,7 +201,8 @@
 	w.delayed = append(w.delayed, delayedMessage{deliverAt: w.now + time.Duration(delay), m: copied})
 }
 
-// processReady does what the core asks for; the process may die between any two steps.
+// processReady does the work in Ready; the process may crash between any two
+// steps.
 func (w *simulation) processReady(n *node) {
 	for n.core != nil && w.violation == nil {
 		rd, ok := n.core.Ready()
@@ -259,13 +262,13 @@
 	}
 }
 
-// checkWritten holds log matching: the same index and term mean the same entry
-// after the same predecessor.
+// checkWritten checks log matching: entries of the same index and term have the
+// same content and predecessor.
 func (w *simulation) checkWritten(n *node, e replica.Entry, entry writtenEntry) {
 	at := replica.Position{Index: e.Index, Term: e.Term}
 	have, ok := w.written[at]
 	if ok && have != entry {
-		w.failf("log matching: replica %d holds another entry at %+v", n.id, at)
+		w.failf("log matching: replica %d has a different entry at %+v", n.id, at)
 	}
 	w.written[at] = entry
 }
@@ -287,17 +290,18 @@
 	}
 }
 
-// checkApplied holds state-machine safety: all replicas apply the same entries.
+// checkApplied checks state machine safety: all replicas apply the same entry at
+// an index.
 func (w *simulation) checkApplied(n *node, e replica.Entry) {
 	switch next := uint64(len(w.applied)) + 1; {
 	case e.Index > next:
-		w.failf("replica %d applied %d before anyone applied %d", n.id, e.Index, next)
+		w.failf("replica %d applied entry %d before any replica applied %d", n.id, e.Index, next)
 	case e.Index == next:
 		w.applied = append(w.applied, e)
 		w.appliedInTerm = append(w.appliedInTerm, n.core.Term())
 	default:
 		if have := w.applied[e.Index-1]; have.Term != e.Term || string(have.Data) != string(e.Data) {
-			w.failf("state-machine safety: replica %d applied another entry %d", n.id, e.Index)
+			w.failf("state-machine safety: replica %d applied a different entry %d", n.id, e.Index)
 		}
 	}
 	if e.Kind == replica.KindMembership && e.Index > w.membersIndex {
@@ -313,7 +317,7 @@
 	for _, r := range reads {
 		w.readCount++
 		if minIndex, ok := n.reads[r.ID]; ok && r.Index < minIndex {
-			w.failf("read at replica %d sees %d, %d was acknowledged before", n.id, r.Index, minIndex)
+			w.failf("stale read at replica %d: index %d, but %d was acknowledged before", n.id, r.Index, minIndex)
 		}
 		delete(n.reads, r.ID)
 	}
@@ -326,8 +330,8 @@
 	n.core.Compact(s, uint64(w.rng.IntN(10)), 300)
 }
 
-// checkNode publishes the lease and holds election safety, leader completeness and
-// the index by kind.
+// checkNode records the lease and checks election safety, leader completeness and
+// LastIndexOf.
 func (w *simulation) checkNode(n *node) {
 	if n.core == nil {
 		return
@@ -342,7 +346,7 @@
 	term := n.core.Term()
 	if other, ok := w.leaders[term]; ok {
 		if other != n.id {
-			w.failf("election safety: %d and %d lead term %d", other, n.id, term)
+			w.failf("election safety: replicas %d and %d are both leader of term %d", other, n.id, term)
 		}
 		return
 	}
@@ -350,9 +354,9 @@
 	w.checkLeaderCompleteness(n, term)
 }
 
-// checkLeaderCompleteness looks for the entries committed in earlier terms. A candidate
-// that was frozen with its votes may come to lead an old term late; it need not
-// hold what was committed in later ones.
+// checkLeaderCompleteness checks that the leader has the entries committed in
+// earlier terms. A frozen candidate may become the leader of an old term late; it
+// need not have entries committed in later terms.
 func (w *simulation) checkLeaderCompleteness(n *node, term uint64) {
 	base := n.disk.Snapshot.Meta.Index
 	for i, e := range w.applied {
@@ -384,9 +388,9 @@
 	}
 }
 
-// checkLeases holds that no two replicas, running or frozen, hold a lease. One
-// that was given out counts to its end, also after its leader has stepped down:
-// an order that relies on it may be under way.
+// checkLeases checks that at most one replica, running or frozen, holds a lease. A
+// lease counts until its end even after the leader has stepped down, because an
+// operation that relies on it may be in progress.
 func (w *simulation) checkLeases() {
 	holder := uint64(0)
 	for _, n := range w.nodes {
@@ -394,7 +398,7 @@
 			continue
 		}
 		if holder != 0 {
-			w.failf("lease: %d and %d hold one", holder, n.id)
+			w.failf("lease: replicas %d and %d both hold one", holder, n.id)
 		}
 		holder = n.id
 	}
--- a/replica/snapshot_test.go
+++ b/replica/snapshot_test.go
@@ -8,12 +8,12 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// A replica was cut off with entries that were never committed, while the others
-// went on and dropped from memory what it lacks. The random faults found that it
-// was offered the entry at the snapshot's index for ever, which it holds with
-// another term; its operator would see a replica that never catches up.
+// A replica's uncommitted entry conflicts with the leader's entry at the snapshot
+// index, and the leader has compacted the entries before it. The leader must send
+// the snapshot; if it kept probing at that index, the replica would never catch
+// up.
 //
-// Breaks when lastAtMost returns the base whatever its term.
+// Fails if findConflictByTerm returns base whatever its term.
 func TestReplicaConflictingAtSnapshotIndexReceivesSnapshot(t *testing.T) {
 	c, err := replica.NewCore(replica.Config{
 		ID: 1, ElectionTimeout: simElectionTimeout, HeartbeatInterval: simHeartbeatInterval,
--- a/replica/transfer_test.go
+++ b/replica/transfer_test.go
@@ -8,11 +8,11 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// A planned stop hands leadership over, and the request to the target is lost or
-// late. If the old leader went on and took a lease again, the late request would
-// make the target a second leader during that lease; so it steps down.
+// MsgTimeoutNow is lost or delayed. If the old leader took a lease again, the
+// delayed message could make the target a second leader during that lease; so the
+// old leader must step down.
 //
-// Breaks when tickHandover goes on after it has asked.
+// Fails if tickTransfer continues as leader after MsgTimeoutNow was sent.
 func TestLeaderStepsDownAfterUnfinishedTransfer(t *testing.T) {
 	c := leader1(t)
 	step(t, c, replica.Message{Type: replica.MsgAppendReply, From: 2, Term: 4, Index: 3})
