--- a/replica/core_test.go
+++ b/replica/core_test.go
@@ -40,9 +40,9 @@
 }
 
 func (w *simulation) deliver() {
-	flights := w.delayed
+	messages := w.delayed
 	w.delayed = nil
-	for _, f := range flights {
+	for _, f := range messages {
 		n := w.findNode(f.m.To)
 		switch {
 		case f.deliverAt > w.now || (n != nil && w.now < n.frozenUntil):
