--- a/replica/read.go
+++ b/replica/read.go
@@ -1,72 +1,76 @@
 package replica
 
-// pendingRead waits for a majority to answer a heartbeat sent after it came.
+// pendingRead is a read that waits until a majority has acknowledged a heartbeat
+// sent after the read was requested.
 type pendingRead struct {
 	id    uint64
 	index uint64
-	round uint64 // 0: the term's first entry is not committed yet
+	round uint64 // of that heartbeat; 0 until the first entry of the term is committed
 }
 
-// ReadIndex asks for a point from which a read sees everything acknowledged
-// before now. The answer comes in Ready.Reads; if this replica stops being the
-// leader first, none comes.
+// ReadIndex requests a read index: an index whose state includes everything
+// acknowledged before the call. It is returned in Ready.Reads with this id, or
+// never if the replica stops being the leader.
 //
-// The leader asks a majority before it answers. Without that a leader that was
-// replaced while it was cut off would serve old state as if it were current.
+// The leader first confirms its leadership with a majority. Otherwise a
+// partitioned leader that was replaced would serve stale reads.
 func (c *Core) ReadIndex(id uint64) error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	c.lead.reads = append(c.lead.reads, pendingRead{id: id})
-	c.assignReads()
+	c.leaderState.pendingReads = append(c.leaderState.pendingReads, pendingRead{id: id})
+	c.assignReadIndexes()
 	return nil
 }
 
-// assignReads fixes the index of reads that waited for the term's first entry.
-// Before that entry is committed the commit index may be behind what an earlier
-// leader has acknowledged.
-func (c *Core) assignReads() {
-	if c.log.commit < c.lead.start {
+// assignReadIndexes sets the index of new reads once the first entry of the term
+// is committed. Until then the commit index may be behind what an earlier leader
+// has acknowledged.
+func (c *Core) assignReadIndexes() {
+	if c.log.commit < c.leaderState.firstIndex {
 		return
 	}
-	for i := range c.lead.reads {
-		r := &c.lead.reads[i]
+	for i := range c.leaderState.pendingReads {
+		r := &c.leaderState.pendingReads[i]
 		if r.round > 0 {
 			continue
 		}
 		r.index = c.log.commit
-		r.round = c.lead.round + 1
-		c.lead.beatDue = true
+		r.round = c.leaderState.heartbeatRound + 1
+		c.leaderState.heartbeatDue = true
 	}
 }
 
-// releaseReads answers the reads whose heartbeat a majority has answered.
-func (c *Core) releaseReads() {
-	c.assignReads()
-	if len(c.lead.reads) == 0 {
+// completeReads moves the reads whose heartbeat a majority has acknowledged to
+// readStates.
+func (c *Core) completeReads() {
+	c.assignReadIndexes()
+	if len(c.leaderState.pendingReads) == 0 {
 		return
 	}
-	confirmed := c.quorumRound()
-	waiting := c.lead.reads[:0]
-	for _, r := range c.lead.reads {
-		if r.round == 0 || r.round > confirmed {
-			waiting = append(waiting, r)
+	ackedRound := c.quorumRound()
+	unconfirmed := c.leaderState.pendingReads[:0]
+	for _, r := range c.leaderState.pendingReads {
+		if r.round == 0 || r.round > ackedRound {
+			unconfirmed = append(unconfirmed, r)
 			continue
 		}
 		c.readStates = append(c.readStates, ReadState{ID: r.id, Index: r.index})
 	}
-	c.lead.reads = waiting
+	c.leaderState.pendingReads = unconfirmed
 }
 
+// quorumRound returns the number of the latest heartbeat that a majority of voters
+// has acknowledged.
 func (c *Core) quorumRound() uint64 {
 	voters := c.Members().Voters
 	rounds := make([]uint64, 0, len(voters))
 	for _, id := range voters {
 		if id == c.cfg.ID {
-			rounds = append(rounds, c.lead.round)
+			rounds = append(rounds, c.leaderState.heartbeatRound)
 			continue
 		}
-		rounds = append(rounds, c.lead.peers[id].ackRound)
+		rounds = append(rounds, c.leaderState.peers[id].ackedHeartbeatRound)
 	}
 	return quorumValue(rounds)
 }
--- a/replica/snapshot_test.go
+++ b/replica/snapshot_test.go
@@ -8,15 +8,15 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// A replica was cut off with entries that were never committed, while the others
-// went on and dropped from memory what it lacks. The random faults found that it
-// was offered the entry at the snapshot's index for ever, which it holds with
-// another term; its operator would see a replica that never catches up.
+// A replica's uncommitted entry conflicts with the leader's entry at the snapshot
+// index, and the leader has compacted the entries before it. The leader must send
+// the snapshot; if it kept probing at that index, the replica would never catch
+// up.
 //
-// Breaks when lastAtMost returns the base whatever its term.
-func TestReplicaThatDiffersAtTheSnapshotIsSentIt(t *testing.T) {
+// Fails if findConflictByTerm returns base whatever its term.
+func TestReplicaConflictingAtSnapshotIndexReceivesSnapshot(t *testing.T) {
 	c, err := replica.NewCore(replica.Config{
-		ID: 1, ElectionTimeout: simElection, HeartbeatInterval: simHeartbeat,
+		ID: 1, ElectionTimeout: simElectionTimeout, HeartbeatInterval: simHeartbeatInterval,
 		MaxMessageBytes: 4, Rand: func(int64) int64 { return 0 },
 	}, replica.State{
 		HardState: replica.HardState{Term: 3},
@@ -26,7 +26,7 @@
 		},
 	}, 0)
 	require.NoError(t, err)
-	c.Tick(simElection)
+	c.Tick(simElectionTimeout)
 	step(t, c, replica.Message{Type: replica.MsgPreVoteReply, From: 2, Term: 4})
 	step(t, c, replica.Message{Type: replica.MsgVoteReply, From: 2, Term: 4})
 	drain(c)
