--- a/entry/lane.go
+++ b/entry/lane.go
@@ -173,12 +173,12 @@
 	queue.Parts(l.parts, l.entries, turn)
 	for i, o := range l.occupancies {
 		reported := max(0, o.Slots-o.Reported)
-		believed := max(0, o.Slots-o.Reported-o.Own)
+		believed := max(0, o.Slots-o.Reported-o.OwnSinceReport)
 		s.Total += o.Slots
 		s.Free += reported
 		s.Own += reported - believed
 		if believed > 0 {
-			s.Mine += max(0, l.parts[i]-o.Own)
+			s.Mine += max(0, l.parts[i]-o.OwnSinceReport)
 		}
 	}
 	return s
@@ -333,13 +333,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id := range l.slots {
-		slow := l.router.Eased(id) < slowShare
+		slow := l.router.HealthWeight(id) < slowShare
 		if slow == l.slow[id] {
 			continue
 		}
 		l.slow[id] = slow
 		event.Log(context.Background(), l.log, slog.LevelWarn, event.ServerSlow,
-			slog.String("server", id), slog.Bool("slow", slow), slog.Float64("share", l.router.Share(id, now)))
+			slog.String("server", id), slog.Bool("slow", slow), slog.Float64("share", l.router.Weight(id, now)))
 	}
 }
 
@@ -363,7 +363,7 @@
 func (l *lane) leave(id string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.router.Leave(id, incarnation)
+	l.router.MarkLeaving(id, incarnation)
 	delete(l.slots, id)
 }
 
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -105,7 +105,7 @@
 		delete(s.asked, rec.ID)
 	case rec.State == instance.StateLeaving:
 		s.servers[rec.ID] = rec
-		s.router.Leave(rec.ID, rec.Incarnation)
+		s.router.MarkLeaving(rec.ID, rec.Incarnation)
 	case rec.Silent:
 		s.servers[rec.ID] = rec
 		s.router.Remove(rec.ID)
@@ -159,7 +159,7 @@
 
 // ownLoad is what this entry has running at a server. s.mu is held.
 func (s *service) ownLoad(id string) serverLoad {
-	return serverLoad{Server: id, Running: s.running[id], Prefill: s.router.Prefill(id)}
+	return serverLoad{Server: id, Running: s.running[id], Prefill: s.router.PendingPrefillTokens(id)}
 }
 
 // ownLoads returns what this entry has running, by server.
@@ -186,7 +186,7 @@
 	defer s.mu.Unlock()
 	for _, l := range loads {
 		s.asked[l.Server] = now
-		s.router.NoteLoad(l.Server, l.Running, l.Prefill, now)
+		s.router.UpdateLoad(l.Server, l.Running, l.Prefill, now)
 	}
 }
 
@@ -222,7 +222,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, n := range s.running {
-		list = append(list, api.ServerLoad{Server: id, Running: n, Prefill: s.router.Prefill(id)})
+		list = append(list, api.ServerLoad{Server: id, Running: n, Prefill: s.router.PendingPrefillTokens(id)})
 	}
 	return list
 }
@@ -231,14 +231,14 @@
 func (s *service) suggestRate(rate float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.router.SuggestRate(rate)
+	s.router.SuggestPrefillRate(rate)
 }
 
 // workDone returns what this entry has given the servers to read.
 func (s *service) workDone() api.ServiceWork {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return api.ServiceWork{Service: s.name, Tokens: s.work, Rate: s.router.LearntRate()}
+	return api.ServiceWork{Service: s.name, Tokens: s.work, Rate: s.router.LearnedPrefillRate()}
 }
 
 // noteOthers takes what other entries have running at the servers now.
--- a/policy/booking/herd_test.go
+++ b/policy/booking/herd_test.go
@@ -139,7 +139,7 @@
 	if h.asking {
 		for _, id := range r.Candidates(req, nil) {
 			l := h.book.Others(entryName(e), id, herdRate, h.now)
-			r.NoteLoad(id, l.Running, l.Prefill, h.now)
+			r.UpdateLoad(id, l.Running, l.Prefill, h.now)
 		}
 	}
 	v := r.Choose(req)
--- a/policy/policytest/routed.go
+++ b/policy/policytest/routed.go
@@ -55,7 +55,7 @@
 	r.announced = true
 	for i, v := range view {
 		if !v.Alive {
-			r.router.Leave(serverName(i), incarnation)
+			r.router.MarkLeaving(serverName(i), incarnation)
 			continue
 		}
 		r.router.Announce(&instance.Announcement{
--- a/policy/route/ahead_test.go
+++ b/policy/route/ahead_test.go
@@ -10,8 +10,8 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// idle returns a Router that knows idle servers, and the time then.
-func idle(t *testing.T, servers int) (*Router, time.Time) {
+// newIdleRouter returns a Router that knows newIdleRouter servers, and the time then.
+func newIdleRouter(t *testing.T, servers int) (*Router, time.Time) {
 	r, err := New(DefaultConfig())
 	require.NoError(t, err)
 	now := time.Unix(1000, 0)
@@ -26,12 +26,12 @@
 // a tenth. Once it must have been read, nobody avoids the server any more.
 //
 // It breaks if reported prompts are not counted, or counted until the next report.
-func TestReportedPromptsAreReadOn(t *testing.T) {
-	r, now := idle(t, 4)
+func TestReportedPromptTokensDrain(t *testing.T) {
+	r, now := newIdleRouter(t, 4)
 	r.Announce(&instance.Announcement{
 		ID: "s2", Incarnation: 1, Sequence: 2, Slots: 64, State: instance.StateServing, Load: instance.Load{Prefill: 50_000},
 	}, now, now)
-	hits := func(at time.Time) (n int) {
+	chosen := func(at time.Time) (n int) {
 		for i := range 400 {
 			if v := r.Choose(&Request{Now: at, Seed: uint64(i), PromptTokens: 300}); v.Server == "s2" {
 				n++
@@ -39,9 +39,9 @@
 		}
 		return n
 	}
-	require.Zero(t, hits(now.Add(100*time.Millisecond)))
-	read := time.Duration(50_000 / r.PrefillRate() * float64(time.Second))
-	require.Greater(t, hits(now.Add(read)), 50, "it has been read")
+	require.Zero(t, chosen(now.Add(100*time.Millisecond)))
+	readTime := time.Duration(50_000 / r.PrefillRate() * float64(time.Second))
+	require.Greater(t, chosen(now.Add(readTime)), 50, "it has been read")
 }
 
 // A server falls silent for a moment while it runs requests, and is heard again: the same
@@ -49,8 +49,8 @@
 // as if less than nothing waited there, and draw the requests of all callers.
 //
 // It breaks without server.entry.
-func TestServerThatWasSilentOwesNothing(t *testing.T) {
-	r, now := idle(t, 1)
+func TestReaddedServerIgnoresOldAttempt(t *testing.T) {
+	r, now := newIdleRouter(t, 1)
 	v := r.Choose(&Request{Now: now, PromptTokens: 20_000})
 	require.True(t, v.OK())
 	a := r.Started(&v, now)
@@ -58,7 +58,7 @@
 	r.Announce(&instance.Announcement{ID: "s0", Incarnation: 1, Sequence: 2, Slots: 64, State: instance.StateServing}, now, now)
 	r.Finished(&a, now.Add(time.Second))
 	s := &r.servers[0]
-	require.Zero(t, r.ahead(s, now))
-	require.Zero(t, s.own)
-	require.Zero(t, s.health.pending)
+	require.Zero(t, r.queuedTokens(s, now))
+	require.Zero(t, s.ownRequests)
+	require.Zero(t, s.health.pendingRequests)
 }
--- a/policy/route/attempt.go
+++ b/policy/route/attempt.go
@@ -5,39 +5,39 @@
 // Attempt is one request on one server, from Started to Finished or Failed. It
 // is the caller's to keep; the Router holds no reference to it.
 type Attempt struct {
-	slot        int
-	entry       uint64 // of the server in the Router
-	incarnation uint64
-	started     time.Time
-	uncached    int
-	expected    time.Duration // until the first token
-	waiting     bool          // for the first token
-	open        bool
+	slot               int
+	registration       uint64 // of the server in the Router
+	incarnation        uint64
+	started            time.Time
+	uncachedTokens     int
+	expectedFirstToken time.Duration // until the first token
+	awaitsFirstToken   bool          // for the first token
+	open               bool
 }
 
 // Started counts a request that is being sent to the verdict's server. The
 // verdict must have a server.
 func (r *Router) Started(v *Verdict, now time.Time) Attempt {
-	a := Attempt{slot: -1, incarnation: v.Incarnation, started: now, uncached: v.uncached}
-	slot, ok := r.index.slots[v.Server]
+	a := Attempt{slot: -1, incarnation: v.Incarnation, started: now, uncachedTokens: v.uncachedTokens}
+	slot, ok := r.index.slotByID[v.Server]
 	if !ok || slot >= len(r.servers) || r.servers[slot].incarnation != v.Incarnation {
 		return a
 	}
 	s := &r.servers[slot]
-	a.slot, a.entry, a.waiting, a.open = slot, s.entry, true, true
-	a.expected = r.expected(s, a.uncached, now)
-	r.sends.note(now)
+	a.slot, a.registration, a.awaitsFirstToken, a.open = slot, s.registration, true, true
+	a.expectedFirstToken = r.firstTokenEstimate(s, a.uncachedTokens, now)
+	r.sendRate.record(now)
 	s.started(now)
-	s.health.started(now, a.uncached)
+	s.health.addPending(now, a.uncachedTokens)
 	return a
 }
 
-// expected is how long a healthy server may take to the first token: the prefill
+// firstTokenEstimate is how long a healthy server may take to the first token: the prefill
 // of the request and of those that this entry has waiting there, and the wait
 // for a slot.
-func (r *Router) expected(s *server, uncached int, now time.Time) time.Duration {
-	prefill := float64(uncached+r.ahead(s, now)) / r.cfg.PrefillRate
-	return overhead + seconds(prefill) + r.slotWait(s)
+func (r *Router) firstTokenEstimate(s *server, uncached int, now time.Time) time.Duration {
+	prefill := float64(uncached+r.queuedTokens(s, now)) / r.cfg.PrefillRate
+	return firstTokenOverhead + seconds(prefill) + r.slotWait(s)
 }
 
 // slotWait is how long a request may wait for a slot: not at all on a server
@@ -46,7 +46,7 @@
 // equal to capacity: a quarter of the servers, the most allowed, eased off).
 func (r *Router) slotWait(s *server) time.Duration {
 	use := (s.load() + 1) / s.slots
-	if use < nearlyFull {
+	if use < nearlyFullFraction {
 		return 0
 	}
 	return seconds((1 + max(use-1, 0)) * r.cfg.SlotTime.Seconds())
@@ -55,74 +55,74 @@
 // FirstToken notes the first byte of the answer.
 func (r *Router) FirstToken(a *Attempt, now time.Time) {
 	s := r.serverOf(a)
-	if s == nil || !a.waiting {
+	if s == nil || !a.awaitsFirstToken {
 		return
 	}
-	a.waiting = false
-	s.health.settled(now, a.uncached)
-	s.health.failures = 0
+	a.awaitsFirstToken = false
+	s.health.removePending(now, a.uncachedTokens)
+	s.health.failuresInRow = 0
 	elapsed := now.Sub(a.started)
-	r.learn(a, elapsed)
-	s.health.sample(float64(elapsed) / float64(a.expected))
-	r.firstToken += time.Duration(sampleWeight * float64(elapsed-r.firstToken) / float64(len(r.servers)))
+	r.learnPrefillRate(a, elapsed)
+	s.health.addSample(float64(elapsed) / float64(a.expectedFirstToken))
+	r.meanFirstToken += time.Duration(sampleSmoothing * float64(elapsed-r.meanFirstToken) / float64(len(r.servers)))
 }
 
 const (
-	// learnTokens is the least prefill from which the rate is learnt: a shorter one
+	// minLearnTokens is the least prefill from which the rate is learnt: a shorter one
 	// is mostly overhead.
-	learnTokens = 1500
-	// learnStep is by how much a sample that was faster than expected raises the learnt
+	minLearnTokens = 1500
+	// minLearnStep is by how much a sample that was faster than expected raises the learnt
 	// rate. One that was slower lowers it by a third of that, so that a quarter of the
 	// samples are faster: most first tokens have waited for other work, and under an
 	// overload nearly all have. With the median the rate fell to a tenth of the truth
 	// then, and the fleet was taken to need three times what it began with.
-	learnStep = 0.03
-	slowPart  = 1.0 / 3
-	// learnFirst is the first step. The steps shrink to learnStep over a few dozen
+	minLearnStep     = 0.03
+	slowStepFraction = 1.0 / 3
+	// firstLearnStep is the first step. The steps shrink to learnStep over a few dozen
 	// samples: with short ones alone a rate that is ten times too low took half a
 	// minute to be found, and meanwhile a cached part counted for ten times its worth.
-	learnFirst = 0.3
-	// learnFade is after how many samples the step is half of the first.
-	learnFade = 6
-	// learnEnough is how many samples make the rate fit for others to rely on.
-	learnEnough = 40
-	// leastRate and mostRate bound the learnt rate, in tokens per second.
-	leastRate = 1_000
-	mostRate  = 200_000
+	firstLearnStep = 0.3
+	// learnStepHalvingSamples is after how many samples the step is half of the first.
+	learnStepHalvingSamples = 6
+	// minRateSamples is how many samples make the rate fit for others to rely on.
+	minRateSamples = 40
+	// minPrefillRate and mostRate bound the learnt rate, in tokens per second.
+	minPrefillRate = 1_000
+	maxPrefillRate = 200_000
 )
 
-// learn moves the prefill rate towards what a first token has shown. Its time is
+// learnPrefillRate moves the prefill rate towards what a first token has shown. Its time is
 // that of its own prefill and of what was ahead of it.
-func (r *Router) learn(a *Attempt, elapsed time.Duration) {
-	if !r.cfg.LearnPrefill || a.uncached < learnTokens || elapsed <= 0 {
+func (r *Router) learnPrefillRate(a *Attempt, elapsed time.Duration) {
+	if !r.cfg.LearnPrefill || a.uncachedTokens < minLearnTokens || elapsed <= 0 {
 		return
 	}
-	step := max(learnFirst*learnFade/(learnFade+float64(r.learnt)), learnStep)
-	r.learnt++
-	if a.expected > elapsed {
-		r.cfg.PrefillRate = min(r.cfg.PrefillRate*(1+step), mostRate)
+	step := max(firstLearnStep*learnStepHalvingSamples/(learnStepHalvingSamples+float64(r.rateSamples)), minLearnStep)
+	r.rateSamples++
+	if a.expectedFirstToken > elapsed {
+		r.cfg.PrefillRate = min(r.cfg.PrefillRate*(1+step), maxPrefillRate)
 		return
 	}
-	r.cfg.PrefillRate = max(r.cfg.PrefillRate/(1+step*slowPart), leastRate)
+	r.cfg.PrefillRate = max(r.cfg.PrefillRate/(1+step*slowStepFraction), minPrefillRate)
 }
 
-// SuggestRate takes the rate that other entries have learnt, where this one has not
+// SuggestPrefillRate takes the rate that other entries have learnt, where this one has not
 // learnt it yet.
-func (r *Router) SuggestRate(rate float64) {
-	if !r.cfg.LearnPrefill || rate <= 0 || r.learnt >= learnEnough {
+func (r *Router) SuggestPrefillRate(rate float64) {
+	if !r.cfg.LearnPrefill || rate <= 0 || r.rateSamples >= minRateSamples {
 		return
 	}
-	r.cfg.PrefillRate = min(max(rate, leastRate), mostRate)
-	r.learnt = learnEnough
+	r.cfg.PrefillRate = min(max(rate, minPrefillRate), maxPrefillRate)
+	r.rateSamples = minRateSamples
 }
 
 // PrefillRate returns the rate in use, in tokens per second.
 func (r *Router) PrefillRate() float64 { return r.cfg.PrefillRate }
 
-// LearntRate returns the rate in use once enough first tokens have shown it, and 0
+// LearnedPrefillRate returns the rate in use once enough first tokens have shown it, and 0
 // before that.
-func (r *Router) LearntRate() float64 {
-	if r.learnt < learnEnough {
+func (r *Router) LearnedPrefillRate() float64 {
+	if r.rateSamples < minRateSamples {
 		return 0
 	}
 	return r.cfg.PrefillRate
@@ -141,8 +141,8 @@
 // timeout or server error. Calls after the first have no effect.
 func (r *Router) Failed(a *Attempt, now time.Time) {
 	if s := r.serverOf(a); s != nil {
-		s.health.failed()
-		r.close(s, a, now)
+		s.health.addFailure()
+		r.closeUnanswered(s, a, now)
 	}
 	a.open = false
 }
@@ -151,17 +151,17 @@
 // the server. Calls after the first have no effect.
 func (r *Router) Cancelled(a *Attempt, now time.Time) {
 	if s := r.serverOf(a); s != nil {
-		r.close(s, a, now)
+		r.closeUnanswered(s, a, now)
 	}
 	a.open = false
 }
 
-func (r *Router) close(s *server, a *Attempt, now time.Time) {
-	if a.waiting {
-		since := s.health.pendingSince
-		s.health.settled(now, a.uncached)
-		s.health.pendingSince = since // an end without an answer is no sign of life
-		a.waiting = false
+func (r *Router) closeUnanswered(s *server, a *Attempt, now time.Time) {
+	if a.awaitsFirstToken {
+		since := s.health.waitingSince
+		s.health.removePending(now, a.uncachedTokens)
+		s.health.waitingSince = since // an end without an answer is no sign of life
+		a.awaitsFirstToken = false
 	}
 	s.ended(now)
 }
@@ -174,7 +174,7 @@
 		return nil
 	}
 	s := &r.servers[a.slot]
-	if s.id == "" || s.entry != a.entry || s.incarnation != a.incarnation {
+	if s.id == "" || s.registration != a.registration || s.incarnation != a.incarnation {
 		return nil
 	}
 	return s
--- a/policy/route/demand.go
+++ b/policy/route/demand.go
@@ -10,47 +10,47 @@
 const (
 	demandCells  = 1024
 	demandWindow = 2 * time.Second
-	// hotCount is the number of requests for one key in this window and the one
+	// hotRequestCount is the number of requests for one key in this window and the one
 	// before from which on it counts as shared. A conversation sends its next
 	// turn when it has the answer, so one or two is usual.
-	hotCount = 3
+	hotRequestCount = 3
 )
 
-// demand counts this entry's recent requests by affinity key, to tell a prefix
+// demandSketch counts this entry's recent requests by affinity key, to tell a prefix
 // that many callers share from a conversation that one caller has. The first
 // must spread over servers, the second must stay where it is cached. Keys that
 // share a cell count as one, which errs towards spreading.
-type demand struct {
+type demandSketch struct {
 	cells [demandCells]demandCell
 }
 
 type demandCell struct {
-	window int64
-	count  uint16
-	before uint16 // count of the window before
+	window   int64
+	count    uint16
+	previous uint16 // count of the window before
 }
 
-// note counts a request and returns how many the key has had lately.
-func (d *demand) note(key uint64, now time.Time) int {
+// record counts a request and returns how many the key has had lately.
+func (d *demandSketch) record(key uint64, now time.Time) int {
 	c := &d.cells[hash.Pair(key, 0)%demandCells]
 	window := now.UnixNano() / int64(demandWindow)
 	switch {
 	case window == c.window+1:
-		c.before, c.count = c.count, 0
+		c.previous, c.count = c.count, 0
 	case window != c.window:
-		c.before, c.count = 0, 0
+		c.previous, c.count = 0, 0
 	}
 	c.window = window
 	c.count += min(1, ^c.count)
-	return int(c.count) + int(c.before)
+	return int(c.count) + int(c.previous)
 }
 
-// lately returns how many requests the key has had lately, without counting one.
-func (d *demand) lately(key uint64, now time.Time) int {
+// recentCount returns how many requests the key has had recentCount, without counting one.
+func (d *demandSketch) recentCount(key uint64, now time.Time) int {
 	c := &d.cells[hash.Pair(key, 0)%demandCells]
 	switch now.UnixNano()/int64(demandWindow) - c.window {
 	case 0:
-		return int(c.count) + int(c.before)
+		return int(c.count) + int(c.previous)
 	case 1:
 		return int(c.count)
 	default:
@@ -58,8 +58,8 @@
 	}
 }
 
-// hot counts a request and reports whether many callers share its key. Without
+// recordAndCheckHot counts a request and reports whether many callers share its key. Without
 // a key there is nothing to keep together, which is the same.
-func (d *demand) hot(key uint64, now time.Time) bool {
-	return key == 0 || d.note(key, now) >= hotCount
+func (d *demandSketch) recordAndCheckHot(key uint64, now time.Time) bool {
+	return key == 0 || d.record(key, now) >= hotRequestCount
 }
--- a/policy/route/index.go
+++ b/policy/route/index.go
@@ -14,9 +14,9 @@
 	// servers at the bound that share nothing take 111 MB. A prefix that is not
 	// kept costs one prefill.
 	maxServerPrefixes = 1024
-	// maxHeldEvents bounds the events kept for replay while a listing is on its
+	// maxBufferedEvents bounds the events kept for replay while a listing is on its
 	// way: more than a server stores in the second that a listing takes.
-	maxHeldEvents = 256
+	maxBufferedEvents = 256
 )
 
 // ApplyResult says what a PrefixIndex did with a cache event.
@@ -65,34 +65,34 @@
 // then the index goes on with what it knows, since a wrong entry costs one
 // prefill and no answer. Not safe for concurrent use.
 type PrefixIndex struct {
-	slots   map[string]int
-	servers []indexedServer // by slot
-	free    []int           // slots to use again
-	entries map[uint64]*prefixEntry
-	seen    []uint64 // scratch of match: one bit per slot
+	slotByID       map[string]int
+	servers        []indexedServer // by slot
+	freeSlots      []int           // slots to use again
+	prefixes       map[uint64]*prefixEntry
+	matchedHolders []uint64 // scratch of match: one bit per slot
 }
 
 type prefixEntry struct {
-	tokens  int32
-	count   int
-	holders []uint64 // one bit per slot
+	tokens      int32
+	holderCount int
+	holders     []uint64 // one bit per slot
 }
 
 type indexedServer struct {
 	incarnation uint64
 	sequence    uint64 // highest event applied
-	gap         bool
+	hasGap      bool
 	pinned      bool // a Router uses the slot
 	prefixes    map[uint64]struct{}
-	order       []uint64              // of prefixes, as stored, with some that were evicted since
-	held        []instance.CacheEvent // in order, since the gap, for replay over a listing
+	storeOrder  []uint64              // of prefixes, as stored, with some that were evicted since
+	buffered    []instance.CacheEvent // in order, since the gap, for replay over a listing
 }
 
 // NewPrefixIndex returns an empty index.
 func NewPrefixIndex() *PrefixIndex {
 	return &PrefixIndex{
-		slots:   make(map[string]int),
-		entries: make(map[uint64]*prefixEntry),
+		slotByID: make(map[string]int),
+		prefixes: make(map[uint64]*prefixEntry),
 	}
 }
 
@@ -100,28 +100,28 @@
 // for every event until a listing has repaired the gap, so that a listing that
 // got lost is asked for again; the caller keeps one such request in flight.
 func (x *PrefixIndex) Apply(server string, incarnation uint64, event instance.CacheEvent) ApplyResult {
-	slot := x.acquire(server)
+	slot := x.slotFor(server)
 	s := &x.servers[slot]
 	if incarnation < s.incarnation {
 		return Duplicate
 	}
 	if incarnation > s.incarnation {
-		x.restart(slot, incarnation)
+		x.reset(slot, incarnation)
 	}
 	if event.Sequence <= s.sequence {
 		return Duplicate
 	}
 	if event.Sequence != s.sequence+1 {
 		// What lies between was lost; what was held before it is of no use.
-		s.gap = true
-		s.held = s.held[:0]
+		s.hasGap = true
+		s.buffered = s.buffered[:0]
 	}
 	s.sequence = event.Sequence
-	if s.gap {
-		s.hold(event)
+	if s.hasGap {
+		s.buffer(event)
 	}
-	x.change(slot, event)
-	if s.gap {
+	x.applyEvent(slot, event)
+	if s.hasGap {
 		return Gap
 	}
 	return Applied
@@ -132,114 +132,114 @@
 // now complete for the server; if not, the listing was too old and another one
 // is needed.
 func (x *PrefixIndex) Replace(server string, listing Listing) bool {
-	slot := x.acquire(server)
+	slot := x.slotFor(server)
 	s := &x.servers[slot]
 	if listing.Incarnation < s.incarnation {
-		return !s.gap
+		return !s.hasGap
 	}
-	if listing.Incarnation == s.incarnation && !s.gap && listing.Sequence < s.sequence {
+	if listing.Incarnation == s.incarnation && !s.hasGap && listing.Sequence < s.sequence {
 		return true // an old listing must not undo newer events
 	}
-	sequence, held := s.sequence, s.held
+	sequence, buffered := s.sequence, s.buffered
 	if listing.Incarnation > s.incarnation {
-		sequence, held = 0, nil
+		sequence, buffered = 0, nil
 	}
-	x.restart(slot, listing.Incarnation)
+	x.reset(slot, listing.Incarnation)
 	s.sequence = max(sequence, listing.Sequence)
 	for _, p := range listing.Prefixes {
 		x.store(slot, p.Prefix, p.Tokens)
 	}
-	s.gap = !replayable(held, listing.Sequence, sequence)
-	for _, event := range held {
+	s.hasGap = !replayable(buffered, listing.Sequence, sequence)
+	for _, event := range buffered {
 		if event.Sequence > listing.Sequence {
-			x.change(slot, event)
+			x.applyEvent(slot, event)
 		}
 	}
-	if s.gap {
-		s.held = held
+	if s.hasGap {
+		s.buffered = buffered
 	}
-	return !s.gap
+	return !s.hasGap
 }
 
-// Forget drops all that is known of the server's cache, as after its loss.
-func (x *PrefixIndex) Forget(server string) {
-	slot, ok := x.slots[server]
+// Remove drops all that is known of the server's cache, as after its loss.
+func (x *PrefixIndex) Remove(server string) {
+	slot, ok := x.slotByID[server]
 	if !ok {
 		return
 	}
-	x.restart(slot, 0)
+	x.reset(slot, 0)
 	if x.servers[slot].pinned {
 		return
 	}
 	x.servers[slot] = indexedServer{}
-	x.free = append(x.free, slot)
-	delete(x.slots, server)
+	x.freeSlots = append(x.freeSlots, slot)
+	delete(x.slotByID, server)
 }
 
 // Complete reports whether all events of the server so far have been seen.
 func (x *PrefixIndex) Complete(server string) bool {
-	slot, ok := x.slots[server]
-	return ok && !x.servers[slot].gap
+	slot, ok := x.slotByID[server]
+	return ok && !x.servers[slot].hasGap
 }
 
 // Len returns the number of distinct prefixes known.
-func (x *PrefixIndex) Len() int { return len(x.entries) }
+func (x *PrefixIndex) Len() int { return len(x.prefixes) }
 
-// hold keeps an event for replay. When there is no room the oldest half goes,
+// buffer keeps an event for replay. When there is no room the oldest half goes,
 // and a listing that is older than the rest will not close the gap.
-func (s *indexedServer) hold(event instance.CacheEvent) {
-	if len(s.held) == maxHeldEvents {
-		n := copy(s.held, s.held[maxHeldEvents/2:])
-		s.held = s.held[:n]
+func (s *indexedServer) buffer(event instance.CacheEvent) {
+	if len(s.buffered) == maxBufferedEvents {
+		n := copy(s.buffered, s.buffered[maxBufferedEvents/2:])
+		s.buffered = s.buffered[:n]
 	}
-	s.held = append(s.held, event)
+	s.buffered = append(s.buffered, event)
 }
 
 // replayable reports whether the held events lead on from sequence listed to
 // sequence last without a hole.
-func replayable(held []instance.CacheEvent, listed, last uint64) bool {
+func replayable(buffered []instance.CacheEvent, listed, last uint64) bool {
 	if listed >= last {
 		return true
 	}
-	return len(held) > 0 && held[0].Sequence <= listed+1
+	return len(buffered) > 0 && buffered[0].Sequence <= listed+1
 }
 
-func (x *PrefixIndex) acquire(server string) int {
-	if slot, ok := x.slots[server]; ok {
+func (x *PrefixIndex) slotFor(server string) int {
+	if slot, ok := x.slotByID[server]; ok {
 		return slot
 	}
 	var slot int
-	if n := len(x.free); n > 0 {
-		slot = x.free[n-1]
-		x.free = x.free[:n-1]
+	if n := len(x.freeSlots); n > 0 {
+		slot = x.freeSlots[n-1]
+		x.freeSlots = x.freeSlots[:n-1]
 	} else {
 		slot = len(x.servers)
 		x.servers = append(x.servers, indexedServer{})
 	}
-	if words := slot/64 + 1; words > len(x.seen) {
-		x.seen = append(x.seen, 0)
+	if words := slot/64 + 1; words > len(x.matchedHolders) {
+		x.matchedHolders = append(x.matchedHolders, 0)
 	}
-	x.slots[server] = slot
+	x.slotByID[server] = slot
 	return slot
 }
 
-// restart empties the slot for a new incarnation.
-func (x *PrefixIndex) restart(slot int, incarnation uint64) {
+// reset empties the slot for a new incarnation.
+func (x *PrefixIndex) reset(slot int, incarnation uint64) {
 	s := &x.servers[slot]
 	for prefix := range s.prefixes {
-		x.unset(slot, prefix)
+		x.removeHolder(slot, prefix)
 	}
 	*s = indexedServer{incarnation: incarnation, pinned: s.pinned}
 }
 
-func (x *PrefixIndex) change(slot int, event instance.CacheEvent) {
+func (x *PrefixIndex) applyEvent(slot int, event instance.CacheEvent) {
 	if event.Stored {
 		x.store(slot, event.Prefix, event.Tokens)
 		return
 	}
 	if _, ok := x.servers[slot].prefixes[event.Prefix]; ok {
 		delete(x.servers[slot].prefixes, event.Prefix)
-		x.unset(slot, event.Prefix)
+		x.removeHolder(slot, event.Prefix)
 	}
 }
 
@@ -251,22 +251,22 @@
 	for len(s.prefixes) >= maxServerPrefixes {
 		x.dropOldest(slot)
 	}
-	s.note(prefix)
+	s.appendStored(prefix)
 	if s.prefixes == nil {
 		s.prefixes = make(map[uint64]struct{})
 	}
 	s.prefixes[prefix] = struct{}{}
-	entry := x.entries[prefix]
+	entry := x.prefixes[prefix]
 	if entry == nil {
 		entry = &prefixEntry{}
-		x.entries[prefix] = entry
+		x.prefixes[prefix] = entry
 	}
 	for len(entry.holders) <= slot/64 {
 		entry.holders = append(entry.holders, 0)
 	}
 	entry.holders[slot/64] |= 1 << (slot % 64)
 	entry.tokens = int32(tokens)
-	entry.count++
+	entry.holderCount++
 }
 
 // dropOldest makes room by forgetting the prefix that was stored longest ago. To
@@ -274,33 +274,33 @@
 // bound was reached without its cache.
 func (x *PrefixIndex) dropOldest(slot int) {
 	s := &x.servers[slot]
-	oldest := s.order[0]
-	s.order = s.order[1:]
+	oldest := s.storeOrder[0]
+	s.storeOrder = s.storeOrder[1:]
 	if _, ok := s.prefixes[oldest]; ok {
 		delete(s.prefixes, oldest)
-		x.unset(slot, oldest)
+		x.removeHolder(slot, oldest)
 	}
 }
 
-// note appends the prefix to the order of storing. Prefixes that were evicted
+// appendStored appends the prefix to the order of storing. Prefixes that were evicted
 // meanwhile stay in it until it has grown to twice what is held.
-func (s *indexedServer) note(prefix uint64) {
-	if len(s.order) >= 2*maxServerPrefixes {
-		gone := func(p uint64) bool {
+func (s *indexedServer) appendStored(prefix uint64) {
+	if len(s.storeOrder) >= 2*maxServerPrefixes {
+		evicted := func(p uint64) bool {
 			_, ok := s.prefixes[p]
 			return !ok
 		}
-		s.order = slices.Clone(slices.DeleteFunc(s.order, gone))
+		s.storeOrder = slices.Clone(slices.DeleteFunc(s.storeOrder, evicted))
 	}
-	s.order = append(s.order, prefix)
+	s.storeOrder = append(s.storeOrder, prefix)
 }
 
-func (x *PrefixIndex) unset(slot int, prefix uint64) {
-	entry := x.entries[prefix]
+func (x *PrefixIndex) removeHolder(slot int, prefix uint64) {
+	entry := x.prefixes[prefix]
 	entry.holders[slot/64] &^= 1 << (slot % 64)
-	entry.count--
-	if entry.count == 0 {
-		delete(x.entries, prefix)
+	entry.holderCount--
+	if entry.holderCount == 0 {
+		delete(x.prefixes, prefix)
 	}
 }
 
@@ -308,15 +308,15 @@
 // the server holds, 0 where it holds none. prefixes go from short to long.
 func (x *PrefixIndex) match(prefixes []uint64, tokens []int32) {
 	clear(tokens)
-	clear(x.seen)
+	clear(x.matchedHolders)
 	for i := len(prefixes) - 1; i >= 0; i-- {
-		entry := x.entries[prefixes[i]]
+		entry := x.prefixes[prefixes[i]]
 		if entry == nil {
 			continue
 		}
 		for w, holders := range entry.holders {
-			fresh := holders &^ x.seen[w]
-			x.seen[w] |= holders
+			fresh := holders &^ x.matchedHolders[w]
+			x.matchedHolders[w] |= holders
 			for ; fresh != 0; fresh &= fresh - 1 {
 				slot := w*64 + bits.TrailingZeros64(fresh)
 				if slot < len(tokens) {
--- a/policy/route/index_test.go
+++ b/policy/route/index_test.go
@@ -14,17 +14,17 @@
 // user of a conversation notices a wrong index as a slow first token at each
 // turn. Whatever the losses, an index that calls itself complete must hold what
 // the server holds. Breaks without the replay of held events in Replace.
-func TestIndexIsRightOnceComplete(t *testing.T) {
+func TestCompleteIndexMatchesServerCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := NewPrefixIndex()
-		truth := map[uint64]bool{}
+		cached := map[uint64]bool{}
 		listings := []Listing{{Incarnation: 1}}
 		var sent []instance.CacheEvent
 		for sequence := uint64(1); sequence <= 80; sequence++ {
 			e := instance.CacheEvent{Sequence: sequence, Prefix: rapid.Uint64Range(0, 9).Draw(t, "prefix"), Stored: rapid.Bool().Draw(t, "stored"), Tokens: 5}
-			truth[e.Prefix] = e.Stored
+			cached[e.Prefix] = e.Stored
 			sent = append(sent, e)
-			listings = append(listings, listingOf(truth, sequence))
+			listings = append(listings, listingOf(cached, sequence))
 			if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 				continue
 			}
@@ -36,20 +36,20 @@
 				x.Apply("s", 1, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")])
 			}
 			if x.Complete("s") && x.servers[0].sequence == sequence {
-				for prefix, stored := range truth {
+				for prefix, stored := range cached {
 					_, ok := x.servers[0].prefixes[prefix]
 					require.Equal(t, stored, ok, "prefix %d after event %d", prefix, sequence)
 				}
 			}
 		}
-		x.Forget("s")
+		x.Remove("s")
 		require.Zero(t, x.Len())
 	})
 }
 
-func listingOf(truth map[uint64]bool, sequence uint64) Listing {
+func listingOf(cached map[uint64]bool, sequence uint64) Listing {
 	l := Listing{Incarnation: 1, Sequence: sequence}
-	for prefix, stored := range truth {
+	for prefix, stored := range cached {
 		if stored {
 			l.Prefixes = append(l.Prefixes, CachedPrefix{prefix, 5})
 		}
@@ -60,7 +60,7 @@
 // A server holds more prefixes than the index keeps. Those of the conversations
 // that go on now are the newest, and must be the ones kept. Breaks without
 // dropOldest.
-func TestIndexKeepsTheNewest(t *testing.T) {
+func TestIndexDropsOldestPrefixes(t *testing.T) {
 	x := NewPrefixIndex()
 	const stored = 5 * maxServerPrefixes
 	for i := range uint64(stored) {
@@ -69,8 +69,8 @@
 		x.Apply("s", 1, evicted)
 	}
 	require.LessOrEqual(t, x.Len(), maxServerPrefixes)
-	require.LessOrEqual(t, len(x.servers[0].order), 2*maxServerPrefixes)
-	require.Contains(t, x.entries, uint64(stored-1))
+	require.LessOrEqual(t, len(x.servers[0].storeOrder), 2*maxServerPrefixes)
+	require.Contains(t, x.prefixes, uint64(stored-1))
 }
 
 // A server restarts under its old id. What its old process had cached is gone;
--- a/policy/route/model_test.go
+++ b/policy/route/model_test.go
@@ -15,57 +15,57 @@
 // epoch is the start of virtual time.
 var epoch = time.Unix(1_800_000_000, 0)
 
-// chooser is a routing policy under test: the Router or a baseline.
-type chooser interface {
+// routingPolicy is a routing policy under test: the Router or a baseline.
+type routingPolicy interface {
 	choose(m *model, entry int, req *Request) (server int, v Verdict)
 }
 
 // job is one request on its way through the model.
 type job struct {
-	arrive   time.Time
-	prefixes []uint64
-	lengths  []int // tokens of each prefix
-	output   int
-	cached   int
-	entry    int
-	attempt  Attempt
-	first    func() // at the first token; may be nil
-	done     func() // may be nil
+	arrival      time.Time
+	prefixes     []uint64
+	lengths      []int // tokens of each prefix
+	output       int
+	cachedTokens int
+	entry        int
+	attempt      Attempt
+	onFirstToken func() // at the first token; may be nil
+	onDone       func() // may be nil
 }
 
 // engine is a model server in virtual time: one prefill at a time, slots for
 // decoding beside it, and a prefix cache that evicts what was used longest ago.
 type engine struct {
-	id       string
-	slots    int
-	slowdown float64
-	state    instance.State
-	sequence uint64
-	running  int
-	queue    []*job
-	prefill  time.Time // the prefill unit is free from then on
-	cache    []cachedItem
-	used     int
-	events   uint64
-	started  int // requests ever
-	reported int // load as last announced
+	id            string
+	slots         int
+	slowdown      float64
+	state         instance.State
+	sequence      uint64
+	running       int
+	queue         []*job
+	prefillFreeAt time.Time // the prefill unit is free from then on
+	cache         []cachedItem
+	cachedTokens  int
+	lastEvent     uint64
+	started       int // requests ever
+	reportedLoad  int // load as last announced
 }
 
 type cachedItem struct {
-	prefix uint64
-	tokens int // of the whole prefix
-	own    int // of them, not in the prefix before
+	prefix    uint64
+	tokens    int // of the whole prefix
+	ownTokens int // of them, not in the prefix before
 }
 
 // model plays requests against engines through one or more entries.
 type model struct {
-	now     time.Time
-	rng     *rand.Rand
-	engines []*engine
-	routers []*Router
-	policy  chooser
-	events  eventHeap
-	order   int
+	now       time.Time
+	rng       *rand.Rand
+	engines   []*engine
+	routers   []*Router
+	policy    routingPolicy
+	events    eventHeap
+	lastOrder int
 
 	cacheTokens int
 	prefillRate float64
@@ -74,25 +74,25 @@
 	reportLag   time.Duration
 	eventLoss   float64
 
-	first    []time.Duration
-	prompt   int
-	uncached int
-	peak     float64   // highest load over fair load seen at a start
-	over     int       // starts that took a server over ceil(1.25 fair)
-	area     []float64 // of each server's load, sampled every 100 ms
+	firstTokens     []time.Duration
+	promptTokens    int
+	uncachedTokens  int
+	peakLoadRatio   float64   // highest load over fair load seen at a start
+	startsOverBound int       // starts that took a server over ceil(1.25 fair)
+	loadSums        []float64 // of each server's load, sampled every 100 ms
 }
 
-type timed struct {
+type timedEvent struct {
 	at    time.Time
 	order int
 	run   func()
 }
 
-type eventHeap []timed
+type eventHeap []timedEvent
 
 func (h eventHeap) Len() int      { return len(h) }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(timed)) }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(timedEvent)) }
 func (h eventHeap) Less(i, j int) bool {
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
@@ -106,7 +106,7 @@
 	return last
 }
 
-func newModel(seed uint64, servers, slots, entries int, policy chooser) *model {
+func newModel(seed uint64, servers, slots, entries int, policy routingPolicy) *model {
 	m := &model{
 		now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), policy: policy,
 		cacheTokens: 60_000, prefillRate: 8000, tokenTime: 20 * time.Millisecond,
@@ -126,33 +126,33 @@
 		}
 		m.routers = append(m.routers, router)
 	}
-	m.area = make([]float64, servers)
-	m.report()
+	m.loadSums = make([]float64, servers)
+	m.reportLoads()
 	m.sampleLoad()
 	for _, r := range m.routers {
 		for i := range r.servers {
-			r.servers[i].since = epoch.Add(-time.Hour) // not new
+			r.servers[i].firstSeen = epoch.Add(-time.Hour) // not new
 		}
 	}
 	return m
 }
 
-func (m *model) after(d time.Duration, run func()) {
-	m.order++
-	heap.Push(&m.events, timed{m.now.Add(d), m.order, run})
+func (m *model) schedule(d time.Duration, run func()) {
+	m.lastOrder++
+	heap.Push(&m.events, timedEvent{m.now.Add(d), m.lastOrder, run})
 }
 
 func (m *model) run(until time.Duration) {
 	end := epoch.Add(until)
 	for len(m.events) > 0 && !m.events[0].at.After(end) {
-		next := heap.Pop(&m.events).(timed)
+		next := heap.Pop(&m.events).(timedEvent)
 		m.now = next.at
 		next.run()
 	}
 }
 
-// report sends each server's load to all entries, reportLag later.
-func (m *model) report() {
+// reportLoads sends each server's load to all entries, reportLag later.
+func (m *model) reportLoads() {
 	at := m.now
 	for _, e := range m.engines {
 		e.sequence++
@@ -161,7 +161,7 @@
 			State: e.state, Slots: e.slots, Load: instance.Load{At: at, Running: e.running, Waiting: len(e.queue)},
 		}
 		deliver := func() {
-			e.reported = a.Load.Running + a.Load.Waiting
+			e.reportedLoad = a.Load.Running + a.Load.Waiting
 			for _, r := range m.routers {
 				r.Announce(a, at, m.now)
 			}
@@ -170,29 +170,29 @@
 			deliver()
 			continue
 		}
-		m.after(m.reportLag, deliver)
+		m.schedule(m.reportLag, deliver)
 	}
-	m.after(m.reportEvery, m.report)
+	m.schedule(m.reportEvery, m.reportLoads)
 }
 
 func (m *model) sampleLoad() {
 	for i, e := range m.engines {
-		m.area[i] += float64(e.running + len(e.queue))
+		m.loadSums[i] += float64(e.running + len(e.queue))
 	}
-	m.after(100*time.Millisecond, m.sampleLoad)
+	m.schedule(100*time.Millisecond, m.sampleLoad)
 }
 
 // imbalance is the highest load of a server over the run to the mean of all.
 func (m *model) imbalance() float64 {
 	sum := 0.0
-	for _, a := range m.area {
+	for _, a := range m.loadSums {
 		sum += a
 	}
-	return slices.Max(m.area) * float64(len(m.area)) / sum
+	return slices.Max(m.loadSums) * float64(len(m.loadSums)) / sum
 }
 
 func (m *model) submit(j *job) {
-	j.arrive = m.now
+	j.arrival = m.now
 	j.entry = m.rng.IntN(len(m.routers))
 	req := &Request{
 		Now: m.now, Seed: m.rng.Uint64(), Prefixes: j.prefixes,
@@ -202,15 +202,15 @@
 	e := m.engines[i]
 	j.attempt = m.routers[j.entry].Started(&v, m.now)
 	e.started++
-	m.prompt += req.PromptTokens
-	m.notePeak(e)
+	m.promptTokens += req.PromptTokens
+	m.recordLoadRatio(e)
 	e.queue = append(e.queue, j)
 	m.dispatch(e)
 }
 
-// notePeak keeps the highest ratio of a server's load, this request included,
+// recordLoadRatio keeps the highest ratio of a server's load, this request included,
 // to the fair load, once fair load is 4 or more.
-func (m *model) notePeak(e *engine) {
+func (m *model) recordLoadRatio(e *engine) {
 	total := 1
 	for _, other := range m.engines {
 		total += other.running + len(other.queue)
@@ -218,10 +218,10 @@
 	fair := float64(total) / float64(len(m.engines))
 	load := e.running + len(e.queue) + 1
 	if load > max(int(math.Ceil(1.25*fair)), 2) {
-		m.over++
+		m.startsOverBound++
 	}
 	if fair >= 4 {
-		m.peak = max(m.peak, float64(load)/fair)
+		m.peakLoadRatio = max(m.peakLoadRatio, float64(load)/fair)
 	}
 }
 
@@ -230,37 +230,37 @@
 		j := e.queue[0]
 		e.queue = e.queue[1:]
 		e.running++
-		m.begin(e, j)
+		m.startPrefill(e, j)
 	}
 }
 
-func (m *model) begin(e *engine, j *job) {
-	for i := len(j.prefixes) - 1; i >= 0 && j.cached == 0; i-- {
+func (m *model) startPrefill(e *engine, j *job) {
+	for i := len(j.prefixes) - 1; i >= 0 && j.cachedTokens == 0; i-- {
 		at := slices.IndexFunc(e.cache, func(c cachedItem) bool { return c.prefix == j.prefixes[i] })
 		if at >= 0 {
-			j.cached = j.lengths[i]
+			j.cachedTokens = j.lengths[i]
 		}
 	}
-	todo := j.lengths[len(j.lengths)-1] - j.cached
-	m.uncached += todo
-	if e.prefill.Before(m.now) {
-		e.prefill = m.now
+	uncached := j.lengths[len(j.lengths)-1] - j.cachedTokens
+	m.uncachedTokens += uncached
+	if e.prefillFreeAt.Before(m.now) {
+		e.prefillFreeAt = m.now
 	}
-	took := seconds((float64(todo)/m.prefillRate + 0.02) * e.slowdown)
-	e.prefill = e.prefill.Add(took)
-	m.after(e.prefill.Sub(m.now), func() {
+	duration := seconds((float64(uncached)/m.prefillRate + 0.02) * e.slowdown)
+	e.prefillFreeAt = e.prefillFreeAt.Add(duration)
+	m.schedule(e.prefillFreeAt.Sub(m.now), func() {
 		m.store(e, j)
-		m.first = append(m.first, m.now.Sub(j.arrive))
+		m.firstTokens = append(m.firstTokens, m.now.Sub(j.arrival))
 		m.routers[j.entry].FirstToken(&j.attempt, m.now)
-		if j.first != nil {
-			j.first()
+		if j.onFirstToken != nil {
+			j.onFirstToken()
 		}
-		m.after(seconds(float64(j.output)*m.tokenTime.Seconds()*e.slowdown), func() {
+		m.schedule(seconds(float64(j.output)*m.tokenTime.Seconds()*e.slowdown), func() {
 			m.routers[j.entry].Finished(&j.attempt, m.now)
 			e.running--
 			m.dispatch(e)
-			if j.done != nil {
-				j.done()
+			if j.onDone != nil {
+				j.onDone()
 			}
 		})
 	})
@@ -272,7 +272,7 @@
 	for i, prefix := range j.prefixes {
 		item := cachedItem{prefix, j.lengths[i], j.lengths[i]}
 		if i > 0 {
-			item.own -= j.lengths[i-1]
+			item.ownTokens -= j.lengths[i-1]
 		}
 		at := slices.IndexFunc(e.cache, func(c cachedItem) bool { return c.prefix == prefix })
 		if at >= 0 {
@@ -280,24 +280,24 @@
 			continue
 		}
 		e.cache = append(e.cache, item)
-		e.used += item.own
+		e.cachedTokens += item.ownTokens
 		m.publish(e, instance.CacheEvent{Prefix: prefix, Stored: true, Tokens: j.lengths[i]})
 	}
-	for e.used > m.cacheTokens {
+	for e.cachedTokens > m.cacheTokens {
 		m.publish(e, instance.CacheEvent{Prefix: e.cache[0].prefix})
-		e.used -= e.cache[0].own
+		e.cachedTokens -= e.cache[0].ownTokens
 		e.cache = e.cache[1:]
 	}
 }
 
 func (m *model) publish(e *engine, event instance.CacheEvent) {
-	e.events++
-	event.Sequence = e.events
+	e.lastEvent++
+	event.Sequence = e.lastEvent
 	for _, r := range m.routers {
 		if m.rng.Float64() < m.eventLoss {
 			continue
 		}
-		m.after(300*time.Millisecond, func() {
+		m.schedule(300*time.Millisecond, func() {
 			if r.Prefixes().Apply(e.id, 1, event) == Gap {
 				r.Prefixes().Replace(e.id, e.listing())
 			}
@@ -306,7 +306,7 @@
 }
 
 func (e *engine) listing() Listing {
-	l := Listing{Incarnation: 1, Sequence: e.events}
+	l := Listing{Incarnation: 1, Sequence: e.lastEvent}
 	for _, c := range e.cache {
 		l.Prefixes = append(l.Prefixes, CachedPrefix{c.prefix, c.tokens})
 	}
@@ -314,14 +314,14 @@
 }
 
 func (m *model) percentile(p float64) time.Duration {
-	sorted := slices.Sorted(slices.Values(m.first))
+	sorted := slices.Sorted(slices.Values(m.firstTokens))
 	return sorted[int(float64(len(sorted)-1)*p)]
 }
 
-// routed is the Router as a policy.
-type routed struct{}
+// routerPolicy is the Router as a policy.
+type routerPolicy struct{}
 
-func (routed) choose(m *model, entry int, req *Request) (int, Verdict) {
+func (routerPolicy) choose(m *model, entry int, req *Request) (int, Verdict) {
 	v := m.routers[entry].Choose(req)
 	return slices.IndexFunc(m.engines, func(e *engine) bool { return e.id == v.Server }), v
 }
@@ -337,16 +337,16 @@
 	return p.next[entry] % len(m.engines), Verdict{}
 }
 
-// leastReported sends to the server whose last report is lowest, plus the
+// leastLoad sends to the server whose last report is lowest, plus the
 // entry's own open requests if own is set.
-type leastReported struct{ own bool }
+type leastLoad struct{ addOwn bool }
 
-func (p leastReported) choose(m *model, entry int, req *Request) (int, Verdict) {
+func (p leastLoad) choose(m *model, entry int, req *Request) (int, Verdict) {
 	best, bestLoad := 0, 1e9
 	for i, e := range m.engines {
-		load := float64(e.reported)
-		if p.own {
-			slot := m.routers[entry].index.slots[e.id]
+		load := float64(e.reportedLoad)
+		if p.addOwn {
+			slot := m.routers[entry].index.slotByID[e.id]
 			load = m.routers[entry].servers[slot].load()
 		}
 		load += hash.Unit(hash.Pair(req.Seed, uint64(i))) // ties at random
@@ -355,5 +355,5 @@
 		}
 	}
 	e := m.engines[best]
-	return best, Verdict{Candidate: Candidate{Server: e.id}, Incarnation: 1, uncached: req.PromptTokens}
+	return best, Verdict{Candidate: Candidate{Server: e.id}, Incarnation: 1, uncachedTokens: req.PromptTokens}
 }
--- a/policy/route/occupancy.go
+++ b/policy/route/occupancy.go
@@ -9,9 +9,9 @@
 
 // Occupancy is what an entry knows of one server's slots.
 type Occupancy struct {
-	Slots    int // as far as it gets its share of the work
-	Reported int // requests running and waiting there, as last reported
-	Own      int // of these, this entry's starts less its ends since the report
+	Slots          int // as far as it gets its share of the work
+	Reported       int // requests running and waiting there, as last reported
+	OwnSinceReport int // of these, this entry's starts less its ends since the report
 }
 
 // Occupancies appends the occupancy of each server that takes work to dst, in
@@ -21,23 +21,23 @@
 // sends the work to the others, the room is never used up, and a whole queue
 // drains into servers that are full.
 func (r *Router) Occupancies(dst []Occupancy, now time.Time) []Occupancy {
-	if r.order == nil {
+	if r.slotsByID == nil {
 		r.sortServers()
 	}
-	top := 0.0
-	for _, slot := range r.order {
+	maxWeight := 0.0
+	for _, slot := range r.slotsByID {
 		if s := &r.servers[slot]; s.serving {
-			top = max(top, s.health.share*s.ramp(&r.cfg, now))
+			maxWeight = max(maxWeight, s.health.weight*s.slowStartFraction(&r.cfg, now))
 		}
 	}
-	for _, slot := range r.order {
+	for _, slot := range r.slotsByID {
 		s := &r.servers[slot]
 		if !s.serving {
 			continue
 		}
-		part := s.health.share * s.ramp(&r.cfg, now) / top
+		relativeWeight := s.health.weight * s.slowStartFraction(&r.cfg, now) / maxWeight
 		dst = append(dst, Occupancy{
-			Slots: int(math.Round(s.slots * part)), Reported: s.reported, Own: max(s.net, s.own-s.reported),
+			Slots: int(math.Round(s.slots * relativeWeight)), Reported: s.reportedLoad, OwnSinceReport: max(s.netStarts, s.ownRequests-s.reportedLoad),
 		})
 	}
 	return dst
@@ -45,11 +45,11 @@
 
 // sortServers notes the servers in the order of their ids.
 func (r *Router) sortServers() {
-	r.order = make([]int, 0, len(r.servers))
+	r.slotsByID = make([]int, 0, len(r.servers))
 	for slot := range r.servers {
 		if r.servers[slot].id != "" {
-			r.order = append(r.order, slot)
+			r.slotsByID = append(r.slotsByID, slot)
 		}
 	}
-	slices.SortFunc(r.order, func(a, b int) int { return cmp.Compare(r.servers[a].id, r.servers[b].id) })
+	slices.SortFunc(r.slotsByID, func(a, b int) int { return cmp.Compare(r.servers[a].id, r.servers[b].id) })
 }
--- a/policy/route/picks.go
+++ b/policy/route/picks.go
@@ -2,60 +2,60 @@
 
 import "slices"
 
-// picks are the slots to score, without doubles.
-type picks struct {
-	n      int
-	slot   [maxCandidates]int
-	first  int  // slot that comes first by rendezvous among those with room
-	spread bool // the server that comes first of all has no room
+// candidateSet are the slots to score, without doubles.
+type candidateSet struct {
+	count             int
+	slots             [maxCandidates]int
+	firstByRendezvous int  // slot that comes first by rendezvous among those with room
+	firstAtBound      bool // the server that comes first of all has no room
 }
 
-func (p *picks) add(slot int) {
-	if !slices.Contains(p.slot[:p.n], slot) {
-		p.slot[p.n] = slot
-		p.n++
+func (p *candidateSet) add(slot int) {
+	if !slices.Contains(p.slots[:p.count], slot) {
+		p.slots[p.count] = slot
+		p.count++
 	}
 }
 
-func (p *picks) addAll(b *best2) {
-	for _, slot := range b.slot[:b.n] {
+func (p *candidateSet) addAll(b *topTwo) {
+	for _, slot := range b.slots[:b.count] {
 		p.add(slot)
 	}
 }
 
-func (p *picks) explain(slot, cached int) Reason {
+func (p *candidateSet) reasonFor(slot, cached int) Reason {
 	switch {
-	case p.spread:
+	case p.firstAtBound:
 		return ReasonSpread
 	case cached > 0:
 		return ReasonCachedPrefix
-	case slot == p.first:
+	case slot == p.firstByRendezvous:
 		return ReasonRendezvous
 	default:
 		return ReasonLeastCost
 	}
 }
 
-// best2 keeps the two slots of the highest rank, the best first.
-type best2 struct {
-	n    int
-	slot [2]int
-	rank [2]uint64
+// topTwo keeps the two slots of the highest rank, the best first.
+type topTwo struct {
+	count int
+	slots [2]int
+	ranks [2]uint64
 }
 
-func (b *best2) wants(rank uint64) bool {
-	return b.n < 2 || rank > b.rank[1]
+func (b *topTwo) accepts(rank uint64) bool {
+	return b.count < 2 || rank > b.ranks[1]
 }
 
-func (b *best2) offer(slot int, rank uint64) {
+func (b *topTwo) offer(slot int, rank uint64) {
 	switch {
-	case b.n == 0 || rank > b.rank[0]:
-		b.slot[1], b.rank[1] = b.slot[0], b.rank[0]
-		b.slot[0], b.rank[0] = slot, rank
-	case b.n == 1 || rank > b.rank[1]:
-		b.slot[1], b.rank[1] = slot, rank
+	case b.count == 0 || rank > b.ranks[0]:
+		b.slots[1], b.ranks[1] = b.slots[0], b.ranks[0]
+		b.slots[0], b.ranks[0] = slot, rank
+	case b.count == 1 || rank > b.ranks[1]:
+		b.slots[1], b.ranks[1] = slot, rank
 	default:
 		return
 	}
-	b.n = min(b.n+1, 2)
+	b.count = min(b.count+1, 2)
 }
--- a/policy/route/router.go
+++ b/policy/route/router.go
@@ -13,25 +13,25 @@
 // servers' announcements and with the start, first token and end of each
 // request that this entry sends. Not safe for concurrent use.
 type Router struct {
-	cfg        Config
-	index      *PrefixIndex
-	servers    []server // by the index's slot; id is empty where the slot is free
-	demand     demand
-	sends      sends
-	assessed   time.Time
-	eased      bool          // some server's health share is below 1
-	median     float64       // of the servers' health ratios
-	firstToken time.Duration // moving average over all servers
-	entries    uint64        // servers that became known, again or for the first time
-	learnt     int           // first tokens that the prefill rate was learnt from
-
-	order []int // slots of the servers, by id; nil: to be sorted again
+	cfg                Config
+	index              *PrefixIndex
+	servers            []server // by the index's slot; id is empty where the slot is free
+	demand             demandSketch
+	sendRate           sendRate
+	lastAssessed       time.Time
+	anyReduced         bool          // some server's health share is below 1
+	medianLatencyRatio float64       // of the servers' health ratios
+	meanFirstToken     time.Duration // moving average over all servers
+	registrations      uint64        // servers that became known, again or for the first time
+	rateSamples        int           // first tokens that the prefill rate was learnt from
+
+	slotsByID []int // slots of the servers, by id; nil: to be sorted again
 
 	// Scratch space, so that Choose does not allocate.
-	ratios  []float64
-	matched []int32   // cached tokens by slot
-	weights []float64 // share by slot; 0: may not run the request
-	loads   []float64 // estimated requests by slot
+	latencyRatios []float64
+	matched       []int32   // cached tokens by slot
+	weights       []float64 // share by slot; 0: may not run the request
+	loads         []float64 // estimated requests by slot
 }
 
 // New returns a Router without servers. The error is a *policy.ConfigError.
@@ -53,35 +53,35 @@
 // a reading of the server's clock will not do where clocks differ by more than
 // historyWidth.
 func (r *Router) Announce(a *instance.Announcement, at, now time.Time) bool {
-	slot := r.index.acquire(a.ID)
-	r.grow(slot + 1)
+	slot := r.index.slotFor(a.ID)
+	r.growSlots(slot + 1)
 	s := &r.servers[slot]
 	if s.id == "" {
 		r.index.servers[slot].pinned = true
-		r.order = nil
+		r.slotsByID = nil
 		s.id = a.ID
 		s.hash = xxhash.Sum64String(a.ID)
-		r.entries++
-		s.entry = r.entries
-	} else if !newer(a, s) {
+		r.registrations++
+		s.registration = r.registrations
+	} else if !isNewer(a, s) {
 		return false
 	}
-	s.announce(a, at, now)
+	s.update(a, at, now)
 	return true
 }
 
-// NoteLoad takes what other entries have at a server now, as was asked for: running
+// UpdateLoad takes what other entries have at a server now, as was asked for: running
 // requests, and prompt tokens of those that have no answer yet.
-func (r *Router) NoteLoad(id string, running, prefill int, now time.Time) {
-	if slot, ok := r.index.slots[id]; ok && slot < len(r.servers) && r.servers[slot].id != "" {
-		r.servers[slot].noteLoad(running, prefill, now)
+func (r *Router) UpdateLoad(id string, running, prefill int, now time.Time) {
+	if slot, ok := r.index.slotByID[id]; ok && slot < len(r.servers) && r.servers[slot].id != "" {
+		r.servers[slot].updateLoad(running, prefill, now)
 	}
 }
 
-// Leave marks a server as leaving, as heard from another entry. It has no
+// MarkLeaving marks a server as leaving, as heard from another entry. It has no
 // effect on a later incarnation.
-func (r *Router) Leave(id string, incarnation uint64) {
-	slot, ok := r.index.slots[id]
+func (r *Router) MarkLeaving(id string, incarnation uint64) {
+	slot, ok := r.index.slotByID[id]
 	if !ok || slot >= len(r.servers) {
 		return
 	}
@@ -93,61 +93,61 @@
 // Remove forgets a server and its cached prefixes. Its open attempts may still
 // be ended.
 func (r *Router) Remove(id string) {
-	slot, ok := r.index.slots[id]
+	slot, ok := r.index.slotByID[id]
 	if !ok {
 		return
 	}
 	if slot < len(r.servers) {
 		r.servers[slot] = server{}
 	}
-	r.order = nil
+	r.slotsByID = nil
 	r.index.servers[slot].pinned = false
-	r.index.Forget(id)
+	r.index.Remove(id)
 }
 
-// Share returns the part of its full share that a server gets at now because
+// Weight returns the part of its full share that a server gets at now because
 // of slow start or slowness, for metrics; 0 for a server that takes no work.
-func (r *Router) Share(id string, now time.Time) float64 {
-	slot, ok := r.index.slots[id]
+func (r *Router) Weight(id string, now time.Time) float64 {
+	slot, ok := r.index.slotByID[id]
 	if !ok || slot >= len(r.servers) || !r.servers[slot].serving {
 		return 0
 	}
 	s := &r.servers[slot]
-	return s.health.share * s.ramp(&r.cfg, now)
+	return s.health.weight * s.slowStartFraction(&r.cfg, now)
 }
 
-// Eased returns the part of its share that a server gets because of slowness
+// HealthWeight returns the part of its share that a server gets because of slowness
 // alone, slow start left out; 1 for one that is not known.
-func (r *Router) Eased(id string) float64 {
-	slot, ok := r.index.slots[id]
+func (r *Router) HealthWeight(id string) float64 {
+	slot, ok := r.index.slotByID[id]
 	if !ok || slot >= len(r.servers) || r.servers[slot].id == "" {
 		return 1
 	}
-	return r.servers[slot].health.share
+	return r.servers[slot].health.weight
 }
 
-func (r *Router) grow(n int) {
+func (r *Router) growSlots(n int) {
 	for len(r.servers) < n {
 		r.servers = append(r.servers, server{})
 		r.matched = append(r.matched, 0)
 		r.weights = append(r.weights, 0)
 		r.loads = append(r.loads, 0)
 	}
-	r.ratios = slices.Grow(r.ratios[:0], n)
+	r.latencyRatios = slices.Grow(r.latencyRatios[:0], n)
 }
 
-func newer(a *instance.Announcement, s *server) bool {
+func isNewer(a *instance.Announcement, s *server) bool {
 	if a.Incarnation != s.incarnation {
 		return a.Incarnation > s.incarnation
 	}
 	return a.Sequence > s.sequence
 }
 
-// Prefill returns the prompt tokens of own requests that a server has not begun to
+// PendingPrefillTokens returns the prompt tokens of own requests that a server has not begun to
 // answer.
-func (r *Router) Prefill(id string) int {
-	if slot, ok := r.index.slots[id]; ok && slot < len(r.servers) {
-		return max(r.servers[slot].health.prefill, 0)
+func (r *Router) PendingPrefillTokens(id string) int {
+	if slot, ok := r.index.slotByID[id]; ok && slot < len(r.servers) {
+		return max(r.servers[slot].health.pendingTokens, 0)
 	}
 	return 0
 }
--- a/policy/route/router_test.go
+++ b/policy/route/router_test.go
@@ -14,13 +14,13 @@
 	"savoryreel.example/savoryreel/policy/hash"
 )
 
-// talk is a conversation whose prompt grows by a turn at a time.
-type talk struct {
+// conversation is a conversation whose prompt grows by a turn at a time.
+type conversation struct {
 	id    uint64
 	turns int
 }
 
-func (c *talk) job(output int) *job {
+func (c *conversation) job(output int) *job {
 	j := &job{output: output, prefixes: []uint64{1}, lengths: []int{200}}
 	c.turns++
 	for i := range c.turns {
@@ -30,21 +30,21 @@
 	return j
 }
 
-// conversations plays the given number of callers, each of which sends its next
+// runConversations plays the given number of callers, each of which sends its next
 // turn a while after the answer and starts anew after 12 turns.
-func (m *model) conversations(open int, think, until time.Duration) {
-	for range open {
-		c := &talk{}
+func (m *model) runConversations(callers int, think, until time.Duration) {
+	for range callers {
+		c := &conversation{}
 		var turn func()
 		turn = func() {
 			if c.turns%12 == 0 {
-				*c = talk{id: m.rng.Uint64()}
+				*c = conversation{id: m.rng.Uint64()}
 			}
 			j := c.job(40 + m.rng.IntN(120))
-			j.done = func() { m.after(seconds(m.rng.ExpFloat64()*think.Seconds()), turn) }
+			j.onDone = func() { m.schedule(seconds(m.rng.ExpFloat64()*think.Seconds()), turn) }
 			m.submit(j)
 		}
-		m.after(seconds(m.rng.Float64()*think.Seconds()), turn)
+		m.schedule(seconds(m.rng.Float64()*think.Seconds()), turn)
 	}
 	m.run(until)
 }
@@ -53,25 +53,25 @@
 // each turn to another server, which prefills the whole conversation again; the
 // user waits longer for each turn than for the one before, and the tokens are
 // paid for once more. Breaks without r.index.match in Choose.
-func TestConversationsPrefillHalfOfLeastLoad(t *testing.T) {
-	run := func(name string, p chooser, freeLoad float64) *model {
+func TestConversationsPrefillAtMostHalfOfLeastLoad(t *testing.T) {
+	run := func(name string, p routingPolicy, freeLoad float64) *model {
 		m := newModel(11, 12, 16, 7, p)
 		for _, r := range m.routers {
 			r.cfg.FreeLoad = freeLoad
 		}
 		m.eventLoss = 0.01
-		m.conversations(150, 4*time.Second, 120*time.Second)
-		t.Logf("%-15s prompt %8d uncached %8d (%4.1f%%) p50 %v p95 %v", name, m.prompt, m.uncached,
-			100*float64(m.uncached)/float64(m.prompt), m.percentile(0.5), m.percentile(0.95))
+		m.runConversations(150, 4*time.Second, 120*time.Second)
+		t.Logf("%-15s prompt %8d uncached %8d (%4.1f%%) p50 %v p95 %v", name, m.promptTokens, m.uncachedTokens,
+			100*float64(m.uncachedTokens)/float64(m.promptTokens), m.percentile(0.5), m.percentile(0.95))
 		return m
 	}
 	run("round robin", &roundRobin{}, 0.5)
-	least := run("least reported", leastReported{}, 0.5)
-	own := run("least, own", leastReported{own: true}, 0.5)
-	run("route, no free", routed{}, 0)
-	ours := run("route", routed{}, 0.5)
-	require.LessOrEqual(t, 2*ours.uncached, min(least.uncached, own.uncached))
-	require.LessOrEqual(t, ours.percentile(0.95), min(least.percentile(0.95), own.percentile(0.95)))
+	least := run("least reported", leastLoad{}, 0.5)
+	leastWithOwn := run("least, own", leastLoad{addOwn: true}, 0.5)
+	run("route, no free", routerPolicy{}, 0)
+	routed := run("route", routerPolicy{}, 0.5)
+	require.LessOrEqual(t, 2*routed.uncachedTokens, min(least.uncachedTokens, leastWithOwn.uncachedTokens))
+	require.LessOrEqual(t, routed.percentile(0.95), min(least.percentile(0.95), leastWithOwn.percentile(0.95)))
 }
 
 // All callers ask about one document at once. Prefix affinity alone sends every
@@ -80,66 +80,66 @@
 // without the others' part in full.
 func TestHotPrefixStaysWithinBound(t *testing.T) {
 	for _, entries := range []int{1, 7} {
-		m := newModel(5, 12, 32, entries, routed{})
-		m.hot(120, 30*time.Second)
+		m := newModel(5, 12, 32, entries, routerPolicy{})
+		m.runHotPrefix(120, 30*time.Second)
 		t.Logf("entries %d: mean load at most %.3f of fair, peak %.3f, %d of %d starts over the bound, uncached %.1f%%, p95 %v",
-			entries, m.imbalance(), m.peak, m.over, len(m.first), 100*float64(m.uncached)/float64(m.prompt), m.percentile(0.95))
+			entries, m.imbalance(), m.peakLoadRatio, m.startsOverBound, len(m.firstTokens), 100*float64(m.uncachedTokens)/float64(m.promptTokens), m.percentile(0.95))
 		require.LessOrEqual(t, m.imbalance(), 1.25)
 		if entries == 1 {
-			require.Zero(t, m.over)
+			require.Zero(t, m.startsOverBound)
 		}
-		require.Less(t, m.over*10, len(m.first), "other entries' starts between two reports")
+		require.Less(t, m.startsOverBound*10, len(m.firstTokens), "other entries' starts between two reports")
 	}
 }
 
 // The same with seven entries that cannot see each other's starts between two
 // reports, over many draws: one draw may lie to either side of the mean.
-func TestHotPrefixStaysWithinBoundInTheMean(t *testing.T) {
+func TestHotPrefixStaysWithinBoundOnAverage(t *testing.T) {
 	const draws = 20
 	over := 0.0
 	for seed := range uint64(draws) {
-		m := newModel(seed, 12, 32, 7, routed{})
-		m.hot(120, 30*time.Second)
+		m := newModel(seed, 12, 32, 7, routerPolicy{})
+		m.runHotPrefix(120, 30*time.Second)
 		require.LessOrEqual(t, m.imbalance(), 1.25)
-		over += float64(m.over) / float64(len(m.first)) / draws
+		over += float64(m.startsOverBound) / float64(len(m.firstTokens)) / draws
 	}
 	t.Logf("%.3f of the starts over the bound in the mean of %d draws", over, draws)
 	require.Less(t, over, 0.1)
 }
 
-// hot plays rate requests a second that share all but their last message.
-func (m *model) hot(rate float64, until time.Duration) {
+// runHotPrefix plays rate requests a second that share all but their last message.
+func (m *model) runHotPrefix(rate float64, until time.Duration) {
 	var arrive func()
 	arrive = func() {
 		m.submit(&job{prefixes: []uint64{1, 2, m.rng.Uint64()}, lengths: []int{200, 2000, 2050}, output: 100})
-		m.after(seconds(m.rng.ExpFloat64()/rate), arrive)
+		m.schedule(seconds(m.rng.ExpFloat64()/rate), arrive)
 	}
-	m.after(0, arrive)
+	m.schedule(0, arrive)
 	m.run(until)
 }
 
 // Many entries read the same load report. Each takes the server that looks
 // idle, and together they bury it; a second later they all flee to the next
 // one. Users see first tokens late by turns while servers idle.
-func TestHerding(t *testing.T) {
+func TestSharedReportDoesNotCauseHerding(t *testing.T) {
 	for _, entries := range []int{7, 100} {
-		spread := map[string]float64{}
-		for name, p := range map[string]chooser{"least reported": leastReported{}, "least, own": leastReported{own: true}, "route": routed{}} {
+		peakLoad := map[string]float64{}
+		for name, p := range map[string]routingPolicy{"least reported": leastLoad{}, "least, own": leastLoad{addOwn: true}, "route": routerPolicy{}} {
 			m := newModel(3, 24, 16, entries, p)
-			m.distinct(120, 20*time.Second)
-			spread[name] = m.peak
-			t.Logf("entries %3d %-15s peak load %.2f of fair, p95 %v", entries, name, m.peak, m.percentile(0.95))
+			m.runUnshared(120, 20*time.Second)
+			peakLoad[name] = m.peakLoadRatio
+			t.Logf("entries %3d %-15s peak load %.2f of fair, p95 %v", entries, name, m.peakLoadRatio, m.percentile(0.95))
 		}
-		require.Less(t, spread["route"], spread["least reported"])
-		require.Less(t, spread["route"], spread["least, own"])
+		require.Less(t, peakLoad["route"], peakLoad["least reported"])
+		require.Less(t, peakLoad["route"], peakLoad["least, own"])
 	}
 }
 
 // One prompt in twenty is a seasonal briefing of 16000 tokens, two seconds of
 // prefill. A router that counts requests alone puts short chat replies behind
 // them. Breaks without health.prefill in cost.
-func TestShortPromptsBesideLongOnes(t *testing.T) {
-	run := func(name string, p chooser) time.Duration {
+func TestShortPromptsAvoidQueuedLongPrompts(t *testing.T) {
+	run := func(name string, p routingPolicy) time.Duration {
 		m := newModel(9, 12, 32, 3, p)
 		var short []time.Duration
 		var arrive func()
@@ -148,47 +148,47 @@
 			if m.rng.IntN(20) == 0 {
 				j.lengths[0] = 16_000
 			} else {
-				j.first = func() { short = append(short, m.now.Sub(j.arrive)) }
+				j.onFirstToken = func() { short = append(short, m.now.Sub(j.arrival)) }
 			}
 			m.submit(j)
-			m.after(seconds(m.rng.ExpFloat64()/40), arrive)
+			m.schedule(seconds(m.rng.ExpFloat64()/40), arrive)
 		}
-		m.after(0, arrive)
+		m.schedule(0, arrive)
 		m.run(120 * time.Second)
-		m.first = short
+		m.firstTokens = short
 		t.Logf("%-15s short prompts: p50 %v p95 %v", name, m.percentile(0.5), m.percentile(0.95))
 		return m.percentile(0.95)
 	}
-	best := min(run("round robin", &roundRobin{}), run("least reported", leastReported{}), run("least, own", leastReported{own: true}))
-	require.Less(t, run("route", routed{}), best)
+	bestBaseline := min(run("round robin", &roundRobin{}), run("least reported", leastLoad{}), run("least, own", leastLoad{addOwn: true}))
+	require.Less(t, run("route", routerPolicy{}), bestBaseline)
 }
 
 // Demand is 1, 2 and 5 times what the servers can do, so all of them are slow.
 // If that were taken for a fault, the share of one after the other would fall
 // and the rest would drown. Breaks without slotWait in expected.
-func TestSaturationEasesNobodyOff(t *testing.T) {
-	for _, times := range []float64{1, 2, 5} {
-		m := newModel(13, 12, 8, 3, routed{})
-		m.distinct(times*12*8/2.1, 20*time.Second)
-		shares, least := 0.0, 1.0
+func TestSaturationReducesNoWeight(t *testing.T) {
+	for _, demandFactor := range []float64{1, 2, 5} {
+		m := newModel(13, 12, 8, 3, routerPolicy{})
+		m.runUnshared(demandFactor*12*8/2.1, 20*time.Second)
+		weightSum, minWeight := 0.0, 1.0
 		for _, e := range m.engines {
-			share := m.routers[0].Share(e.id, m.now)
-			shares += share
-			least = min(least, share)
+			share := m.routers[0].Weight(e.id, m.now)
+			weightSum += share
+			minWeight = min(minWeight, share)
 		}
-		t.Logf("%gx: answered %d, shares sum %.2f of 12, least %.2f, peak load %.2f of fair", times, len(m.first), shares, least, m.peak)
-		require.GreaterOrEqual(t, shares, 11.5)
+		t.Logf("%gx: answered %d, shares sum %.2f of 12, least %.2f, peak load %.2f of fair", demandFactor, len(m.firstTokens), weightSum, minWeight, m.peakLoadRatio)
+		require.GreaterOrEqual(t, weightSum, 11.5)
 	}
 }
 
-// distinct plays rate requests a second that share nothing.
-func (m *model) distinct(rate float64, until time.Duration) {
+// runUnshared plays rate requests a second that share nothing.
+func (m *model) runUnshared(rate float64, until time.Duration) {
 	var arrive func()
 	arrive = func() {
 		m.submit(&job{prefixes: []uint64{m.rng.Uint64()}, lengths: []int{600}, output: 100})
-		m.after(seconds(m.rng.ExpFloat64()/rate), arrive)
+		m.schedule(seconds(m.rng.ExpFloat64()/rate), arrive)
 	}
-	m.after(0, arrive)
+	m.schedule(0, arrive)
 	m.run(until)
 }
 
@@ -196,26 +196,26 @@
 // and announces itself as healthy. Without judging it by its latency a twelfth
 // of all users wait ten times as long until somebody looks. Breaks without the
 // cut in judge.
-func TestSlowServerIsEasedOffAndComesBack(t *testing.T) {
-	m := newModel(7, 12, 16, 3, routed{})
+func TestSlowServerWeightFallsAndRecovers(t *testing.T) {
+	m := newModel(7, 12, 16, 3, routerPolicy{})
 	slow := m.engines[4]
 	at := 20 * time.Second
-	var before, early, late, total int
-	m.after(at, func() { slow.slowdown = 10; before = slow.started })
-	m.after(at+5*time.Second, func() { early = slow.started - before; before = slow.started; total = len(m.first) })
-	m.after(at+25*time.Second, func() {
-		late = slow.started - before
-		total = len(m.first) - total
+	var before, first5s, next20s, total int
+	m.schedule(at, func() { slow.slowdown = 10; before = slow.started })
+	m.schedule(at+5*time.Second, func() { first5s = slow.started - before; before = slow.started; total = len(m.firstTokens) })
+	m.schedule(at+25*time.Second, func() {
+		next20s = slow.started - before
+		total = len(m.firstTokens) - total
 		slow.slowdown = 1
 	})
-	m.distinct(60, 150*time.Second)
-	share := float64(late) / float64(total)
-	t.Logf("first 5 s: %d requests; next 20 s: %d of %d (%.2f%% of all, %.1f%% of a fair share)", early, late, total, 100*share, 1200*share)
+	m.runUnshared(60, 150*time.Second)
+	share := float64(next20s) / float64(total)
+	t.Logf("first 5 s: %d requests; next 20 s: %d of %d (%.2f%% of all, %.1f%% of a fair share)", first5s, next20s, total, 100*share, 1200*share)
 	// The aim is a tenth; the load bound alone gives 0.096 here, so less is asked.
 	require.Less(t, share*12, 0.05, "of a fair share, from 5 s on")
 	recovered := 0.0
 	for _, r := range m.routers {
-		recovered += r.Share(slow.id, m.now) / 3
+		recovered += r.Weight(slow.id, m.now) / 3
 	}
 	t.Logf("share 105 s after it has recovered: %.2f", recovered)
 	require.Greater(t, recovered, 0.9)
@@ -223,7 +223,7 @@
 
 // A server whose process has stopped (but whose address still accepts) sends no
 // first token at all, so there is no sample to judge it by.
-func TestSilentServerIsEasedOff(t *testing.T) {
+func TestSilentServerWeightFalls(t *testing.T) {
 	r, now := testRouter(t, 6, 16)
 	for i := range 200 {
 		at := now.Add(time.Duration(i) * 20 * time.Millisecond)
@@ -234,14 +234,14 @@
 			r.Finished(&a, at.Add(15*time.Millisecond))
 		}
 	}
-	require.LessOrEqual(t, r.Share("server-0", now.Add(4*time.Second)), 0.1)
-	require.Equal(t, 1.0, r.Share("server-1", now.Add(4*time.Second)))
+	require.LessOrEqual(t, r.Weight("server-0", now.Add(4*time.Second)), 0.1)
+	require.Equal(t, 1.0, r.Weight("server-1", now.Add(4*time.Second)))
 }
 
 // A server refuses every connection, or answers each with an error. It has no
 // load and no late first token, so all else makes it look best, and callers see
 // a twelfth of their requests retried. Breaks without FailuresInRow in slow.
-func TestFailingServerIsEasedOff(t *testing.T) {
+func TestFailingServerWeightFalls(t *testing.T) {
 	r, now := testRouter(t, 6, 16)
 	failed := 0
 	for i := range 600 {
@@ -262,7 +262,7 @@
 // A few first tokens are late together and the server gets no request for a
 // while. The old evidence must not be held against it again and again. Breaks
 // without the check of fresh in judge.
-func TestOldEvidenceCountsOnce(t *testing.T) {
+func TestOldSamplesReduceWeightOnce(t *testing.T) {
 	r, now := testRouter(t, 6, 16)
 	for i := range 200 {
 		at := now.Add(time.Duration(i) * 20 * time.Millisecond)
@@ -271,18 +271,18 @@
 			v = r.Choose(&Request{Now: at, Seed: uint64(i), PromptTokens: 100, Exclude: []string{"server-1", "server-2", "server-3", "server-4", "server-5"}})
 		}
 		a := r.Started(&v, at)
-		took := 10 * time.Millisecond
+		elapsed := 10 * time.Millisecond
 		if v.Server == "server-0" {
-			took = 900 * time.Millisecond
+			elapsed = 900 * time.Millisecond
 		}
-		r.Finished(&a, at.Add(took))
+		r.Finished(&a, at.Add(elapsed))
 	}
-	require.InDelta(t, 0.25, r.Share("server-0", now.Add(4*time.Second)), 1e-9)
+	require.InDelta(t, 0.25, r.Weight("server-0", now.Add(4*time.Second)), 1e-9)
 }
 
 // A replacement starts with an empty cache and no load, so every report makes
 // it look best, and the first seconds of traffic would all go there.
-func TestNewServerIsNotFlooded(t *testing.T) {
+func TestNewServerGetsReducedWeight(t *testing.T) {
 	r, now := testRouter(t, 6, 16)
 	r.Announce(&instance.Announcement{ID: "new", Incarnation: 1, Sequence: 1, State: instance.StateServing, Slots: 16}, now, now)
 	count := map[string]int{}
@@ -292,12 +292,12 @@
 	}
 	t.Logf("of 600 decisions at once: new %d, others about 100 each", count["new"])
 	require.Less(t, count["new"], 30)
-	require.InDelta(t, 1, r.Share("new", now.Add(10*time.Second)), 1e-9)
+	require.InDelta(t, 1, r.Weight("new", now.Add(10*time.Second)), 1e-9)
 }
 
 // The same work is done in another region, tens of milliseconds away, only when
 // the servers of the region are worse by that. Breaks without distance in cost.
-func TestWorkStaysNearUntilNearIsWorse(t *testing.T) {
+func TestOwnRegionPreferredUntilLoaded(t *testing.T) {
 	r, err := New(DefaultConfig())
 	require.NoError(t, err)
 	for _, region := range []string{"here", "there"} {
@@ -306,15 +306,15 @@
 		r.Announce(a, epoch, epoch)
 	}
 	now := epoch.Add(time.Minute)
-	got := ""
+	chosen := ""
 	for i := range 60 {
 		v := r.Choose(&Request{Now: now, Seed: uint64(i), Region: "here"})
 		r.Started(&v, now)
-		got += v.Server[:1]
+		chosen += v.Server[:1]
 	}
-	require.Equal(t, "h", got[:1])
-	require.Contains(t, got, "t", "the load bound sends the rest there")
-	require.Greater(t, strings.Count(got, "h"), strings.Count(got, "t"))
+	require.Equal(t, "h", chosen[:1])
+	require.Contains(t, chosen, "t", "the load bound sends the rest there")
+	require.Greater(t, strings.Count(chosen, "h"), strings.Count(chosen, "t"))
 }
 
 func testRouter(t require.TestingT, servers, slots int) (*Router, time.Time) {
@@ -341,15 +341,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, now := testRouter(t, 5, 4)
 		b, _ := testRouter(t, 5, 4)
-		left := map[string]bool{}
+		leaving := map[string]bool{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			id := fmt.Sprintf("server-%d", rapid.IntRange(0, 4).Draw(t, "server"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				left[id] = true
-				a.Leave(id, 1)
-				b.Leave(id, 1)
+				leaving[id] = true
+				a.MarkLeaving(id, 1)
+				b.MarkLeaving(id, 1)
 			case 1:
 				ann := announcement(id, 1, uint64(step+2))
 				ann.Adapters = []string{"x"}
@@ -367,10 +367,10 @@
 					require.GreaterOrEqual(t, v.Reason, ReasonNoServer)
 					continue
 				}
-				require.False(t, left[v.Server])
+				require.False(t, leaving[v.Server])
 				require.NotEqual(t, "server-4", v.Server)
 				if req.Adapter != "" {
-					require.Contains(t, a.servers[a.index.slots[v.Server]].adapters, "x")
+					require.Contains(t, a.servers[a.index.slotByID[v.Server]].adapters, "x")
 				}
 				a.Started(&v, now)
 				b.Started(&v, now)
@@ -383,9 +383,9 @@
 	cfg := DefaultConfig()
 	cfg.LoadFactor = 1
 	_, err := New(cfg)
-	var fault *policy.ConfigError
-	require.ErrorAs(t, err, &fault)
-	require.Equal(t, "LoadFactor", fault.Field)
+	var configErr *policy.ConfigError
+	require.ErrorAs(t, err, &configErr)
+	require.Equal(t, "LoadFactor", configErr.Field)
 }
 
 func BenchmarkChoose600Servers64Prefixes(b *testing.B) {
--- a/policy/route/sends.go
+++ b/policy/route/sends.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// sendsMemory is the time constant with which this entry's rate of requests is followed.
-const sendsMemory = 3 * time.Second
+// rateWindow is the time constant with which this entry's rate of requests is followed.
+const rateWindow = 3 * time.Second
 
-// sends counts this entry's requests, decaying.
-type sends struct {
+// sendRate counts this entry's requests, decaying.
+type sendRate struct {
 	count float64
 	at    time.Time
 }
 
-func (s *sends) note(now time.Time) {
-	s.count = s.faded(now) + 1
+func (s *sendRate) record(now time.Time) {
+	s.count = s.decayed(now) + 1
 	s.at = now
 }
 
-func (s *sends) faded(now time.Time) float64 {
-	return s.count * math.Exp(-max(now.Sub(s.at).Seconds(), 0)/sendsMemory.Seconds())
+func (s *sendRate) decayed(now time.Time) float64 {
+	return s.count * math.Exp(-max(now.Sub(s.at).Seconds(), 0)/rateWindow.Seconds())
 }
 
 // perSecond returns the rate of late.
-func (s *sends) perSecond(now time.Time) float64 { return s.faded(now) / sendsMemory.Seconds() }
+func (s *sendRate) perSecond(now time.Time) float64 { return s.decayed(now) / rateWindow.Seconds() }
--- a/policy/route/verdict.go
+++ b/policy/route/verdict.go
@@ -28,7 +28,7 @@
 	ReasonSpread                     // servers that would come first are at their load bound
 	ReasonLeastCost                  // the cheapest of a random sample
 	ReasonProbe                      // trial of a server that had been slow
-	ReasonGiven                      // the only one that the request may run on
+	ReasonPinned                     // the only one that the request may run on
 	ReasonAllAtBound                 // every server is at its bound: the cheapest of a random sample
 	ReasonNoServer                   // no serving server is known
 	ReasonNoVersion                  // servers serve, none the version asked for
@@ -57,7 +57,7 @@
 	Score        time.Duration // expected time to first token, with penalties
 	CachedTokens int           // prompt tokens expected in its prefix cache
 	Load         int           // requests running or waiting, as estimated
-	Ahead        int           // prompt tokens that are to be read there first, as estimated
+	QueuedTokens int           // prompt tokens that are to be read there first, as estimated
 }
 
 // Verdict is a routing decision. It holds no pointer into the Router.
@@ -67,9 +67,9 @@
 	Address     string // host:port of the chosen server
 	Reason      Reason
 
-	uncached int
-	runners  int
-	runnerUp [maxCandidates - 1]Candidate
+	uncachedTokens int
+	runnerUpCount  int
+	runnersUp      [maxCandidates - 1]Candidate
 }
 
 // OK reports whether a server was chosen.
@@ -77,7 +77,7 @@
 
 // RunnersUp returns the other servers scored, cheapest first, for the log. The
 // slice is part of v.
-func (v *Verdict) RunnersUp() []Candidate { return v.runnerUp[:v.runners] }
+func (v *Verdict) RunnersUp() []Candidate { return v.runnersUp[:v.runnerUpCount] }
 
 // UncachedTokens returns the prompt tokens that the server is expected to prefill.
-func (v *Verdict) UncachedTokens() int { return v.uncached }
+func (v *Verdict) UncachedTokens() int { return v.uncachedTokens }
