--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,12 +1,11 @@
-// Package policy is the root of the decisions under load: what is let in
-// (admit), what waits and in which order (queue), what is tried again (retry),
-// where work goes, and how fast the system shifts.
+// Package policy is the root of the decisions under load: which requests are admitted
+// (admit), which wait and in which order (queue), which are retried (retry), which server
+// runs a request (route), and how fast load moves between sites and zones (shift).
 //
-// The packages below it use no network, clock, log or goroutine. Time and
-// randomness come in as arguments, each decision takes a typed input and
-// returns a typed verdict with its reason, and the caller logs that verdict.
-// The same inputs and the same random values give the same verdicts.
+// The packages below it use no network, clock, log or goroutine. Time and randomness are
+// arguments. Each decision takes a typed input and returns a typed verdict with its reason,
+// which the caller logs. Equal inputs and equal random values give equal verdicts.
 //
-// docs/DECISIONS.md names for each decision the pattern of load it answers and
-// compares it with its baselines.
+// docs/DECISIONS.md names the load pattern that each decision handles and compares the
+// decision with its baselines.
 package policy
--- a/policy/route/ahead_test.go
+++ b/policy/route/ahead_test.go
@@ -10,7 +10,7 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// newIdleRouter returns a Router that knows newIdleRouter servers, and the time then.
+// newIdleRouter returns a Router with idle servers past their slow start, and the time.
 func newIdleRouter(t *testing.T, servers int) (*Router, time.Time) {
 	r, err := New(DefaultConfig())
 	require.NoError(t, err)
@@ -18,14 +18,11 @@
 	for i := range servers {
 		r.Announce(&instance.Announcement{ID: fmt.Sprint("s", i), Incarnation: 1, Sequence: 1, Slots: 64, State: instance.StateServing}, now, now)
 	}
-	return r, now.Add(time.Minute) // grown
+	return r, now.Add(time.Minute) // past SlowStart
 }
 
-// Other entries reported a prompt of fifty thousand tokens that waits at a server. A short
-// question that is sent there waits for all of it, and its caller for a second in place of
-// a tenth. Once it must have been read, nobody avoids the server any more.
-//
-// It breaks if reported prompts are not counted, or counted until the next report.
+// Prompt tokens that other entries report on a server must count until they are read, and no
+// longer. Otherwise short requests queue behind a long prompt, or avoid an idle server.
 func TestReportedPromptTokensDrain(t *testing.T) {
 	r, now := newIdleRouter(t, 4)
 	r.Announce(&instance.Announcement{
@@ -41,14 +38,12 @@
 	}
 	require.Zero(t, chosen(now.Add(100*time.Millisecond)))
 	readTime := time.Duration(50_000 / r.PrefillRate() * float64(time.Second))
-	require.Greater(t, chosen(now.Add(readTime)), 50, "it has been read")
+	require.Greater(t, chosen(now.Add(readTime)), 50, "the reported prompt has been read")
 }
 
-// A server falls silent for a moment while it runs requests, and is heard again: the same
-// incarnation. What it ran is not taken off its counts, which began anew. It would look
-// as if less than nothing waited there, and draw the requests of all callers.
-//
-// It breaks without server.entry.
+// A server is removed while it runs a request and announced again in the same incarnation.
+// The end of the old request must not make its new counts negative, which would attract the
+// requests of all callers. Fails without server.registration.
 func TestReaddedServerIgnoresOldAttempt(t *testing.T) {
 	r, now := newIdleRouter(t, 1)
 	v := r.Choose(&Request{Now: now, PromptTokens: 20_000})
--- a/policy/route/attempt.go
+++ b/policy/route/attempt.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Attempt is one request on one server, from Started to Finished or Failed. It
-// is the caller's to keep; the Router holds no reference to it.
+// Attempt is one request on one server, from Started to Finished, Failed or Cancelled. The
+// caller owns it; the Router holds no reference to it.
 type Attempt struct {
 	slot               int
-	registration       uint64 // of the server in the Router
+	registration       uint64 // of the server, see server.registration
 	incarnation        uint64
 	started            time.Time
-	uncachedTokens     int
-	expectedFirstToken time.Duration // until the first token
-	awaitsFirstToken   bool          // for the first token
+	uncachedTokens     int           // expected prefill of the request
+	expectedFirstToken time.Duration // time from started
+	awaitsFirstToken   bool
 	open               bool
 }
 
-// Started counts a request that is being sent to the verdict's server. The
-// verdict must have a server.
+// Started counts a request that is about to be sent to the verdict's server. The verdict
+// must have a server.
 func (r *Router) Started(v *Verdict, now time.Time) Attempt {
 	a := Attempt{slot: -1, incarnation: v.Incarnation, started: now, uncachedTokens: v.uncachedTokens}
 	slot, ok := r.index.slotByID[v.Server]
@@ -32,18 +32,16 @@
 	return a
 }
 
-// firstTokenEstimate is how long a healthy server may take to the first token: the prefill
-// of the request and of those that this entry has waiting there, and the wait
-// for a slot.
+// firstTokenEstimate returns how long a healthy server may take to the first token: the
+// prefill of the request and of those queued before it, and the wait for a slot.
 func (r *Router) firstTokenEstimate(s *server, uncached int, now time.Time) time.Duration {
 	prefill := float64(uncached+r.queuedTokens(s, now)) / r.cfg.PrefillRate
 	return firstTokenOverhead + seconds(prefill) + r.slotWait(s)
 }
 
-// slotWait is how long a request may wait for a slot: not at all on a server
-// that has room, and on a full one for one slot and for each turn that is queued
-// before it. Without it, queueing at saturation passes for a fault (run, demand
-// equal to capacity: a quarter of the servers, the most allowed, eased off).
+// slotWait estimates how long a request waits for a slot: 0 on a server with room; on a full
+// one, the time until a slot is free plus SlotTime for each queued request per slot. Without
+// it, queueing at saturation would count as slowness and reduce the weight of healthy servers.
 func (r *Router) slotWait(s *server) time.Duration {
 	use := (s.load() + 1) / s.slots
 	if use < nearlyFullFraction {
@@ -52,7 +50,7 @@
 	return seconds((1 + max(use-1, 0)) * r.cfg.SlotTime.Seconds())
 }
 
-// FirstToken notes the first byte of the answer.
+// FirstToken records the first token of the response. Calls after the first have no effect.
 func (r *Router) FirstToken(a *Attempt, now time.Time) {
 	s := r.serverOf(a)
 	if s == nil || !a.awaitsFirstToken {
@@ -68,31 +66,31 @@
 }
 
 const (
-	// minLearnTokens is the least prefill from which the rate is learnt: a shorter one
-	// is mostly overhead.
+	// minLearnTokens is the shortest prefill that the rate is learned from. The time of a
+	// shorter one is mostly overhead.
 	minLearnTokens = 1500
-	// minLearnStep is by how much a sample that was faster than expected raises the learnt
-	// rate. One that was slower lowers it by a third of that, so that a quarter of the
-	// samples are faster: most first tokens have waited for other work, and under an
-	// overload nearly all have. With the median the rate fell to a tenth of the truth
-	// then, and the fleet was taken to need three times what it began with.
+	// minLearnStep is the relative step by which a sample faster than expected raises the
+	// learned rate. A slower one lowers it by slowStepFraction of the step, so that the
+	// rate settles where a quarter of the samples are faster: most first tokens also wait
+	// for other work, and under overload nearly all do.
 	minLearnStep     = 0.03
 	slowStepFraction = 1.0 / 3
-	// firstLearnStep is the first step. The steps shrink to learnStep over a few dozen
-	// samples: with short ones alone a rate that is ten times too low took half a
-	// minute to be found, and meanwhile a cached part counted for ten times its worth.
+	// firstLearnStep is the step of the first sample. It shrinks to minLearnStep, so that a
+	// wrong initial rate is corrected within a few dozen samples.
 	firstLearnStep = 0.3
-	// learnStepHalvingSamples is after how many samples the step is half of the first.
+	// learnStepHalvingSamples is the number of samples after which the step is half of the
+	// first one.
 	learnStepHalvingSamples = 6
-	// minRateSamples is how many samples make the rate fit for others to rely on.
+	// minRateSamples is the number of samples after which the learned rate is reported
+	// and a suggested one is ignored.
 	minRateSamples = 40
-	// minPrefillRate and mostRate bound the learnt rate, in tokens per second.
+	// minPrefillRate and maxPrefillRate bound the learned rate, in tokens per second.
 	minPrefillRate = 1_000
 	maxPrefillRate = 200_000
 )
 
-// learnPrefillRate moves the prefill rate towards what a first token has shown. Its time is
-// that of its own prefill and of what was ahead of it.
+// learnPrefillRate moves the prefill rate up if the first token came sooner than expected,
+// and down if it came later.
 func (r *Router) learnPrefillRate(a *Attempt, elapsed time.Duration) {
 	if !r.cfg.LearnPrefill || a.uncachedTokens < minLearnTokens || elapsed <= 0 {
 		return
@@ -106,8 +104,8 @@
 	r.cfg.PrefillRate = max(r.cfg.PrefillRate/(1+step*slowStepFraction), minPrefillRate)
 }
 
-// SuggestPrefillRate takes the rate that other entries have learnt, where this one has not
-// learnt it yet.
+// SuggestPrefillRate sets the rate that other entries have learned, in tokens per second,
+// unless this entry has learned its own.
 func (r *Router) SuggestPrefillRate(rate float64) {
 	if !r.cfg.LearnPrefill || rate <= 0 || r.rateSamples >= minRateSamples {
 		return
@@ -116,11 +114,11 @@
 	r.rateSamples = minRateSamples
 }
 
-// PrefillRate returns the rate in use, in tokens per second.
+// PrefillRate returns the prefill rate in use, in tokens per second.
 func (r *Router) PrefillRate() float64 { return r.cfg.PrefillRate }
 
-// LearnedPrefillRate returns the rate in use once enough first tokens have shown it, and 0
-// before that.
+// LearnedPrefillRate returns the prefill rate in use, in tokens per second, or 0 before
+// enough samples were taken.
 func (r *Router) LearnedPrefillRate() float64 {
 	if r.rateSamples < minRateSamples {
 		return 0
@@ -128,7 +126,7 @@
 	return r.cfg.PrefillRate
 }
 
-// Finished counts a request that ended well. Calls after the first have no effect.
+// Finished counts a request that was answered completely. Calls after the first have no effect.
 func (r *Router) Finished(a *Attempt, now time.Time) {
 	r.FirstToken(a, now)
 	if s := r.serverOf(a); s != nil {
@@ -137,8 +135,8 @@
 	a.open = false
 }
 
-// Failed counts a request that the server did not answer: connection lost,
-// timeout or server error. Calls after the first have no effect.
+// Failed counts a request that the server did not answer: connection lost, timeout or
+// server error. Calls after the first have no effect.
 func (r *Router) Failed(a *Attempt, now time.Time) {
 	if s := r.serverOf(a); s != nil {
 		s.health.addFailure()
@@ -147,8 +145,8 @@
 	a.open = false
 }
 
-// Cancelled counts a request that the caller gave up; it says nothing about
-// the server. Calls after the first have no effect.
+// Cancelled counts a request that the caller cancelled, which is no evidence about the
+// server. Calls after the first have no effect.
 func (r *Router) Cancelled(a *Attempt, now time.Time) {
 	if s := r.serverOf(a); s != nil {
 		r.closeUnanswered(s, a, now)
@@ -156,19 +154,20 @@
 	a.open = false
 }
 
+// closeUnanswered removes a request that has not finished from the server's counts.
 func (r *Router) closeUnanswered(s *server, a *Attempt, now time.Time) {
 	if a.awaitsFirstToken {
 		since := s.health.waitingSince
 		s.health.removePending(now, a.uncachedTokens)
-		s.health.waitingSince = since // an end without an answer is no sign of life
+		s.health.waitingSince = since // ending without an answer is no progress
 		a.awaitsFirstToken = false
 	}
 	s.ended(now)
 }
 
-// serverOf returns the attempt's server, or nil if it has gone, restarted or been
-// removed for a while since: its counts begin at zero then, and taking an old attempt
-// off them would make it look idle and draw all new work.
+// serverOf returns the attempt's server, or nil if the server has since been removed,
+// restarted, or removed and added again. Its counts then start at zero; subtracting an old
+// attempt would make them negative, and the server would look idle and attract new requests.
 func (r *Router) serverOf(a *Attempt) *server {
 	if !a.open || a.slot >= len(r.servers) {
 		return nil
--- a/policy/route/choose.go
+++ b/policy/route/choose.go
@@ -7,8 +7,8 @@
 	"savoryreel.example/savoryreel/policy/hash"
 )
 
-// Choose decides where the request runs. It does not count the request; call
-// Started when it is sent.
+// Choose returns the server that should run the request. It does not count the request on
+// the server; call Started when the request is sent.
 func (r *Router) Choose(req *Request) Verdict {
 	r.assessServers(req.Now)
 	t := r.computeWeights(req)
@@ -27,9 +27,9 @@
 	return r.newVerdict(req, &candidates, reason)
 }
 
-// Candidates appends the ids of the servers that Choose would weigh against each other
-// for the request, to be asked what runs there. It counts nothing: with the same Seed
-// Choose then draws the same ones, as far as what they say lets it.
+// Candidates appends to dst the ids of the servers that Choose would score for the request,
+// so that the caller can query their load first. It counts nothing. With the same Seed, Choose
+// scores the same servers unless their updated load excludes them.
 func (r *Router) Candidates(req *Request, dst []string) []string {
 	r.assessServers(req.Now)
 	t := r.computeWeights(req)
@@ -45,7 +45,8 @@
 	return dst
 }
 
-// assumeSharedCached takes the first server in the rendezvous order to cache what is shared.
+// assumeSharedCached assumes that the first server in the rendezvous order caches the fraction
+// Trust of the shared tokens.
 func (r *Router) assumeSharedCached(req *Request, p *candidateSet) {
 	if p.firstByRendezvous < 0 || r.cfg.Trust == 0 {
 		return
@@ -53,19 +54,20 @@
 	r.matched[p.firstByRendezvous] = max(r.matched[p.firstByRendezvous], int32(r.cfg.Trust*float64(req.SharedTokens)))
 }
 
-// serverTotals is what one pass over all servers found.
+// serverTotals holds the totals of one scan over all servers.
 type serverTotals struct {
-	load           float64 // estimated requests on usable servers
-	weightedSlots  float64 // sum of slots times share
-	maxWeight      float64 // highest share
-	servers        int     // usable ones
-	maxLoadPerSlot float64 // bound on the load for each slot at full share
+	load           float64 // estimated requests on eligible servers
+	weightedSlots  float64 // sum of slots times weight
+	maxWeight      float64 // highest weight of an eligible server
+	servers        int     // eligible servers
+	maxLoadPerSlot float64 // load bound for each slot at weight 1
 	anyServing     bool
-	anyVersion     bool
-	anyAdapter     bool
-	anyExcluded    bool
+	anyVersion     bool // some serving server has the requested version
+	anyAdapter     bool // some server with the version has the adapter loaded
+	anyExcluded    bool // some server that matches is in Request.Exclude
 }
 
+// refusalReason returns why no server is eligible.
 func (t *serverTotals) refusalReason() Reason {
 	switch {
 	case t.anyExcluded:
@@ -79,7 +81,8 @@
 	}
 }
 
-// computeWeights sets the weight of each server that may run the request.
+// computeWeights sets the weight and the load of each server that may run the request, sets
+// the weight of all others to 0, and returns the totals.
 func (r *Router) computeWeights(req *Request) serverTotals {
 	var t serverTotals
 	for i := range r.servers {
@@ -100,9 +103,10 @@
 	return t
 }
 
+// eligible reports whether the server may run the request, and records in t which
+// conditions some server meets.
 func (t *serverTotals) eligible(s *server, req *Request) bool {
-	// Work sent to a server that leaves would be cut off at the end of its
-	// notice; no score makes up for that, so it is never a candidate.
+	// A request on a leaving server would be cut off when the server stops.
 	if !s.serving {
 		return false
 	}
@@ -122,7 +126,8 @@
 	return true
 }
 
-// probeSlot returns the slot of a slow server that is due a trial, or -1.
+// probeSlot returns the slot of a server with a reduced weight that is due a probe request,
+// or -1.
 func (r *Router) probeSlot(req *Request) int {
 	if req.NoProbe || !r.anyReduced {
 		return -1
@@ -140,20 +145,20 @@
 	return -1
 }
 
-// Salts that make the samples of one decision independent of each other.
+// Salts that make the random draws of one decision independent of each other.
 const (
 	saltWeight = 0x1d8e4e27c47d124f
 	saltBound  = 0xeb44accab455d165
 )
 
-// collectCandidates collects the candidates. A server takes part with a probability equal
-// to its share, so that one at a twentieth is a candidate in a twentieth of the
-// decisions, however attractive its cache and its empty queue make it. lone says that
-// the request shares its beginning with no other caller's.
+// collectCandidates returns the servers to score. A server takes part with a probability
+// proportional to its weight, so that one at a twentieth is a candidate in a twentieth of the
+// decisions, even if its cache and its empty queue make it the cheapest. unshared means that
+// no other caller's recent requests have the same affinity key.
 func (r *Router) collectCandidates(req *Request, t *serverTotals, unshared bool) (candidateSet, Reason) {
 	var cached, ranked, sampled, ignoringBound, ignoringWeight topTwo
 	maxMatched := int32(1)
-	topRank := uint64(0) // best rank of all, also of those at their bound
+	topRank := uint64(0) // highest rank of all servers, including those at their bound
 	topAtBound := false
 	key := affinityKey(req)
 	for i := range r.servers {
@@ -169,8 +174,7 @@
 		ignoringBound.offer(i, noise)
 		rank := hash.Pair(key, serverHash)
 		m := r.matched[i]
-		// The bound is checked only where it matters: few of many servers are
-		// among the best so far.
+		// The bound is checked only for servers that could become candidates, which are few.
 		cachesMost := m > maxMatched || m == maxMatched && cached.accepts(^noise)
 		if rank < topRank && !cachesMost && !sampled.accepts(noise) && !ranked.accepts(rank) {
 			continue
@@ -191,7 +195,7 @@
 			cached = topTwo{}
 		}
 		if m == maxMatched {
-			cached.offer(i, ^noise) // another sample than that of all servers
+			cached.offer(i, ^noise) // inverted, so that ties draw other servers than sampled
 		}
 	}
 	p := candidateSet{firstByRendezvous: -1}
@@ -212,23 +216,20 @@
 	return p, ReasonLeastCost
 }
 
-// atBound reports whether one more request would put the server in slot i over its
+// atBound reports whether one more request would put the server in slot i over its load
 // bound.
 //
-// own says that the request belongs to one caller's conversation, most of which
-// the server caches. No other entry has it, and it may stay while the server
-// uses less than FreeLoad of its slots: there it delays nobody, and moving it
-// would cost its whole prefill.
+// ownConversation means that the request continues a conversation, most of which the server
+// caches. No other entry sends it. It may stay while the server uses less than FreeLoad of
+// its slots: there it delays no other request, and moving it would repeat its prefill.
 //
-// Any other request may be one of many: where n entries send at once, each may
-// use an n-th of the headroom that the last report left. Where that is less
-// than one request, the entry takes one with the probability that makes the n
-// entries together fill it; without this, 100 entries that see room for one
-// request would each send one. Run with 7 entries, a hot prefix and reports 0.2
-// to 1.2 s old: 19% of the starts were over the bound without it, 8% with it.
+// Any other request may be one of many. Where n entries send at once, each may use 1/n of
+// the headroom that the last report left. If that is less than one request, the entry sends
+// one with the probability that makes the n entries fill the headroom together. Otherwise
+// 100 entries that see room for one request would each send one.
 func (r *Router) atBound(i int, t *serverTotals, ownConversation bool, noise uint64, now time.Time) bool {
 	s := &r.servers[i]
-	limit := t.maxLoadPerSlot * r.weights[i] * s.slots // its ceiling is what the load may become
+	limit := t.maxLoadPerSlot * r.weights[i] * s.slots // the load may reach this, rounded up
 	load := r.loads[i]
 	if ownConversation {
 		return load >= limit && load+1 > r.cfg.FreeLoad*s.slots
@@ -240,9 +241,9 @@
 	return load >= limit
 }
 
-// otherSenders is how many other entries may have sent a request to a server since its last
-// report: as many as send at all in that time, at this entry's rate, to a server that
-// gets as much as its bound allows.
+// otherSenders estimates how many other entries may have sent a request to the server since
+// its last report. With CountSenders it assumes that all entries send at this entry's rate
+// and that the server receives LoadFactor times its fair share.
 func (r *Router) otherSenders(s *server, t *serverTotals, now time.Time) float64 {
 	if !r.cfg.CountSenders {
 		return float64(r.cfg.Entries - 1)
@@ -253,17 +254,17 @@
 }
 
 const (
-	// collectedReportLag is how old a report is when it arrives that was collected from many
-	// entries.
+	// collectedReportLag is the age on arrival of an announced load, which is collected
+	// from many entries.
 	collectedReportLag = 100 * time.Millisecond
-	// queriedReportLag is how old an answer is that was asked for: half of a round trip, and what
-	// others send before they hear of the request that it was asked for.
+	// queriedReportLag is the age on arrival of a queried load: half a round trip, plus the
+	// time in which other entries do not yet see the request.
 	queriedReportLag = 2 * time.Millisecond
 )
 
-// affinityKey is what related requests have in common: the first two messages,
-// which are the system prompt and what opened the conversation. The system
-// prompt alone would gather all conversations of a service on one server.
+// affinityKey returns the key that related requests share: the hash of the first two
+// messages, which are the system prompt and the first message of the conversation. The system
+// prompt alone would place all conversations of a service on one server.
 func affinityKey(req *Request) uint64 {
 	switch n := len(req.Prefixes); n {
 	case 0:
@@ -297,11 +298,13 @@
 	}
 }
 
+// uncachedTokens returns the prompt tokens that are left to prefill. matched is the number
+// of cached tokens.
 func uncachedTokens(req *Request, matched int32) int {
 	return max(req.PromptTokens-int(matched), 0)
 }
 
-// newVerdict scores the picks and returns the cheapest with the others behind it.
+// newVerdict scores the candidates and returns the cheapest, with the others as runners-up.
 func (r *Router) newVerdict(req *Request, p *candidateSet, reason Reason) Verdict {
 	var scored [maxCandidates]Candidate
 	var slots [maxCandidates]int
@@ -335,8 +338,8 @@
 	return v
 }
 
-// ChooseServer is Choose with the server given, for a request that may run only
-// there. The verdict has no server if that one may not run the request.
+// ChooseServer is Choose for a request that may run only on the given server. The verdict
+// has no server if that one may not run the request.
 func (r *Router) ChooseServer(req *Request, id string) Verdict {
 	r.assessServers(req.Now)
 	t := r.computeWeights(req)
--- a/policy/route/config.go
+++ b/policy/route/config.go
@@ -6,92 +6,74 @@
 	"savoryreel.example/savoryreel/policy"
 )
 
-// Config holds the thresholds of a Router. Start from DefaultConfig.
+// Config holds the parameters of a Router. Start from DefaultConfig.
 type Config struct {
-	// Entries is the number of entries that send to the same servers, at least
-	// 1. Each entry sees only its own starts since the last load report and may
-	// use only its part of a server's headroom. Router.SetEntries changes it.
+	// Entries is the number of entries that send to the same servers, at least 1. An
+	// entry sees only its own requests since the last load report and may use only
+	// its share of a server's headroom. Router.SetEntries changes it.
 	Entries int
 
-	// PrefillRate is how fast an engine prefills, in tokens per second.
+	// PrefillRate is the prefill speed of a server, in tokens per second.
 	PrefillRate float64
-	// LearnPrefill makes the Router learn the rate from the first tokens that it
-	// sees, starting at PrefillRate.
+	// LearnPrefill adjusts the rate to measured times to first token, starting at
+	// PrefillRate.
 	LearnPrefill bool
-	// Trust is the part of a prompt's shared beginning that the first server in the
-	// rendezvous order is taken to cache although this entry has not seen it there:
-	// other entries send the same beginning to the same server. Without it an entry
-	// would spread what it sees for the first time over all servers, and each would
-	// prefill it again. 0 where cache events tell.
+	// Trust is the fraction of Request.SharedTokens that the first server in the
+	// rendezvous order is assumed to cache, because other entries send the same shared
+	// prefix there. Without it, an entry spreads prefixes that are new to it over all
+	// servers, and each server prefills them. Set it to 0 where servers send cache events.
 	Trust float64
-	// CountSenders takes no more entries to send to a server between two reports than
-	// can have sent at all. It is for many entries that send little each; where the
-	// entries are few, or one prefix is all the load, the bound holds better without.
+	// CountSenders estimates from this entry's request rate how many other entries can
+	// have sent to a server since its last report, instead of assuming all of them. It is
+	// for many entries with few requests each. With few entries, or with one prefix as the
+	// whole load, the load bound holds better without it.
 	CountSenders bool
-	// BusyCost is the delay of the first token on a server whose slots are all
-	// taken, from sharing its batch; it falls to 0 in proportion on an idle one.
+	// BusyCost is the delay of the first token on a server whose slots are all taken,
+	// because requests share its batch. It is proportional to the used fraction of slots.
 	BusyCost time.Duration
-	// SlotTime is how long a request holds a slot: the wait per request that
-	// each slot has queued before it.
+	// SlotTime is how long a request occupies a slot. Each queued request per slot adds
+	// this much to the wait.
 	SlotTime time.Duration
-	// ZoneCost and RegionCost are added for a server in another zone of the
-	// region, and in another region.
+	// ZoneCost and RegionCost are added to the score of a server in another zone of the
+	// region, and of one in another region.
 	ZoneCost   time.Duration
 	RegionCost time.Duration
 
-	// LoadFactor bounds a server's load to this multiple of its fair load, above 1.
+	// LoadFactor bounds a server's load to this multiple of the fair load. It is above 1.
 	LoadFactor float64
-	// FreeLoad is the part of its slots that a server may use, whatever its fair
-	// load, for conversations that it caches.
+	// FreeLoad is the fraction of its slots that a server may fill with conversations that
+	// it caches, even where that exceeds the load bound.
 	FreeLoad float64
 
-	// SlowStart is how long a new server takes to reach its full share, and
-	// SlowStartShare is the part of it that it begins with.
+	// SlowStart is how long a new server takes to reach its full share of requests. Its
+	// weight grows linearly with its age and is at least SlowStartShare.
 	SlowStart      time.Duration
 	SlowStartShare float64
 
-	// SlowFactor is how many times the median of its peers a server's
-	// normalized time to first token must be for it to count as slow.
+	// SlowFactor is how many times the median of all servers, or 1 if that is greater, a
+	// server's normalized time to first token may be before it counts as slow.
 	SlowFactor float64
-	// SlowSamples is how many first tokens are needed for a judgement.
+	// SlowSamples is the number of first tokens needed before a server can count as slow
+	// by its latency.
 	SlowSamples int
-	// SilentAfter is the least time without any first token, while some are
-	// due, after which a server counts as slow.
+	// SilentAfter is the minimum time without a first token, while requests wait for
+	// one, after which a server counts as slow.
 	SilentAfter time.Duration
-	// FailuresInRow failures with no success between them make a server slow at once.
+	// FailuresInRow is the number of consecutive failures that make a server slow.
 	FailuresInRow int
-	// AssessEvery is how often servers are judged. A slow server's share falls to
-	// a quarter at each judgement that has new evidence, down to MinShare.
+	// AssessEvery is the minimum interval between assessments of the servers. Each
+	// assessment with new evidence divides a slow server's weight by 4, down to MinShare.
 	AssessEvery time.Duration
 	MinShare    float64
-	// ProbeEvery is the time between single trial requests to a server at
-	// MinShare, over all entries together; one entry never waits longer than
-	// ProbeMax.
+	// ProbeEvery is the interval between single probe requests to a server with a reduced
+	// weight, over all entries together. ProbeMax bounds the interval of one entry.
 	ProbeEvery time.Duration
 	ProbeMax   time.Duration
-	// RecoverEvery is the least time between doublings of a share that is
-	// coming back.
+	// RecoverEvery is the minimum time between doublings of a weight that recovers.
 	RecoverEvery time.Duration
 }
 
-// DefaultConfig returns the thresholds with the reasons below; figures named
-// "run" come from this package's tests, which print them.
-//
-//   - LoadFactor 1.25 is the users' bound for a hot prefix; the paper's proof
-//     holds for any factor above 1.
-//   - FreeLoad 0.5: with 0, at a quarter of the capacity (run: 150 callers, 7
-//     entries, 12 servers of 16 slots) random arrivals alone put the bound in the
-//     way of conversations: 30.5% of the prompt tokens were prefilled and the p95
-//     first token was 563 ms, against 18.2% and 170 ms with 0.5.
-//   - ZoneCost 1 ms is a round trip between data centres of one site (0.5 ms one
-//     way, the users' figure); RegionCost 60 ms keeps work in its region until the
-//     region's servers are worse by that.
-//   - SlowFactor 2.5 with SlowSamples 3 and AssessEvery 250 ms takes a share from
-//     1 to MinShare in three judgements, with five samples or so, which leaves
-//     most of the 5 s aimed at for the samples to come in. Lower factors take queueing noise for
-//     a fault: at a load of 0.7, waits vary by about a factor of 2 between peers.
-//   - SilentAfter 1 s is above the users' 0.72 s target for a first token.
-//   - SlowStart 10 s covers the filling of an empty prefix cache and of the batch.
+// DefaultConfig returns the default parameters, for one entry.
 func DefaultConfig() Config {
 	return Config{
 		Entries:        1,
--- a/policy/route/demand.go
+++ b/policy/route/demand.go
@@ -6,31 +6,30 @@
 	"savoryreel.example/savoryreel/policy/hash"
 )
 
-// Size and time scale of a demand sketch.
 const (
 	demandCells  = 1024
 	demandWindow = 2 * time.Second
-	// hotRequestCount is the number of requests for one key in this window and the one
-	// before from which on it counts as shared. A conversation sends its next
-	// turn when it has the answer, so one or two is usual.
+	// hotRequestCount is the number of requests for one key, in the current and the previous
+	// window, from which the key counts as shared. One conversation usually sends one or two,
+	// because each turn follows the answer to the last.
 	hotRequestCount = 3
 )
 
-// demandSketch counts this entry's recent requests by affinity key, to tell a prefix
-// that many callers share from a conversation that one caller has. The first
-// must spread over servers, the second must stay where it is cached. Keys that
-// share a cell count as one, which errs towards spreading.
+// demandSketch counts this entry's recent requests by affinity key, to distinguish a prefix
+// that many callers share from a conversation of one caller. The former must spread over
+// servers, the latter must stay where it is cached. Keys that share a cell are counted
+// together, which errs towards spreading.
 type demandSketch struct {
 	cells [demandCells]demandCell
 }
 
 type demandCell struct {
-	window   int64
+	window   int64 // time since the Unix epoch, in units of demandWindow
 	count    uint16
-	previous uint16 // count of the window before
+	previous uint16 // count of the previous window
 }
 
-// record counts a request and returns how many the key has had lately.
+// record counts a request and returns the recent number of requests for the key.
 func (d *demandSketch) record(key uint64, now time.Time) int {
 	c := &d.cells[hash.Pair(key, 0)%demandCells]
 	window := now.UnixNano() / int64(demandWindow)
@@ -45,7 +44,7 @@
 	return int(c.count) + int(c.previous)
 }
 
-// recentCount returns how many requests the key has had recentCount, without counting one.
+// recentCount returns the number of requests for the key in this window and the previous one.
 func (d *demandSketch) recentCount(key uint64, now time.Time) int {
 	c := &d.cells[hash.Pair(key, 0)%demandCells]
 	switch now.UnixNano()/int64(demandWindow) - c.window {
@@ -58,8 +57,8 @@
 	}
 }
 
-// recordAndCheckHot counts a request and reports whether many callers share its key. Without
-// a key there is nothing to keep together, which is the same.
+// recordAndCheckHot counts a request and reports whether many callers share its key. A
+// request without a key counts as shared: no server caches anything for it.
 func (d *demandSketch) recordAndCheckHot(key uint64, now time.Time) bool {
 	return key == 0 || d.record(key, now) >= hotRequestCount
 }
--- a/policy/route/health.go
+++ b/policy/route/health.go
@@ -5,49 +5,46 @@
 	"time"
 )
 
-// Weights of the newest sample in the moving averages: a server at its full
-// share averages over about three samples, one that is eased off over one to
-// two, as its samples are few and a return to normal should show.
+// Smoothing factors of the moving average of the latency ratio. A server with a
+// reduced weight has few samples, and its recovery must show quickly.
 const (
 	sampleSmoothing        = 0.3
 	reducedSampleSmoothing = 0.7
 )
 
-// firstTokenOverhead is added to the expected prefill before a measured time is divided
-// by it, so that short prompts, whose time is mostly not prefill, compare with
-// long ones.
+// firstTokenOverhead is added to the expected prefill time before a measured time is divided
+// by it, so that short prompts, whose time is mostly overhead, compare with long ones.
 const firstTokenOverhead = 50 * time.Millisecond
 
-// nearlyFullFraction is the use of a server's slots from which on a request may have to
-// wait: the estimate of the load is old, and a few requests off.
+// nearlyFullFraction is the used fraction of slots from which a request may have to wait:
+// the load estimate lags by a few requests.
 const nearlyFullFraction = 0.75
 
-// Factors by which a share changes at each step.
+// Factors by which a weight changes at each step.
 const (
 	weightCutDivisor     = 4
 	weightRecoveryFactor = 2
 )
 
-// maxReducedFraction is the part of the servers that may be eased off at a time. Slow
-// machines are a few in a hundred; a quarter also fits a site of four servers.
+// maxReducedFraction bounds the fraction of servers whose weight is reduced at a time.
 const maxReducedFraction = 0.25
 
-// health tells a server that is slow or failing without being gone (a gray
-// failure) from its peers. Its announcements look fine, so nothing else
-// notices; callers would see a tenth of all answers late for as long as it
-// lasts, at ten servers. The measure is the time to first token divided by the
-// time that its prefill should take, so that long prompts do not look like a
-// fault, and it is compared with the median over all servers, so that a surge
-// that slows all of them eases off none.
+// health detects a server that is slow or failing but alive (a gray failure). Its
+// announcements look normal, so nothing else detects it, and callers would see its part of
+// all answers late or failed.
+//
+// The measure is the time to first token divided by the time that the prefill should take,
+// so that long prompts do not count as slowness. It is compared with the median of all
+// servers, so that a surge that slows all of them reduces no weight.
 type health struct {
-	weight           float64 // part of its full share that it gets, MinShare..1
-	latencyRatio     float64 // moving average of measured over expected
+	weight           float64 // fraction of its full share of requests, MinShare to 1
+	latencyRatio     float64 // moving average of measured over expected time to first token
 	sampleCount      int
-	newEvidence      int // samples and failures since the last judgement that used them
-	failuresInRow    int // in a row
-	pendingRequests  int // own requests without a first token
-	waitingSince     time.Time
-	pendingTokens    int // uncached tokens of those requests
+	newEvidence      int // samples and failures since the last assessment that used them
+	failuresInRow    int
+	pendingRequests  int       // own requests without a first token
+	waitingSince     time.Time // last first token, or start of the first pending request
+	pendingTokens    int       // uncached tokens of the pending requests
 	lastStart        time.Time
 	lastWeightChange time.Time
 }
@@ -63,8 +60,8 @@
 	h.lastStart = now
 }
 
-// removePending ends the wait of one request for its first token. Any progress is a
-// sign of life, so the wait of those behind it counts from here.
+// removePending ends the wait of one request for its first token and restarts the wait of
+// the other pending requests, because the server made progress.
 func (h *health) removePending(now time.Time, uncached int) {
 	h.pendingRequests--
 	h.pendingTokens -= uncached
@@ -89,8 +86,8 @@
 	h.newEvidence++
 }
 
-// silentFor returns how long the entry has waited for any first token beyond what
-// the prefill before it should take.
+// silentFor returns how long the server has sent no first token, less the time that the
+// pending prefill should take. prefillRate is in tokens per second.
 func (h *health) silentFor(now time.Time, prefillRate float64) time.Duration {
 	if h.pendingRequests == 0 {
 		return 0
@@ -98,7 +95,8 @@
 	return now.Sub(h.waitingSince) - seconds(float64(h.pendingTokens)/prefillRate)
 }
 
-// assessServers judges all servers against the median, at most once per AssessEvery.
+// assessServers compares all servers with the median and updates their weights, at most once
+// per AssessEvery.
 func (r *Router) assessServers(now time.Time) {
 	if now.Sub(r.lastAssessed) < r.cfg.AssessEvery {
 		return
@@ -123,9 +121,8 @@
 			continue
 		}
 		h := &s.health
-		// Where many servers look slow it is the load that is too high. Easing
-		// them off would put all of it on the rest and make those slow as well,
-		// until one server is left with everything.
+		// If many servers look slow, the load is too high. Reducing their weights would
+		// move it to the others and make those slow as well, until one server has it all.
 		if h.weight == 1 && reduced >= max(1, int(maxReducedFraction*float64(known))) {
 			continue
 		}
@@ -137,6 +134,7 @@
 	r.anyReduced = reduced > 0
 }
 
+// countReduced returns the number of servers with a reduced weight, and of all servers.
 func (r *Router) countReduced() (reduced, known int) {
 	for i := range r.servers {
 		if r.servers[i].id == "" {
@@ -150,12 +148,10 @@
 	return reduced, known
 }
 
-// updateWeight cuts the share of a slow server, and doubles that of a server that has
-// answered well. Each step needs evidence that is newer than the last one, which
-// for a silent server is its silence. Without that, a handful of first tokens
-// that were late together, as at the start of a surge, would count again at each
-// judgement and take the server out (run, 7 entries and a hot prefix: one to
-// three healthy servers of twelve at MinShare in each entry).
+// updateWeight cuts the weight of a slow server and doubles that of one that has answered
+// well. Each step needs newer evidence than the last; for a silent server that is its
+// silence. Otherwise a few first tokens that were late together, as at the start of a surge,
+// would count at each assessment and reduce a healthy server to MinShare.
 func (r *Router) updateWeight(s *server, now time.Time) {
 	h := &s.health
 	silent := h.silentFor(now, r.cfg.PrefillRate) > r.maxSilence()+r.slotWait(s)
@@ -175,6 +171,7 @@
 	}
 }
 
+// isSlow reports whether failures or the latency ratio mark the server as slow.
 func (r *Router) isSlow(h *health) bool {
 	if h.failuresInRow >= r.cfg.FailuresInRow {
 		return true
@@ -182,16 +179,15 @@
 	return h.sampleCount >= r.cfg.SlowSamples && h.latencyRatio > r.cfg.SlowFactor*max(r.medianLatencyRatio, 1)
 }
 
-// maxSilence is the wait that counts as silence: SlowFactor times the usual
-// wait for a first token, so that saturation of all servers is no fault of one.
+// maxSilence returns the time without a first token from which a server counts as slow. It
+// grows with the mean time to first token, so that saturation of all servers does not count.
 func (r *Router) maxSilence() time.Duration {
 	usual := time.Duration(r.cfg.SlowFactor * float64(r.meanFirstToken))
 	return max(r.cfg.SilentAfter, usual)
 }
 
-// probeInterval is how long this entry leaves a server at MinShare untried. It
-// grows with the number of entries, so that all of them together do not make
-// a full share out of their trials.
+// probeInterval returns the time between this entry's probes of a server. It grows with the
+// number of entries, so that the probes of all of them stay rare.
 func (r *Router) probeInterval() time.Duration {
 	return min(r.cfg.ProbeEvery*time.Duration(r.cfg.Entries), r.cfg.ProbeMax)
 }
--- a/policy/route/index.go
+++ b/policy/route/index.go
@@ -9,23 +9,20 @@
 
 // Limits of a PrefixIndex.
 const (
-	// maxServerPrefixes bounds the prefixes kept for one server, the newest. A
-	// prefix that one server holds takes 180 bytes (measured), so that 600
-	// servers at the bound that share nothing take 111 MB. A prefix that is not
-	// kept costs one prefill.
+	// maxServerPrefixes bounds the prefixes indexed per server; the newest are retained. A
+	// prefix on one server takes about 180 bytes. A missing one costs one prefill.
 	maxServerPrefixes = 1024
-	// maxBufferedEvents bounds the events kept for replay while a listing is on its
-	// way: more than a server stores in the second that a listing takes.
+	// maxBufferedEvents bounds the events buffered for replay until a listing arrives.
 	maxBufferedEvents = 256
 )
 
-// ApplyResult says what a PrefixIndex did with a cache event.
+// ApplyResult is the result of PrefixIndex.Apply.
 type ApplyResult uint8
 
 // The results of Apply.
 const (
 	Applied   ApplyResult = iota // the event was the next in order
-	Duplicate                    // seen before, or of an incarnation that has ended
+	Duplicate                    // already applied, or of an earlier incarnation
 	Gap                          // events are missing: fetch the full listing and call Replace
 )
 
@@ -43,39 +40,37 @@
 	}
 }
 
-// Listing is all that one server's prefix cache held after its event number
-// Sequence, in no order.
+// Listing is the content of one server's prefix cache after the event with number
+// Sequence. The order of Prefixes has no meaning.
 type Listing struct {
 	Incarnation uint64
 	Sequence    uint64
 	Prefixes    []CachedPrefix
 }
 
-// CachedPrefix is one cached prefix: its hash (see native.PrefixHashes) and its length.
+// CachedPrefix is a cached prefix: its hash (see native.PrefixHashes) and its length.
 type CachedPrefix struct {
 	Prefix uint64
 	Tokens int
 }
 
-// PrefixIndex knows which backend server caches which prompt prefix, as far as
-// the servers' events tell. Events come late and with gaps. Without the gap
-// check, a lost eviction would send a conversation to a server that has
-// forgotten it for as long as the server lives, seen as recomputed tokens
-// that do not fall; so a gap is reported until a listing has closed it. Until
-// then the index goes on with what it knows, since a wrong entry costs one
-// prefill and no answer. Not safe for concurrent use.
+// PrefixIndex maps prompt prefixes to the servers that cache them, built from the servers'
+// cache events. Events may arrive late or be lost. A lost eviction would send a conversation
+// to a server that no longer caches it, for as long as that server runs, so a gap is reported
+// until a listing has closed it. Meanwhile the index remains in use, since a wrong entry only
+// costs one prefill. It is not safe for concurrent use.
 type PrefixIndex struct {
 	slotByID       map[string]int
-	servers        []indexedServer // by slot
-	freeSlots      []int           // slots to use again
+	servers        []indexedServer // by slot; each server has one
+	freeSlots      []int           // slots of removed servers, for reuse
 	prefixes       map[uint64]*prefixEntry
-	matchedHolders []uint64 // scratch of match: one bit per slot
+	matchedHolders []uint64 // scratch space of match: one bit per slot
 }
 
 type prefixEntry struct {
 	tokens      int32
 	holderCount int
-	holders     []uint64 // one bit per slot
+	holders     []uint64 // servers that cache the prefix, one bit per slot
 }
 
 type indexedServer struct {
@@ -84,8 +79,8 @@
 	hasGap      bool
 	pinned      bool // a Router uses the slot
 	prefixes    map[uint64]struct{}
-	storeOrder  []uint64              // of prefixes, as stored, with some that were evicted since
-	buffered    []instance.CacheEvent // in order, since the gap, for replay over a listing
+	storeOrder  []uint64              // prefixes, oldest first, including some evicted ones
+	buffered    []instance.CacheEvent // events since the gap, in order, for replay after a listing
 }
 
 // NewPrefixIndex returns an empty index.
@@ -96,9 +91,9 @@
 	}
 }
 
-// Apply takes in one event of the server's given incarnation. It returns Gap
-// for every event until a listing has repaired the gap, so that a listing that
-// got lost is asked for again; the caller keeps one such request in flight.
+// Apply applies one cache event of the server's given incarnation. It returns Gap for every
+// event until a listing has closed the gap, so that the caller can request a lost listing
+// again. The caller should have one request for a listing in flight at a time.
 func (x *PrefixIndex) Apply(server string, incarnation uint64, event instance.CacheEvent) ApplyResult {
 	slot := x.slotFor(server)
 	s := &x.servers[slot]
@@ -112,7 +107,7 @@
 		return Duplicate
 	}
 	if event.Sequence != s.sequence+1 {
-		// What lies between was lost; what was held before it is of no use.
+		// Buffered events cannot be replayed over a hole.
 		s.hasGap = true
 		s.buffered = s.buffered[:0]
 	}
@@ -127,10 +122,9 @@
 	return Applied
 }
 
-// Replace puts a full listing in place of what is known of the server, then
-// applies again the events that came after it. It reports whether the index is
-// now complete for the server; if not, the listing was too old and another one
-// is needed.
+// Replace replaces the server's prefixes by a full listing and reapplies the buffered events
+// that are newer. It reports whether the index is now complete for the server; if not, the
+// listing was too old and the caller needs another one.
 func (x *PrefixIndex) Replace(server string, listing Listing) bool {
 	slot := x.slotFor(server)
 	s := &x.servers[slot]
@@ -161,7 +155,7 @@
 	return !s.hasGap
 }
 
-// Remove drops all that is known of the server's cache, as after its loss.
+// Remove drops all prefixes of the server.
 func (x *PrefixIndex) Remove(server string) {
 	slot, ok := x.slotByID[server]
 	if !ok {
@@ -176,17 +170,17 @@
 	delete(x.slotByID, server)
 }
 
-// Complete reports whether all events of the server so far have been seen.
+// Complete reports whether the server is known and no event of it is missing.
 func (x *PrefixIndex) Complete(server string) bool {
 	slot, ok := x.slotByID[server]
 	return ok && !x.servers[slot].hasGap
 }
 
-// Len returns the number of distinct prefixes known.
+// Len returns the number of distinct prefixes in the index.
 func (x *PrefixIndex) Len() int { return len(x.prefixes) }
 
-// buffer keeps an event for replay. When there is no room the oldest half goes,
-// and a listing that is older than the rest will not close the gap.
+// buffer adds an event for replay. When the buffer is full it drops the oldest half; a
+// listing older than the remaining events then does not close the gap.
 func (s *indexedServer) buffer(event instance.CacheEvent) {
 	if len(s.buffered) == maxBufferedEvents {
 		n := copy(s.buffered, s.buffered[maxBufferedEvents/2:])
@@ -195,8 +189,8 @@
 	s.buffered = append(s.buffered, event)
 }
 
-// replayable reports whether the held events lead on from sequence listed to
-// sequence last without a hole.
+// replayable reports whether the buffered events continue from sequence listed to sequence
+// last without a hole.
 func replayable(buffered []instance.CacheEvent, listed, last uint64) bool {
 	if listed >= last {
 		return true
@@ -204,6 +198,7 @@
 	return len(buffered) > 0 && buffered[0].Sequence <= listed+1
 }
 
+// slotFor returns the slot of the server, assigning one if it has none.
 func (x *PrefixIndex) slotFor(server string) int {
 	if slot, ok := x.slotByID[server]; ok {
 		return slot
@@ -223,7 +218,7 @@
 	return slot
 }
 
-// reset empties the slot for a new incarnation.
+// reset removes the prefixes in the slot and sets its incarnation.
 func (x *PrefixIndex) reset(slot int, incarnation uint64) {
 	s := &x.servers[slot]
 	for prefix := range s.prefixes {
@@ -269,9 +264,8 @@
 	entry.holderCount++
 }
 
-// dropOldest makes room by forgetting the prefix that was stored longest ago. To
-// ignore new ones instead would leave every conversation that began after the
-// bound was reached without its cache.
+// dropOldest drops the prefix that was stored first. Rejecting new prefixes instead would
+// leave conversations that start after the limit is reached without a cache hit.
 func (x *PrefixIndex) dropOldest(slot int) {
 	s := &x.servers[slot]
 	oldest := s.storeOrder[0]
@@ -282,8 +276,8 @@
 	}
 }
 
-// appendStored appends the prefix to the order of storing. Prefixes that were evicted
-// meanwhile stay in it until it has grown to twice what is held.
+// appendStored appends the prefix to storeOrder. Evicted prefixes remain there until it has
+// twice maxServerPrefixes elements.
 func (s *indexedServer) appendStored(prefix uint64) {
 	if len(s.storeOrder) >= 2*maxServerPrefixes {
 		evicted := func(p uint64) bool {
@@ -304,8 +298,8 @@
 	}
 }
 
-// match writes, for each slot, the tokens of the deepest of the prefixes that
-// the server holds, 0 where it holds none. prefixes go from short to long.
+// match sets tokens[slot] to the length of the longest of the prefixes that the server
+// caches, or 0. prefixes are ordered from short to long.
 func (x *PrefixIndex) match(prefixes []uint64, tokens []int32) {
 	clear(tokens)
 	clear(x.matchedHolders)
--- a/policy/route/index_test.go
+++ b/policy/route/index_test.go
@@ -9,11 +9,10 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// The events of a server's cache reach an entry late, doubled and not all of
-// them, and the listing that repairs a gap was taken before some of them. The
-// user of a conversation notices a wrong index as a slow first token at each
-// turn. Whatever the losses, an index that calls itself complete must hold what
-// the server holds. Breaks without the replay of held events in Replace.
+// Cache events arrive late, duplicated or not at all, and a listing may be older than the
+// last events. An index that reports itself complete must match the server's cache;
+// otherwise each turn of a conversation has a late first token. Fails without the replay of
+// buffered events in Replace.
 func TestCompleteIndexMatchesServerCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := NewPrefixIndex()
@@ -57,9 +56,8 @@
 	return l
 }
 
-// A server holds more prefixes than the index keeps. Those of the conversations
-// that go on now are the newest, and must be the ones kept. Breaks without
-// dropOldest.
+// A server caches more prefixes than the index holds. The index must retain the newest, which
+// are those of current conversations. Fails without dropOldest.
 func TestIndexDropsOldestPrefixes(t *testing.T) {
 	x := NewPrefixIndex()
 	const stored = 5 * maxServerPrefixes
@@ -73,8 +71,8 @@
 	require.Contains(t, x.prefixes, uint64(stored-1))
 }
 
-// A server restarts under its old id. What its old process had cached is gone;
-// late events of that process must not bring it back.
+// A server restarts under its old id with an empty cache. Late events of the old process must
+// not add its prefixes again.
 func TestNewIncarnationStartsEmpty(t *testing.T) {
 	x := NewPrefixIndex()
 	require.Equal(t, Applied, x.Apply("s", 1, instance.CacheEvent{Sequence: 1, Prefix: 7, Stored: true, Tokens: 9}))
--- a/policy/route/learn_test.go
+++ b/policy/route/learn_test.go
@@ -9,10 +9,10 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// prefillTokensPerSecond is how many tokens the servers of these tests read in a second.
+// prefillTokensPerSecond is the actual prefill rate of the servers in these tests.
 const prefillTokensPerSecond = 64_000
 
-// learningRouter is a Router with one idle server, and the time.
+// learningRouter is a Router with one idle server, and the current time.
 type learningRouter struct {
 	*Router
 	t   *testing.T
@@ -29,7 +29,7 @@
 	return &learningRouter{r, t, now}
 }
 
-// sendPrompt has a prompt read, after other work that takes so long.
+// sendPrompt runs a request whose prefill starts after otherWork.
 func (l *learningRouter) sendPrompt(tokens int, otherWork time.Duration) {
 	v := l.Choose(&Request{Now: l.now, PromptTokens: tokens})
 	require.True(l.t, v.OK())
@@ -38,11 +38,10 @@
 	l.Finished(&a, l.now)
 }
 
-// Engines read prompts eight times as fast as an entry assumes that has just started.
-// Until it knows, a cached part seems worth eight times what it is, and requests queue
-// for it while other servers idle; and the fleet can't be sized from what is sent.
-//
-// It breaks with short steps alone, and if the time that is not spent on reading counts.
+// The servers prefill eight times as fast as the configured rate. Until the rate is corrected,
+// cached prefixes are overvalued, so that requests queue for them while other servers idle, and
+// the reported rate misleads capacity planning. Fails with short steps only, and if time that
+// is not spent on prefill counts.
 func TestLearnedPrefillRateConverges(t *testing.T) {
 	r := newLearningRouter(t)
 	require.Zero(t, r.LearnedPrefillRate())
@@ -52,15 +51,13 @@
 	require.InEpsilon(t, prefillTokensPerSecond, r.LearnedPrefillRate(), 0.25)
 	for i := range 200 {
 		r.sendPrompt(2000+500*(i%10), 0)
-		require.InEpsilon(t, prefillTokensPerSecond, r.LearnedPrefillRate(), 0.25, "it stays there")
+		require.InEpsilon(t, prefillTokensPerSecond, r.LearnedPrefillRate(), 0.25, "the learned rate must not drift")
 	}
 }
 
-// Servers are overloaded: two of three first tokens wait for other work. The rate stays
-// that of a server that is not hindered; a lower one would ask for servers that the load
-// does not need, and keep requests together that should spread.
-//
-// It breaks if the rate is the median of what is seen.
+// Under overload, two of three first tokens wait for other work. The learned rate must stay
+// that of an unhindered server; a lower one would request too many servers and keep requests
+// together that should spread. Fails if the rate is the median of the samples.
 func TestLearnedPrefillRateUnderOverload(t *testing.T) {
 	r := newLearningRouter(t)
 	for i := range 1000 {
@@ -73,8 +70,8 @@
 	require.InEpsilon(t, prefillTokensPerSecond, r.LearnedPrefillRate(), 0.25)
 }
 
-// An entry that has just started is told what the others have learnt, and goes on from
-// there by what it sees. One that knows is told nothing new.
+// A new entry must use the rate that other entries learned, and an entry with a learned rate
+// must ignore suggestions.
 func TestSuggestedPrefillRate(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.LearnPrefill = true
--- a/policy/route/model_test.go
+++ b/policy/route/model_test.go
@@ -15,12 +15,12 @@
 // epoch is the start of virtual time.
 var epoch = time.Unix(1_800_000_000, 0)
 
-// routingPolicy is a routing policy under test: the Router or a baseline.
+// routingPolicy is a policy under test: the Router or a baseline.
 type routingPolicy interface {
 	choose(m *model, entry int, req *Request) (server int, v Verdict)
 }
 
-// job is one request on its way through the model.
+// job is one request in the model.
 type job struct {
 	arrival      time.Time
 	prefixes     []uint64
@@ -29,12 +29,12 @@
 	cachedTokens int
 	entry        int
 	attempt      Attempt
-	onFirstToken func() // at the first token; may be nil
+	onFirstToken func() // may be nil
 	onDone       func() // may be nil
 }
 
-// engine is a model server in virtual time: one prefill at a time, slots for
-// decoding beside it, and a prefix cache that evicts what was used longest ago.
+// engine models a server in virtual time: one prefill at a time, slots for concurrent
+// decoding, and a prefix cache with least-recently-used eviction.
 type engine struct {
 	id            string
 	slots         int
@@ -43,21 +43,21 @@
 	sequence      uint64
 	running       int
 	queue         []*job
-	prefillFreeAt time.Time // the prefill unit is free from then on
+	prefillFreeAt time.Time // when the prefills so far are finished
 	cache         []cachedItem
 	cachedTokens  int
-	lastEvent     uint64
-	started       int // requests ever
-	reportedLoad  int // load as last announced
+	lastEvent     uint64 // number of the last cache event
+	started       int    // requests started, in total
+	reportedLoad  int    // running and queued requests as last announced
 }
 
 type cachedItem struct {
 	prefix    uint64
-	tokens    int // of the whole prefix
-	ownTokens int // of them, not in the prefix before
+	tokens    int // length of the whole prefix
+	ownTokens int // tokens beyond the previous prefix
 }
 
-// model plays requests against engines through one or more entries.
+// model runs requests on engines through one or more entries, in virtual time.
 type model struct {
 	now       time.Time
 	rng       *rand.Rand
@@ -65,7 +65,7 @@
 	routers   []*Router
 	policy    routingPolicy
 	events    eventHeap
-	lastOrder int
+	lastOrder int // tie-breaker of events at the same time
 
 	cacheTokens int
 	prefillRate float64
@@ -77,9 +77,9 @@
 	firstTokens     []time.Duration
 	promptTokens    int
 	uncachedTokens  int
-	peakLoadRatio   float64   // highest load over fair load seen at a start
-	startsOverBound int       // starts that took a server over ceil(1.25 fair)
-	loadSums        []float64 // of each server's load, sampled every 100 ms
+	peakLoadRatio   float64   // highest load over fair load at a start
+	startsOverBound int       // starts that exceeded ceil(1.25 * fair load)
+	loadSums        []float64 // sum of each server's load, sampled every 100 ms
 }
 
 type timedEvent struct {
@@ -151,7 +151,7 @@
 	}
 }
 
-// reportLoads sends each server's load to all entries, reportLag later.
+// reportLoads announces each server's load to all entries after reportLag.
 func (m *model) reportLoads() {
 	at := m.now
 	for _, e := range m.engines {
@@ -182,7 +182,7 @@
 	m.schedule(100*time.Millisecond, m.sampleLoad)
 }
 
-// imbalance is the highest load of a server over the run to the mean of all.
+// imbalance returns the ratio of the highest mean load of a server to the mean over all.
 func (m *model) imbalance() float64 {
 	sum := 0.0
 	for _, a := range m.loadSums {
@@ -208,8 +208,8 @@
 	m.dispatch(e)
 }
 
-// recordLoadRatio keeps the highest ratio of a server's load, this request included,
-// to the fair load, once fair load is 4 or more.
+// recordLoadRatio records the server's load, including this request, relative to the fair
+// load, for fair loads of at least 4, and counts starts over the bound.
 func (m *model) recordLoadRatio(e *engine) {
 	total := 1
 	for _, other := range m.engines {
@@ -266,8 +266,7 @@
 	})
 }
 
-// store puts the job's prefixes into the cache, newest last, and tells the
-// entries, late and sometimes not at all.
+// store adds the job's prefixes to the cache, newest last, and publishes the cache events.
 func (m *model) store(e *engine, j *job) {
 	for i, prefix := range j.prefixes {
 		item := cachedItem{prefix, j.lengths[i], j.lengths[i]}
@@ -318,7 +317,7 @@
 	return sorted[int(float64(len(sorted)-1)*p)]
 }
 
-// routerPolicy is the Router as a policy.
+// routerPolicy is the Router as a routingPolicy.
 type routerPolicy struct{}
 
 func (routerPolicy) choose(m *model, entry int, req *Request) (int, Verdict) {
@@ -326,7 +325,7 @@
 	return slices.IndexFunc(m.engines, func(e *engine) bool { return e.id == v.Server }), v
 }
 
-// roundRobin gives each server its turn, per entry.
+// roundRobin selects the servers in turn, per entry.
 type roundRobin struct{ next []int }
 
 func (p *roundRobin) choose(m *model, entry int, _ *Request) (int, Verdict) {
@@ -337,8 +336,8 @@
 	return p.next[entry] % len(m.engines), Verdict{}
 }
 
-// leastLoad sends to the server whose last report is lowest, plus the
-// entry's own open requests if own is set.
+// leastLoad selects the server with the lowest reported load. With addOwn it uses the
+// estimate that includes the requests of this entry.
 type leastLoad struct{ addOwn bool }
 
 func (p leastLoad) choose(m *model, entry int, req *Request) (int, Verdict) {
--- a/policy/route/occupancy.go
+++ b/policy/route/occupancy.go
@@ -7,19 +7,17 @@
 	"time"
 )
 
-// Occupancy is what an entry knows of one server's slots.
+// Occupancy is the use of one server's slots, as this entry estimates it.
 type Occupancy struct {
-	Slots          int // as far as it gets its share of the work
-	Reported       int // requests running and waiting there, as last reported
-	OwnSinceReport int // of these, this entry's starts less its ends since the report
+	Slots          int // scaled by the weight of the server
+	Reported       int // requests running and waiting, as last reported
+	OwnSinceReport int // requests of this entry that the report does not include
 }
 
-// Occupancies appends the occupancy of each server that takes work to dst, in
-// the order of their ids, which is the same at all entries. A server that gets
-// less than its full share, because it is slow or new, counts with that part of
-// its slots. What goes wrong otherwise: its free slots look like room, Choose
-// sends the work to the others, the room is never used up, and a whole queue
-// drains into servers that are full.
+// Occupancies appends to dst the occupancy of each serving server, in the order of the
+// server ids, which is the same at all entries. The slots of a slow or new server are scaled
+// by its weight. Otherwise its free slots would look available while Choose sends the requests
+// to other servers, and the queue would drain into servers that are full.
 func (r *Router) Occupancies(dst []Occupancy, now time.Time) []Occupancy {
 	if r.slotsByID == nil {
 		r.sortServers()
@@ -43,7 +41,7 @@
 	return dst
 }
 
-// sortServers notes the servers in the order of their ids.
+// sortServers fills slotsByID.
 func (r *Router) sortServers() {
 	r.slotsByID = make([]int, 0, len(r.servers))
 	for slot := range r.servers {
--- a/policy/route/picks.go
+++ b/policy/route/picks.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// candidateSet are the slots to score, without doubles.
+// candidateSet holds the slots of the servers to score, without duplicates.
 type candidateSet struct {
 	count             int
 	slots             [maxCandidates]int
-	firstByRendezvous int  // slot that comes first by rendezvous among those with room
-	firstAtBound      bool // the server that comes first of all has no room
+	firstByRendezvous int  // first slot in the rendezvous order below its bound, or -1
+	firstAtBound      bool // the first server in the rendezvous order is at its bound
 }
 
 func (p *candidateSet) add(slot int) {
@@ -23,6 +23,7 @@
 	}
 }
 
+// reasonFor returns why the slot was chosen. cached is its number of cached tokens.
 func (p *candidateSet) reasonFor(slot, cached int) Reason {
 	switch {
 	case p.firstAtBound:
@@ -36,7 +37,7 @@
 	}
 }
 
-// topTwo keeps the two slots of the highest rank, the best first.
+// topTwo holds the two slots with the highest ranks, highest first.
 type topTwo struct {
 	count int
 	slots [2]int
--- a/policy/route/router.go
+++ b/policy/route/router.go
@@ -9,28 +9,28 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Router chooses servers for the requests of one service. It is fed with the
-// servers' announcements and with the start, first token and end of each
-// request that this entry sends. Not safe for concurrent use.
+// Router chooses servers for the requests of one service. The caller passes it the servers'
+// announcements and the start, first token and end of each request that this entry sends. It
+// is not safe for concurrent use.
 type Router struct {
 	cfg                Config
 	index              *PrefixIndex
-	servers            []server // by the index's slot; id is empty where the slot is free
+	servers            []server // by the slots of index; id is empty where a slot is free
 	demand             demandSketch
 	sendRate           sendRate
 	lastAssessed       time.Time
-	anyReduced         bool          // some server's health share is below 1
-	medianLatencyRatio float64       // of the servers' health ratios
+	anyReduced         bool          // some server's health weight is below 1
+	medianLatencyRatio float64       // over all servers with enough samples
 	meanFirstToken     time.Duration // moving average over all servers
-	registrations      uint64        // servers that became known, again or for the first time
-	rateSamples        int           // first tokens that the prefill rate was learnt from
+	registrations      uint64        // number of the last registration, see server.registration
+	rateSamples        int           // samples that the prefill rate was learned from
 
-	slotsByID []int // slots of the servers, by id; nil: to be sorted again
+	slotsByID []int // slots of the servers, sorted by id; nil if not up to date
 
 	// Scratch space, so that Choose does not allocate.
 	latencyRatios []float64
 	matched       []int32   // cached tokens by slot
-	weights       []float64 // share by slot; 0: may not run the request
+	weights       []float64 // weight by slot; 0: may not run the request
 	loads         []float64 // estimated requests by slot
 }
 
@@ -42,16 +42,16 @@
 	return &Router{cfg: cfg, index: NewPrefixIndex()}, nil
 }
 
-// Prefixes returns the Router's index, to be fed with cache events.
+// Prefixes returns the Router's index. The caller applies the servers' cache events to it.
 func (r *Router) Prefixes() *PrefixIndex { return r.index }
 
 // SetEntries sets the number of entries that send to the same servers.
 func (r *Router) SetEntries(n int) { r.cfg.Entries = max(n, 1) }
 
-// Announce takes in a server's announcement and reports whether it was newer
-// than what is known. at is the time on the entry's clock at which a.Load held;
-// a reading of the server's clock will not do where clocks differ by more than
-// historyWidth.
+// Announce updates a server from its announcement and reports whether the announcement was
+// newer than the last one. at is the time on this entry's clock at which a.Load was measured.
+// A time of the server's clock would miscount the requests since then if the clocks differ by
+// more than historyBucketWidth.
 func (r *Router) Announce(a *instance.Announcement, at, now time.Time) bool {
 	slot := r.index.slotFor(a.ID)
 	r.growSlots(slot + 1)
@@ -70,16 +70,16 @@
 	return true
 }
 
-// UpdateLoad takes what other entries have at a server now, as was asked for: running
-// requests, and prompt tokens of those that have no answer yet.
+// UpdateLoad sets the load of other entries on a server at now, as the caller has queried it:
+// their running requests, and the prompt tokens of those without a first token.
 func (r *Router) UpdateLoad(id string, running, prefill int, now time.Time) {
 	if slot, ok := r.index.slotByID[id]; ok && slot < len(r.servers) && r.servers[slot].id != "" {
 		r.servers[slot].updateLoad(running, prefill, now)
 	}
 }
 
-// MarkLeaving marks a server as leaving, as heard from another entry. It has no
-// effect on a later incarnation.
+// MarkLeaving marks a server as leaving, for a notice from another entry. It has no effect on
+// a later incarnation.
 func (r *Router) MarkLeaving(id string, incarnation uint64) {
 	slot, ok := r.index.slotByID[id]
 	if !ok || slot >= len(r.servers) {
@@ -90,8 +90,7 @@
 	}
 }
 
-// Remove forgets a server and its cached prefixes. Its open attempts may still
-// be ended.
+// Remove removes a server and its cached prefixes. Its open attempts may still be ended.
 func (r *Router) Remove(id string) {
 	slot, ok := r.index.slotByID[id]
 	if !ok {
@@ -105,8 +104,8 @@
 	r.index.Remove(id)
 }
 
-// Weight returns the part of its full share that a server gets at now because
-// of slow start or slowness, for metrics; 0 for a server that takes no work.
+// Weight returns the fraction of its full share of requests that a server gets at now because
+// of slow start or slowness, for metrics; 0 for a server that is not serving.
 func (r *Router) Weight(id string, now time.Time) float64 {
 	slot, ok := r.index.slotByID[id]
 	if !ok || slot >= len(r.servers) || !r.servers[slot].serving {
@@ -116,8 +115,8 @@
 	return s.health.weight * s.slowStartFraction(&r.cfg, now)
 }
 
-// HealthWeight returns the part of its share that a server gets because of slowness
-// alone, slow start left out; 1 for one that is not known.
+// HealthWeight returns the fraction of its full share of requests that a server gets because
+// of slowness alone, without slow start; 1 for an unknown server.
 func (r *Router) HealthWeight(id string) float64 {
 	slot, ok := r.index.slotByID[id]
 	if !ok || slot >= len(r.servers) || r.servers[slot].id == "" {
@@ -126,6 +125,7 @@
 	return r.servers[slot].health.weight
 }
 
+// growSlots extends the slices by slot to at least n slots.
 func (r *Router) growSlots(n int) {
 	for len(r.servers) < n {
 		r.servers = append(r.servers, server{})
@@ -136,6 +136,7 @@
 	r.latencyRatios = slices.Grow(r.latencyRatios[:0], n)
 }
 
+// isNewer reports whether the announcement is newer than the last one of the server.
 func isNewer(a *instance.Announcement, s *server) bool {
 	if a.Incarnation != s.incarnation {
 		return a.Incarnation > s.incarnation
@@ -143,8 +144,8 @@
 	return a.Sequence > s.sequence
 }
 
-// PendingPrefillTokens returns the prompt tokens of own requests that a server has not begun to
-// answer.
+// PendingPrefillTokens returns the expected prefill of this entry's requests that wait for
+// their first token on the server.
 func (r *Router) PendingPrefillTokens(id string) int {
 	if slot, ok := r.index.slotByID[id]; ok && slot < len(r.servers) {
 		return max(r.servers[slot].health.pendingTokens, 0)
--- a/policy/route/router_test.go
+++ b/policy/route/router_test.go
@@ -14,7 +14,7 @@
 	"savoryreel.example/savoryreel/policy/hash"
 )
 
-// conversation is a conversation whose prompt grows by a turn at a time.
+// conversation is a conversation whose prompt grows with each turn.
 type conversation struct {
 	id    uint64
 	turns int
@@ -30,8 +30,8 @@
 	return j
 }
 
-// runConversations plays the given number of callers, each of which sends its next
-// turn a while after the answer and starts anew after 12 turns.
+// runConversations simulates the given number of callers, each of which sends its next turn
+// some time after the answer and starts a new conversation after 12 turns.
 func (m *model) runConversations(callers int, think, until time.Duration) {
 	for range callers {
 		c := &conversation{}
@@ -49,10 +49,9 @@
 	m.run(until)
 }
 
-// Conversations come back turn by turn. A router that looks at load alone sends
-// each turn to another server, which prefills the whole conversation again; the
-// user waits longer for each turn than for the one before, and the tokens are
-// paid for once more. Breaks without r.index.match in Choose.
+// Routing by load alone sends each turn of a conversation to another server, which prefills
+// the whole prompt again, so that each turn waits longer. Fails without r.index.match in
+// Choose.
 func TestConversationsPrefillAtMostHalfOfLeastLoad(t *testing.T) {
 	run := func(name string, p routingPolicy, freeLoad float64) *model {
 		m := newModel(11, 12, 16, 7, p)
@@ -74,10 +73,9 @@
 	require.LessOrEqual(t, routed.percentile(0.95), min(least.percentile(0.95), leastWithOwn.percentile(0.95)))
 }
 
-// All callers ask about one document at once. Prefix affinity alone sends every
-// request to the one server that holds it; its users queue while other servers
-// idle. Breaks without the call of full in gather and, for several entries,
-// without the others' part in full.
+// All callers share one long prefix. Prefix affinity alone sends every request to the server
+// that caches it, where they queue while other servers idle. Fails without the call of
+// atBound in collectCandidates and, for several entries, without otherSenders in atBound.
 func TestHotPrefixStaysWithinBound(t *testing.T) {
 	for _, entries := range []int{1, 7} {
 		m := newModel(5, 12, 32, entries, routerPolicy{})
@@ -88,12 +86,12 @@
 		if entries == 1 {
 			require.Zero(t, m.startsOverBound)
 		}
-		require.Less(t, m.startsOverBound*10, len(m.firstTokens), "other entries' starts between two reports")
+		require.Less(t, m.startsOverBound*10, len(m.firstTokens), "starts over the bound, caused by other entries between two reports")
 	}
 }
 
-// The same with seven entries that cannot see each other's starts between two
-// reports, over many draws: one draw may lie to either side of the mean.
+// Seven entries that do not see each other's starts between reports must stay within the
+// load bound on average over many seeds. A single seed may deviate from the mean.
 func TestHotPrefixStaysWithinBoundOnAverage(t *testing.T) {
 	const draws = 20
 	over := 0.0
@@ -107,7 +105,7 @@
 	require.Less(t, over, 0.1)
 }
 
-// runHotPrefix plays rate requests a second that share all but their last message.
+// runHotPrefix sends rate requests per second that share all but their last message.
 func (m *model) runHotPrefix(rate float64, until time.Duration) {
 	var arrive func()
 	arrive = func() {
@@ -118,9 +116,8 @@
 	m.run(until)
 }
 
-// Many entries read the same load report. Each takes the server that looks
-// idle, and together they bury it; a second later they all flee to the next
-// one. Users see first tokens late by turns while servers idle.
+// Entries with the same load report must not all choose the server that looks idle. Otherwise
+// they overload one server after the other, with late first tokens while other servers idle.
 func TestSharedReportDoesNotCauseHerding(t *testing.T) {
 	for _, entries := range []int{7, 100} {
 		peakLoad := map[string]float64{}
@@ -135,9 +132,8 @@
 	}
 }
 
-// One prompt in twenty is a seasonal briefing of 16000 tokens, two seconds of
-// prefill. A router that counts requests alone puts short chat replies behind
-// them. Breaks without health.prefill in cost.
+// One prompt in twenty has 16000 tokens, two seconds of prefill. A router that counts only
+// requests places short prompts behind them. Fails without pendingTokens in cost.
 func TestShortPromptsAvoidQueuedLongPrompts(t *testing.T) {
 	run := func(name string, p routingPolicy) time.Duration {
 		m := newModel(9, 12, 32, 3, p)
@@ -163,9 +159,9 @@
 	require.Less(t, run("route", routerPolicy{}), bestBaseline)
 }
 
-// Demand is 1, 2 and 5 times what the servers can do, so all of them are slow.
-// If that were taken for a fault, the share of one after the other would fall
-// and the rest would drown. Breaks without slotWait in expected.
+// Demand is 1, 2 and 5 times the capacity, so all servers are slow. Taking that for a fault
+// would reduce the weight of one server after the other and overload the rest. Fails without
+// slotWait in firstTokenEstimate.
 func TestSaturationReducesNoWeight(t *testing.T) {
 	for _, demandFactor := range []float64{1, 2, 5} {
 		m := newModel(13, 12, 8, 3, routerPolicy{})
@@ -181,7 +177,7 @@
 	}
 }
 
-// runUnshared plays rate requests a second that share nothing.
+// runUnshared sends rate requests per second that share no prefix.
 func (m *model) runUnshared(rate float64, until time.Duration) {
 	var arrive func()
 	arrive = func() {
@@ -192,10 +188,8 @@
 	m.run(until)
 }
 
-// A server's accelerator throttles: it answers everything, ten times slower,
-// and announces itself as healthy. Without judging it by its latency a twelfth
-// of all users wait ten times as long until somebody looks. Breaks without the
-// cut in judge.
+// A server answers ten times slower but announces itself as healthy. Without a reduced weight,
+// a twelfth of all requests wait ten times as long. Fails without the cut in updateWeight.
 func TestSlowServerWeightFallsAndRecovers(t *testing.T) {
 	m := newModel(7, 12, 16, 3, routerPolicy{})
 	slow := m.engines[4]
@@ -211,7 +205,7 @@
 	m.runUnshared(60, 150*time.Second)
 	share := float64(next20s) / float64(total)
 	t.Logf("first 5 s: %d requests; next 20 s: %d of %d (%.2f%% of all, %.1f%% of a fair share)", first5s, next20s, total, 100*share, 1200*share)
-	// The aim is a tenth; the load bound alone gives 0.096 here, so less is asked.
+	// The load bound alone gives 0.096 here; the limit is below that, to test the weight.
 	require.Less(t, share*12, 0.05, "of a fair share, from 5 s on")
 	recovered := 0.0
 	for _, r := range m.routers {
@@ -221,8 +215,8 @@
 	require.Greater(t, recovered, 0.9)
 }
 
-// A server whose process has stopped (but whose address still accepts) sends no
-// first token at all, so there is no sample to judge it by.
+// A stopped process whose address still accepts connections sends no first token, so it has
+// no latency sample. Its weight must fall because of its silence.
 func TestSilentServerWeightFalls(t *testing.T) {
 	r, now := testRouter(t, 6, 16)
 	for i := range 200 {
@@ -238,9 +232,8 @@
 	require.Equal(t, 1.0, r.Weight("server-1", now.Add(4*time.Second)))
 }
 
-// A server refuses every connection, or answers each with an error. It has no
-// load and no late first token, so all else makes it look best, and callers see
-// a twelfth of their requests retried. Breaks without FailuresInRow in slow.
+// A server that refuses every connection has no load and no late first token, so it looks
+// best, and a sixth of all requests would be retried. Fails without FailuresInRow in isSlow.
 func TestFailingServerWeightFalls(t *testing.T) {
 	r, now := testRouter(t, 6, 16)
 	failed := 0
@@ -259,9 +252,9 @@
 	require.Less(t, failed, 20)
 }
 
-// A few first tokens are late together and the server gets no request for a
-// while. The old evidence must not be held against it again and again. Breaks
-// without the check of fresh in judge.
+// A few first tokens are late together, then the server gets no request for a while. The same
+// samples must reduce its weight only once. Fails without the check of newEvidence in
+// updateWeight.
 func TestOldSamplesReduceWeightOnce(t *testing.T) {
 	r, now := testRouter(t, 6, 16)
 	for i := range 200 {
@@ -280,8 +273,8 @@
 	require.InDelta(t, 0.25, r.Weight("server-0", now.Add(4*time.Second)), 1e-9)
 }
 
-// A replacement starts with an empty cache and no load, so every report makes
-// it look best, and the first seconds of traffic would all go there.
+// A new server has no load, so that it looks best, and an empty cache. Without slow start it
+// would receive the first seconds of all traffic.
 func TestNewServerGetsReducedWeight(t *testing.T) {
 	r, now := testRouter(t, 6, 16)
 	r.Announce(&instance.Announcement{ID: "new", Incarnation: 1, Sequence: 1, State: instance.StateServing, Slots: 16}, now, now)
@@ -295,8 +288,8 @@
 	require.InDelta(t, 1, r.Weight("new", now.Add(10*time.Second)), 1e-9)
 }
 
-// The same work is done in another region, tens of milliseconds away, only when
-// the servers of the region are worse by that. Breaks without distance in cost.
+// Requests must run in another region, tens of milliseconds away, only if the servers of the
+// own region are slower by that. Fails without distanceCost in cost.
 func TestOwnRegionPreferredUntilLoaded(t *testing.T) {
 	r, err := New(DefaultConfig())
 	require.NoError(t, err)
@@ -313,7 +306,7 @@
 		chosen += v.Server[:1]
 	}
 	require.Equal(t, "h", chosen[:1])
-	require.Contains(t, chosen, "t", "the load bound sends the rest there")
+	require.Contains(t, chosen, "t", "the load bound sends the rest to the other region")
 	require.Greater(t, strings.Count(chosen, "h"), strings.Count(chosen, "t"))
 }
 
@@ -332,11 +325,10 @@
 	return &instance.Announcement{ID: id, Incarnation: incarnation, Sequence: sequence, State: instance.StateServing, Slots: 8}
 }
 
-// Any order of announcements, leavings and requests: the choice serves, is not
-// excluded, holds the adapter, keeps to the bound as the router sees it, and is
-// the same again for the same calls. A request sent to a leaving server would be
-// cut off. Breaks without the state check in usable or with a leaving state that
-// a later announcement takes back.
+// For any order of announcements, leave notices and requests, the chosen server is serving,
+// not excluded and has the adapter, and equal calls give equal verdicts. Otherwise requests
+// are cut off on a leaving server or refused. Fails without the serving check in eligible, or
+// if a later announcement reverts the leaving state.
 func TestChoiceProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, now := testRouter(t, 5, 4)
@@ -379,6 +371,7 @@
 	})
 }
 
+// The error for an invalid Config must name the field.
 func TestConfigNamesTheField(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.LoadFactor = 1
--- a/policy/route/sends.go
+++ b/policy/route/sends.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// rateWindow is the time constant with which this entry's rate of requests is followed.
+// rateWindow is the time constant of the exponential decay in sendRate.
 const rateWindow = 3 * time.Second
 
-// sendRate counts this entry's requests, decaying.
+// sendRate measures this entry's rate of requests by an exponentially decaying count.
 type sendRate struct {
 	count float64
 	at    time.Time
@@ -23,5 +23,5 @@
 	return s.count * math.Exp(-max(now.Sub(s.at).Seconds(), 0)/rateWindow.Seconds())
 }
 
-// perSecond returns the rate of late.
+// perSecond returns the recent rate, in requests per second.
 func (s *sendRate) perSecond(now time.Time) float64 { return s.decayed(now) / rateWindow.Seconds() }
--- a/policy/route/server.go
+++ b/policy/route/server.go
@@ -7,22 +7,22 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Window of own starts and ends kept for correcting a late load report. A
-// report older than the window is corrected by the whole window.
+// The window of own starts and ends that corrects a late load report. A report older than
+// the window is corrected by the whole window.
 const (
 	historyBuckets     = 512
 	historyBucketWidth = 10 * time.Millisecond
 )
 
-// history counts own starts less own ends per historyWidth.
+// history counts own starts minus own ends per historyBucketWidth.
 type history struct {
-	newestBucket int64 // number of the newest bucket
-	netStarts    [historyBuckets]int32
+	newestBucket int64                 // number of the newest bucket, see bucketOf
+	netStarts    [historyBuckets]int32 // by bucket number modulo historyBuckets
 }
 
 func bucketOf(t time.Time) int64 { return t.UnixNano() / int64(historyBucketWidth) }
 
-// add moves the window to now and counts d there.
+// add moves the window to now and adds d to the newest bucket.
 func (h *history) add(now time.Time, d int32) {
 	tick := bucketOf(now)
 	if tick-h.newestBucket >= historyBuckets {
@@ -36,7 +36,7 @@
 	h.netStarts[h.newestBucket%historyBuckets] += d
 }
 
-// since sums the buckets that begin at or after t.
+// since returns the sum of the buckets that begin after t.
 func (h *history) since(t time.Time) int {
 	sum := 0
 	from := max(bucketOf(t)+1, h.newestBucket-historyBuckets+1)
@@ -46,17 +46,17 @@
 	return sum
 }
 
-// server is what a Router knows of one backend server.
+// server is the state of one backend server.
 type server struct {
-	// What each decision reads of every server comes first, in one cache line or
-	// two: at 600 servers the reads from memory are most of a decision's time.
-	serving       bool // has not begun to leave in this incarnation
-	slowStartDone bool // slow start is over
+	// The fields that each decision reads of every server come first, to share a
+	// cache line or two: with 600 servers, memory reads take most of a decision's time.
+	serving       bool // announced as serving, and not leaving
+	slowStartDone bool
 	slots         float64
-	hash          uint64 // of id, for rendezvous
-	reportedLoad  int    // running and waiting as of reportAt
-	netStarts     int    // own starts less own ends since reportAt
-	ownRequests   int    // own requests not ended
+	hash          uint64 // of id, for rendezvous hashing
+	reportedLoad  int    // running and waiting requests at reportTime
+	netStarts     int    // own starts minus own ends since reportTime
+	ownRequests   int    // own requests that have not ended
 	health        health
 
 	id           string
@@ -65,19 +65,18 @@
 	region       string
 	version      string
 	adapters     []string
-	registration uint64 // another one each time that the server becomes known
+	registration uint64 // new number each time the server is added
 	incarnation  uint64
 	sequence     uint64
-	firstSeen    time.Time // first seen in this incarnation
+	firstSeen    time.Time // in this incarnation
 	reportTime   time.Time
-	reportLag    time.Duration // how old the report was when it arrived
+	reportLag    time.Duration // age of the report on arrival
 	history      *history
 
-	othersBacklog backlog // prompts of other entries that wait there, as reported
+	othersBacklog backlog // prompt tokens of other entries, as reported
 }
 
-// update takes in a newer announcement. at is when its load held, on the
-// entry's clock.
+// update applies a newer announcement. at is the time of its load on this entry's clock.
 func (s *server) update(a *instance.Announcement, at, now time.Time) {
 	wasLeaving := s.incarnation == a.Incarnation && !s.firstSeen.IsZero() && !s.serving
 	if s.incarnation != a.Incarnation || s.firstSeen.IsZero() {
@@ -91,9 +90,9 @@
 	s.version = a.Version
 	s.adapters = slices.Clone(a.Adapters)
 	s.slots = float64(max(a.Slots, 1))
-	// A server that has begun to leave returns only under a new incarnation. A
-	// later announcement that calls it serving, sent by a part of it that does
-	// not know yet, would otherwise send it work that its end cuts off.
+	// A leaving server returns only under a new incarnation. A later announcement of this
+	// one as serving, from a component that does not have the notice yet, would send it
+	// requests that are cut off when it stops.
 	s.serving = a.State == instance.StateServing && !wasLeaving
 	if at.Before(s.reportTime) {
 		return
@@ -104,7 +103,7 @@
 	s.netStarts = s.history.since(at)
 }
 
-// updateLoad takes what others have there now, as was asked for.
+// updateLoad sets the current load of other entries, as queried.
 func (s *server) updateLoad(running, prefill int, now time.Time) {
 	s.reportTime, s.reportLag = now, queriedReportLag
 	s.reportedLoad = running + s.ownRequests
@@ -124,13 +123,13 @@
 	s.history.add(now, -1)
 }
 
-// load estimates running and waiting requests: the report, corrected by the
-// entry's own starts and ends since, and never less than its own.
+// load estimates the running and waiting requests: the report plus own starts minus own ends
+// since, and at least the own requests.
 func (s *server) load() float64 {
 	return float64(max(s.reportedLoad+s.netStarts, s.ownRequests, 0))
 }
 
-// slowStartFraction is the part of its full share that a new server may have.
+// slowStartFraction returns the fraction of its full share that a new server may have.
 func (s *server) slowStartFraction(cfg *Config, now time.Time) float64 {
 	if s.slowStartDone {
 		return 1
--- a/policy/route/verdict.go
+++ b/policy/route/verdict.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Request is what a routing decision knows of the request.
+// Request is the input of a routing decision.
 type Request struct {
 	Now          time.Time
-	Seed         uint64   // fresh randomness for this decision
+	Seed         uint64   // random value, a new one for each decision
 	Prefixes     []uint64 // see native.PrefixHashes; empty for a plain service
-	Key          uint64   // groups related requests that have no Prefixes; 0: none
-	PromptTokens int      // estimate of the whole prompt
-	SharedTokens int      // of these, the beginning that other requests share
+	Key          uint64   // groups related requests without Prefixes; 0: none
+	PromptTokens int      // estimate for the whole prompt
+	SharedTokens int      // length of the prefix that other requests share
 	Adapter      string   // must be loaded; empty: none needed
 	Version      string   // must be served; empty: any
 	Zone         string   // of the entry
 	Region       string   // of the entry
-	Exclude      []string // server ids not to use, as those already tried
-	NoProbe      bool     // must not be the trial of a slow server: urgent or not repeatable work
+	Exclude      []string // server ids not to use, such as those already tried
+	NoProbe      bool     // must not probe a slow server: urgent or not repeatable
 }
 
-// Reason says why a server was chosen, or why none was.
+// Reason is why a server was chosen, or why none was.
 type Reason uint8
 
-// The reasons. Those from ReasonNoServer on come without a server.
+// Reasons. Those from ReasonNoServer on come without a server.
 const (
-	ReasonCachedPrefix Reason = iota // holds the longest cached prefix at the lowest cost
+	ReasonCachedPrefix Reason = iota // has a cached prefix and the lowest cost
 	ReasonRendezvous                 // first in the rendezvous order of the prefix or key
-	ReasonSpread                     // servers that would come first are at their load bound
-	ReasonLeastCost                  // the cheapest of a random sample
-	ReasonProbe                      // trial of a server that had been slow
-	ReasonPinned                     // the only one that the request may run on
-	ReasonAllAtBound                 // every server is at its bound: the cheapest of a random sample
+	ReasonSpread                     // the first server in the rendezvous order is at its load bound
+	ReasonLeastCost                  // the cheapest candidate
+	ReasonProbe                      // probe of a server with a reduced weight
+	ReasonPinned                     // the only server that the request may run on
+	ReasonAllAtBound                 // every server is at its load bound: the cheapest of a random sample
 	ReasonNoServer                   // no serving server is known
-	ReasonNoVersion                  // servers serve, none the version asked for
-	ReasonNoAdapter                  // servers serve, none has the adapter loaded
-	ReasonAllExcluded                // every server that could run it is excluded
+	ReasonNoVersion                  // no serving server has the requested version
+	ReasonNoAdapter                  // no serving server has the adapter loaded
+	ReasonAllExcluded                // every server that could run the request is excluded
 )
 
 // String returns the reason in lower case with underscores, for logs.
@@ -56,8 +56,8 @@
 	Server       string
 	Score        time.Duration // expected time to first token, with penalties
 	CachedTokens int           // prompt tokens expected in its prefix cache
-	Load         int           // requests running or waiting, as estimated
-	QueuedTokens int           // prompt tokens that are to be read there first, as estimated
+	Load         int           // estimated running and waiting requests
+	QueuedTokens int           // estimated prompt tokens to read before those of the request
 }
 
 // Verdict is a routing decision. It holds no pointer into the Router.
@@ -75,8 +75,8 @@
 // OK reports whether a server was chosen.
 func (v *Verdict) OK() bool { return v.Server != "" }
 
-// RunnersUp returns the other servers scored, cheapest first, for the log. The
-// slice is part of v.
+// RunnersUp returns the other scored servers, cheapest first, for the log. The slice is part
+// of v.
 func (v *Verdict) RunnersUp() []Candidate { return v.runnersUp[:v.runnerUpCount] }
 
 // UncachedTokens returns the prompt tokens that the server is expected to prefill.
