--- a/policy/booking/herd_test.go
+++ b/policy/booking/herd_test.go
@@ -139,7 +139,7 @@
 	if h.queryOwners {
 		for _, id := range r.Candidates(req, nil) {
 			l := h.loadTable.LoadOfOthers(entryName(e), id, prefillTokensPerSecond, h.now)
-			r.NoteLoad(id, l.Running, l.Prefill, h.now)
+			r.UpdateLoad(id, l.Running, l.Prefill, h.now)
 		}
 	}
 	v := r.Choose(req)
--- a/policy/route/index.go
+++ b/policy/route/index.go
@@ -9,23 +9,20 @@
 
 // Limits of a PrefixIndex.
 const (
-	// maxServerPrefixes bounds the prefixes kept for one server, the newest. A
-	// prefix that one server holds takes 180 bytes (measured), so that 600
-	// servers at the bound that share nothing take 111 MB. A prefix that is not
-	// kept costs one prefill.
+	// maxServerPrefixes bounds the prefixes indexed per server; the newest are retained. A
+	// prefix on one server takes about 180 bytes. A missing one costs one prefill.
 	maxServerPrefixes = 1024
-	// maxHeldEvents bounds the events kept for replay while a listing is on its
-	// way: more than a server stores in the second that a listing takes.
-	maxHeldEvents = 256
+	// maxBufferedEvents bounds the events buffered for replay until a listing arrives.
+	maxBufferedEvents = 256
 )
 
-// ApplyResult says what a PrefixIndex did with a cache event.
+// ApplyResult is the result of PrefixIndex.Apply.
 type ApplyResult uint8
 
 // The results of Apply.
 const (
 	Applied   ApplyResult = iota // the event was the next in order
-	Duplicate                    // seen before, or of an incarnation that has ended
+	Duplicate                    // already applied, or of an earlier incarnation
 	Gap                          // events are missing: fetch the full listing and call Replace
 )
 
@@ -43,203 +40,201 @@
 	}
 }
 
-// Listing is all that one server's prefix cache held after its event number
-// Sequence, in no order.
+// Listing is the content of one server's prefix cache after the event with number
+// Sequence. The order of Prefixes has no meaning.
 type Listing struct {
 	Incarnation uint64
 	Sequence    uint64
 	Prefixes    []CachedPrefix
 }
 
-// CachedPrefix is one cached prefix: its hash (see native.PrefixHashes) and its length.
+// CachedPrefix is a cached prefix: its hash (see native.PrefixHashes) and its length.
 type CachedPrefix struct {
 	Prefix uint64
 	Tokens int
 }
 
-// PrefixIndex knows which backend server caches which prompt prefix, as far as
-// the servers' events tell. Events come late and with gaps. Without the gap
-// check, a lost eviction would send a conversation to a server that has
-// forgotten it for as long as the server lives, seen as recomputed tokens
-// that do not fall; so a gap is reported until a listing has closed it. Until
-// then the index goes on with what it knows, since a wrong entry costs one
-// prefill and no answer. Not safe for concurrent use.
+// PrefixIndex maps prompt prefixes to the servers that cache them, built from the servers'
+// cache events. Events may arrive late or be lost. A lost eviction would send a conversation
+// to a server that no longer caches it, for as long as that server runs, so a gap is reported
+// until a listing has closed it. Meanwhile the index remains in use, since a wrong entry only
+// costs one prefill. It is not safe for concurrent use.
 type PrefixIndex struct {
-	slots   map[string]int
-	servers []indexedServer // by slot
-	free    []int           // slots to use again
-	entries map[uint64]*prefixEntry
-	seen    []uint64 // scratch of match: one bit per slot
+	slotByID       map[string]int
+	servers        []indexedServer // by slot; each server has one
+	freeSlots      []int           // slots of removed servers, for reuse
+	prefixes       map[uint64]*prefixEntry
+	matchedHolders []uint64 // scratch space of match: one bit per slot
 }
 
 type prefixEntry struct {
-	tokens  int32
-	count   int
-	holders []uint64 // one bit per slot
+	tokens      int32
+	holderCount int
+	holders     []uint64 // servers that cache the prefix, one bit per slot
 }
 
 type indexedServer struct {
 	incarnation uint64
 	sequence    uint64 // highest event applied
-	gap         bool
+	hasGap      bool
 	pinned      bool // a Router uses the slot
 	prefixes    map[uint64]struct{}
-	order       []uint64              // of prefixes, as stored, with some that were evicted since
-	held        []instance.CacheEvent // in order, since the gap, for replay over a listing
+	storeOrder  []uint64              // prefixes, oldest first, including some evicted ones
+	buffered    []instance.CacheEvent // events since the gap, in order, for replay after a listing
 }
 
 // NewPrefixIndex returns an empty index.
 func NewPrefixIndex() *PrefixIndex {
 	return &PrefixIndex{
-		slots:   make(map[string]int),
-		entries: make(map[uint64]*prefixEntry),
+		slotByID: make(map[string]int),
+		prefixes: make(map[uint64]*prefixEntry),
 	}
 }
 
-// Apply takes in one event of the server's given incarnation. It returns Gap
-// for every event until a listing has repaired the gap, so that a listing that
-// got lost is asked for again; the caller keeps one such request in flight.
+// Apply applies one cache event of the server's given incarnation. It returns Gap for every
+// event until a listing has closed the gap, so that the caller can request a lost listing
+// again. The caller should have one request for a listing in flight at a time.
 func (x *PrefixIndex) Apply(server string, incarnation uint64, event instance.CacheEvent) ApplyResult {
-	slot := x.acquire(server)
+	slot := x.slotFor(server)
 	s := &x.servers[slot]
 	if incarnation < s.incarnation {
 		return Duplicate
 	}
 	if incarnation > s.incarnation {
-		x.restart(slot, incarnation)
+		x.reset(slot, incarnation)
 	}
 	if event.Sequence <= s.sequence {
 		return Duplicate
 	}
 	if event.Sequence != s.sequence+1 {
-		// What lies between was lost; what was held before it is of no use.
-		s.gap = true
-		s.held = s.held[:0]
+		// Buffered events cannot be replayed over a hole.
+		s.hasGap = true
+		s.buffered = s.buffered[:0]
 	}
 	s.sequence = event.Sequence
-	if s.gap {
-		s.hold(event)
+	if s.hasGap {
+		s.buffer(event)
 	}
-	x.change(slot, event)
-	if s.gap {
+	x.applyEvent(slot, event)
+	if s.hasGap {
 		return Gap
 	}
 	return Applied
 }
 
-// Replace puts a full listing in place of what is known of the server, then
-// applies again the events that came after it. It reports whether the index is
-// now complete for the server; if not, the listing was too old and another one
-// is needed.
+// Replace replaces the server's prefixes by a full listing and reapplies the buffered events
+// that are newer. It reports whether the index is now complete for the server; if not, the
+// listing was too old and the caller needs another one.
 func (x *PrefixIndex) Replace(server string, listing Listing) bool {
-	slot := x.acquire(server)
+	slot := x.slotFor(server)
 	s := &x.servers[slot]
 	if listing.Incarnation < s.incarnation {
-		return !s.gap
+		return !s.hasGap
 	}
-	if listing.Incarnation == s.incarnation && !s.gap && listing.Sequence < s.sequence {
+	if listing.Incarnation == s.incarnation && !s.hasGap && listing.Sequence < s.sequence {
 		return true // an old listing must not undo newer events
 	}
-	sequence, held := s.sequence, s.held
+	sequence, buffered := s.sequence, s.buffered
 	if listing.Incarnation > s.incarnation {
-		sequence, held = 0, nil
+		sequence, buffered = 0, nil
 	}
-	x.restart(slot, listing.Incarnation)
+	x.reset(slot, listing.Incarnation)
 	s.sequence = max(sequence, listing.Sequence)
 	for _, p := range listing.Prefixes {
 		x.store(slot, p.Prefix, p.Tokens)
 	}
-	s.gap = !replayable(held, listing.Sequence, sequence)
-	for _, event := range held {
+	s.hasGap = !replayable(buffered, listing.Sequence, sequence)
+	for _, event := range buffered {
 		if event.Sequence > listing.Sequence {
-			x.change(slot, event)
+			x.applyEvent(slot, event)
 		}
 	}
-	if s.gap {
-		s.held = held
+	if s.hasGap {
+		s.buffered = buffered
 	}
-	return !s.gap
+	return !s.hasGap
 }
 
-// Forget drops all that is known of the server's cache, as after its loss.
-func (x *PrefixIndex) Forget(server string) {
-	slot, ok := x.slots[server]
+// Remove drops all prefixes of the server.
+func (x *PrefixIndex) Remove(server string) {
+	slot, ok := x.slotByID[server]
 	if !ok {
 		return
 	}
-	x.restart(slot, 0)
+	x.reset(slot, 0)
 	if x.servers[slot].pinned {
 		return
 	}
 	x.servers[slot] = indexedServer{}
-	x.free = append(x.free, slot)
-	delete(x.slots, server)
+	x.freeSlots = append(x.freeSlots, slot)
+	delete(x.slotByID, server)
 }
 
-// Complete reports whether all events of the server so far have been seen.
+// Complete reports whether the server is known and no event of it is missing.
 func (x *PrefixIndex) Complete(server string) bool {
-	slot, ok := x.slots[server]
-	return ok && !x.servers[slot].gap
+	slot, ok := x.slotByID[server]
+	return ok && !x.servers[slot].hasGap
 }
 
-// Len returns the number of distinct prefixes known.
-func (x *PrefixIndex) Len() int { return len(x.entries) }
+// Len returns the number of distinct prefixes in the index.
+func (x *PrefixIndex) Len() int { return len(x.prefixes) }
 
-// hold keeps an event for replay. When there is no room the oldest half goes,
-// and a listing that is older than the rest will not close the gap.
-func (s *indexedServer) hold(event instance.CacheEvent) {
-	if len(s.held) == maxHeldEvents {
-		n := copy(s.held, s.held[maxHeldEvents/2:])
-		s.held = s.held[:n]
-	}
-	s.held = append(s.held, event)
+// buffer adds an event for replay. When the buffer is full it drops the oldest half; a
+// listing older than the remaining events then does not close the gap.
+func (s *indexedServer) buffer(event instance.CacheEvent) {
+	if len(s.buffered) == maxBufferedEvents {
+		n := copy(s.buffered, s.buffered[maxBufferedEvents/2:])
+		s.buffered = s.buffered[:n]
+	}
+	s.buffered = append(s.buffered, event)
 }
 
-// replayable reports whether the held events lead on from sequence listed to
-// sequence last without a hole.
-func replayable(held []instance.CacheEvent, listed, last uint64) bool {
+// replayable reports whether the buffered events continue from sequence listed to sequence
+// last without a hole.
+func replayable(buffered []instance.CacheEvent, listed, last uint64) bool {
 	if listed >= last {
 		return true
 	}
-	return len(held) > 0 && held[0].Sequence <= listed+1
+	return len(buffered) > 0 && buffered[0].Sequence <= listed+1
 }
 
-func (x *PrefixIndex) acquire(server string) int {
-	if slot, ok := x.slots[server]; ok {
+// slotFor returns the slot of the server, assigning one if it has none.
+func (x *PrefixIndex) slotFor(server string) int {
+	if slot, ok := x.slotByID[server]; ok {
 		return slot
 	}
 	var slot int
-	if n := len(x.free); n > 0 {
-		slot = x.free[n-1]
-		x.free = x.free[:n-1]
+	if n := len(x.freeSlots); n > 0 {
+		slot = x.freeSlots[n-1]
+		x.freeSlots = x.freeSlots[:n-1]
 	} else {
 		slot = len(x.servers)
 		x.servers = append(x.servers, indexedServer{})
 	}
-	if words := slot/64 + 1; words > len(x.seen) {
-		x.seen = append(x.seen, 0)
+	if words := slot/64 + 1; words > len(x.matchedHolders) {
+		x.matchedHolders = append(x.matchedHolders, 0)
 	}
-	x.slots[server] = slot
+	x.slotByID[server] = slot
 	return slot
 }
 
-// restart empties the slot for a new incarnation.
-func (x *PrefixIndex) restart(slot int, incarnation uint64) {
+// reset removes the prefixes in the slot and sets its incarnation.
+func (x *PrefixIndex) reset(slot int, incarnation uint64) {
 	s := &x.servers[slot]
 	for prefix := range s.prefixes {
-		x.unset(slot, prefix)
+		x.removeHolder(slot, prefix)
 	}
 	*s = indexedServer{incarnation: incarnation, pinned: s.pinned}
 }
 
-func (x *PrefixIndex) change(slot int, event instance.CacheEvent) {
+func (x *PrefixIndex) applyEvent(slot int, event instance.CacheEvent) {
 	if event.Stored {
 		x.store(slot, event.Prefix, event.Tokens)
 		return
 	}
 	if _, ok := x.servers[slot].prefixes[event.Prefix]; ok {
 		delete(x.servers[slot].prefixes, event.Prefix)
-		x.unset(slot, event.Prefix)
+		x.removeHolder(slot, event.Prefix)
 	}
 }
 
@@ -251,72 +246,71 @@
 	for len(s.prefixes) >= maxServerPrefixes {
 		x.dropOldest(slot)
 	}
-	s.note(prefix)
+	s.appendStored(prefix)
 	if s.prefixes == nil {
 		s.prefixes = make(map[uint64]struct{})
 	}
 	s.prefixes[prefix] = struct{}{}
-	entry := x.entries[prefix]
+	entry := x.prefixes[prefix]
 	if entry == nil {
 		entry = &prefixEntry{}
-		x.entries[prefix] = entry
+		x.prefixes[prefix] = entry
 	}
 	for len(entry.holders) <= slot/64 {
 		entry.holders = append(entry.holders, 0)
 	}
 	entry.holders[slot/64] |= 1 << (slot % 64)
 	entry.tokens = int32(tokens)
-	entry.count++
+	entry.holderCount++
 }
 
-// dropOldest makes room by forgetting the prefix that was stored longest ago. To
-// ignore new ones instead would leave every conversation that began after the
-// bound was reached without its cache.
+// dropOldest drops the prefix that was stored first. Rejecting new prefixes instead would
+// leave conversations that start after the limit is reached without a cache hit.
 func (x *PrefixIndex) dropOldest(slot int) {
 	s := &x.servers[slot]
-	oldest := s.order[0]
-	s.order = s.order[1:]
+	oldest := s.storeOrder[0]
+	s.storeOrder = s.storeOrder[1:]
 	if _, ok := s.prefixes[oldest]; ok {
 		delete(s.prefixes, oldest)
-		x.unset(slot, oldest)
+		x.removeHolder(slot, oldest)
 	}
 }
 
-// note appends the prefix to the order of storing. Prefixes that were evicted
-// meanwhile stay in it until it has grown to twice what is held.
-func (s *indexedServer) note(prefix uint64) {
-	if len(s.order) >= 2*maxServerPrefixes {
-		gone := func(p uint64) bool {
+// appendStored appends the prefix to storeOrder. Evicted prefixes remain there until it has
+// twice maxServerPrefixes elements.
+func (s *indexedServer) appendStored(prefix uint64) {
+	if len(s.storeOrder) >= 2*maxServerPrefixes {
+		evicted := func(p uint64) bool {
 			_, ok := s.prefixes[p]
 			return !ok
 		}
-		s.order = slices.Clone(slices.DeleteFunc(s.order, gone))
+		s.storeOrder = slices.Clone(slices.DeleteFunc(s.storeOrder, evicted))
 	}
-	s.order = append(s.order, prefix)
+	s.storeOrder = append(s.storeOrder, prefix)
 }
 
-func (x *PrefixIndex) unset(slot int, prefix uint64) {
-	entry := x.entries[prefix]
+func (x *PrefixIndex) removeHolder(slot int, prefix uint64) {
+	entry := x.prefixes[prefix]
 	entry.holders[slot/64] &^= 1 << (slot % 64)
-	entry.count--
-	if entry.count == 0 {
-		delete(x.entries, prefix)
+	entry.holderCount--
+	if entry.holderCount == 0 {
+		delete(x.prefixes, prefix)
 	}
 }
 
-// match writes, for each slot, the tokens of the deepest of the prefixes that
-// the server holds, 0 where it holds none. prefixes go from short to long.
+// match sets tokens[slot] to the length of the longest of the prefixes that the server
+// caches, or 0. prefixes are ordered from short to long.
 func (x *PrefixIndex) match(prefixes []uint64, tokens []int32) {
 	clear(tokens)
-	clear(x.seen)
+	clear(x.matchedHolders)
 	for i := len(prefixes) - 1; i >= 0; i-- {
-		entry := x.entries[prefixes[i]]
+		entry := x.prefixes[prefixes[i]]
 		if entry == nil {
 			continue
 		}
 		for w, holders := range entry.holders {
-			fresh := holders &^ x.seen[w]
-			x.seen[w] |= holders
+			fresh := holders &^ x.matchedHolders[w]
+			x.matchedHolders[w] |= holders
 			for ; fresh != 0; fresh &= fresh - 1 {
 				slot := w*64 + bits.TrailingZeros64(fresh)
 				if slot < len(tokens) {
--- a/policy/route/router.go
+++ b/policy/route/router.go
@@ -9,29 +9,29 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Router chooses servers for the requests of one service. It is fed with the
-// servers' announcements and with the start, first token and end of each
-// request that this entry sends. Not safe for concurrent use.
+// Router chooses servers for the requests of one service. The caller passes it the servers'
+// announcements and the start, first token and end of each request that this entry sends. It
+// is not safe for concurrent use.
 type Router struct {
-	cfg        Config
-	index      *PrefixIndex
-	servers    []server // by the index's slot; id is empty where the slot is free
-	demand     demand
-	sends      sends
-	assessed   time.Time
-	eased      bool          // some server's health share is below 1
-	median     float64       // of the servers' health ratios
-	firstToken time.Duration // moving average over all servers
-	entries    uint64        // servers that became known, again or for the first time
-	learnt     int           // first tokens that the prefill rate was learnt from
-
-	order []int // slots of the servers, by id; nil: to be sorted again
+	cfg                Config
+	index              *PrefixIndex
+	servers            []server // by the slots of index; id is empty where a slot is free
+	demand             demandSketch
+	sendRate           sendRate
+	lastAssessed       time.Time
+	anyReduced         bool          // some server's health weight is below 1
+	medianLatencyRatio float64       // over all servers with enough samples
+	meanFirstToken     time.Duration // moving average over all servers
+	registrations      uint64        // number of the last registration, see server.registration
+	rateSamples        int           // samples that the prefill rate was learned from
+
+	slotsByID []int // slots of the servers, sorted by id; nil if not up to date
 
 	// Scratch space, so that Choose does not allocate.
-	ratios  []float64
-	matched []int32   // cached tokens by slot
-	weights []float64 // share by slot; 0: may not run the request
-	loads   []float64 // estimated requests by slot
+	latencyRatios []float64
+	matched       []int32   // cached tokens by slot
+	weights       []float64 // weight by slot; 0: may not run the request
+	loads         []float64 // estimated requests by slot
 }
 
 // New returns a Router without servers. The error is a *policy.ConfigError.
@@ -42,46 +42,46 @@
 	return &Router{cfg: cfg, index: NewPrefixIndex()}, nil
 }
 
-// Prefixes returns the Router's index, to be fed with cache events.
+// Prefixes returns the Router's index. The caller applies the servers' cache events to it.
 func (r *Router) Prefixes() *PrefixIndex { return r.index }
 
 // SetEntries sets the number of entries that send to the same servers.
 func (r *Router) SetEntries(n int) { r.cfg.Entries = max(n, 1) }
 
-// Announce takes in a server's announcement and reports whether it was newer
-// than what is known. at is the time on the entry's clock at which a.Load held;
-// a reading of the server's clock will not do where clocks differ by more than
-// historyWidth.
+// Announce updates a server from its announcement and reports whether the announcement was
+// newer than the last one. at is the time on this entry's clock at which a.Load was measured.
+// A time of the server's clock would miscount the requests since then if the clocks differ by
+// more than historyBucketWidth.
 func (r *Router) Announce(a *instance.Announcement, at, now time.Time) bool {
-	slot := r.index.acquire(a.ID)
-	r.grow(slot + 1)
+	slot := r.index.slotFor(a.ID)
+	r.growSlots(slot + 1)
 	s := &r.servers[slot]
 	if s.id == "" {
 		r.index.servers[slot].pinned = true
-		r.order = nil
+		r.slotsByID = nil
 		s.id = a.ID
 		s.hash = xxhash.Sum64String(a.ID)
-		r.entries++
-		s.entry = r.entries
-	} else if !newer(a, s) {
+		r.registrations++
+		s.registration = r.registrations
+	} else if !isNewer(a, s) {
 		return false
 	}
-	s.announce(a, at, now)
+	s.update(a, at, now)
 	return true
 }
 
-// NoteLoad takes what other entries have at a server now, as was asked for: running
-// requests, and prompt tokens of those that have no answer yet.
-func (r *Router) NoteLoad(id string, running, prefill int, now time.Time) {
-	if slot, ok := r.index.slots[id]; ok && slot < len(r.servers) && r.servers[slot].id != "" {
-		r.servers[slot].noteLoad(running, prefill, now)
+// UpdateLoad sets the load of other entries on a server at now, as the caller has queried it:
+// their running requests, and the prompt tokens of those without a first token.
+func (r *Router) UpdateLoad(id string, running, prefill int, now time.Time) {
+	if slot, ok := r.index.slotByID[id]; ok && slot < len(r.servers) && r.servers[slot].id != "" {
+		r.servers[slot].updateLoad(running, prefill, now)
 	}
 }
 
-// Leave marks a server as leaving, as heard from another entry. It has no
-// effect on a later incarnation.
-func (r *Router) Leave(id string, incarnation uint64) {
-	slot, ok := r.index.slots[id]
+// MarkLeaving marks a server as leaving, for a notice from another entry. It has no effect on
+// a later incarnation.
+func (r *Router) MarkLeaving(id string, incarnation uint64) {
+	slot, ok := r.index.slotByID[id]
 	if !ok || slot >= len(r.servers) {
 		return
 	}
@@ -90,64 +90,65 @@
 	}
 }
 
-// Remove forgets a server and its cached prefixes. Its open attempts may still
-// be ended.
+// Remove removes a server and its cached prefixes. Its open attempts may still be ended.
 func (r *Router) Remove(id string) {
-	slot, ok := r.index.slots[id]
+	slot, ok := r.index.slotByID[id]
 	if !ok {
 		return
 	}
 	if slot < len(r.servers) {
 		r.servers[slot] = server{}
 	}
-	r.order = nil
+	r.slotsByID = nil
 	r.index.servers[slot].pinned = false
-	r.index.Forget(id)
+	r.index.Remove(id)
 }
 
-// Share returns the part of its full share that a server gets at now because
-// of slow start or slowness, for metrics; 0 for a server that takes no work.
-func (r *Router) Share(id string, now time.Time) float64 {
-	slot, ok := r.index.slots[id]
+// Weight returns the fraction of its full share of requests that a server gets at now because
+// of slow start or slowness, for metrics; 0 for a server that is not serving.
+func (r *Router) Weight(id string, now time.Time) float64 {
+	slot, ok := r.index.slotByID[id]
 	if !ok || slot >= len(r.servers) || !r.servers[slot].serving {
 		return 0
 	}
 	s := &r.servers[slot]
-	return s.health.share * s.ramp(&r.cfg, now)
+	return s.health.weight * s.slowStartFraction(&r.cfg, now)
 }
 
-// Eased returns the part of its share that a server gets because of slowness
-// alone, slow start left out; 1 for one that is not known.
-func (r *Router) Eased(id string) float64 {
-	slot, ok := r.index.slots[id]
+// HealthWeight returns the fraction of its full share of requests that a server gets because
+// of slowness alone, without slow start; 1 for an unknown server.
+func (r *Router) HealthWeight(id string) float64 {
+	slot, ok := r.index.slotByID[id]
 	if !ok || slot >= len(r.servers) || r.servers[slot].id == "" {
 		return 1
 	}
-	return r.servers[slot].health.share
+	return r.servers[slot].health.weight
 }
 
-func (r *Router) grow(n int) {
+// growSlots extends the slices by slot to at least n slots.
+func (r *Router) growSlots(n int) {
 	for len(r.servers) < n {
 		r.servers = append(r.servers, server{})
 		r.matched = append(r.matched, 0)
 		r.weights = append(r.weights, 0)
 		r.loads = append(r.loads, 0)
 	}
-	r.ratios = slices.Grow(r.ratios[:0], n)
+	r.latencyRatios = slices.Grow(r.latencyRatios[:0], n)
 }
 
-func newer(a *instance.Announcement, s *server) bool {
+// isNewer reports whether the announcement is newer than the last one of the server.
+func isNewer(a *instance.Announcement, s *server) bool {
 	if a.Incarnation != s.incarnation {
 		return a.Incarnation > s.incarnation
 	}
 	return a.Sequence > s.sequence
 }
 
-// Prefill returns the prompt tokens of own requests that a server has not begun to
-// answer.
-func (r *Router) Prefill(id string) int {
-	if slot, ok := r.index.slots[id]; ok && slot < len(r.servers) {
-		return max(r.servers[slot].health.prefill, 0)
+// PendingPrefillTokens returns the expected prefill of this entry's requests that wait for
+// their first token on the server.
+func (r *Router) PendingPrefillTokens(id string) int {
+	if slot, ok := r.index.slotByID[id]; ok && slot < len(r.servers) {
+		return max(r.servers[slot].health.pendingTokens, 0)
 	}
 	return 0
 }
