--- a/control/operator.go
+++ b/control/operator.go
@@ -273,7 +273,7 @@
 func proposeProblem(err error) *request.Problem {
 	var remote *link.RemoteError
 	var coded *codedError
-	unknown := errors.Is(err, link.ErrLost) ||
+	unknown := errors.Is(err, link.ErrOutcomeUnknown) ||
 		errors.As(err, &remote) && remote.Code == api.CodeUnknown ||
 		errors.As(err, &coded) && coded.code == api.CodeUnknown
 	outcome := request.NotRun
--- a/link/call.go
+++ b/link/call.go
@@ -56,7 +56,7 @@
 		return fail(StepSend, ErrClosed, nil)
 	}
 	pr.touch()
-	if _, _, err := pr.begin(); err != nil {
+	if _, _, err := pr.connOrDial(); err != nil {
 		return fail(StepDial, ErrUnreachable, err)
 	}
 	select {
@@ -81,13 +81,13 @@
 	if err != nil {
 		return nil, fail(StepDial, ErrUnreachable, err)
 	}
-	defer conn.remove(id)
-	buf, err := appendFrame(nil, frame{kind: kindRequest, id: id, timeout: timeoutOf(ctx), method: method, body: body}, p.limits.maxFrame)
+	defer conn.removeCall(id)
+	buf, err := appendFrame(nil, frame{kind: kindRequest, id: id, timeoutMillis: remainingMillis(ctx), method: method, body: body}, p.limits.maxFrame)
 	if err != nil {
 		return nil, fail(StepEncode, ErrUnreachable, err)
 	}
 	select {
-	case conn.out <- outgoing{method: method, buf: buf, call: call}:
+	case conn.sendQueue <- outgoing{method: method, buf: buf, call: call}:
 	case <-ctx.Done():
 		return nil, fail(StepSend, ErrUnreachable, ctx.Err())
 	case <-conn.ctx.Done():
@@ -95,7 +95,7 @@
 	}
 	answer, err := conn.await(ctx, id, call)
 	if err != nil {
-		kind := ErrLost
+		kind := ErrOutcomeUnknown
 		if call.withdraw() {
 			kind = ErrUnreachable
 		}
@@ -116,7 +116,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if conn.add(id, call) {
+		if conn.addCall(id, call) {
 			return conn, nil
 		}
 	}
@@ -153,7 +153,7 @@
 		return
 	}
 	select {
-	case c.out <- outgoing{method: MethodControl, buf: buf}:
+	case c.sendQueue <- outgoing{method: MethodControl, buf: buf}:
 	default:
 	}
 }
@@ -166,18 +166,18 @@
 	return &re
 }
 
-// timeoutOf returns the milliseconds left until the deadline of ctx, rounded
+// remainingMillis returns the milliseconds left until the deadline of ctx, rounded
 // up, at least 1; 0 if there is no deadline.
-func timeoutOf(ctx context.Context) uint64 {
+func remainingMillis(ctx context.Context) uint64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
 	}
-	left := time.Until(deadline)
-	return uint64(max(1, (left+time.Millisecond-1)/time.Millisecond))
+	remaining := time.Until(deadline)
+	return uint64(max(1, (remaining+time.Millisecond-1)/time.Millisecond))
 }
 
-// millis turns a timeout from the wire into a duration without overflow.
-func millis(ms uint64) time.Duration {
+// millisToDuration turns a timeout from the wire into a duration without overflow.
+func millisToDuration(ms uint64) time.Duration {
 	return time.Duration(min(ms, math.MaxInt64/uint64(time.Millisecond))) * time.Millisecond
 }
--- a/link/clientconn.go
+++ b/link/clientconn.go
@@ -9,8 +9,8 @@
 // clientConn is one dialled connection.
 type clientConn struct {
 	*conn
-	peer *peer
-	info PeerInfo
+	peer     *peer
+	peerInfo PeerInfo
 
 	mu      sync.Mutex // guards pending and closed
 	pending map[uint64]*pendingCall
@@ -19,10 +19,10 @@
 
 func newClientConn(c *conn, pr *peer, info PeerInfo) *clientConn {
 	pr.touch()
-	return &clientConn{conn: c, peer: pr, info: info, pending: make(map[uint64]*pendingCall)}
+	return &clientConn{conn: c, peer: pr, peerInfo: info, pending: make(map[uint64]*pendingCall)}
 }
 
-func (c *clientConn) open() bool {
+func (c *clientConn) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closed
@@ -34,35 +34,35 @@
 	defer stop()
 	defer c.nc.Close()
 	var writer sync.WaitGroup
-	writer.Go(func() { c.cancel(c.writeLoop(c.peer.notices, c.retireIfIdle)) })
+	writer.Go(func() { c.cancel(c.writeLoop(c.peer.notices, c.closeIfIdle)) })
 	c.cancel(c.readLoop(c.dispatch))
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
 	writer.Wait()
-	c.peer.ended(c)
+	c.peer.clearConn(c)
 	cause := context.Cause(c.ctx)
 	if !errors.Is(cause, ErrIdle) && !errors.Is(cause, ErrClosed) {
-		c.peer.pool.log.Info("link lost", "address", c.peer.addr, "peer", c.info.ID, "err", cause)
-		c.peer.pool.reportLost(c.peer.addr)
+		c.peer.pool.log.Info("link lost", "address", c.peer.addr, "peer", c.peerInfo.ID, "err", cause)
+		c.peer.pool.callOnDisconnect(c.peer.addr)
 	}
 	c.peer.redialForNotices()
 }
 
-// retireIfIdle closes the connection when nobody has used it for long. The
+// closeIfIdle closes the connection when nobody has used it for long. The
 // check and the mark are one step under the lock, so no call can be added to a
 // connection that is about to close.
-func (c *clientConn) retireIfIdle() {
+func (c *clientConn) closeIfIdle() {
 	if len(c.peer.notices) > 0 {
 		c.peer.touch()
 	}
 	c.mu.Lock()
-	retire := len(c.pending) == 0 && c.peer.idle() >= c.peer.pool.cfg.IdleTimeout
-	if retire {
+	unused := len(c.pending) == 0 && c.peer.idleTime() >= c.peer.pool.cfg.IdleTimeout
+	if unused {
 		c.closed = true
 	}
 	c.mu.Unlock()
-	if retire {
+	if unused {
 		c.cancel(ErrIdle)
 	}
 }
@@ -86,8 +86,8 @@
 	call.answer <- f
 }
 
-// add registers a call. False: the connection is closing, take another.
-func (c *clientConn) add(id uint64, call *pendingCall) bool {
+// addCall registers a call. False: the connection is closing, take another.
+func (c *clientConn) addCall(id uint64, call *pendingCall) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -98,7 +98,7 @@
 	return true
 }
 
-func (c *clientConn) remove(id uint64) {
+func (c *clientConn) removeCall(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
--- a/link/conn.go
+++ b/link/conn.go
@@ -12,25 +12,25 @@
 
 // Defaults for links between instances.
 const (
-	DefaultHeartbeat = 500 * time.Millisecond
-	// DefaultSilence is four heartbeats: one that is late or lost to a
+	DefaultHeartbeatInterval = 500 * time.Millisecond
+	// DefaultHeartbeatTimeout is four heartbeats: one that is late or lost to a
 	// retransmission doesn't end the connection.
-	DefaultSilence = 2 * time.Second
+	DefaultHeartbeatTimeout = 2 * time.Second
 
-	outQueue = 64 // frames waiting for the writer of one connection
+	sendQueueLen = 64 // frames waiting for the writer of one connection
 )
 
 // conn is what both ends of a connection share: framing, heartbeat, silence
 // bound. It ends when its context does; the cause says why.
 type conn struct {
-	nc        net.Conn
-	br        *bufio.Reader
-	maxFrame  int
-	heartbeat time.Duration
-	traffic   *Traffic
-	out       chan outgoing
-	ctx       context.Context
-	cancel    context.CancelCauseFunc
+	nc                net.Conn
+	br                *bufio.Reader
+	maxFrame          int
+	heartbeatInterval time.Duration
+	traffic           *Traffic
+	sendQueue         chan outgoing
+	ctx               context.Context
+	cancel            context.CancelCauseFunc
 }
 
 // outgoing is one encoded frame for the writer.
@@ -40,56 +40,56 @@
 	call   *pendingCall // of a request; nil for all else
 }
 
-// limits are the bounds that Server and Pool give to their connections.
-type limits struct {
-	maxFrame  int
-	heartbeat time.Duration
-	silence   time.Duration
+// connLimits are the bounds that Server and Pool give to their connections.
+type connLimits struct {
+	maxFrame          int
+	heartbeatInterval time.Duration
+	heartbeatTimeout  time.Duration
 }
 
-func limitsOf(maxFrame int, heartbeat, silence time.Duration) limits {
-	l := limits{maxFrame: maxFrame, heartbeat: heartbeat, silence: silence}
+func limitsWithDefaults(maxFrame int, heartbeatInterval, heartbeatTimeout time.Duration) connLimits {
+	l := connLimits{maxFrame: maxFrame, heartbeatInterval: heartbeatInterval, heartbeatTimeout: heartbeatTimeout}
 	if l.maxFrame <= 0 {
 		l.maxFrame = DefaultMaxFrame
 	}
-	if l.heartbeat <= 0 {
-		l.heartbeat = DefaultHeartbeat
+	if l.heartbeatInterval <= 0 {
+		l.heartbeatInterval = DefaultHeartbeatInterval
 	}
-	if l.silence <= 0 {
-		l.silence = max(DefaultSilence, 4*l.heartbeat)
+	if l.heartbeatTimeout <= 0 {
+		l.heartbeatTimeout = max(DefaultHeartbeatTimeout, 4*l.heartbeatInterval)
 	}
 	return l
 }
 
-func newConn(ctx context.Context, nc net.Conn, l limits, t *Traffic) *conn {
+func newConn(ctx context.Context, nc net.Conn, l connLimits, t *Traffic) *conn {
 	ctx, cancel := context.WithCancelCause(ctx)
 	return &conn{
-		nc:        nc,
-		br:        bufio.NewReader(&silenceReader{nc: nc, bound: l.silence}),
-		maxFrame:  l.maxFrame,
-		heartbeat: l.heartbeat,
-		traffic:   t,
-		out:       make(chan outgoing, outQueue),
-		ctx:       ctx,
-		cancel:    cancel,
+		nc:                nc,
+		br:                bufio.NewReader(&timeoutReader{nc: nc, timeout: l.heartbeatTimeout}),
+		maxFrame:          l.maxFrame,
+		heartbeatInterval: l.heartbeatInterval,
+		traffic:           t,
+		sendQueue:         make(chan outgoing, sendQueueLen),
+		ctx:               ctx,
+		cancel:            cancel,
 	}
 }
 
-// silenceReader gives each read the silence bound anew. The bound runs only
+// timeoutReader gives each read the silence bound anew. The bound runs only
 // while the reader waits for the network: time that a handler takes is never
 // counted as silence of the peer.
-type silenceReader struct {
-	nc    net.Conn
-	bound time.Duration
+type timeoutReader struct {
+	nc      net.Conn
+	timeout time.Duration
 }
 
-func (r *silenceReader) Read(p []byte) (int, error) {
-	if err := r.nc.SetReadDeadline(time.Now().Add(r.bound)); err != nil {
+func (r *timeoutReader) Read(p []byte) (int, error) {
+	if err := r.nc.SetReadDeadline(time.Now().Add(r.timeout)); err != nil {
 		return 0, err
 	}
 	n, err := r.nc.Read(p)
 	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		return n, ErrSilent
+		return n, ErrHeartbeatTimeout
 	}
 	return n, err
 }
@@ -116,25 +116,25 @@
 // reader ends the connection; if it lives and is slow, waiting is right.
 func (c *conn) writeLoop(notices <-chan outgoing, onTick func()) error {
 	bw := bufio.NewWriter(c.nc)
-	tick := time.NewTicker(c.heartbeat)
+	tick := time.NewTicker(c.heartbeatInterval)
 	defer tick.Stop()
-	quiet := true
+	idle := true
 	for {
 		var err error
 		select {
 		case <-c.ctx.Done():
 			return context.Cause(c.ctx)
-		case o := <-c.out:
+		case o := <-c.sendQueue:
 			err = c.writeBatch(bw, o, notices)
-			quiet = false
+			idle = false
 		case o := <-notices:
 			err = c.writeBatch(bw, o, notices)
-			quiet = false
+			idle = false
 		case <-tick.C:
-			if quiet {
+			if idle {
 				err = c.writeHeartbeat()
 			}
-			quiet = true
+			idle = true
 			onTick()
 		}
 		if err != nil {
@@ -150,7 +150,7 @@
 			return err
 		}
 		select {
-		case o = <-c.out:
+		case o = <-c.sendQueue:
 			continue
 		default:
 		}
@@ -189,7 +189,7 @@
 // fails only when the connection ends.
 func (c *conn) send(o outgoing) error {
 	select {
-	case c.out <- o:
+	case c.sendQueue <- o:
 		return nil
 	case <-c.ctx.Done():
 		return context.Cause(c.ctx)
--- a/link/decode.go
+++ b/link/decode.go
@@ -23,13 +23,13 @@
 	d := msgpack.GetDecoder()
 	defer msgpack.PutDecoder(d)
 	d.Reset(bytes.NewReader(data))
-	if err := walk(d, 0); err != nil {
+	if err := validate(d, 0); err != nil {
 		return err
 	}
 	return msgpack.Unmarshal(data, v)
 }
 
-func walk(d *msgpack.Decoder, depth int) error {
+func validate(d *msgpack.Decoder, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("nested deeper than %d: %w", maxDepth, ErrMalformed)
 	}
@@ -37,21 +37,21 @@
 	if err != nil {
 		return err
 	}
-	n, elements := 0, 1
+	entries, valuesPerEntry := 0, 1
 	switch {
 	case msgpcode.IsFixedArray(code), code == msgpcode.Array16, code == msgpcode.Array32:
-		n, err = d.DecodeArrayLen()
+		entries, err = d.DecodeArrayLen()
 	case msgpcode.IsFixedMap(code), code == msgpcode.Map16, code == msgpcode.Map32:
-		n, err = d.DecodeMapLen()
-		elements = 2
+		entries, err = d.DecodeMapLen()
+		valuesPerEntry = 2
 	default:
 		return d.Skip()
 	}
 	if err != nil {
 		return err
 	}
-	for range n * elements {
-		if err := walk(d, depth+1); err != nil {
+	for range entries * valuesPerEntry {
+		if err := validate(d, depth+1); err != nil {
 			return err
 		}
 	}
--- a/link/errors.go
+++ b/link/errors.go
@@ -10,14 +10,14 @@
 var (
 	// ErrUnreachable: no byte of the call was written, it surely did not run.
 	ErrUnreachable = errors.New("unreachable, not run")
-	// ErrLost: the call was written and no answer came, it may have run.
-	ErrLost = errors.New("no answer, may have run")
+	// ErrOutcomeUnknown: the call was written and no answer came, it may have run.
+	ErrOutcomeUnknown = errors.New("no answer, may have run")
 	// ErrBusy: the bounded queue towards the peer is full; the notice was dropped.
 	ErrBusy = errors.New("queue to the peer is full")
 	// ErrClosed: the pool has been closed.
 	ErrClosed = errors.New("pool is closed")
-	// ErrSilent: nothing arrived on the connection for the silence bound.
-	ErrSilent = errors.New("connection went silent")
+	// ErrHeartbeatTimeout: nothing arrived on the connection for the silence bound.
+	ErrHeartbeatTimeout = errors.New("connection went silent")
 	// ErrWrongKey: the two ends do not hold the same cluster key.
 	ErrWrongKey = errors.New("wrong cluster key")
 	// ErrIdle: the connection was closed because nobody used it for long.
@@ -107,8 +107,8 @@
 
 type stepper interface{ Step() string }
 
-// remoteErrorOf turns a handler's error into its form on the wire.
-func remoteErrorOf(err error) *RemoteError {
+// toRemoteError turns a handler's error into its form on the wire.
+func toRemoteError(err error) *RemoteError {
 	var re *RemoteError
 	if errors.As(err, &re) {
 		return re
--- a/link/frame.go
+++ b/link/frame.go
@@ -16,11 +16,11 @@
 const DefaultMaxFrame = 4 << 20
 
 const (
-	magic0     = 'S'
-	magic1     = 'r'
-	headerSize = 8 // magic (2), version, kind, payload length (4, big endian)
-	maxMethod  = 255
-	readChunk  = 64 << 10 // bytes allocated ahead of the data of a large frame
+	magic0            = 'S'
+	magic1            = 'r'
+	headerBytes       = 8 // magic (2), version, kind, payload length (4, big endian)
+	maxMethodBytes    = 255
+	payloadChunkBytes = 64 << 10 // bytes allocated ahead of the data of a large frame
 )
 
 type kind byte
@@ -42,11 +42,11 @@
 // uvarints, the method with a one-byte length, and the body. A frame whose
 // fields are all zero has an empty payload: a heartbeat is the header alone.
 type frame struct {
-	kind    kind
-	id      uint64
-	timeout uint64 // milliseconds left for a request; 0: no deadline
-	method  string
-	body    []byte
+	kind          kind
+	id            uint64
+	timeoutMillis uint64 // milliseconds left for a request; 0: no deadline
+	method        string
+	body          []byte
 }
 
 // Errors of the frame decoder.
@@ -67,23 +67,23 @@
 
 // appendFrame appends the wire form of f to dst. It fails on a method that is
 // too long and on a payload over limit bytes.
-func appendFrame(dst []byte, f frame, limit int) ([]byte, error) {
-	if len(f.method) > maxMethod {
+func appendFrame(dst []byte, f frame, maxPayload int) ([]byte, error) {
+	if len(f.method) > maxMethodBytes {
 		return dst, fmt.Errorf("method name of %d bytes: %w", len(f.method), ErrMalformed)
 	}
 	start := len(dst)
 	dst = append(dst, magic0, magic1, ProtocolVersion, byte(f.kind), 0, 0, 0, 0)
-	if f.id == 0 && f.timeout == 0 && f.method == "" && len(f.body) == 0 {
+	if f.id == 0 && f.timeoutMillis == 0 && f.method == "" && len(f.body) == 0 {
 		return dst, nil
 	}
 	dst = binary.AppendUvarint(dst, f.id)
-	dst = binary.AppendUvarint(dst, f.timeout)
+	dst = binary.AppendUvarint(dst, f.timeoutMillis)
 	dst = append(dst, byte(len(f.method)))
 	dst = append(dst, f.method...)
 	dst = append(dst, f.body...)
-	size := len(dst) - start - headerSize
-	if size > limit {
-		return dst[:start], fmt.Errorf("%d bytes, bound %d: %w", size, limit, ErrFrameTooLarge)
+	size := len(dst) - start - headerBytes
+	if size > maxPayload {
+		return dst[:start], fmt.Errorf("%d bytes, bound %d: %w", size, maxPayload, ErrFrameTooLarge)
 	}
 	binary.BigEndian.PutUint32(dst[start+4:], uint32(size))
 	return dst, nil
@@ -92,8 +92,8 @@
 // readFrame reads one frame with a payload of at most limit bytes and returns
 // it with its size on the wire. io.EOF means that the stream ended between two
 // frames, io.ErrUnexpectedEOF that it ended inside one.
-func readFrame(r *bufio.Reader, limit int) (frame, int, error) {
-	var header [headerSize]byte
+func readFrame(r *bufio.Reader, maxPayload int) (frame, int, error) {
+	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return frame{}, 0, err
 	}
@@ -104,23 +104,23 @@
 		return frame{}, 0, &VersionError{Got: header[2], Want: ProtocolVersion}
 	}
 	size := binary.BigEndian.Uint32(header[4:])
-	if uint64(size) > uint64(limit) {
-		return frame{}, 0, fmt.Errorf("%d bytes, bound %d: %w", size, limit, ErrFrameTooLarge)
+	if uint64(size) > uint64(maxPayload) {
+		return frame{}, 0, fmt.Errorf("%d bytes, bound %d: %w", size, maxPayload, ErrFrameTooLarge)
 	}
 	payload, err := readPayload(r, int(size))
 	if err != nil {
 		return frame{}, 0, err
 	}
 	f, err := parsePayload(kind(header[3]), payload)
-	return f, headerSize + int(size), err
+	return f, headerBytes + int(size), err
 }
 
 // readPayload reads size bytes. It grows the buffer as data arrives: a peer
 // that names a large length and sends nothing costs one chunk of memory only.
 func readPayload(r io.Reader, size int) ([]byte, error) {
-	buf := make([]byte, 0, min(size, readChunk))
+	buf := make([]byte, 0, min(size, payloadChunkBytes))
 	for len(buf) < size {
-		n := min(size-len(buf), readChunk)
+		n := min(size-len(buf), payloadChunkBytes)
 		start := len(buf)
 		buf = append(buf, make([]byte, n)...)
 		if _, err := io.ReadFull(r, buf[start:]); err != nil {
@@ -142,7 +142,7 @@
 		return f, nil
 	}
 	rest := payload
-	for _, field := range []*uint64{&f.id, &f.timeout} {
+	for _, field := range []*uint64{&f.id, &f.timeoutMillis} {
 		v, n := binary.Uvarint(rest)
 		if n <= 0 {
 			return f, fmt.Errorf("call id or timeout: %w", ErrMalformed)
--- a/link/frame_test.go
+++ b/link/frame_test.go
@@ -18,11 +18,11 @@
 func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := frame{
-			kind:    kind(rapid.IntRange(int(kindHello), int(kindCancel)).Draw(rt, "kind")),
-			id:      rapid.Uint64().Draw(rt, "id"),
-			timeout: rapid.Uint64().Draw(rt, "timeout"),
-			method:  string(rapid.SliceOfN(rapid.Byte(), 0, maxMethod).Draw(rt, "method")),
-			body:    rapid.SliceOfN(rapid.Byte(), 0, 3*readChunk/2).Draw(rt, "body"),
+			kind:          kind(rapid.IntRange(int(kindHello), int(kindCancel)).Draw(rt, "kind")),
+			id:            rapid.Uint64().Draw(rt, "id"),
+			timeoutMillis: rapid.Uint64().Draw(rt, "timeout"),
+			method:        string(rapid.SliceOfN(rapid.Byte(), 0, maxMethodBytes).Draw(rt, "method")),
+			body:          rapid.SliceOfN(rapid.Byte(), 0, 3*payloadChunkBytes/2).Draw(rt, "body"),
 		}
 		wire, err := appendFrame(nil, in, DefaultMaxFrame)
 		require.NoError(rt, err)
@@ -75,7 +75,7 @@
 func FuzzReadFrame(f *testing.F) {
 	for _, seed := range []frame{
 		{kind: kindHeartbeat},
-		{kind: kindRequest, id: 1, timeout: 1000, method: "membership.gossip", body: []byte{0x80}},
+		{kind: kindRequest, id: 1, timeoutMillis: 1000, method: "membership.gossip", body: []byte{0x80}},
 		{kind: kindError, id: 1 << 60, body: []byte("x")},
 	} {
 		wire, err := appendFrame(nil, seed, DefaultMaxFrame)
@@ -92,11 +92,11 @@
 		}
 		wire, err := appendFrame(nil, fr, limit)
 		require.NoError(t, err)
-		again, _, err := decode(wire, limit)
+		reread, _, err := decode(wire, limit)
 		require.NoError(t, err)
 		require.LessOrEqual(t, n, len(data))
-		require.Equal(t, fr.method, again.method)
-		require.True(t, bytes.Equal(fr.body, again.body))
-		require.Equal(t, [3]uint64{fr.id, fr.timeout, uint64(fr.kind)}, [3]uint64{again.id, again.timeout, uint64(again.kind)})
+		require.Equal(t, fr.method, reread.method)
+		require.True(t, bytes.Equal(fr.body, reread.body))
+		require.Equal(t, [3]uint64{fr.id, fr.timeoutMillis, uint64(fr.kind)}, [3]uint64{reread.id, reread.timeoutMillis, uint64(reread.kind)})
 	})
 }
--- a/link/hello.go
+++ b/link/hello.go
@@ -21,10 +21,10 @@
 }
 
 const (
-	nonceSize    = 16
-	maxHandshake = 4 << 10 // bytes of one frame before the peer has proved itself
-	roleDialler  = "dialler"
-	roleListener = "listener"
+	nonceBytes        = 16
+	maxHandshakeBytes = 4 << 10 // bytes of one frame before the peer has proved itself
+	roleDialler       = "dialler"
+	roleListener      = "listener"
 )
 
 type hello struct {
@@ -45,8 +45,8 @@
 	rejectFrame   = "bad_frame"
 )
 
-func newHello(self PeerInfo) ([]byte, error) {
-	nonce := make([]byte, nonceSize)
+func encodeHello(self PeerInfo) ([]byte, error) {
+	nonce := make([]byte, nonceBytes)
 	if _, err := rand.Read(nonce); err != nil {
 		return nil, err
 	}
@@ -58,15 +58,15 @@
 	if err := Unmarshal(body, &h); err != nil {
 		return h, fmt.Errorf("hello: %w: %w", ErrMalformed, err)
 	}
-	if len(h.Nonce) != nonceSize {
+	if len(h.Nonce) != nonceBytes {
 		return h, fmt.Errorf("nonce of %d bytes: %w", len(h.Nonce), ErrMalformed)
 	}
 	return h, nil
 }
 
-// proof is the MAC over both hellos. The role goes in first: without it a
-// stranger could send an end its own proof back and pass.
-func proof(key []byte, role string, dialler, listener []byte) []byte {
+// computeProof is the MAC over both hellos. The role goes in first: without it a
+// stranger could send an end its own computeProof back and pass.
+func computeProof(key []byte, role string, dialler, listener []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(role))
 	var size [4]byte
@@ -80,29 +80,29 @@
 // dialHandshake runs the dialling side: hello out, hello and proof in, proof
 // out, welcome in.
 func dialHandshake(c *conn, self PeerInfo, key []byte) (PeerInfo, error) {
-	mine, err := newHello(self)
+	ownHello, err := encodeHello(self)
 	if err != nil {
 		return PeerInfo{}, err
 	}
-	if err := c.handshakeSend(kindHello, mine); err != nil {
+	if err := c.handshakeSend(kindHello, ownHello); err != nil {
 		return PeerInfo{}, err
 	}
-	theirs, err := c.handshakeReceive(kindHello)
+	peerHello, err := c.handshakeReceive(kindHello)
 	if err != nil {
 		return PeerInfo{}, err
 	}
-	h, err := parseHello(theirs)
+	h, err := parseHello(peerHello)
 	if err != nil {
-		return PeerInfo{}, c.refuse(err)
+		return PeerInfo{}, c.sendReject(err)
 	}
-	got, err := c.handshakeReceive(kindProof)
+	peerProof, err := c.handshakeReceive(kindProof)
 	if err != nil {
 		return h.Peer, err
 	}
-	if !hmac.Equal(got, proof(key, roleListener, mine, theirs)) {
-		return h.Peer, c.refuse(ErrWrongKey)
+	if !hmac.Equal(peerProof, computeProof(key, roleListener, ownHello, peerHello)) {
+		return h.Peer, c.sendReject(ErrWrongKey)
 	}
-	if err := c.handshakeSend(kindProof, proof(key, roleDialler, mine, theirs)); err != nil {
+	if err := c.handshakeSend(kindProof, computeProof(key, roleDialler, ownHello, peerHello)); err != nil {
 		return h.Peer, err
 	}
 	_, err = c.handshakeReceive(kindWelcome)
@@ -111,36 +111,36 @@
 
 // listenHandshake runs the accepting side.
 func listenHandshake(c *conn, self PeerInfo, key []byte) (PeerInfo, error) {
-	theirs, err := c.handshakeReceive(kindHello)
+	peerHello, err := c.handshakeReceive(kindHello)
 	if err != nil {
-		return PeerInfo{}, c.refuse(err)
+		return PeerInfo{}, c.sendReject(err)
 	}
-	h, err := parseHello(theirs)
+	h, err := parseHello(peerHello)
 	if err != nil {
-		return PeerInfo{}, c.refuse(err)
+		return PeerInfo{}, c.sendReject(err)
 	}
-	mine, err := newHello(self)
+	ownHello, err := encodeHello(self)
 	if err != nil {
 		return h.Peer, err
 	}
-	if err := c.handshakeSend(kindHello, mine); err != nil {
+	if err := c.handshakeSend(kindHello, ownHello); err != nil {
 		return h.Peer, err
 	}
-	if err := c.handshakeSend(kindProof, proof(key, roleListener, theirs, mine)); err != nil {
+	if err := c.handshakeSend(kindProof, computeProof(key, roleListener, peerHello, ownHello)); err != nil {
 		return h.Peer, err
 	}
-	got, err := c.handshakeReceive(kindProof)
+	peerProof, err := c.handshakeReceive(kindProof)
 	if err != nil {
-		return h.Peer, c.refuse(err)
+		return h.Peer, c.sendReject(err)
 	}
-	if !hmac.Equal(got, proof(key, roleDialler, theirs, mine)) {
-		return h.Peer, c.refuse(ErrWrongKey)
+	if !hmac.Equal(peerProof, computeProof(key, roleDialler, peerHello, ownHello)) {
+		return h.Peer, c.sendReject(ErrWrongKey)
 	}
 	return h.Peer, c.handshakeSend(kindWelcome, nil)
 }
 
 func (c *conn) handshakeSend(k kind, body []byte) error {
-	buf, err := appendFrame(nil, frame{kind: k, body: body}, maxHandshake)
+	buf, err := appendFrame(nil, frame{kind: k, body: body}, maxHandshakeBytes)
 	if err != nil {
 		return err
 	}
@@ -154,13 +154,13 @@
 // handshakeReceive reads one frame and accepts only the kind that is due: a
 // request that comes ahead of the proof is an error, not a request.
 func (c *conn) handshakeReceive(want kind) ([]byte, error) {
-	f, n, err := readFrame(c.br, min(maxHandshake, c.maxFrame))
+	f, n, err := readFrame(c.br, min(maxHandshakeBytes, c.maxFrame))
 	if err != nil {
 		return nil, err
 	}
 	c.traffic.received(MethodHandshake, n)
 	if f.kind == kindReject {
-		return nil, rejectedError(f.body)
+		return nil, parseReject(f.body)
 	}
 	if f.kind != want {
 		return nil, fmt.Errorf("kind %d before the handshake was done: %w", f.kind, ErrMalformed)
@@ -168,9 +168,9 @@
 	return f.body, nil
 }
 
-// refuse tells the other side the cause, as far as it can still be told, and
+// sendReject tells the other side the cause, as far as it can still be told, and
 // returns err.
-func (c *conn) refuse(err error) error {
+func (c *conn) sendReject(err error) error {
 	r := reject{Code: rejectFrame, Message: err.Error()}
 	var version *VersionError
 	switch {
@@ -191,7 +191,7 @@
 	return err
 }
 
-func rejectedError(body []byte) error {
+func parseReject(body []byte) error {
 	var r reject
 	if err := Unmarshal(body, &r); err != nil {
 		return fmt.Errorf("reject: %w: %w", ErrMalformed, err)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -27,7 +27,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-const bound = 20 * time.Second // on waits in real time; reached only by a fault
+const testTimeout = 20 * time.Second // on waits in real time; reached only by a fault
 
 type echo struct {
 	Text string `msgpack:"text"`
@@ -59,47 +59,47 @@
 	return p
 }
 
-func within(t testing.TB, d time.Duration) context.Context {
+func testContext(t testing.TB, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-type teapot struct{}
+type codedError struct{}
 
-func (teapot) Error() string { return "no coffee" }
-func (teapot) Code() string  { return "teapot" }
-func (teapot) Step() string  { return "brew" }
+func (codedError) Error() string { return "no coffee" }
+func (codedError) Code() string  { return "teapot" }
+func (codedError) Step() string  { return "brew" }
 
-func TestCallAnswersAndTypedErrors(t *testing.T) {
+func TestCallReturnsAnswersAndTypedErrors(t *testing.T) {
 	s, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
-	Handle(s, "fail", func(context.Context, PeerInfo, echo) (echo, error) { return echo{}, teapot{} })
+	Handle(s, "fail", func(context.Context, PeerInfo, echo) (echo, error) { return echo{}, codedError{} })
 	Handle(s, "who", func(_ context.Context, from PeerInfo, _ echo) (PeerInfo, error) { return from, nil })
 	self := PeerInfo{ID: "a", Incarnation: 7, Address: "127.0.0.1:1", Role: "entry"}
 	p := startPool(t, PoolConfig{Self: self, ClusterKey: []byte("k")}, PoolDeps{})
 
-	got, err := Call[echo](within(t, bound), p, addr, "echo", echo{Text: "x"})
+	got, err := Call[echo](testContext(t, testTimeout), p, addr, "echo", echo{Text: "x"})
 	require.NoError(t, err)
 	require.Equal(t, "x", got.Text)
-	from, err := Call[PeerInfo](within(t, bound), p, addr, "who", echo{})
+	from, err := Call[PeerInfo](testContext(t, testTimeout), p, addr, "who", echo{})
 	require.NoError(t, err)
 	require.Equal(t, self, from)
 
-	_, err = Call[echo](within(t, bound), p, addr, "fail", echo{})
+	_, err = Call[echo](testContext(t, testTimeout), p, addr, "fail", echo{})
 	var re *RemoteError
 	require.ErrorAs(t, err, &re)
 	require.Equal(t, RemoteError{Code: "teapot", Message: "no coffee", Step: "brew"}, *re)
-	_, err = Call[echo](within(t, bound), p, addr, "missing", echo{})
+	_, err = Call[echo](testContext(t, testTimeout), p, addr, "missing", echo{})
 	require.ErrorAs(t, err, &re)
 	require.Equal(t, CodeUnknownMethod, re.Code)
-	_, err = Call[echo](within(t, bound), p, addr, "echo", "not a struct")
+	_, err = Call[echo](testContext(t, testTimeout), p, addr, "echo", "not a struct")
 	require.ErrorAs(t, err, &re)
 	require.Equal(t, CodeBadRequest, re.Code)
 	require.EqualValues(t, 2, p.Traffic().Method("echo").MessagesSent)
 	require.EqualValues(t, 2, s.Traffic().Method("echo").MessagesReceived)
 }
 
-func TestNoticesKeepTheirOrder(t *testing.T) {
+func TestNoticesArriveInOrder(t *testing.T) {
 	s, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
 	const n = 100
 	got := make(chan int, n)
@@ -112,7 +112,7 @@
 		select {
 		case v := <-got:
 			require.Equal(t, i, v)
-		case <-within(t, bound).Done():
+		case <-testContext(t, testTimeout).Done():
 			t.Fatalf("notice %d didn't come", i)
 		}
 	}
@@ -123,40 +123,40 @@
 // name the key as the cause and no call may run. Broken by removing the
 // hmac.Equal check in listenHandshake (for a dialler that doesn't check itself)
 // or in dialHandshake.
-func TestWrongKeyIsRefusedOnBothSides(t *testing.T) {
+func TestWrongKeyIsRejectedByBothSides(t *testing.T) {
 	_, addr := startServer(t, ServerConfig{ClusterKey: []byte("right")})
 	p := startPool(t, PoolConfig{ClusterKey: []byte("wrong")}, PoolDeps{})
-	_, err := Call[echo](within(t, bound), p, addr, "echo", echo{})
+	_, err := Call[echo](testContext(t, testTimeout), p, addr, "echo", echo{})
 	require.ErrorIs(t, err, ErrUnreachable)
 	require.ErrorIs(t, err, ErrWrongKey)
 
 	// Each side alone against a peer that skips the check.
-	l := limitsOf(0, 0, 0)
-	for _, side := range []string{roleDialler, roleListener} {
+	l := limitsWithDefaults(0, 0, 0)
+	for _, role := range []string{roleDialler, roleListener} {
 		a, b := net.Pipe()
-		mine := newConn(context.Background(), a, l, NewTraffic(nil))
-		theirs := newConn(context.Background(), b, l, NewTraffic(nil))
+		checking := newConn(context.Background(), a, l, NewTraffic(nil))
+		impostor := newConn(context.Background(), b, l, NewTraffic(nil))
 		result := make(chan error, 1)
 		go func() {
-			if side == roleDialler {
-				_, err = dialHandshake(mine, PeerInfo{}, []byte("right"))
+			if role == roleDialler {
+				_, err = dialHandshake(checking, PeerInfo{}, []byte("right"))
 			} else {
-				_, err = listenHandshake(mine, PeerInfo{}, []byte("right"))
+				_, err = listenHandshake(checking, PeerInfo{}, []byte("right"))
 			}
 			a.Close()
 			result <- err
 		}()
-		refused := pretend(theirs, side)
-		require.ErrorIs(t, <-result, ErrWrongKey, side)
-		require.ErrorIs(t, refused, ErrWrongKey, side)
+		impostorErr := handshakeWithFalseProof(impostor, role)
+		require.ErrorIs(t, <-result, ErrWrongKey, role)
+		require.ErrorIs(t, impostorErr, ErrWrongKey, role)
 		b.Close()
 	}
 }
 
-// pretend plays the other end of a handshake with a proof made up, and returns
+// handshakeWithFalseProof plays the other end of a handshake with a proof made up, and returns
 // the error that it is told.
-func pretend(c *conn, against string) error {
-	hello, err := newHello(PeerInfo{ID: "stranger"})
+func handshakeWithFalseProof(c *conn, peerRole string) error {
+	hello, err := encodeHello(PeerInfo{ID: "stranger"})
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 		func() error { return c.handshakeSend(kindHello, hello) },
 		func() error { _, err := c.handshakeReceive(kindHello); return err },
 	}
-	if against == roleListener {
+	if peerRole == roleListener {
 		steps = append(steps, func() error { _, err := c.handshakeReceive(kindProof); return err })
 	} else {
 		steps[0], steps[1] = steps[1], steps[0]
@@ -182,20 +182,20 @@
 
 // During an upgrade two releases with different wire formats meet. Either end
 // must say which versions met; guessing at the bytes would give garbled calls.
-func TestWrongVersionIsNamed(t *testing.T) {
+func TestWrongVersionIsReported(t *testing.T) {
 	_, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
 	nc, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer nc.Close()
 	_, err = nc.Write([]byte{magic0, magic1, ProtocolVersion + 1, byte(kindHello), 0, 0, 0, 0})
 	require.NoError(t, err)
-	c := newConn(context.Background(), nc, limitsOf(0, 0, 0), NewTraffic(nil))
+	c := newConn(context.Background(), nc, limitsWithDefaults(0, 0, 0), NewTraffic(nil))
 	_, err = c.handshakeReceive(kindHello)
 	require.ErrorContains(t, err, rejectVersion)
 }
 
 // A stranger sends a call in place of its proof. It must not run.
-func TestNothingRunsBeforeTheHandshake(t *testing.T) {
+func TestNoHandlerRunsBeforeHandshake(t *testing.T) {
 	s, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
 	var ran atomic.Bool
 	HandleNotice(s, "n", func(context.Context, PeerInfo, echo) { ran.Store(true) })
@@ -206,7 +206,7 @@
 	require.NoError(t, err)
 	_, err = nc.Write(wire)
 	require.NoError(t, err)
-	c := newConn(context.Background(), nc, limitsOf(0, 0, 0), NewTraffic(nil))
+	c := newConn(context.Background(), nc, limitsWithDefaults(0, 0, 0), NewTraffic(nil))
 	_, err = c.handshakeReceive(kindHello)
 	require.ErrorContains(t, err, rejectFrame)
 	_, err = c.handshakeReceive(kindHello)
@@ -218,9 +218,9 @@
 // vanish, neither end is told, and new connections work. Without a bound on
 // silence calls hang until their deadlines, minute after minute, though a redial
 // would do. Broken by removing SetReadDeadline in silenceReader.Read.
-func TestSilentConnectionIsReplaced(t *testing.T) {
-	const heartbeat, silence = 100 * time.Millisecond, time.Second
-	s, target := startServer(t, ServerConfig{ClusterKey: []byte("k"), Heartbeat: heartbeat, Silence: silence})
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
+	const heartbeatInterval, heartbeatTimeout = 100 * time.Millisecond, time.Second
+	s, target := startServer(t, ServerConfig{ClusterKey: []byte("k"), HeartbeatInterval: heartbeatInterval, HeartbeatTimeout: heartbeatTimeout})
 	block := make(chan struct{})
 	started := make(chan struct{}, 1)
 	Handle(s, "block", func(ctx context.Context, _ PeerInfo, req echo) (echo, error) {
@@ -235,10 +235,10 @@
 	require.NoError(t, err)
 	defer r.Close()
 	defer close(block)
-	p := startPool(t, PoolConfig{ClusterKey: []byte("k"), Heartbeat: heartbeat, Silence: silence}, PoolDeps{})
+	p := startPool(t, PoolConfig{ClusterKey: []byte("k"), HeartbeatInterval: heartbeatInterval, HeartbeatTimeout: heartbeatTimeout}, PoolDeps{})
 
 	result := make(chan error, 1)
-	ctx := within(t, bound)
+	ctx := testContext(t, testTimeout)
 	go func() {
 		_, err := Call[echo](ctx, p, r.Addr(), "block", echo{})
 		result <- err
@@ -246,22 +246,22 @@
 	<-started
 	r.Silence()
 	err = <-result
-	require.ErrorIs(t, err, ErrLost, "the call may have run and must not be reported as not run")
-	require.ErrorIs(t, err, ErrSilent)
+	require.ErrorIs(t, err, ErrOutcomeUnknown, "the call may have run and must not be reported as not run")
+	require.ErrorIs(t, err, ErrHeartbeatTimeout)
 	got, err := Call[echo](ctx, p, r.Addr(), "echo", echo{Text: "again"})
 	require.NoError(t, err)
 	require.Equal(t, "again", got.Text)
 }
 
-// inBubble runs fn in virtual time with a server and a pool joined by
+// runWithPipe runs fn in virtual time with a server and a pool joined by
 // in-memory connections.
-func inBubble(t *testing.T, scfg ServerConfig, pcfg PoolConfig, fn func(t *testing.T, s *Server, p *Pool)) {
+func runWithPipe(t *testing.T, serverConfig ServerConfig, poolConfig PoolConfig, fn func(t *testing.T, s *Server, p *Pool)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipeListener()
-		s := NewServer(scfg, ServerDeps{})
+		s := NewServer(serverConfig, ServerDeps{})
 		Handle(s, "echo", func(_ context.Context, _ PeerInfo, req echo) (echo, error) { return req, nil })
 		serve(t, s, l)
-		p := startPool(t, pcfg, PoolDeps{Dial: l.dial, Jitter: func() float64 { return 0 }})
+		p := startPool(t, poolConfig, PoolDeps{Dial: l.dial, Jitter: func() float64 { return 0 }})
 		fn(t, s, p)
 	})
 }
@@ -269,15 +269,15 @@
 // All power was lost. A process is back 0.1 s before the one that it calls, and its
 // first packet is lost; the kernel would send it again after a second. Callers would
 // be refused for that second. Broken by one connect without a limit of its own.
-func TestPeerThatStartsAMomentLater(t *testing.T) {
+func TestConnectIsRetriedBeforeKernelRetransmits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipeListener()
 		s := NewServer(ServerConfig{}, ServerDeps{})
 		Handle(s, "echo", func(_ context.Context, _ PeerInfo, req echo) (echo, error) { return req, nil })
 		serve(t, s, l)
-		up := time.Now().Add(100 * time.Millisecond)
+		peerStart := time.Now().Add(100 * time.Millisecond)
 		dial := func(ctx context.Context, addr string) (net.Conn, error) {
-			if time.Now().Before(up) {
+			if time.Now().Before(peerStart) {
 				select {
 				case <-time.After(time.Second):
 				case <-ctx.Done():
@@ -290,15 +290,15 @@
 		start := time.Now()
 		_, err := Call[echo](t.Context(), p, "peer", "echo", echo{})
 		require.NoError(t, err)
-		require.LessOrEqual(t, time.Since(start), firstTry)
+		require.LessOrEqual(t, time.Since(start), firstConnectTimeout)
 	})
 }
 
 // A handler works for minutes, say on a long catch-up. Heartbeats must keep its
 // connection: taking a slow handler for a silent link would cut the call again
 // and again, and it would never finish. Broken by removing writeHeartbeat.
-func TestSlowHandlerIsNotASilentLink(t *testing.T) {
-	inBubble(t, ServerConfig{}, PoolConfig{}, func(t *testing.T, s *Server, p *Pool) {
+func TestHeartbeatsContinueDuringSlowHandler(t *testing.T) {
+	runWithPipe(t, ServerConfig{}, PoolConfig{}, func(t *testing.T, s *Server, p *Pool) {
 		Handle(s, "slow", func(_ context.Context, _ PeerInfo, req echo) (echo, error) {
 			<-time.After(10 * time.Minute) // virtual time
 			return req, nil
@@ -307,7 +307,7 @@
 		require.NoError(t, err)
 		got := p.Traffic().Method(MethodHeartbeat)
 		require.GreaterOrEqual(t, got.MessagesReceived, uint64(1000))
-		require.Equal(t, uint64(headerSize), got.BytesReceived/got.MessagesReceived, "bytes of a heartbeat")
+		require.Equal(t, uint64(headerBytes), got.BytesReceived/got.MessagesReceived, "bytes of a heartbeat")
 	})
 }
 
@@ -315,7 +315,7 @@
 // impatient callers would load a peer with work whose answers nobody reads.
 // Broken by removing sendCancel in await.
 func TestCancelAndDeadlineReachTheHandler(t *testing.T) {
-	inBubble(t, ServerConfig{}, PoolConfig{}, func(t *testing.T, s *Server, p *Pool) {
+	runWithPipe(t, ServerConfig{}, PoolConfig{}, func(t *testing.T, s *Server, p *Pool) {
 		ended := make(chan error, 1)
 		Handle(s, "wait", func(ctx context.Context, _ PeerInfo, req echo) (echo, error) {
 			<-ctx.Done()
@@ -326,7 +326,7 @@
 		time.AfterFunc(time.Second, cancel)
 		start := time.Now()
 		_, err := Call[echo](ctx, p, "peer", "wait", echo{})
-		require.ErrorIs(t, err, ErrLost)
+		require.ErrorIs(t, err, ErrOutcomeUnknown)
 		require.ErrorIs(t, err, context.Canceled)
 		require.ErrorIs(t, <-ended, context.Canceled)
 		require.Equal(t, time.Second, time.Since(start), "virtual time until the handler ended")
@@ -344,7 +344,7 @@
 // be refused at once and must not run. Broken by removing the comparison with
 // MaxInFlight in admit.
 func TestCallsInFlightAreBounded(t *testing.T) {
-	inBubble(t, ServerConfig{MaxInFlight: 3}, PoolConfig{}, func(t *testing.T, s *Server, p *Pool) {
+	runWithPipe(t, ServerConfig{MaxInFlight: 3}, PoolConfig{}, func(t *testing.T, s *Server, p *Pool) {
 		var ran atomic.Int32
 		release := make(chan struct{})
 		Handle(s, "hold", func(_ context.Context, _ PeerInfo, req echo) (echo, error) {
@@ -374,7 +374,7 @@
 
 // A peer is down. Callers must learn at once that their call didn't run, also
 // during the pause between dials, so that they can turn to another peer.
-func TestUnreachableIsSurelyNotRun(t *testing.T) {
+func TestUnreachablePeerFailsFastAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
 		p := startPool(t, PoolConfig{}, PoolDeps{
@@ -387,7 +387,7 @@
 		for range 100 {
 			_, err := Call[echo](t.Context(), p, "peer", "echo", echo{})
 			require.ErrorIs(t, err, ErrUnreachable)
-			require.NotErrorIs(t, err, ErrLost)
+			require.NotErrorIs(t, err, ErrOutcomeUnknown)
 		}
 		require.Equal(t, 1, dials, "calls within the pause don't dial")
 		<-time.After(DefaultBackoffMin)
@@ -400,11 +400,11 @@
 // A peer stops reading without dying. A notice must neither block its sender,
 // which may be the loop that serves everybody, nor pile up without bound.
 func TestNotifyNeverBlocks(t *testing.T) {
-	inBubble(t, ServerConfig{}, PoolConfig{QueueLen: 4}, func(t *testing.T, s *Server, p *Pool) {
+	runWithPipe(t, ServerConfig{}, PoolConfig{NoticeQueueLen: 4}, func(t *testing.T, s *Server, p *Pool) {
 		release := make(chan struct{})
 		HandleNotice(s, "stuck", func(ctx context.Context, _ PeerInfo, _ echo) { <-release })
 		busy := 0
-		for range 10 * noticeQueue {
+		for range 10 * serverNoticeQueueLen {
 			if err := Notify(p, "peer", "stuck", echo{}); err != nil {
 				require.ErrorIs(t, err, ErrBusy)
 				busy++
@@ -417,7 +417,7 @@
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
-	inBubble(t, ServerConfig{}, PoolConfig{IdleTimeout: time.Minute}, func(t *testing.T, s *Server, p *Pool) {
+	runWithPipe(t, ServerConfig{}, PoolConfig{IdleTimeout: time.Minute}, func(t *testing.T, s *Server, p *Pool) {
 		for range 2 {
 			_, err := Call[echo](t.Context(), p, "peer", "echo", echo{})
 			require.NoError(t, err)
@@ -425,7 +425,7 @@
 			synctest.Wait()
 			pr, err := p.peer("peer")
 			require.NoError(t, err)
-			require.False(t, pr.live.Load())
+			require.False(t, pr.active.Load())
 		}
 	})
 }
@@ -468,7 +468,7 @@
 func TestCallAllocations(t *testing.T) {
 	_, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
 	p := startPool(t, PoolConfig{ClusterKey: []byte("k")}, PoolDeps{})
-	ctx := within(t, bound)
+	ctx := testContext(t, testTimeout)
 	got := testing.AllocsPerRun(200, func() {
 		_, err := Call[echo](ctx, p, addr, "echo", echo{Text: "x"})
 		require.NoError(t, err)
--- a/link/peer.go
+++ b/link/peer.go
@@ -11,28 +11,28 @@
 // peer is one address: its connection, or the attempt at one, and the notices
 // that wait for it.
 type peer struct {
-	pool    *Pool
-	addr    string
-	notices chan outgoing
-	used    atomic.Int64 // unix nanoseconds of the last call or notice
-	live    atomic.Bool  // a connection or an attempt at one exists
-
-	mu       sync.Mutex // guards all below
-	conn     *clientConn
-	attempt  *attempt // not nil while dialling
-	failures int      // failed dials in a row
-	notUntil time.Time
-	lastErr  error
+	pool     *Pool
+	addr     string
+	notices  chan outgoing
+	lastUsed atomic.Int64 // unix nanoseconds of the last call or notice
+	active   atomic.Bool  // a connection or an attempt at one exists
+
+	mu          sync.Mutex // guards all below
+	conn        *clientConn
+	dialing     *dialAttempt // not nil while dialling
+	failedDials int          // failed dials in a row
+	nextDial    time.Time
+	dialErr     error
 }
 
-func (pr *peer) touch() { pr.used.Store(time.Now().UnixNano()) }
+func (pr *peer) touch() { pr.lastUsed.Store(time.Now().UnixNano()) }
 
-func (pr *peer) idle() time.Duration {
-	return time.Duration(time.Now().UnixNano() - pr.used.Load())
+func (pr *peer) idleTime() time.Duration {
+	return time.Duration(time.Now().UnixNano() - pr.lastUsed.Load())
 }
 
-// attempt is one dial that several callers may wait for.
-type attempt struct {
+// dialAttempt is one dial that several callers may wait for.
+type dialAttempt struct {
 	done chan struct{}
 	conn *clientConn // set before done is closed, with err
 	err  error
@@ -42,7 +42,7 @@
 // pause after a failed dial it fails at once with the last error: the caller
 // may know another address, and waiting would only use up its deadline.
 func (pr *peer) connect(ctx context.Context) (*clientConn, error) {
-	c, a, err := pr.begin()
+	c, a, err := pr.connOrDial()
 	if c != nil || err != nil {
 		return c, err
 	}
@@ -54,36 +54,36 @@
 	}
 }
 
-// begin returns the connection, or the attempt to wait for, or the error of
+// connOrDial returns the connection, or the attempt to wait for, or the error of
 // the last dial while its pause runs.
-func (pr *peer) begin() (*clientConn, *attempt, error) {
+func (pr *peer) connOrDial() (*clientConn, *dialAttempt, error) {
 	pr.mu.Lock()
-	if pr.conn != nil && pr.conn.open() {
+	if pr.conn != nil && pr.conn.isOpen() {
 		defer pr.mu.Unlock()
 		return pr.conn, nil, nil
 	}
-	if pr.attempt != nil {
+	if pr.dialing != nil {
 		defer pr.mu.Unlock()
-		return nil, pr.attempt, nil
+		return nil, pr.dialing, nil
 	}
-	if pr.lastErr != nil && time.Now().Before(pr.notUntil) {
+	if pr.dialErr != nil && time.Now().Before(pr.nextDial) {
 		defer pr.mu.Unlock()
-		return nil, nil, pr.lastErr
+		return nil, nil, pr.dialErr
 	}
-	a := &attempt{done: make(chan struct{})}
-	pr.attempt = a
-	pr.live.Store(true)
+	a := &dialAttempt{done: make(chan struct{})}
+	pr.dialing = a
+	pr.active.Store(true)
 	pr.mu.Unlock()
-	if !pr.pool.start(func() { pr.run(a) }) {
-		pr.finish(a, nil, ErrClosed)
+	if !pr.pool.goUnlessClosed(func() { pr.dialAndServe(a) }) {
+		pr.finishDial(a, nil, ErrClosed)
 	}
 	return nil, a, nil
 }
 
-// run dials, and then serves the connection until it ends.
-func (pr *peer) run(a *attempt) {
+// dialAndServe dials, and then serves the connection until it ends.
+func (pr *peer) dialAndServe(a *dialAttempt) {
 	c, err := pr.dial()
-	pr.finish(a, c, err)
+	pr.finishDial(a, c, err)
 	if err != nil {
 		pr.dropNotices()
 		return
@@ -91,17 +91,17 @@
 	c.run()
 }
 
-func (pr *peer) finish(a *attempt, c *clientConn, err error) {
+func (pr *peer) finishDial(a *dialAttempt, c *clientConn, err error) {
 	pr.mu.Lock()
-	pr.live.Store(err == nil)
-	pr.attempt = nil
+	pr.active.Store(err == nil)
+	pr.dialing = nil
 	pr.conn = c
-	pr.lastErr = err
+	pr.dialErr = err
 	if err == nil {
-		pr.failures = 0
+		pr.failedDials = 0
 	} else {
-		pr.notUntil = time.Now().Add(pr.backoff())
-		pr.failures++
+		pr.nextDial = time.Now().Add(pr.backoff())
+		pr.failedDials++
 	}
 	pr.mu.Unlock()
 	a.conn, a.err = c, err
@@ -114,17 +114,17 @@
 func (pr *peer) backoff() time.Duration {
 	cfg := pr.pool.cfg
 	d := cfg.BackoffMax
-	if pr.failures < 16 {
-		d = min(cfg.BackoffMin<<pr.failures, cfg.BackoffMax)
+	if pr.failedDials < 16 {
+		d = min(cfg.BackoffMin<<pr.failedDials, cfg.BackoffMax)
 	}
 	return d/2 + time.Duration(pr.pool.jitter()*float64(d/2))
 }
 
 func (pr *peer) dial() (*clientConn, error) {
 	p := pr.pool
-	ctx, cancel := context.WithTimeout(p.ctx, p.limits.silence)
+	ctx, cancel := context.WithTimeout(p.ctx, p.limits.heartbeatTimeout)
 	defer cancel()
-	nc, err := openConn(ctx, p.dial, pr.addr)
+	nc, err := dialWithRetry(ctx, p.dial, pr.addr)
 	if err != nil {
 		return nil, &CallError{Step: StepDial, Peer: pr.addr, Kind: ErrUnreachable, Cause: err}
 	}
@@ -132,7 +132,7 @@
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	info, err := dialHandshake(c, p.cfg.Self, p.cfg.ClusterKey)
 	if err == nil && !stop() {
-		err = ErrSilent
+		err = ErrHeartbeatTimeout
 	}
 	if err != nil {
 		stop()
@@ -144,22 +144,22 @@
 	return newClientConn(c, pr, info), nil
 }
 
-// firstTry is how long a first connect may take before it is begun anew: several
+// firstConnectTimeout is how long a first connect may take before it is begun anew: several
 // round trips between regions. Each further one has twice as long.
-const firstTry = 250 * time.Millisecond
+const firstConnectTimeout = 250 * time.Millisecond
 
-// openConn connects, and begins anew where there is no answer.
+// dialWithRetry connects, and begins anew where there is no answer.
 //
 // The first packet to an instance that is just starting is lost, and the kernel
 // sends it again only a second later. After a power failure the processes that are
 // back first would wait that long for those that are back a moment later.
-func openConn(ctx context.Context, dial func(context.Context, string) (net.Conn, error), addr string) (net.Conn, error) {
-	for limit := firstTry; ; limit *= 2 {
-		tryCtx, cancel := context.WithTimeout(ctx, limit)
-		nc, err := dial(tryCtx, addr)
-		unanswered := tryCtx.Err() != nil
+func dialWithRetry(ctx context.Context, dial func(context.Context, string) (net.Conn, error), addr string) (net.Conn, error) {
+	for timeout := firstConnectTimeout; ; timeout *= 2 {
+		attemptCtx, cancel := context.WithTimeout(ctx, timeout)
+		nc, err := dial(attemptCtx, addr)
+		timedOut := attemptCtx.Err() != nil
 		cancel()
-		if err == nil || !unanswered || ctx.Err() != nil {
+		if err == nil || !timedOut || ctx.Err() != nil {
 			return nc, err
 		}
 	}
@@ -177,19 +177,19 @@
 	}
 }
 
-// ended marks the peer as without connection, unless a new one exists already.
-func (pr *peer) ended(c *clientConn) {
+// clearConn marks the peer as without connection, unless a new one exists already.
+func (pr *peer) clearConn(c *clientConn) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	if pr.conn == c && pr.attempt == nil {
+	if pr.conn == c && pr.dialing == nil {
 		pr.conn = nil
-		pr.live.Store(false)
+		pr.active.Store(false)
 	}
 }
 
 // redialForNotices dials again if notices came in while the connection ended.
 func (pr *peer) redialForNotices() {
 	if len(pr.notices) > 0 && pr.pool.ctx.Err() == nil {
-		_, _, _ = pr.begin()
+		_, _, _ = pr.connOrDial()
 	}
 }
--- a/link/pool.go
+++ b/link/pool.go
@@ -12,23 +12,23 @@
 
 // Defaults of a Pool.
 const (
-	DefaultQueueLen    = 256
-	DefaultIdleTimeout = time.Minute
-	DefaultBackoffMin  = 50 * time.Millisecond
-	DefaultBackoffMax  = 2 * time.Second
+	DefaultNoticeQueueLen = 256
+	DefaultIdleTimeout    = time.Minute
+	DefaultBackoffMin     = 50 * time.Millisecond
+	DefaultBackoffMax     = 2 * time.Second
 )
 
 // PoolConfig sets up a Pool. Zero values of the bounds take the defaults.
 type PoolConfig struct {
-	Self        PeerInfo
-	ClusterKey  []byte
-	MaxFrame    int
-	Heartbeat   time.Duration
-	Silence     time.Duration // also bounds a dial with its handshake
-	QueueLen    int           // notices that wait for one address
-	IdleTimeout time.Duration // a connection without calls and notices for so long is closed
-	BackoffMin  time.Duration // pause after a first failed dial; doubles up to BackoffMax
-	BackoffMax  time.Duration
+	Self              PeerInfo
+	ClusterKey        []byte
+	MaxFrame          int
+	HeartbeatInterval time.Duration
+	HeartbeatTimeout  time.Duration // also bounds a dial with its handshake
+	NoticeQueueLen    int           // notices that wait for one address
+	IdleTimeout       time.Duration // a connection without calls and notices for so long is closed
+	BackoffMin        time.Duration // pause after a first failed dial; doubles up to BackoffMax
+	BackoffMax        time.Duration
 }
 
 // PoolDeps are what a Pool needs from outside. All may be left nil.
@@ -43,32 +43,32 @@
 // dialled on demand and closed when unused for long.
 type Pool struct {
 	cfg     PoolConfig
-	limits  limits
+	limits  connLimits
 	log     *slog.Logger
 	traffic *Traffic
 	dial    func(ctx context.Context, addr string) (net.Conn, error)
 	jitter  func() float64
 
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	work   sync.WaitGroup
-	nextID atomic.Uint64
+	ctx        context.Context
+	cancel     context.CancelCauseFunc
+	goroutines sync.WaitGroup
+	nextID     atomic.Uint64
 
-	mu    sync.Mutex // guards all below; never held together with a peer's lock
-	peers map[string]*peer
-	done  bool
-	lost  []func(addr string)
+	mu           sync.Mutex // guards all below; never held together with a peer's lock
+	peers        map[string]*peer
+	closed       bool
+	onDisconnect []func(addr string)
 }
 
 // NewPool returns a pool without connections. Close it to end its goroutines.
 func NewPool(cfg PoolConfig, deps PoolDeps) *Pool {
-	setDefault(&cfg.QueueLen, DefaultQueueLen)
+	setDefault(&cfg.NoticeQueueLen, DefaultNoticeQueueLen)
 	setDefault(&cfg.IdleTimeout, DefaultIdleTimeout)
 	setDefault(&cfg.BackoffMin, DefaultBackoffMin)
 	setDefault(&cfg.BackoffMax, DefaultBackoffMax)
 	p := &Pool{
 		cfg:     cfg,
-		limits:  limitsOf(cfg.MaxFrame, cfg.Heartbeat, cfg.Silence),
+		limits:  limitsWithDefaults(cfg.MaxFrame, cfg.HeartbeatInterval, cfg.HeartbeatTimeout),
 		log:     deps.Log,
 		traffic: deps.Traffic,
 		dial:    deps.Dial,
@@ -94,9 +94,9 @@
 	return p
 }
 
-func setDefault[T int | time.Duration](v *T, def T) {
+func setDefault[T int | time.Duration](v *T, value T) {
 	if *v <= 0 {
-		*v = def
+		*v = value
 	}
 }
 
@@ -107,24 +107,24 @@
 // wait end with ErrLost or ErrUnreachable.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	p.done = true
+	p.closed = true
 	p.mu.Unlock()
 	p.cancel(ErrClosed)
-	p.work.Wait()
+	p.goroutines.Wait()
 }
 
-// OnLost has fn called, from a goroutine of its own, whenever a connection has
+// OnDisconnect has fn called, from a goroutine of its own, whenever a connection has
 // ended other than by being idle or by Close. Notices that were written to it
 // shortly before may not have arrived, and nobody else will say so.
-func (p *Pool) OnLost(fn func(addr string)) {
+func (p *Pool) OnDisconnect(fn func(addr string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lost = append(p.lost, fn)
+	p.onDisconnect = append(p.onDisconnect, fn)
 }
 
-func (p *Pool) reportLost(addr string) {
+func (p *Pool) callOnDisconnect(addr string) {
 	p.mu.Lock()
-	fns := p.lost
+	fns := p.onDisconnect
 	p.mu.Unlock()
 	for _, fn := range fns {
 		fn(addr)
@@ -134,37 +134,37 @@
 func (p *Pool) peer(addr string) (*peer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.done {
+	if p.closed {
 		return nil, ErrClosed
 	}
 	if pr, ok := p.peers[addr]; ok {
 		return pr, nil
 	}
-	p.sweep()
-	pr := &peer{pool: p, addr: addr, notices: make(chan outgoing, p.cfg.QueueLen)}
+	p.removeIdlePeers()
+	pr := &peer{pool: p, addr: addr, notices: make(chan outgoing, p.cfg.NoticeQueueLen)}
 	pr.touch()
 	p.peers[addr] = pr
 	return pr, nil
 }
 
-// sweep forgets addresses that have no connection and were not used for long.
+// removeIdlePeers forgets addresses that have no connection and were not used for long.
 // Replaced instances come back under new addresses; without this each one ever
 // called would keep its queue for the life of the process. The caller holds p.mu.
-func (p *Pool) sweep() {
+func (p *Pool) removeIdlePeers() {
 	for addr, pr := range p.peers {
-		if !pr.live.Load() && pr.idle() >= p.cfg.IdleTimeout {
+		if !pr.active.Load() && pr.idleTime() >= p.cfg.IdleTimeout {
 			delete(p.peers, addr)
 		}
 	}
 }
 
-// start runs fn unless the pool is closed.
-func (p *Pool) start(fn func()) bool {
+// goUnlessClosed runs fn unless the pool is closed.
+func (p *Pool) goUnlessClosed(fn func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.done {
+	if p.closed {
 		return false
 	}
-	p.work.Go(fn)
+	p.goroutines.Go(fn)
 	return true
 }
--- a/link/server.go
+++ b/link/server.go
@@ -16,15 +16,15 @@
 // DefaultMaxInFlight bounds the calls that one connection may have running.
 const DefaultMaxInFlight = 1024
 
-const noticeQueue = 256 // notices of one connection that wait for their handler
+const serverNoticeQueueLen = 256 // notices of one connection that wait for their handler
 
 // ServerConfig sets up a Server. Zero values of the bounds take the defaults.
 type ServerConfig struct {
-	Self       PeerInfo
-	ClusterKey []byte
-	MaxFrame   int           // bytes of one payload
-	Heartbeat  time.Duration // between heartbeats on a quiet connection
-	Silence    time.Duration // a connection that brings nothing for so long is closed
+	Self              PeerInfo
+	ClusterKey        []byte
+	MaxFrame          int           // bytes of one payload
+	HeartbeatInterval time.Duration // between heartbeats on a quiet connection
+	HeartbeatTimeout  time.Duration // a connection that brings nothing for so long is closed
 	// MaxInFlight bounds the running calls of one connection. A call beyond it
 	// is answered CodeBusy at once and doesn't run.
 	MaxInFlight int
@@ -39,13 +39,13 @@
 // Server answers calls and takes notices. Register handlers before Serve.
 type Server struct {
 	cfg     ServerConfig
-	limits  limits
+	limits  connLimits
 	log     *slog.Logger
 	traffic *Traffic
 
-	mu      sync.RWMutex // guards the two tables of handlers
-	calls   map[string]callHandler
-	notices map[string]noticeHandler
+	mu             sync.RWMutex // guards the two tables of handlers
+	callHandlers   map[string]callHandler
+	noticeHandlers map[string]noticeHandler
 }
 
 type callHandler func(ctx context.Context, from PeerInfo, body []byte) ([]byte, error)
@@ -58,12 +58,12 @@
 		cfg.MaxInFlight = DefaultMaxInFlight
 	}
 	s := &Server{
-		cfg:     cfg,
-		limits:  limitsOf(cfg.MaxFrame, cfg.Heartbeat, cfg.Silence),
-		log:     deps.Log,
-		traffic: deps.Traffic,
-		calls:   make(map[string]callHandler),
-		notices: make(map[string]noticeHandler),
+		cfg:            cfg,
+		limits:         limitsWithDefaults(cfg.MaxFrame, cfg.HeartbeatInterval, cfg.HeartbeatTimeout),
+		log:            deps.Log,
+		traffic:        deps.Traffic,
+		callHandlers:   make(map[string]callHandler),
+		noticeHandlers: make(map[string]noticeHandler),
 	}
 	if s.log == nil {
 		s.log = slog.New(slog.DiscardHandler)
@@ -83,7 +83,7 @@
 func Handle[Req, Resp any](s *Server, method string, fn func(ctx context.Context, from PeerInfo, req Req) (Resp, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls[method] = func(ctx context.Context, from PeerInfo, body []byte) ([]byte, error) {
+	s.callHandlers[method] = func(ctx context.Context, from PeerInfo, body []byte) ([]byte, error) {
 		var req Req
 		if err := Unmarshal(body, &req); err != nil {
 			return nil, &RemoteError{Code: CodeBadRequest, Message: err.Error(), Step: StepDecode}
@@ -103,7 +103,7 @@
 func HandleNotice[Req any](s *Server, method string, fn func(ctx context.Context, from PeerInfo, req Req)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notices[method] = func(ctx context.Context, from PeerInfo, body []byte) error {
+	s.noticeHandlers[method] = func(ctx context.Context, from PeerInfo, body []byte) error {
 		var req Req
 		if err := Unmarshal(body, &req); err != nil {
 			return err
@@ -138,13 +138,13 @@
 // serverConn is one accepted connection.
 type serverConn struct {
 	*conn
-	server *Server
-	peer   PeerInfo
-	queue  chan frame // notices, in order
-	work   sync.WaitGroup
+	server     *Server
+	peer       PeerInfo
+	notices    chan frame // notices, in order
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex // guards running
-	running map[uint64]context.CancelFunc
+	mu         sync.Mutex // guards running
+	cancelByID map[uint64]context.CancelFunc
 }
 
 func (s *Server) serveConn(ctx context.Context, nc net.Conn) {
@@ -155,32 +155,32 @@
 	defer c.cancel(nil)
 	// A stranger that connects and says nothing holds the connection no longer
 	// than the silence bound; one that trickles bytes neither.
-	deadline := time.AfterFunc(s.limits.silence, func() { c.cancel(ErrSilent) })
+	handshakeTimer := time.AfterFunc(s.limits.heartbeatTimeout, func() { c.cancel(ErrHeartbeatTimeout) })
 	peer, err := listenHandshake(c, s.cfg.Self, s.cfg.ClusterKey)
-	if err == nil && !deadline.Stop() {
-		err = ErrSilent
+	if err == nil && !handshakeTimer.Stop() {
+		err = ErrHeartbeatTimeout
 	}
-	deadline.Stop()
+	handshakeTimer.Stop()
 	if err != nil {
 		s.log.Warn("link handshake failed", "remote", nc.RemoteAddr().String(), "peer", peer.ID, "err", err)
 		return
 	}
 	sc := &serverConn{
-		conn:    c,
-		server:  s,
-		peer:    peer,
-		queue:   make(chan frame, noticeQueue),
-		running: make(map[uint64]context.CancelFunc),
+		conn:       c,
+		server:     s,
+		peer:       peer,
+		notices:    make(chan frame, serverNoticeQueueLen),
+		cancelByID: make(map[uint64]context.CancelFunc),
 	}
 	sc.run()
 }
 
 func (sc *serverConn) run() {
-	sc.work.Go(func() { sc.cancel(sc.writeLoop(nil, func() {})) })
-	sc.work.Go(sc.noticeLoop)
+	sc.goroutines.Go(func() { sc.cancel(sc.writeLoop(nil, func() {})) })
+	sc.goroutines.Go(sc.noticeLoop)
 	err := sc.readLoop(sc.dispatch)
 	sc.cancel(err)
-	sc.work.Wait()
+	sc.goroutines.Wait()
 	if sc.conn.ctx.Err() != nil && !errors.Is(err, io.EOF) {
 		sc.server.log.Info("link closed", "peer", sc.peer.ID, "address", sc.peer.Address, "err", err)
 	}
@@ -203,34 +203,34 @@
 
 func (sc *serverConn) startCall(f frame, size int) {
 	sc.server.mu.RLock()
-	handler, ok := sc.server.calls[f.method]
+	handler, ok := sc.server.callHandlers[f.method]
 	sc.server.mu.RUnlock()
 	if !ok {
 		// Names from the network make no counter of their own: they would
 		// grow without bound.
 		sc.traffic.received(MethodControl, size)
-		sc.work.Go(func() {
-			sc.answerError(f, &RemoteError{Code: CodeUnknownMethod, Message: f.method, Step: StepHandle})
+		sc.goroutines.Go(func() {
+			sc.sendError(f, &RemoteError{Code: CodeUnknownMethod, Message: f.method, Step: StepHandle})
 		})
 		return
 	}
 	sc.traffic.received(f.method, size)
-	ctx, cancel := sc.callContext(f.timeout)
-	if !sc.admit(f.id, cancel) {
+	ctx, cancel := sc.callContext(f.timeoutMillis)
+	if !sc.addCall(f.id, cancel) {
 		cancel()
-		sc.work.Go(func() {
-			sc.answerError(f, &RemoteError{Code: CodeBusy, Message: "too many calls in flight", Step: StepHandle})
+		sc.goroutines.Go(func() {
+			sc.sendError(f, &RemoteError{Code: CodeBusy, Message: "too many calls in flight", Step: StepHandle})
 		})
 		return
 	}
-	sc.work.Go(func() {
+	sc.goroutines.Go(func() {
 		defer sc.cancelCall(f.id)
 		body, err := handler(ctx, sc.peer, f.body)
 		if err != nil {
-			sc.answerError(f, remoteErrorOf(err))
+			sc.sendError(f, toRemoteError(err))
 			return
 		}
-		sc.answer(f, frame{kind: kindResponse, id: f.id, body: body})
+		sc.sendAnswer(f, frame{kind: kindResponse, id: f.id, body: body})
 	})
 }
 
@@ -238,35 +238,35 @@
 	if timeout == 0 {
 		return context.WithCancel(sc.conn.ctx)
 	}
-	return context.WithTimeout(sc.conn.ctx, millis(timeout))
+	return context.WithTimeout(sc.conn.ctx, millisToDuration(timeout))
 }
 
-// admit notes the call as running, or refuses it beyond the bound or under an
+// addCall notes the call as running, or refuses it beyond the bound or under an
 // id that is running already.
-func (sc *serverConn) admit(id uint64, cancel context.CancelFunc) bool {
+func (sc *serverConn) addCall(id uint64, cancel context.CancelFunc) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	if _, exists := sc.running[id]; exists || len(sc.running) >= sc.server.cfg.MaxInFlight {
+	if _, exists := sc.cancelByID[id]; exists || len(sc.cancelByID) >= sc.server.cfg.MaxInFlight {
 		return false
 	}
-	sc.running[id] = cancel
+	sc.cancelByID[id] = cancel
 	return true
 }
 
 func (sc *serverConn) cancelCall(id uint64) {
 	sc.mu.Lock()
-	cancel, ok := sc.running[id]
-	delete(sc.running, id)
+	cancel, ok := sc.cancelByID[id]
+	delete(sc.cancelByID, id)
 	sc.mu.Unlock()
 	if ok {
 		cancel()
 	}
 }
 
-func (sc *serverConn) answer(f, reply frame) {
+func (sc *serverConn) sendAnswer(f, reply frame) {
 	buf, err := appendFrame(nil, reply, sc.maxFrame)
 	if err != nil {
-		sc.answerError(f, &RemoteError{Code: CodeInternal, Message: err.Error(), Step: StepEncode})
+		sc.sendError(f, &RemoteError{Code: CodeInternal, Message: err.Error(), Step: StepEncode})
 		return
 	}
 	// A failed send means that the connection has ended: the caller learns of
@@ -274,7 +274,7 @@
 	_ = sc.send(outgoing{method: f.method, buf: buf})
 }
 
-func (sc *serverConn) answerError(f frame, re *RemoteError) {
+func (sc *serverConn) sendError(f frame, re *RemoteError) {
 	body, err := msgpack.Marshal(re)
 	if err != nil {
 		sc.cancel(err)
@@ -297,7 +297,7 @@
 // Dropping here instead would lose notices without anyone's knowledge.
 func (sc *serverConn) queueNotice(f frame, size int) {
 	sc.server.mu.RLock()
-	_, ok := sc.server.notices[f.method]
+	_, ok := sc.server.noticeHandlers[f.method]
 	sc.server.mu.RUnlock()
 	if !ok {
 		sc.traffic.received(MethodControl, size)
@@ -306,7 +306,7 @@
 	}
 	sc.traffic.received(f.method, size)
 	select {
-	case sc.queue <- f:
+	case sc.notices <- f:
 	case <-sc.conn.ctx.Done():
 	}
 }
@@ -316,9 +316,9 @@
 		select {
 		case <-sc.conn.ctx.Done():
 			return
-		case f := <-sc.queue:
+		case f := <-sc.notices:
 			sc.server.mu.RLock()
-			handler := sc.server.notices[f.method]
+			handler := sc.server.noticeHandlers[f.method]
 			sc.server.mu.RUnlock()
 			if err := handler(sc.conn.ctx, sc.peer, f.body); err != nil {
 				sc.server.log.Warn("link notice refused", "peer", sc.peer.ID, "method", f.method, "err", err)
--- a/link/stats.go
+++ b/link/stats.go
@@ -100,8 +100,8 @@
 		return
 	}
 	gauge := func(name, direction string, v *atomic.Uint64) {
-		full := fmt.Sprintf("savoryreel_link_%s_total{method=%q,direction=%q}", name, method, direction)
-		t.set.GetOrCreateGauge(full, func() float64 { return float64(v.Load()) })
+		fullName := fmt.Sprintf("savoryreel_link_%s_total{method=%q,direction=%q}", name, method, direction)
+		t.set.GetOrCreateGauge(fullName, func() float64 { return float64(v.Load()) })
 	}
 	gauge("messages", "sent", &c.messagesSent)
 	gauge("bytes", "sent", &c.bytesSent)
--- a/membership/node.go
+++ b/membership/node.go
@@ -65,7 +65,7 @@
 	}
 	n := &Node{cfg: cfg, pool: deps.Pool, log: deps.Log, view: instance.NewView(), core: c, wake: make(chan struct{}, 1)}
 	n.step(func(time.Time) {})
-	n.pool.OnLost(func(addr string) {
+	n.pool.OnDisconnect(func(addr string) {
 		n.step(func(time.Time) { n.core.linkLost(addr) })
 	})
 	return n, nil
