--- a/link/call.go
+++ b/link/call.go
@@ -10,12 +10,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Call sends req to method at addr and waits for the answer, the end of ctx or
-// the end of the connection. The deadline of ctx travels with the call; when
-// ctx ends early the other side's handler is cancelled.
+// Call sends req to method at addr and waits until the answer arrives, ctx ends or
+// the connection ends. The deadline of ctx is sent with the call; if ctx ends
+// before the answer, the context of the remote handler is cancelled.
 //
-// The error is a *RemoteError, or a *CallError whose kind is ErrUnreachable or
-// ErrLost, inside a trace; use errors.Is and errors.As.
+// The error is a *RemoteError or a *CallError, wrapped in a trace; use errors.Is
+// and errors.As. The kind of a *CallError is ErrUnreachable or ErrOutcomeUnknown,
+// or nil if the answer could not be decoded.
 func Call[Resp any](ctx context.Context, p *Pool, addr, method string, req any) (Resp, error) {
 	var resp Resp
 	body, err := msgpack.Marshal(req)
@@ -32,9 +33,9 @@
 	return resp, nil
 }
 
-// Notify queues a one-way message to addr and returns at once. Nil means that
-// it was queued, not that it arrived: it is lost with the connection or when
-// the address can't be dialled.
+// Notify queues a one-way message to addr and returns without blocking. A nil
+// error means that the message was queued, not that it arrived: it is lost if the
+// connection ends or the dial fails.
 func Notify(p *Pool, addr, method string, req any) error {
 	body, err := msgpack.Marshal(req)
 	if err != nil {
@@ -107,8 +108,8 @@
 	return answer.body, nil
 }
 
-// register adds the call to a live connection. A connection may close between
-// the look-up and the registration; a second one is then dialled.
+// register adds the call to an open connection. If the connection closes between
+// connect and addCall, it tries once more.
 func (pr *peer) register(ctx context.Context, id uint64, call *pendingCall) (*clientConn, error) {
 	const attempts = 2
 	for range attempts {
@@ -123,9 +124,9 @@
 	return nil, errors.New("connection closed while the call was prepared")
 }
 
-// await waits for the answer. An answer that is there counts, also when the
-// connection or ctx has ended in the same moment. One that comes after the
-// cancel frame doesn't: it would be the handler's report of the cancellation.
+// await waits for the answer. An answer already received is returned even if the
+// connection or ctx has ended at the same time. An answer after the cancel frame
+// is ignored: it would only report the cancellation.
 func (c *clientConn) await(ctx context.Context, id uint64, call *pendingCall) (frame, error) {
 	var err error
 	select {
@@ -145,8 +146,8 @@
 	}
 }
 
-// sendCancel tells the other side that nobody waits for the answer. If the
-// queue is full it gives up: the handler's deadline has travelled with the call.
+// sendCancel cancels the call at the other end. If the send queue is full it sends
+// nothing: the handler still ends at the deadline that was sent with the call.
 func (c *clientConn) sendCancel(id uint64) {
 	buf, err := appendFrame(nil, frame{kind: kindCancel, id: id}, c.maxFrame)
 	if err != nil {
@@ -158,6 +159,7 @@
 	}
 }
 
+// decodeRemoteError returns the *RemoteError in the body of an error frame.
 func decodeRemoteError(body []byte) error {
 	var re RemoteError
 	if err := Unmarshal(body, &re); err != nil {
@@ -166,8 +168,8 @@
 	return &re
 }
 
-// remainingMillis returns the milliseconds left until the deadline of ctx, rounded
-// up, at least 1; 0 if there is no deadline.
+// remainingMillis returns the milliseconds until the deadline of ctx, rounded up
+// and at least 1, or 0 if ctx has no deadline.
 func remainingMillis(ctx context.Context) uint64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -177,7 +179,8 @@
 	return uint64(max(1, (remaining+time.Millisecond-1)/time.Millisecond))
 }
 
-// millisToDuration turns a timeout from the wire into a duration without overflow.
+// millisToDuration converts a received timeout into a duration; it caps the value
+// where it would overflow.
 func millisToDuration(ms uint64) time.Duration {
 	return time.Duration(min(ms, math.MaxInt64/uint64(time.Millisecond))) * time.Millisecond
 }
--- a/link/clientconn.go
+++ b/link/clientconn.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// clientConn is one dialled connection.
+// clientConn is the dialling end of a connection.
 type clientConn struct {
 	*conn
 	peer     *peer
@@ -22,13 +22,14 @@
 	return &clientConn{conn: c, peer: pr, peerInfo: info, pending: make(map[uint64]*pendingCall)}
 }
 
+// isOpen reports whether calls can still be added.
 func (c *clientConn) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closed
 }
 
-// run serves the connection until it ends, then lets its calls know.
+// run serves the connection until it ends, which also ends its pending calls.
 func (c *clientConn) run() {
 	stop := context.AfterFunc(c.ctx, func() { c.nc.Close() })
 	defer stop()
@@ -43,15 +44,15 @@
 	c.peer.clearConn(c)
 	cause := context.Cause(c.ctx)
 	if !errors.Is(cause, ErrIdle) && !errors.Is(cause, ErrClosed) {
-		c.peer.pool.log.Info("link lost", "address", c.peer.addr, "peer", c.peerInfo.ID, "err", cause)
+		c.peer.pool.log.Info("link connection ended", "address", c.peer.addr, "peer", c.peerInfo.ID, "err", cause)
 		c.peer.pool.callOnDisconnect(c.peer.addr)
 	}
 	c.peer.redialForNotices()
 }
 
-// closeIfIdle closes the connection when nobody has used it for long. The
-// check and the mark are one step under the lock, so no call can be added to a
-// connection that is about to close.
+// closeIfIdle closes the connection if it was unused for IdleTimeout. It checks
+// and sets closed under one lock, so that no call is added to a connection that is
+// about to close.
 func (c *clientConn) closeIfIdle() {
 	if len(c.peer.notices) > 0 {
 		c.peer.touch()
@@ -67,6 +68,7 @@
 	}
 }
 
+// dispatch delivers an answer to its pending call.
 func (c *clientConn) dispatch(f frame, size int) {
 	if f.kind != kindResponse && f.kind != kindError {
 		c.traffic.received(MethodControl, size)
@@ -78,7 +80,7 @@
 	delete(c.pending, f.id)
 	c.mu.Unlock()
 	if !ok {
-		// The answer of a call that was given up in the meantime.
+		// The caller no longer waits for this answer.
 		c.traffic.received(MethodControl, size)
 		return
 	}
@@ -86,7 +88,8 @@
 	call.answer <- f
 }
 
-// addCall registers a call. False: the connection is closing, take another.
+// addCall registers a call. It returns false if the connection is closed; the
+// caller then needs another connection.
 func (c *clientConn) addCall(id uint64, call *pendingCall) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/link/conn.go
+++ b/link/conn.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Defaults for links between instances.
+// Default timing of connections.
 const (
 	DefaultHeartbeatInterval = 500 * time.Millisecond
-	// DefaultHeartbeatTimeout is four heartbeats: one that is late or lost to a
-	// retransmission doesn't end the connection.
+	// DefaultHeartbeatTimeout spans four heartbeats, so that one that is delayed
+	// by a retransmission does not end the connection.
 	DefaultHeartbeatTimeout = 2 * time.Second
 
 	sendQueueLen = 64 // frames waiting for the writer of one connection
 )
 
-// conn is what both ends of a connection share: framing, heartbeat, silence
-// bound. It ends when its context does; the cause says why.
+// conn is what both ends of a connection share: framing, heartbeats and the
+// heartbeat timeout. It ends when ctx is cancelled; the cause of ctx is the reason.
 type conn struct {
 	nc                net.Conn
 	br                *bufio.Reader
@@ -33,20 +33,21 @@
 	cancel            context.CancelCauseFunc
 }
 
-// outgoing is one encoded frame for the writer.
+// outgoing is one encoded frame in the send queue.
 type outgoing struct {
 	method string
 	buf    []byte
-	call   *pendingCall // of a request; nil for all else
+	call   *pendingCall // nil unless the frame is a request
 }
 
-// connLimits are the bounds that Server and Pool give to their connections.
+// connLimits are the limits that a Server or a Pool sets on its connections.
 type connLimits struct {
 	maxFrame          int
 	heartbeatInterval time.Duration
 	heartbeatTimeout  time.Duration
 }
 
+// limitsWithDefaults returns the limits, with defaults for those not positive.
 func limitsWithDefaults(maxFrame int, heartbeatInterval, heartbeatTimeout time.Duration) connLimits {
 	l := connLimits{maxFrame: maxFrame, heartbeatInterval: heartbeatInterval, heartbeatTimeout: heartbeatTimeout}
 	if l.maxFrame <= 0 {
@@ -75,9 +76,8 @@
 	}
 }
 
-// timeoutReader gives each read the silence bound anew. The bound runs only
-// while the reader waits for the network: time that a handler takes is never
-// counted as silence of the peer.
+// timeoutReader applies the heartbeat timeout to each read. The timeout runs only
+// during a read, so the time that a handler takes does not count.
 type timeoutReader struct {
 	nc      net.Conn
 	timeout time.Duration
@@ -94,8 +94,8 @@
 	return n, err
 }
 
-// readLoop hands each frame to dispatch until the connection ends, and returns
-// the cause.
+// readLoop passes each frame, with its size on the wire, to dispatch until the
+// connection ends, and returns the cause. Heartbeats are only counted.
 func (c *conn) readLoop(dispatch func(frame, int)) error {
 	for {
 		f, n, err := readFrame(c.br, c.maxFrame)
@@ -110,10 +110,10 @@
 	}
 }
 
-// writeLoop writes queued frames until the connection ends. It is the only
-// writer after the handshake. There is no bound on one write: if the peer
-// stops reading because the link is dead, its heartbeats stop too and the
-// reader ends the connection; if it lives and is slow, waiting is right.
+// writeLoop writes queued frames until the connection ends, and returns the cause.
+// It is the only writer after the handshake. It calls onTick at each heartbeat
+// interval. Writes have no deadline: an unreachable peer sends no heartbeats, so
+// the read side ends the connection, and a slow peer must not lose it.
 func (c *conn) writeLoop(notices <-chan outgoing, onTick func()) error {
 	bw := bufio.NewWriter(c.nc)
 	tick := time.NewTicker(c.heartbeatInterval)
@@ -143,7 +143,7 @@
 	}
 }
 
-// writeBatch writes o and whatever else is queued by now, then flushes once.
+// writeBatch writes o and all frames queued meanwhile, then flushes once.
 func (c *conn) writeBatch(bw *bufio.Writer, o outgoing, notices <-chan outgoing) error {
 	for {
 		if err := c.writeOne(bw, o); err != nil {
@@ -164,9 +164,9 @@
 }
 
 func (c *conn) writeOne(bw *bufio.Writer, o outgoing) error {
-	// A request is marked before its first byte can leave. Marked after the
-	// write, a call could run at the peer and be reported as surely not run,
-	// and its owner would repeat it elsewhere.
+	// A request is marked as written before its first byte can be sent.
+	// Otherwise a call that runs at the peer could be reported as
+	// ErrUnreachable, and its caller would repeat it elsewhere.
 	if o.call != nil && !o.call.beginWrite() {
 		return nil
 	}
@@ -185,8 +185,8 @@
 	return err
 }
 
-// send queues a frame for the writer. It waits while the queue is full and
-// fails only when the connection ends.
+// send queues a frame for the writer. It blocks while the queue is full and
+// returns an error only when the connection has ended.
 func (c *conn) send(o outgoing) error {
 	select {
 	case c.sendQueue <- o:
@@ -196,21 +196,24 @@
 	}
 }
 
-// pendingCall is one call that waits for its answer. The writer and the caller
-// race for its state: either the writer takes it first and the call may run, or
-// the caller withdraws it first and it surely doesn't.
+// pendingCall is a call without an answer yet. The writer and the caller compete
+// for its state: if the writer takes it first, the call may run; if the caller
+// withdraws it first, the call is never sent.
 type pendingCall struct {
 	method string
 	state  atomic.Int32
-	answer chan frame // buffered, one answer
+	answer chan frame // capacity 1, so that dispatch never blocks
 }
 
+// States of a pendingCall.
 const (
 	callQueued int32 = iota
 	callWritten
 	callWithdrawn
 )
 
+// beginWrite reports whether the writer may send the call.
 func (p *pendingCall) beginWrite() bool { return p.state.CompareAndSwap(callQueued, callWritten) }
 
+// withdraw reports whether the call was withdrawn before it was written.
 func (p *pendingCall) withdraw() bool { return p.state.CompareAndSwap(callQueued, callWithdrawn) }
--- a/link/decode.go
+++ b/link/decode.go
@@ -8,17 +8,16 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth bounds how deep arrays and maps may nest in a body. The codec
-// recurses; without a bound a frame of array headers alone exhausts the stack.
+// maxDepth bounds the nesting of arrays and maps in a body. The codec recurses,
+// so a frame of nested array headers alone could exhaust the stack.
 const maxDepth = 64
 
-// Unmarshal decodes a msgpack value that came from another process.
+// Unmarshal decodes a msgpack value received from another process.
 //
-// The codec (v5.4.1) makes room for a typed slice by the length that the data
-// name, before it has read an element: a dozen bytes can claim four billion
-// elements, and the process dies of lack of memory. So the data are walked
-// first; each element takes at least a byte, so a length that isn't true ends
-// the walk at the end of the data.
+// It first checks that the data holds as many elements as its length fields claim.
+// The codec (v5.4.1) allocates a typed slice by the claimed length before it reads
+// an element, so a dozen bytes that claim four billion elements would exhaust the
+// memory of the process.
 func Unmarshal(data []byte, v any) error {
 	d := msgpack.GetDecoder()
 	defer msgpack.PutDecoder(d)
@@ -29,6 +28,8 @@
 	return msgpack.Unmarshal(data, v)
 }
 
+// validate reads one value with all that it contains. A false length ends it with
+// an error at the end of the data, as each element takes at least a byte.
 func validate(d *msgpack.Decoder, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("nested deeper than %d: %w", maxDepth, ErrMalformed)
--- a/link/decode_test.go
+++ b/link/decode_test.go
@@ -8,10 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A damaged or hostile body claims a slice of 3.7 billion elements in five
-// bytes, or nests a million arrays. Decoded as it stands, the first takes all
-// memory and the second the stack, and the process dies with every request in
-// it. Broken by removing the walk in Unmarshal.
+// A five-byte header claims 3.7 billion elements, or a body nests a million arrays.
+// Decoding them would exhaust the memory or the stack and end the process.
 func TestUnmarshalRefusesFalseLengths(t *testing.T) {
 	type element struct{ A, B, C, D uint64 }
 	var out struct{ List []element }
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,28 +1,25 @@
-// Package link carries messages between the system's own processes: msgpack
-// bodies in length-prefixed frames over TCP.
+// Package link carries calls and one-way notices between the system's own
+// processes: msgpack bodies in length-prefixed frames over TCP.
 //
-// One connection serves many calls at a time and one-way notices. Both ends
-// send a heartbeat whenever they have had nothing else to send for an interval
-// and close a connection on which nothing has arrived for the silence bound.
-// Without that bound a connection that some device between the ends has
-// forgotten stays open for good: calls on it run into their deadlines one by
-// one while a new connection would work at once.
+// A connection is multiplexed: many calls and notices share it. Each end sends a
+// heartbeat when it has sent nothing else for an interval, and closes the
+// connection when it has received nothing within the heartbeat timeout. This
+// detects a connection whose state a firewall or NAT has dropped: it would stay
+// open and every call on it would run into its deadline, while a new connection
+// would work at once.
 //
-// A call that fails says what may have happened to it. ErrUnreachable: no byte
-// of it was written, it surely did not run. ErrLost: it was written and no
-// answer came, it may have run. RemoteError: the other side answered with an
-// error.
+// The error of a failed call states whether the call may have run.
+// ErrUnreachable: no byte of it was written, so it did not run.
+// ErrOutcomeUnknown: it was written and no answer arrived, so it may have run.
+// RemoteError: the other end answered with an error.
 //
-// Calls are not resumed by sequence number over a new connection. Weighed: a
-// session with numbered frames, kept by both ends across connections, would
-// repeat unanswered calls by itself. It needs per-peer state that outlives the
-// connection, is lost anyway when either process restarts, and the owner of a
-// call must handle ErrLost for that case in any event. So every owner makes its
-// calls idempotent and repeats them itself, and the link keeps no state between
-// connections.
+// No state outlives a connection: unanswered calls are not resent on a new one.
+// Callers make their calls idempotent and retry them, which they need anyway
+// because either process may restart.
 //
 // Both ends prove in a handshake that they hold the cluster key, by HMAC-SHA256
-// over both hellos, nonces included. Frames after the handshake are neither
-// encrypted nor signed: the key keeps strangers and instances of another
-// cluster out, it doesn't protect against someone who can rewrite packets.
+// over both hellos, including their nonces. Frames after the handshake are neither
+// encrypted nor authenticated: the key rejects peers without it, such as instances
+// of another cluster, but does not protect against an attacker who can modify
+// packets in transit.
 package link
--- a/link/errors.go
+++ b/link/errors.go
@@ -6,26 +6,28 @@
 	"fmt"
 )
 
-// What became of a call or notice that failed on this side. Test with errors.Is.
+// Reasons why a call, a notice or a connection failed at this end. Test with errors.Is.
 var (
-	// ErrUnreachable: no byte of the call was written, it surely did not run.
+	// ErrUnreachable: no byte of the call was written, so it did not run.
 	ErrUnreachable = errors.New("unreachable, not run")
-	// ErrOutcomeUnknown: the call was written and no answer came, it may have run.
+	// ErrOutcomeUnknown: the call was written and no answer arrived, so it may
+	// have run.
 	ErrOutcomeUnknown = errors.New("no answer, may have run")
-	// ErrBusy: the bounded queue towards the peer is full; the notice was dropped.
+	// ErrBusy: the notice queue of the address is full; the notice was dropped.
 	ErrBusy = errors.New("queue to the peer is full")
 	// ErrClosed: the pool has been closed.
 	ErrClosed = errors.New("pool is closed")
-	// ErrHeartbeatTimeout: nothing arrived on the connection for the silence bound.
-	ErrHeartbeatTimeout = errors.New("connection went silent")
+	// ErrHeartbeatTimeout: nothing was received within the heartbeat timeout, or
+	// the handshake was not complete within it.
+	ErrHeartbeatTimeout = errors.New("nothing received within the heartbeat timeout")
 	// ErrWrongKey: the two ends do not hold the same cluster key.
 	ErrWrongKey = errors.New("wrong cluster key")
-	// ErrIdle: the connection was closed because nobody used it for long.
+	// ErrIdle: the connection was closed because it was unused for IdleTimeout.
 	ErrIdle = errors.New("connection was idle")
 )
 
-// Codes of a RemoteError that the link itself gives. CodeBusy, CodeUnknownMethod
-// and CodeBadRequest mean that the handler did not run.
+// Codes of a RemoteError that this package sets. With CodeBusy, CodeUnknownMethod
+// and CodeBadRequest the handler did not run.
 const (
 	CodeBusy          = "busy"
 	CodeUnknownMethod = "unknown_method"
@@ -46,12 +48,12 @@
 	StepHandle = "handle"
 )
 
-// CallError says at which step and with which peer a call or notice failed.
+// CallError reports the step at which a call or notice failed, and its peer.
 type CallError struct {
 	Step   string
 	Method string
-	Peer   string // the address that was called
-	Kind   error  // ErrUnreachable, ErrLost, ErrBusy or ErrClosed; nil: none of them
+	Peer   string // the address of the peer
+	Kind   error  // ErrUnreachable, ErrOutcomeUnknown, ErrBusy, ErrClosed or nil
 	Cause  error  // may be nil
 }
 
@@ -66,7 +68,7 @@
 	return s
 }
 
-// Unwrap gives errors.Is and errors.As both the kind and the cause.
+// Unwrap returns the kind and the cause, those that are set.
 func (e *CallError) Unwrap() []error {
 	errs := make([]error, 0, 2)
 	if e.Kind != nil {
@@ -78,9 +80,9 @@
 	return errs
 }
 
-// RemoteError is the error with which the other side answered a call. A handler
-// chooses Code and Step by returning an error that has a method Code() string
-// and, if it likes, Step() string.
+// RemoteError is the error with which the other end answered a call. A handler
+// sets Code and Step by returning an error with a method Code() string and,
+// optionally, Step() string.
 type RemoteError struct {
 	Code    string `msgpack:"code"`
 	Message string `msgpack:"message"`
@@ -91,7 +93,8 @@
 	return fmt.Sprintf("%s: %s (%s)", e.Step, e.Message, e.Code)
 }
 
-// Is lets errors.Is find a deadline or cancellation that ended the handler.
+// Is reports whether target is the context error that ended the handler:
+// context.DeadlineExceeded for CodeDeadline, context.Canceled for CodeCanceled.
 func (e *RemoteError) Is(target error) bool {
 	switch e.Code {
 	case CodeDeadline:
@@ -107,7 +110,7 @@
 
 type stepper interface{ Step() string }
 
-// toRemoteError turns a handler's error into its form on the wire.
+// toRemoteError converts the error of a handler into its encoded form.
 func toRemoteError(err error) *RemoteError {
 	var re *RemoteError
 	if errors.As(err, &re) {
--- a/link/frame.go
+++ b/link/frame.go
@@ -8,11 +8,11 @@
 	"io"
 )
 
-// ProtocolVersion is the version of the wire format. It stands in every frame
-// header, so that a process of another version is recognised by its first frame.
+// ProtocolVersion is the version of the wire format. Every frame header carries
+// it, so that the first frame of a peer already reveals an incompatible version.
 const ProtocolVersion = 1
 
-// DefaultMaxFrame bounds the payload of a frame where no bound is set: 4 MiB.
+// DefaultMaxFrame is the default limit on the payload of a frame, in bytes.
 const DefaultMaxFrame = 4 << 20
 
 const (
@@ -20,9 +20,10 @@
 	magic1            = 'r'
 	headerBytes       = 8 // magic (2), version, kind, payload length (4, big endian)
 	maxMethodBytes    = 255
-	payloadChunkBytes = 64 << 10 // bytes allocated ahead of the data of a large frame
+	payloadChunkBytes = 64 << 10 // allocated at most ahead of the payload bytes received
 )
 
+// kind is the type of a frame.
 type kind byte
 
 const (
@@ -38,25 +39,25 @@
 	kindCancel
 )
 
-// frame is one message on the wire. Its payload is call id and timeout as
-// uvarints, the method with a one-byte length, and the body. A frame whose
-// fields are all zero has an empty payload: a heartbeat is the header alone.
+// frame is one message on the wire: a header, then a payload of the call ID and
+// the timeout as uvarints, the method with a one-byte length, and the body. If all
+// these fields are zero, as in a heartbeat, the payload is empty.
 type frame struct {
 	kind          kind
 	id            uint64
-	timeoutMillis uint64 // milliseconds left for a request; 0: no deadline
+	timeoutMillis uint64 // until the deadline of a request; 0: no deadline
 	method        string
 	body          []byte
 }
 
-// Errors of the frame decoder.
+// Errors of encoding and decoding frames.
 var (
 	ErrBadMagic      = errors.New("not a frame of this protocol")
 	ErrFrameTooLarge = errors.New("frame exceeds the size bound")
 	ErrMalformed     = errors.New("malformed frame")
 )
 
-// VersionError says that the other side speaks another protocol version.
+// VersionError reports that the other end uses another protocol version.
 type VersionError struct {
 	Got, Want byte
 }
@@ -65,8 +66,9 @@
 	return fmt.Sprintf("protocol version %d, this side speaks %d", e.Got, e.Want)
 }
 
-// appendFrame appends the wire form of f to dst. It fails on a method that is
-// too long and on a payload over limit bytes.
+// appendFrame appends the encoded f to dst. It returns ErrMalformed if the method
+// exceeds maxMethodBytes and ErrFrameTooLarge if the payload exceeds maxPayload
+// bytes.
 func appendFrame(dst []byte, f frame, maxPayload int) ([]byte, error) {
 	if len(f.method) > maxMethodBytes {
 		return dst, fmt.Errorf("method name of %d bytes: %w", len(f.method), ErrMalformed)
@@ -89,9 +91,9 @@
 	return dst, nil
 }
 
-// readFrame reads one frame with a payload of at most limit bytes and returns
-// it with its size on the wire. io.EOF means that the stream ended between two
-// frames, io.ErrUnexpectedEOF that it ended inside one.
+// readFrame reads one frame with a payload of at most maxPayload bytes and returns
+// it with its size on the wire in bytes. It returns io.EOF if the stream ends
+// between two frames and io.ErrUnexpectedEOF if it ends within one.
 func readFrame(r *bufio.Reader, maxPayload int) (frame, int, error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -115,8 +117,8 @@
 	return f, headerBytes + int(size), err
 }
 
-// readPayload reads size bytes. It grows the buffer as data arrives: a peer
-// that names a large length and sends nothing costs one chunk of memory only.
+// readPayload reads size bytes. It grows the buffer as data arrives, so that a
+// header with a large length and no data after it costs one chunk of memory only.
 func readPayload(r io.Reader, size int) ([]byte, error) {
 	buf := make([]byte, 0, min(size, payloadChunkBytes))
 	for len(buf) < size {
--- a/link/frame_test.go
+++ b/link/frame_test.go
@@ -11,10 +11,12 @@
 	"pgregory.net/rapid"
 )
 
+// decode reads one frame from data.
 func decode(data []byte, limit int) (frame, int, error) {
 	return readFrame(bufio.NewReader(bytes.NewReader(data)), limit)
 }
 
+// Every encoded frame must decode to the same fields and size.
 func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := frame{
@@ -35,9 +37,8 @@
 	})
 }
 
-// A connection breaks while a frame is on its way, so the receiver holds the
-// front part only. Taken for a whole frame it would run a call with half its
-// body; each cut must be an error of its own kind.
+// A connection breaks within a frame. A truncated frame decoded as a whole one would
+// run a call with part of its body; every cut must return an error.
 func TestFrameTruncated(t *testing.T) {
 	wire, err := appendFrame(nil, frame{kind: kindRequest, id: 300, method: "m", body: []byte("body")}, DefaultMaxFrame)
 	require.NoError(t, err)
@@ -51,9 +52,8 @@
 	}
 }
 
-// A stray or hostile peer names a length of gigabytes. If the receiver made room
-// for it, one frame would take the process's memory; it must refuse by the
-// header alone. Broken by removing the comparison of size and limit in readFrame.
+// A header claims gigabytes. If the receiver allocated them, one frame would exhaust
+// its memory; it must reject the frame by its header alone.
 func TestFrameOversized(t *testing.T) {
 	header := []byte{magic0, magic1, ProtocolVersion, byte(kindRequest), 0, 0, 0, 0}
 	binary.BigEndian.PutUint32(header[4:], 1<<31)
@@ -63,6 +63,7 @@
 	require.ErrorIs(t, err, ErrFrameTooLarge)
 }
 
+// A peer of another version or protocol must get an error that names the cause.
 func TestFrameWrongVersionAndMagic(t *testing.T) {
 	_, _, err := decode([]byte{magic0, magic1, ProtocolVersion + 1, byte(kindHello), 0, 0, 0, 0}, DefaultMaxFrame)
 	var version *VersionError
@@ -72,6 +73,7 @@
 	require.ErrorIs(t, err, ErrBadMagic)
 }
 
+// Any input must give an error or a frame that encodes and decodes to itself.
 func FuzzReadFrame(f *testing.F) {
 	for _, seed := range []frame{
 		{kind: kindHeartbeat},
--- a/link/hello.go
+++ b/link/hello.go
@@ -11,40 +11,42 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// PeerInfo says who is at the other end of a connection, as that end states it
-// in its hello.
+// PeerInfo describes one end of a connection, as that end states it in its hello.
 type PeerInfo struct {
 	ID          string `msgpack:"id"`
 	Incarnation uint64 `msgpack:"inc"`
-	Address     string `msgpack:"addr"` // host:port on which it takes links; may be empty
+	Address     string `msgpack:"addr"` // host:port on which it accepts connections; may be empty
 	Role        string `msgpack:"role"` // "entry", "control", or a tool's name
 }
 
 const (
 	nonceBytes        = 16
-	maxHandshakeBytes = 4 << 10 // bytes of one frame before the peer has proved itself
+	maxHandshakeBytes = 4 << 10 // payload limit of a frame before the peer is authenticated
 	roleDialler       = "dialler"
 	roleListener      = "listener"
 )
 
+// hello is the body of the first frame of each end.
 type hello struct {
 	Peer  PeerInfo `msgpack:"peer"`
 	Nonce []byte   `msgpack:"nonce"`
 }
 
-// reject tells the other side why its handshake failed, so that the log of
-// either end names the cause and not only a closed connection.
+// reject is the body of the frame that reports a failed handshake to the other
+// end, so that the logs of both ends name the cause.
 type reject struct {
 	Code    string `msgpack:"code"`
 	Message string `msgpack:"message"`
 }
 
+// Codes of a reject.
 const (
 	rejectKey     = "wrong_key"
 	rejectVersion = "wrong_version"
 	rejectFrame   = "bad_frame"
 )
 
+// encodeHello returns the encoded hello of self with a new nonce.
 func encodeHello(self PeerInfo) ([]byte, error) {
 	nonce := make([]byte, nonceBytes)
 	if _, err := rand.Read(nonce); err != nil {
@@ -64,8 +66,9 @@
 	return h, nil
 }
 
-// computeProof is the MAC over both hellos. The role goes in first: without it a
-// stranger could send an end its own computeProof back and pass.
+// computeProof returns the MAC over both hellos that the end with the given role
+// sends. The MAC includes the role: otherwise a peer without the key could pass by
+// sending an end its own proof back (reflection attack).
 func computeProof(key []byte, role string, dialler, listener []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(role))
@@ -77,8 +80,9 @@
 	return mac.Sum(nil)
 }
 
-// dialHandshake runs the dialling side: hello out, hello and proof in, proof
-// out, welcome in.
+// dialHandshake runs the handshake of the dialling end: it sends its hello,
+// receives the peer's hello and proof, sends its proof and receives the welcome.
+// The PeerInfo is that of the peer, also on an error after its hello.
 func dialHandshake(c *conn, self PeerInfo, key []byte) (PeerInfo, error) {
 	ownHello, err := encodeHello(self)
 	if err != nil {
@@ -109,7 +113,7 @@
 	return h.Peer, err
 }
 
-// listenHandshake runs the accepting side.
+// listenHandshake runs the handshake of the accepting end; see dialHandshake.
 func listenHandshake(c *conn, self PeerInfo, key []byte) (PeerInfo, error) {
 	peerHello, err := c.handshakeReceive(kindHello)
 	if err != nil {
@@ -151,8 +155,8 @@
 	return nil
 }
 
-// handshakeReceive reads one frame and accepts only the kind that is due: a
-// request that comes ahead of the proof is an error, not a request.
+// handshakeReceive reads one frame and returns its body. Any kind other than the
+// expected one is an error, so no request or notice is accepted before the proof.
 func (c *conn) handshakeReceive(want kind) ([]byte, error) {
 	f, n, err := readFrame(c.br, min(maxHandshakeBytes, c.maxFrame))
 	if err != nil {
@@ -168,8 +172,8 @@
 	return f.body, nil
 }
 
-// sendReject tells the other side the cause, as far as it can still be told, and
-// returns err.
+// sendReject reports err to the other end, if err has a reject code, and returns
+// err.
 func (c *conn) sendReject(err error) error {
 	r := reject{Code: rejectFrame, Message: err.Error()}
 	var version *VersionError
@@ -186,11 +190,12 @@
 	if encodeErr != nil {
 		return err
 	}
-	// The handshake has failed already: a failed write adds nothing to err.
+	// err already reports the failed handshake; a write error adds nothing.
 	_ = c.handshakeSend(kindReject, body)
 	return err
 }
 
+// parseReject returns the error that a reject frame reports.
 func parseReject(body []byte) error {
 	var r reject
 	if err := Unmarshal(body, &r); err != nil {
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -16,7 +16,7 @@
 	"savoryreel.example/savoryreel/internal/relay"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes the seed of rapid, so that every run draws the same values.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -27,13 +27,13 @@
 	goleak.VerifyTestMain(m)
 }
 
-const testTimeout = 20 * time.Second // on waits in real time; reached only by a fault
+const testTimeout = 20 * time.Second // real time; reached only if a test fails
 
 type echo struct {
 	Text string `msgpack:"text"`
 }
 
-// startServer serves on a free loopback port until the test ends.
+// startServer starts a server with the method echo on a free loopback port.
 func startServer(t testing.TB, cfg ServerConfig) (*Server, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -43,6 +43,7 @@
 	return s, l.Addr().String()
 }
 
+// serve runs s on l until the test ends.
 func serve(t testing.TB, s *Server, l net.Listener) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -59,18 +60,22 @@
 	return p
 }
 
+// testContext returns a context with a timeout, cancelled when the test ends.
 func testContext(t testing.TB, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
+// codedError is a handler error that sets the code and the step.
 type codedError struct{}
 
 func (codedError) Error() string { return "no coffee" }
 func (codedError) Code() string  { return "teapot" }
 func (codedError) Step() string  { return "brew" }
 
+// The caller must receive the answer, or the code and step that the handler or the
+// server set, and the handler the identity of the caller.
 func TestCallReturnsAnswersAndTypedErrors(t *testing.T) {
 	s, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
 	Handle(s, "fail", func(context.Context, PeerInfo, echo) (echo, error) { return echo{}, codedError{} })
@@ -99,6 +104,8 @@
 	require.EqualValues(t, 2, s.Traffic().Method("echo").MessagesReceived)
 }
 
+// Notices of one connection handled out of order would let an old state overwrite
+// a newer one.
 func TestNoticesArriveInOrder(t *testing.T) {
 	s, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
 	const n = 100
@@ -113,16 +120,13 @@
 		case v := <-got:
 			require.Equal(t, i, v)
 		case <-testContext(t, testTimeout).Done():
-			t.Fatalf("notice %d didn't come", i)
+			t.Fatalf("notice %d was not received", i)
 		}
 	}
 }
 
-// An instance of another cluster, or one with an old key, dials by a stale
-// address. Were it let in, two clusters would mix their members. Both ends must
-// name the key as the cause and no call may run. Broken by removing the
-// hmac.Equal check in listenHandshake (for a dialler that doesn't check itself)
-// or in dialHandshake.
+// An instance of another cluster dials a stale address. If either end accepted it,
+// two clusters would mix their members. Both ends must report ErrWrongKey.
 func TestWrongKeyIsRejectedByBothSides(t *testing.T) {
 	_, addr := startServer(t, ServerConfig{ClusterKey: []byte("right")})
 	p := startPool(t, PoolConfig{ClusterKey: []byte("wrong")}, PoolDeps{})
@@ -130,7 +134,7 @@
 	require.ErrorIs(t, err, ErrUnreachable)
 	require.ErrorIs(t, err, ErrWrongKey)
 
-	// Each side alone against a peer that skips the check.
+	// Each end against a peer that does not check the key itself.
 	l := limitsWithDefaults(0, 0, 0)
 	for _, role := range []string{roleDialler, roleListener} {
 		a, b := net.Pipe()
@@ -153,8 +157,8 @@
 	}
 }
 
-// handshakeWithFalseProof plays the other end of a handshake with a proof made up, and returns
-// the error that it is told.
+// handshakeWithFalseProof runs the handshake with a false proof against an end with
+// the given role, and returns the error that this end reports.
 func handshakeWithFalseProof(c *conn, peerRole string) error {
 	hello, err := encodeHello(PeerInfo{ID: "stranger"})
 	if err != nil {
@@ -180,8 +184,8 @@
 	return nil
 }
 
-// During an upgrade two releases with different wire formats meet. Either end
-// must say which versions met; guessing at the bytes would give garbled calls.
+// Two releases with different wire formats meet during an upgrade. The end that
+// reads an unknown version must report it to the other, not decode the frame.
 func TestWrongVersionIsReported(t *testing.T) {
 	_, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
 	nc, err := net.Dial("tcp", addr)
@@ -194,7 +198,7 @@
 	require.ErrorContains(t, err, rejectVersion)
 }
 
-// A stranger sends a call in place of its proof. It must not run.
+// A notice in place of the proof must not run: the peer is not authenticated yet.
 func TestNoHandlerRunsBeforeHandshake(t *testing.T) {
 	s, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
 	var ran atomic.Bool
@@ -214,10 +218,9 @@
 	require.False(t, ran.Load())
 }
 
-// Something between two instances forgets their open connection: packets
-// vanish, neither end is told, and new connections work. Without a bound on
-// silence calls hang until their deadlines, minute after minute, though a redial
-// would do. Broken by removing SetReadDeadline in silenceReader.Read.
+// A device between two instances drops the state of their connection. Without a
+// heartbeat timeout calls would hang until their deadlines, though a new
+// connection would work.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	const heartbeatInterval, heartbeatTimeout = 100 * time.Millisecond, time.Second
 	s, target := startServer(t, ServerConfig{ClusterKey: []byte("k"), HeartbeatInterval: heartbeatInterval, HeartbeatTimeout: heartbeatTimeout})
@@ -246,15 +249,15 @@
 	<-started
 	r.Silence()
 	err = <-result
-	require.ErrorIs(t, err, ErrOutcomeUnknown, "the call may have run and must not be reported as not run")
+	require.ErrorIs(t, err, ErrOutcomeUnknown, "the call was written, so it may have run")
 	require.ErrorIs(t, err, ErrHeartbeatTimeout)
 	got, err := Call[echo](ctx, p, r.Addr(), "echo", echo{Text: "again"})
 	require.NoError(t, err)
 	require.Equal(t, "again", got.Text)
 }
 
-// runWithPipe runs fn in virtual time with a server and a pool joined by
-// in-memory connections.
+// runWithPipe runs fn in virtual time with a server and a pool connected by
+// net.Pipe.
 func runWithPipe(t *testing.T, serverConfig ServerConfig, poolConfig PoolConfig, fn func(t *testing.T, s *Server, p *Pool)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipeListener()
@@ -266,9 +269,8 @@
 	})
 }
 
-// All power was lost. A process is back 0.1 s before the one that it calls, and its
-// first packet is lost; the kernel would send it again after a second. Callers would
-// be refused for that second. Broken by one connect without a limit of its own.
+// The first packet to a peer that is just starting is lost, and the kernel
+// retransmits it after a second. Calls must not wait that long for the peer.
 func TestConnectIsRetriedBeforeKernelRetransmits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipeListener()
@@ -294,9 +296,8 @@
 	})
 }
 
-// A handler works for minutes, say on a long catch-up. Heartbeats must keep its
-// connection: taking a slow handler for a silent link would cut the call again
-// and again, and it would never finish. Broken by removing writeHeartbeat.
+// A handler runs for minutes. Without heartbeats meanwhile, the timeout would close
+// the connection and the call would fail at every retry.
 func TestHeartbeatsContinueDuringSlowHandler(t *testing.T) {
 	runWithPipe(t, ServerConfig{}, PoolConfig{}, func(t *testing.T, s *Server, p *Pool) {
 		Handle(s, "slow", func(_ context.Context, _ PeerInfo, req echo) (echo, error) {
@@ -311,9 +312,8 @@
 	})
 }
 
-// A caller gives up. If its work went on at the other side, a crowd of
-// impatient callers would load a peer with work whose answers nobody reads.
-// Broken by removing sendCancel in await.
+// A caller gives up. Its handler must end as well, or a peer would keep working on
+// answers that nobody reads.
 func TestCancelAndDeadlineReachTheHandler(t *testing.T) {
 	runWithPipe(t, ServerConfig{}, PoolConfig{}, func(t *testing.T, s *Server, p *Pool) {
 		ended := make(chan error, 1)
@@ -339,10 +339,8 @@
 	})
 }
 
-// One peer sends calls faster than they are worked off. Without a bound their
-// number, and with it memory, grows until the process is killed. The excess must
-// be refused at once and must not run. Broken by removing the comparison with
-// MaxInFlight in admit.
+// A peer sends calls faster than they are handled. Without a limit memory grows
+// until the process is killed. Calls above it must fail at once without running.
 func TestCallsInFlightAreBounded(t *testing.T) {
 	runWithPipe(t, ServerConfig{MaxInFlight: 3}, PoolConfig{}, func(t *testing.T, s *Server, p *Pool) {
 		var ran atomic.Int32
@@ -372,8 +370,8 @@
 	})
 }
 
-// A peer is down. Callers must learn at once that their call didn't run, also
-// during the pause between dials, so that they can turn to another peer.
+// A peer is down. Calls must fail with ErrUnreachable at once, also during the
+// backoff between dials, so that callers can use another peer.
 func TestUnreachablePeerFailsFastAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
@@ -389,7 +387,7 @@
 			require.ErrorIs(t, err, ErrUnreachable)
 			require.NotErrorIs(t, err, ErrOutcomeUnknown)
 		}
-		require.Equal(t, 1, dials, "calls within the pause don't dial")
+		require.Equal(t, 1, dials, "calls during the backoff must not dial")
 		<-time.After(DefaultBackoffMin)
 		_, err := Call[echo](t.Context(), p, "peer", "echo", echo{})
 		require.ErrorIs(t, err, ErrUnreachable)
@@ -397,8 +395,8 @@
 	})
 }
 
-// A peer stops reading without dying. A notice must neither block its sender,
-// which may be the loop that serves everybody, nor pile up without bound.
+// A peer stops reading. Notify must neither block its caller, often a main loop,
+// nor queue notices without limit.
 func TestNotifyNeverBlocks(t *testing.T) {
 	runWithPipe(t, ServerConfig{}, PoolConfig{NoticeQueueLen: 4}, func(t *testing.T, s *Server, p *Pool) {
 		release := make(chan struct{})
@@ -416,6 +414,8 @@
 	})
 }
 
+// A connection that stays open after its last use would hold a socket for each
+// address ever called. After the close, the next call must dial again.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	runWithPipe(t, ServerConfig{}, PoolConfig{IdleTimeout: time.Minute}, func(t *testing.T, s *Server, p *Pool) {
 		for range 2 {
@@ -430,7 +430,7 @@
 	})
 }
 
-// pipeListener hands out in-memory connections.
+// pipeListener is a net.Listener whose connections are net.Pipe pairs.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -462,9 +462,10 @@
 func (l *pipeListener) Close() error   { close(l.closed); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// maxCallAllocs bounds the allocations of one call on both sides together.
+// maxCallAllocs limits the allocations of one call, both ends together.
 const maxCallAllocs = 45
 
+// Allocations on the path of every call must not grow unnoticed.
 func TestCallAllocations(t *testing.T) {
 	_, addr := startServer(t, ServerConfig{ClusterKey: []byte("k")})
 	p := startPool(t, PoolConfig{ClusterKey: []byte("k")}, PoolDeps{})
@@ -473,7 +474,7 @@
 		_, err := Call[echo](ctx, p, addr, "echo", echo{Text: "x"})
 		require.NoError(t, err)
 	})
-	t.Logf("%.0f allocations a call, both sides", got)
+	t.Logf("%.0f allocations per call, both ends", got)
 	require.LessOrEqual(t, got, float64(maxCallAllocs))
 }
 
--- a/link/peer.go
+++ b/link/peer.go
@@ -8,39 +8,41 @@
 	"time"
 )
 
-// peer is one address: its connection, or the attempt at one, and the notices
-// that wait for it.
+// peer is one address with its connection or dial attempt, and the notices queued
+// for it.
 type peer struct {
 	pool     *Pool
 	addr     string
 	notices  chan outgoing
-	lastUsed atomic.Int64 // unix nanoseconds of the last call or notice
-	active   atomic.Bool  // a connection or an attempt at one exists
+	lastUsed atomic.Int64 // last call or notice, in Unix nanoseconds
+	active   atomic.Bool  // a connection or a dial attempt exists
 
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	conn        *clientConn
-	dialing     *dialAttempt // not nil while dialling
-	failedDials int          // failed dials in a row
-	nextDial    time.Time
-	dialErr     error
+	dialing     *dialAttempt // nil if no dial is in progress
+	failedDials int          // consecutive
+	nextDial    time.Time    // no dial before it, after a failed one
+	dialErr     error        // of the last dial
 }
 
+// touch records a use of the peer.
 func (pr *peer) touch() { pr.lastUsed.Store(time.Now().UnixNano()) }
 
+// idleTime returns the time since the last use.
 func (pr *peer) idleTime() time.Duration {
 	return time.Duration(time.Now().UnixNano() - pr.lastUsed.Load())
 }
 
-// dialAttempt is one dial that several callers may wait for.
+// dialAttempt is one dial; several callers may wait for it.
 type dialAttempt struct {
 	done chan struct{}
-	conn *clientConn // set before done is closed, with err
+	conn *clientConn // conn and err are set before done is closed
 	err  error
 }
 
-// connect returns the live connection, or joins or starts a dial. During the
-// pause after a failed dial it fails at once with the last error: the caller
-// may know another address, and waiting would only use up its deadline.
+// connect returns the open connection, or waits for a dial in progress or a new
+// one. During the backoff after a failed dial it returns the last error at once,
+// so that the caller can try another address before its deadline.
 func (pr *peer) connect(ctx context.Context) (*clientConn, error) {
 	c, a, err := pr.connOrDial()
 	if c != nil || err != nil {
@@ -54,8 +56,8 @@
 	}
 }
 
-// connOrDial returns the connection, or the attempt to wait for, or the error of
-// the last dial while its pause runs.
+// connOrDial returns the open connection, or the dial attempt to wait for, which it
+// starts if there is none, or the error of the last dial during the backoff.
 func (pr *peer) connOrDial() (*clientConn, *dialAttempt, error) {
 	pr.mu.Lock()
 	if pr.conn != nil && pr.conn.isOpen() {
@@ -80,7 +82,7 @@
 	return nil, a, nil
 }
 
-// dialAndServe dials, and then serves the connection until it ends.
+// dialAndServe dials, then serves the connection until it ends.
 func (pr *peer) dialAndServe(a *dialAttempt) {
 	c, err := pr.dial()
 	pr.finishDial(a, c, err)
@@ -91,6 +93,7 @@
 	c.run()
 }
 
+// finishDial records the result of a dial and wakes those who wait for it.
 func (pr *peer) finishDial(a *dialAttempt, c *clientConn, err error) {
 	pr.mu.Lock()
 	pr.active.Store(err == nil)
@@ -108,9 +111,9 @@
 	close(a.done)
 }
 
-// backoff doubles with each failure and is drawn from the upper half of its
-// range. Without the jitter all instances that lost a peer at one moment would
-// dial it again at one moment, just as it starts.
+// backoff returns the delay before the next dial. It doubles with each failure, up
+// to BackoffMax, and is drawn from the upper half of its range: without jitter all
+// instances that lost the same peer would dial it at the same moment.
 func (pr *peer) backoff() time.Duration {
 	cfg := pr.pool.cfg
 	d := cfg.BackoffMax
@@ -120,6 +123,7 @@
 	return d/2 + time.Duration(pr.pool.jitter()*float64(d/2))
 }
 
+// dial connects and runs the handshake, both within the heartbeat timeout.
 func (pr *peer) dial() (*clientConn, error) {
 	p := pr.pool
 	ctx, cancel := context.WithTimeout(p.ctx, p.limits.heartbeatTimeout)
@@ -144,15 +148,15 @@
 	return newClientConn(c, pr, info), nil
 }
 
-// firstConnectTimeout is how long a first connect may take before it is begun anew: several
-// round trips between regions. Each further one has twice as long.
+// firstConnectTimeout bounds the first connect attempt: several round trips
+// between regions. Each further attempt has twice the timeout of the last.
 const firstConnectTimeout = 250 * time.Millisecond
 
-// dialWithRetry connects, and begins anew where there is no answer.
+// dialWithRetry connects to addr, and dials again when an attempt times out.
 //
 // The first packet to an instance that is just starting is lost, and the kernel
-// sends it again only a second later. After a power failure the processes that are
-// back first would wait that long for those that are back a moment later.
+// retransmits it only after a second. Without own retries, processes that restart
+// together would wait that long for one that starts slightly later.
 func dialWithRetry(ctx context.Context, dial func(context.Context, string) (net.Conn, error), addr string) (net.Conn, error) {
 	for timeout := firstConnectTimeout; ; timeout *= 2 {
 		attemptCtx, cancel := context.WithTimeout(ctx, timeout)
@@ -165,8 +169,8 @@
 	}
 }
 
-// dropNotices empties the queue after a failed dial: what waited there is old
-// by the time the peer is back.
+// dropNotices empties the notice queue after a failed dial: the notices would be
+// outdated by the time the peer is reachable.
 func (pr *peer) dropNotices() {
 	for {
 		select {
@@ -177,7 +181,7 @@
 	}
 }
 
-// clearConn marks the peer as without connection, unless a new one exists already.
+// clearConn removes c, which has ended, unless a new dial has already started.
 func (pr *peer) clearConn(c *clientConn) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -187,7 +191,7 @@
 	}
 }
 
-// redialForNotices dials again if notices came in while the connection ended.
+// redialForNotices dials again if notices were queued while the connection ended.
 func (pr *peer) redialForNotices() {
 	if len(pr.notices) > 0 && pr.pool.ctx.Err() == nil {
 		_, _, _ = pr.connOrDial()
--- a/link/pool.go
+++ b/link/pool.go
@@ -18,20 +18,20 @@
 	DefaultBackoffMax     = 2 * time.Second
 )
 
-// PoolConfig sets up a Pool. Zero values of the bounds take the defaults.
+// PoolConfig configures a Pool. Zero limits and durations take the defaults.
 type PoolConfig struct {
 	Self              PeerInfo
 	ClusterKey        []byte
-	MaxFrame          int
+	MaxFrame          int // bytes of payload
 	HeartbeatInterval time.Duration
-	HeartbeatTimeout  time.Duration // also bounds a dial with its handshake
-	NoticeQueueLen    int           // notices that wait for one address
-	IdleTimeout       time.Duration // a connection without calls and notices for so long is closed
-	BackoffMin        time.Duration // pause after a first failed dial; doubles up to BackoffMax
+	HeartbeatTimeout  time.Duration // also bounds a dial including its handshake
+	NoticeQueueLen    int           // per address; Notify returns ErrBusy when the queue is full
+	IdleTimeout       time.Duration // an unused connection is closed after it
+	BackoffMin        time.Duration // delay after the first failed dial; doubles up to BackoffMax
 	BackoffMax        time.Duration
 }
 
-// PoolDeps are what a Pool needs from outside. All may be left nil.
+// PoolDeps holds the dependencies of a Pool. All are optional.
 type PoolDeps struct {
 	Log     *slog.Logger
 	Traffic *Traffic
@@ -40,7 +40,7 @@
 }
 
 // Pool holds one connection to each address that is called. Connections are
-// dialled on demand and closed when unused for long.
+// dialled on demand and closed when idle.
 type Pool struct {
 	cfg     PoolConfig
 	limits  connLimits
@@ -54,13 +54,14 @@
 	goroutines sync.WaitGroup
 	nextID     atomic.Uint64
 
-	mu           sync.Mutex // guards all below; never held together with a peer's lock
+	mu           sync.Mutex // guards the fields below; never held while a peer's lock is
 	peers        map[string]*peer
 	closed       bool
 	onDisconnect []func(addr string)
 }
 
-// NewPool returns a pool without connections. Close it to end its goroutines.
+// NewPool returns a pool without connections. Close must be called to end its
+// goroutines.
 func NewPool(cfg PoolConfig, deps PoolDeps) *Pool {
 	setDefault(&cfg.NoticeQueueLen, DefaultNoticeQueueLen)
 	setDefault(&cfg.IdleTimeout, DefaultIdleTimeout)
@@ -103,8 +104,8 @@
 // Traffic returns the pool's counters.
 func (p *Pool) Traffic() *Traffic { return p.traffic }
 
-// Close ends all connections and waits for the pool's goroutines. Calls that
-// wait end with ErrLost or ErrUnreachable.
+// Close ends all connections and waits for the pool's goroutines. Pending calls
+// fail with ErrOutcomeUnknown or ErrUnreachable.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -113,9 +114,10 @@
 	p.goroutines.Wait()
 }
 
-// OnDisconnect has fn called, from a goroutine of its own, whenever a connection has
-// ended other than by being idle or by Close. Notices that were written to it
-// shortly before may not have arrived, and nobody else will say so.
+// OnDisconnect registers fn to be called after a connection has ended, except by
+// IdleTimeout or Close. fn runs on the goroutine of that connection and must not
+// call Close. Notices written shortly before may be lost, and nothing else reports
+// that.
 func (p *Pool) OnDisconnect(fn func(addr string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,6 +133,7 @@
 	}
 }
 
+// peer returns the peer of addr; it adds one if there is none.
 func (p *Pool) peer(addr string) (*peer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,9 +150,9 @@
 	return pr, nil
 }
 
-// removeIdlePeers forgets addresses that have no connection and were not used for long.
-// Replaced instances come back under new addresses; without this each one ever
-// called would keep its queue for the life of the process. The caller holds p.mu.
+// removeIdlePeers removes the addresses without a connection that were unused for
+// IdleTimeout. Replaced instances have new addresses, so the queues of the old ones
+// would otherwise accumulate. The caller holds p.mu.
 func (p *Pool) removeIdlePeers() {
 	for addr, pr := range p.peers {
 		if !pr.active.Load() && pr.idleTime() >= p.cfg.IdleTimeout {
@@ -158,7 +161,8 @@
 	}
 }
 
-// goUnlessClosed runs fn unless the pool is closed.
+// goUnlessClosed runs fn on a goroutine of the pool and returns true, or returns
+// false if the pool is closed.
 func (p *Pool) goUnlessClosed(fn func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/link/server.go
+++ b/link/server.go
@@ -13,37 +13,37 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// DefaultMaxInFlight bounds the calls that one connection may have running.
+// DefaultMaxInFlight is the default limit on running calls per connection.
 const DefaultMaxInFlight = 1024
 
-const serverNoticeQueueLen = 256 // notices of one connection that wait for their handler
+const serverNoticeQueueLen = 256 // per connection
 
-// ServerConfig sets up a Server. Zero values of the bounds take the defaults.
+// ServerConfig configures a Server. Zero limits and durations take the defaults.
 type ServerConfig struct {
 	Self              PeerInfo
 	ClusterKey        []byte
-	MaxFrame          int           // bytes of one payload
-	HeartbeatInterval time.Duration // between heartbeats on a quiet connection
-	HeartbeatTimeout  time.Duration // a connection that brings nothing for so long is closed
-	// MaxInFlight bounds the running calls of one connection. A call beyond it
-	// is answered CodeBusy at once and doesn't run.
+	MaxFrame          int           // bytes of payload
+	HeartbeatInterval time.Duration // between heartbeats while nothing else is sent
+	HeartbeatTimeout  time.Duration // without data for it, the connection is closed; also bounds the handshake
+	// MaxInFlight limits the running calls of one connection. A call above the
+	// limit is answered with CodeBusy at once and does not run.
 	MaxInFlight int
 }
 
-// ServerDeps are what a Server needs from outside. All may be left nil.
+// ServerDeps holds the dependencies of a Server. All are optional.
 type ServerDeps struct {
 	Log     *slog.Logger
 	Traffic *Traffic
 }
 
-// Server answers calls and takes notices. Register handlers before Serve.
+// Server answers calls and receives notices. Handlers are registered before Serve.
 type Server struct {
 	cfg     ServerConfig
 	limits  connLimits
 	log     *slog.Logger
 	traffic *Traffic
 
-	mu             sync.RWMutex // guards the two tables of handlers
+	mu             sync.RWMutex // guards the two maps of handlers
 	callHandlers   map[string]callHandler
 	noticeHandlers map[string]noticeHandler
 }
@@ -77,9 +77,9 @@
 // Traffic returns the server's counters.
 func (s *Server) Traffic() *Traffic { return s.traffic }
 
-// Handle registers fn for calls of method. Calls of one connection run side by
-// side. The context ends with the caller's deadline, its cancellation or its
-// connection. A second registration replaces the first.
+// Handle registers fn for calls of method; it replaces an earlier fn. Calls of one
+// connection run concurrently. The context of fn ends at the caller's deadline, on
+// its cancellation, or with the connection.
 func Handle[Req, Resp any](s *Server, method string, fn func(ctx context.Context, from PeerInfo, req Req) (Resp, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,10 +96,9 @@
 	}
 }
 
-// HandleNotice registers fn for notices of method. Notices of one connection
-// are handled one after another in the order in which they were sent; while
-// the handler is behind, the connection is read no further and the sender's
-// queue fills.
+// HandleNotice registers fn for notices of method; it replaces an earlier fn.
+// Notices of one connection are handled one at a time, in the order sent. While fn
+// is slow, the connection is not read, so the queue of the sender fills up.
 func HandleNotice[Req any](s *Server, method string, fn func(ctx context.Context, from PeerInfo, req Req)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,9 +112,9 @@
 	}
 }
 
-// Serve accepts connections on l until ctx ends or l fails. It returns after
-// all its connections are closed and all handlers have returned, with nil if
-// ctx ended.
+// Serve accepts connections on l until ctx ends, which returns nil, or Accept
+// fails. It returns after its connections are closed and all handlers have
+// returned.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { l.Close() })
@@ -135,15 +134,15 @@
 	}
 }
 
-// serverConn is one accepted connection.
+// serverConn is the accepting end of a connection.
 type serverConn struct {
 	*conn
 	server     *Server
 	peer       PeerInfo
-	notices    chan frame // notices, in order
+	notices    chan frame // in the order received
 	goroutines sync.WaitGroup
 
-	mu         sync.Mutex // guards running
+	mu         sync.Mutex // guards cancelByID
 	cancelByID map[uint64]context.CancelFunc
 }
 
@@ -153,8 +152,8 @@
 	defer stop()
 	defer nc.Close()
 	defer c.cancel(nil)
-	// A stranger that connects and says nothing holds the connection no longer
-	// than the silence bound; one that trickles bytes neither.
+	// Bounds the whole handshake: a peer that sends a byte now and then would
+	// never exceed the timeout of a single read.
 	handshakeTimer := time.AfterFunc(s.limits.heartbeatTimeout, func() { c.cancel(ErrHeartbeatTimeout) })
 	peer, err := listenHandshake(c, s.cfg.Self, s.cfg.ClusterKey)
 	if err == nil && !handshakeTimer.Stop() {
@@ -201,13 +200,14 @@
 	}
 }
 
+// startCall runs the handler of a request on its own goroutine and sends the answer.
 func (sc *serverConn) startCall(f frame, size int) {
 	sc.server.mu.RLock()
 	handler, ok := sc.server.callHandlers[f.method]
 	sc.server.mu.RUnlock()
 	if !ok {
-		// Names from the network make no counter of their own: they would
-		// grow without bound.
+		// Unknown names get no counter of their own: a peer could create any
+		// number of them.
 		sc.traffic.received(MethodControl, size)
 		sc.goroutines.Go(func() {
 			sc.sendError(f, &RemoteError{Code: CodeUnknownMethod, Message: f.method, Step: StepHandle})
@@ -234,6 +234,7 @@
 	})
 }
 
+// callContext returns the context of a call with a timeout in milliseconds; 0: none.
 func (sc *serverConn) callContext(timeout uint64) (context.Context, context.CancelFunc) {
 	if timeout == 0 {
 		return context.WithCancel(sc.conn.ctx)
@@ -241,8 +242,8 @@
 	return context.WithTimeout(sc.conn.ctx, millisToDuration(timeout))
 }
 
-// addCall notes the call as running, or refuses it beyond the bound or under an
-// id that is running already.
+// addCall registers a running call. It returns false if MaxInFlight calls are
+// running or the ID is in use.
 func (sc *serverConn) addCall(id uint64, cancel context.CancelFunc) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -253,6 +254,7 @@
 	return true
 }
 
+// cancelCall cancels and removes a running call; it ignores unknown IDs.
 func (sc *serverConn) cancelCall(id uint64) {
 	sc.mu.Lock()
 	cancel, ok := sc.cancelByID[id]
@@ -269,8 +271,8 @@
 		sc.sendError(f, &RemoteError{Code: CodeInternal, Message: err.Error(), Step: StepEncode})
 		return
 	}
-	// A failed send means that the connection has ended: the caller learns of
-	// that by itself, as ErrLost.
+	// send fails only if the connection has ended; the caller then gets
+	// ErrOutcomeUnknown.
 	_ = sc.send(outgoing{method: f.method, buf: buf})
 }
 
@@ -292,9 +294,9 @@
 	_ = sc.send(outgoing{method: method, buf: buf})
 }
 
-// queueNotice waits while the queue is full. That stops the reading of this
-// connection and so, through TCP, the sender, whose Notify then says ErrBusy.
-// Dropping here instead would lose notices without anyone's knowledge.
+// queueNotice queues a notice for its handler. It blocks while the queue is full:
+// the connection is then not read, so TCP flow control slows the sender down and
+// its Notify returns ErrBusy. Dropping the notice here would be unnoticed.
 func (sc *serverConn) queueNotice(f frame, size int) {
 	sc.server.mu.RLock()
 	_, ok := sc.server.noticeHandlers[f.method]
@@ -311,6 +313,7 @@
 	}
 }
 
+// noticeLoop handles the queued notices one at a time until the connection ends.
 func (sc *serverConn) noticeLoop() {
 	for {
 		select {
@@ -321,7 +324,7 @@
 			handler := sc.server.noticeHandlers[f.method]
 			sc.server.mu.RUnlock()
 			if err := handler(sc.conn.ctx, sc.peer, f.body); err != nil {
-				sc.server.log.Warn("link notice refused", "peer", sc.peer.ID, "method", f.method, "err", err)
+				sc.server.log.Warn("link notice rejected", "peer", sc.peer.ID, "method", f.method, "err", err)
 			}
 		}
 	}
--- a/link/stats.go
+++ b/link/stats.go
@@ -9,14 +9,14 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Names under which traffic without a method of its own is counted.
+// Method names under which other traffic is counted.
 const (
 	MethodHeartbeat = "heartbeat"
 	MethodHandshake = "handshake"
-	MethodControl   = "control" // cancel frames, and calls of unknown methods
+	MethodControl   = "control" // cancel frames, unexpected frames, unknown methods
 )
 
-// MethodTraffic is what one method has sent and received since the start.
+// MethodTraffic holds the traffic of one method since the start of the process.
 // Bytes include frame headers.
 type MethodTraffic struct {
 	Method           string
@@ -26,10 +26,10 @@
 	BytesReceived    uint64
 }
 
-// Traffic counts messages and bytes by method. The zero value is not usable;
-// see NewTraffic. One Traffic may serve a Server and a Pool together.
+// Traffic counts messages and bytes by method. Use NewTraffic; the zero value is
+// not valid. A Server and a Pool may share one Traffic.
 type Traffic struct {
-	methods sync.Map // method name to *methodCounter
+	methods sync.Map // string (method) to *methodCounter
 	set     *metrics.Set
 }
 
@@ -37,9 +37,9 @@
 	messagesSent, bytesSent, messagesReceived, bytesReceived atomic.Uint64
 }
 
-// NewTraffic returns empty counters. If set is not nil they are also published
-// there as savoryreel_link_messages_total and savoryreel_link_bytes_total with
-// the labels method and direction.
+// NewTraffic returns zero counters. If set is not nil, it also publishes them there
+// as savoryreel_link_messages_total and savoryreel_link_bytes_total with the labels
+// method and direction.
 func NewTraffic(set *metrics.Set) *Traffic {
 	return &Traffic{set: set}
 }
