--- a/link/conn.go
+++ b/link/conn.go
@@ -10,92 +10,92 @@
 	"time"
 )
 
-// Defaults for links between instances.
+// Default timing of connections.
 const (
-	DefaultHeartbeat = 500 * time.Millisecond
-	// DefaultSilence is four heartbeats: one that is late or lost to a
-	// retransmission doesn't end the connection.
-	DefaultSilence = 2 * time.Second
+	DefaultHeartbeatInterval = 500 * time.Millisecond
+	// DefaultHeartbeatTimeout spans four heartbeats, so that one that is delayed
+	// by a retransmission does not end the connection.
+	DefaultHeartbeatTimeout = 2 * time.Second
 
-	outQueue = 64 // frames waiting for the writer of one connection
+	sendQueueLen = 64 // frames waiting for the writer of one connection
 )
 
-// conn is what both ends of a connection share: framing, heartbeat, silence
-// bound. It ends when its context does; the cause says why.
+// conn is what both ends of a connection share: framing, heartbeats and the
+// heartbeat timeout. It ends when ctx is cancelled; the cause of ctx is the reason.
 type conn struct {
-	nc        net.Conn
-	br        *bufio.Reader
-	maxFrame  int
-	heartbeat time.Duration
-	traffic   *Traffic
-	out       chan outgoing
-	ctx       context.Context
-	cancel    context.CancelCauseFunc
+	nc                net.Conn
+	br                *bufio.Reader
+	maxFrame          int
+	heartbeatInterval time.Duration
+	traffic           *Traffic
+	sendQueue         chan outgoing
+	ctx               context.Context
+	cancel            context.CancelCauseFunc
 }
 
-// outgoing is one encoded frame for the writer.
+// outgoing is one encoded frame in the send queue.
 type outgoing struct {
 	method string
 	buf    []byte
-	call   *pendingCall // of a request; nil for all else
+	call   *pendingCall // nil unless the frame is a request
 }
 
-// limits are the bounds that Server and Pool give to their connections.
-type limits struct {
-	maxFrame  int
-	heartbeat time.Duration
-	silence   time.Duration
+// connLimits are the limits that a Server or a Pool sets on its connections.
+type connLimits struct {
+	maxFrame          int
+	heartbeatInterval time.Duration
+	heartbeatTimeout  time.Duration
 }
 
-func limitsOf(maxFrame int, heartbeat, silence time.Duration) limits {
-	l := limits{maxFrame: maxFrame, heartbeat: heartbeat, silence: silence}
+// limitsWithDefaults returns the limits, with defaults for those not positive.
+func limitsWithDefaults(maxFrame int, heartbeatInterval, heartbeatTimeout time.Duration) connLimits {
+	l := connLimits{maxFrame: maxFrame, heartbeatInterval: heartbeatInterval, heartbeatTimeout: heartbeatTimeout}
 	if l.maxFrame <= 0 {
 		l.maxFrame = DefaultMaxFrame
 	}
-	if l.heartbeat <= 0 {
-		l.heartbeat = DefaultHeartbeat
+	if l.heartbeatInterval <= 0 {
+		l.heartbeatInterval = DefaultHeartbeatInterval
 	}
-	if l.silence <= 0 {
-		l.silence = max(DefaultSilence, 4*l.heartbeat)
+	if l.heartbeatTimeout <= 0 {
+		l.heartbeatTimeout = max(DefaultHeartbeatTimeout, 4*l.heartbeatInterval)
 	}
 	return l
 }
 
-func newConn(ctx context.Context, nc net.Conn, l limits, t *Traffic) *conn {
+func newConn(ctx context.Context, nc net.Conn, l connLimits, t *Traffic) *conn {
 	ctx, cancel := context.WithCancelCause(ctx)
 	return &conn{
-		nc:        nc,
-		br:        bufio.NewReader(&silenceReader{nc: nc, bound: l.silence}),
-		maxFrame:  l.maxFrame,
-		heartbeat: l.heartbeat,
-		traffic:   t,
-		out:       make(chan outgoing, outQueue),
-		ctx:       ctx,
-		cancel:    cancel,
+		nc:                nc,
+		br:                bufio.NewReader(&timeoutReader{nc: nc, timeout: l.heartbeatTimeout}),
+		maxFrame:          l.maxFrame,
+		heartbeatInterval: l.heartbeatInterval,
+		traffic:           t,
+		sendQueue:         make(chan outgoing, sendQueueLen),
+		ctx:               ctx,
+		cancel:            cancel,
 	}
 }
 
-// silenceReader gives each read the silence bound anew. The bound runs only
-// while the reader waits for the network: time that a handler takes is never
-// counted as silence of the peer.
-type silenceReader struct {
-	nc    net.Conn
-	bound time.Duration
+// timeoutReader applies the heartbeat timeout to each read. The timeout runs only
+// during a read, so the time that a handler takes does not count.
+type timeoutReader struct {
+	nc      net.Conn
+	timeout time.Duration
 }
 
-func (r *silenceReader) Read(p []byte) (int, error) {
-	if err := r.nc.SetReadDeadline(time.Now().Add(r.bound)); err != nil {
+func (r *timeoutReader) Read(p []byte) (int, error) {
+	if err := r.nc.SetReadDeadline(time.Now().Add(r.timeout)); err != nil {
 		return 0, err
 	}
 	n, err := r.nc.Read(p)
 	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		return n, ErrSilent
+		return n, ErrHeartbeatTimeout
 	}
 	return n, err
 }
 
-// readLoop hands each frame to dispatch until the connection ends, and returns
-// the cause.
+// readLoop passes each frame, with its size on the wire, to dispatch until the
+// connection ends, and returns the cause. Heartbeats are only counted.
 func (c *conn) readLoop(dispatch func(frame, int)) error {
 	for {
 		f, n, err := readFrame(c.br, c.maxFrame)
@@ -110,31 +110,31 @@
 	}
 }
 
-// writeLoop writes queued frames until the connection ends. It is the only
-// writer after the handshake. There is no bound on one write: if the peer
-// stops reading because the link is dead, its heartbeats stop too and the
-// reader ends the connection; if it lives and is slow, waiting is right.
+// writeLoop writes queued frames until the connection ends, and returns the cause.
+// It is the only writer after the handshake. It calls onTick at each heartbeat
+// interval. Writes have no deadline: an unreachable peer sends no heartbeats, so
+// the read side ends the connection, and a slow peer must not lose it.
 func (c *conn) writeLoop(notices <-chan outgoing, onTick func()) error {
 	bw := bufio.NewWriter(c.nc)
-	tick := time.NewTicker(c.heartbeat)
+	tick := time.NewTicker(c.heartbeatInterval)
 	defer tick.Stop()
-	quiet := true
+	idle := true
 	for {
 		var err error
 		select {
 		case <-c.ctx.Done():
 			return context.Cause(c.ctx)
-		case o := <-c.out:
+		case o := <-c.sendQueue:
 			err = c.writeBatch(bw, o, notices)
-			quiet = false
+			idle = false
 		case o := <-notices:
 			err = c.writeBatch(bw, o, notices)
-			quiet = false
+			idle = false
 		case <-tick.C:
-			if quiet {
+			if idle {
 				err = c.writeHeartbeat()
 			}
-			quiet = true
+			idle = true
 			onTick()
 		}
 		if err != nil {
@@ -143,14 +143,14 @@
 	}
 }
 
-// writeBatch writes o and whatever else is queued by now, then flushes once.
+// writeBatch writes o and all frames queued meanwhile, then flushes once.
 func (c *conn) writeBatch(bw *bufio.Writer, o outgoing, notices <-chan outgoing) error {
 	for {
 		if err := c.writeOne(bw, o); err != nil {
 			return err
 		}
 		select {
-		case o = <-c.out:
+		case o = <-c.sendQueue:
 			continue
 		default:
 		}
@@ -164,9 +164,9 @@
 }
 
 func (c *conn) writeOne(bw *bufio.Writer, o outgoing) error {
-	// A request is marked before its first byte can leave. Marked after the
-	// write, a call could run at the peer and be reported as surely not run,
-	// and its owner would repeat it elsewhere.
+	// A request is marked as written before its first byte can be sent.
+	// Otherwise a call that runs at the peer could be reported as
+	// ErrUnreachable, and its caller would repeat it elsewhere.
 	if o.call != nil && !o.call.beginWrite() {
 		return nil
 	}
@@ -185,32 +185,35 @@
 	return err
 }
 
-// send queues a frame for the writer. It waits while the queue is full and
-// fails only when the connection ends.
+// send queues a frame for the writer. It blocks while the queue is full and
+// returns an error only when the connection has ended.
 func (c *conn) send(o outgoing) error {
 	select {
-	case c.out <- o:
+	case c.sendQueue <- o:
 		return nil
 	case <-c.ctx.Done():
 		return context.Cause(c.ctx)
 	}
 }
 
-// pendingCall is one call that waits for its answer. The writer and the caller
-// race for its state: either the writer takes it first and the call may run, or
-// the caller withdraws it first and it surely doesn't.
+// pendingCall is a call without an answer yet. The writer and the caller compete
+// for its state: if the writer takes it first, the call may run; if the caller
+// withdraws it first, the call is never sent.
 type pendingCall struct {
 	method string
 	state  atomic.Int32
-	answer chan frame // buffered, one answer
+	answer chan frame // capacity 1, so that dispatch never blocks
 }
 
+// States of a pendingCall.
 const (
 	callQueued int32 = iota
 	callWritten
 	callWithdrawn
 )
 
+// beginWrite reports whether the writer may send the call.
 func (p *pendingCall) beginWrite() bool { return p.state.CompareAndSwap(callQueued, callWritten) }
 
+// withdraw reports whether the call was withdrawn before it was written.
 func (p *pendingCall) withdraw() bool { return p.state.CompareAndSwap(callQueued, callWithdrawn) }
--- a/link/hello.go
+++ b/link/hello.go
@@ -11,42 +11,44 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// PeerInfo says who is at the other end of a connection, as that end states it
-// in its hello.
+// PeerInfo describes one end of a connection, as that end states it in its hello.
 type PeerInfo struct {
 	ID          string `msgpack:"id"`
 	Incarnation uint64 `msgpack:"inc"`
-	Address     string `msgpack:"addr"` // host:port on which it takes links; may be empty
+	Address     string `msgpack:"addr"` // host:port on which it accepts connections; may be empty
 	Role        string `msgpack:"role"` // "entry", "control", or a tool's name
 }
 
 const (
-	nonceSize    = 16
-	maxHandshake = 4 << 10 // bytes of one frame before the peer has proved itself
-	roleDialler  = "dialler"
-	roleListener = "listener"
+	nonceBytes        = 16
+	maxHandshakeBytes = 4 << 10 // payload limit of a frame before the peer is authenticated
+	roleDialler       = "dialler"
+	roleListener      = "listener"
 )
 
+// hello is the body of the first frame of each end.
 type hello struct {
 	Peer  PeerInfo `msgpack:"peer"`
 	Nonce []byte   `msgpack:"nonce"`
 }
 
-// reject tells the other side why its handshake failed, so that the log of
-// either end names the cause and not only a closed connection.
+// reject is the body of the frame that reports a failed handshake to the other
+// end, so that the logs of both ends name the cause.
 type reject struct {
 	Code    string `msgpack:"code"`
 	Message string `msgpack:"message"`
 }
 
+// Codes of a reject.
 const (
 	rejectKey     = "wrong_key"
 	rejectVersion = "wrong_version"
 	rejectFrame   = "bad_frame"
 )
 
-func newHello(self PeerInfo) ([]byte, error) {
-	nonce := make([]byte, nonceSize)
+// encodeHello returns the encoded hello of self with a new nonce.
+func encodeHello(self PeerInfo) ([]byte, error) {
+	nonce := make([]byte, nonceBytes)
 	if _, err := rand.Read(nonce); err != nil {
 		return nil, err
 	}
@@ -58,15 +60,16 @@
 	if err := Unmarshal(body, &h); err != nil {
 		return h, fmt.Errorf("hello: %w: %w", ErrMalformed, err)
 	}
-	if len(h.Nonce) != nonceSize {
+	if len(h.Nonce) != nonceBytes {
 		return h, fmt.Errorf("nonce of %d bytes: %w", len(h.Nonce), ErrMalformed)
 	}
 	return h, nil
 }
 
-// proof is the MAC over both hellos. The role goes in first: without it a
-// stranger could send an end its own proof back and pass.
-func proof(key []byte, role string, dialler, listener []byte) []byte {
+// computeProof returns the MAC over both hellos that the end with the given role
+// sends. The MAC includes the role: otherwise a peer without the key could pass by
+// sending an end its own proof back (reflection attack).
+func computeProof(key []byte, role string, dialler, listener []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(role))
 	var size [4]byte
@@ -77,70 +80,71 @@
 	return mac.Sum(nil)
 }
 
-// dialHandshake runs the dialling side: hello out, hello and proof in, proof
-// out, welcome in.
+// dialHandshake runs the handshake of the dialling end: it sends its hello,
+// receives the peer's hello and proof, sends its proof and receives the welcome.
+// The PeerInfo is that of the peer, also on an error after its hello.
 func dialHandshake(c *conn, self PeerInfo, key []byte) (PeerInfo, error) {
-	mine, err := newHello(self)
+	ownHello, err := encodeHello(self)
 	if err != nil {
 		return PeerInfo{}, err
 	}
-	if err := c.handshakeSend(kindHello, mine); err != nil {
+	if err := c.handshakeSend(kindHello, ownHello); err != nil {
 		return PeerInfo{}, err
 	}
-	theirs, err := c.handshakeReceive(kindHello)
+	peerHello, err := c.handshakeReceive(kindHello)
 	if err != nil {
 		return PeerInfo{}, err
 	}
-	h, err := parseHello(theirs)
+	h, err := parseHello(peerHello)
 	if err != nil {
-		return PeerInfo{}, c.refuse(err)
+		return PeerInfo{}, c.sendReject(err)
 	}
-	got, err := c.handshakeReceive(kindProof)
+	peerProof, err := c.handshakeReceive(kindProof)
 	if err != nil {
 		return h.Peer, err
 	}
-	if !hmac.Equal(got, proof(key, roleListener, mine, theirs)) {
-		return h.Peer, c.refuse(ErrWrongKey)
+	if !hmac.Equal(peerProof, computeProof(key, roleListener, ownHello, peerHello)) {
+		return h.Peer, c.sendReject(ErrWrongKey)
 	}
-	if err := c.handshakeSend(kindProof, proof(key, roleDialler, mine, theirs)); err != nil {
+	if err := c.handshakeSend(kindProof, computeProof(key, roleDialler, ownHello, peerHello)); err != nil {
 		return h.Peer, err
 	}
 	_, err = c.handshakeReceive(kindWelcome)
 	return h.Peer, err
 }
 
-// listenHandshake runs the accepting side.
+// listenHandshake runs the handshake of the accepting end; see dialHandshake.
 func listenHandshake(c *conn, self PeerInfo, key []byte) (PeerInfo, error) {
-	theirs, err := c.handshakeReceive(kindHello)
+	peerHello, err := c.handshakeReceive(kindHello)
 	if err != nil {
-		return PeerInfo{}, c.refuse(err)
+		return PeerInfo{}, c.sendReject(err)
 	}
-	h, err := parseHello(theirs)
+	h, err := parseHello(peerHello)
 	if err != nil {
-		return PeerInfo{}, c.refuse(err)
+		return PeerInfo{}, c.sendReject(err)
 	}
-	mine, err := newHello(self)
+	ownHello, err := encodeHello(self)
 	if err != nil {
 		return h.Peer, err
 	}
-	if err := c.handshakeSend(kindHello, mine); err != nil {
+	if err := c.handshakeSend(kindHello, ownHello); err != nil {
 		return h.Peer, err
 	}
-	if err := c.handshakeSend(kindProof, proof(key, roleListener, theirs, mine)); err != nil {
+	if err := c.handshakeSend(kindProof, computeProof(key, roleListener, peerHello, ownHello)); err != nil {
 		return h.Peer, err
 	}
-	got, err := c.handshakeReceive(kindProof)
+	peerProof, err := c.handshakeReceive(kindProof)
 	if err != nil {
-		return h.Peer, c.refuse(err)
+		return h.Peer, c.sendReject(err)
 	}
-	if !hmac.Equal(got, proof(key, roleDialler, theirs, mine)) {
-		return h.Peer, c.refuse(ErrWrongKey)
+	if !hmac.Equal(peerProof, computeProof(key, roleDialler, peerHello, ownHello)) {
+		return h.Peer, c.sendReject(ErrWrongKey)
 	}
 	return h.Peer, c.handshakeSend(kindWelcome, nil)
 }
 
 func (c *conn) handshakeSend(k kind, body []byte) error {
-	buf, err := appendFrame(nil, frame{kind: k, body: body}, maxHandshake)
+	buf, err := appendFrame(nil, frame{kind: k, body: body}, maxHandshakeBytes)
 	if err != nil {
 		return err
 	}
@@ -151,16 +155,16 @@
 	return nil
 }
 
-// handshakeReceive reads one frame and accepts only the kind that is due: a
-// request that comes ahead of the proof is an error, not a request.
+// handshakeReceive reads one frame and returns its body. Any kind other than the
+// expected one is an error, so no request or notice is accepted before the proof.
 func (c *conn) handshakeReceive(want kind) ([]byte, error) {
-	f, n, err := readFrame(c.br, min(maxHandshake, c.maxFrame))
+	f, n, err := readFrame(c.br, min(maxHandshakeBytes, c.maxFrame))
 	if err != nil {
 		return nil, err
 	}
 	c.traffic.received(MethodHandshake, n)
 	if f.kind == kindReject {
-		return nil, rejectedError(f.body)
+		return nil, parseReject(f.body)
 	}
 	if f.kind != want {
 		return nil, fmt.Errorf("kind %d before the handshake was done: %w", f.kind, ErrMalformed)
@@ -168,9 +172,9 @@
 	return f.body, nil
 }
 
-// refuse tells the other side the cause, as far as it can still be told, and
-// returns err.
-func (c *conn) refuse(err error) error {
+// sendReject reports err to the other end, if err has a reject code, and returns
+// err.
+func (c *conn) sendReject(err error) error {
 	r := reject{Code: rejectFrame, Message: err.Error()}
 	var version *VersionError
 	switch {
@@ -186,12 +190,13 @@
 	if encodeErr != nil {
 		return err
 	}
-	// The handshake has failed already: a failed write adds nothing to err.
+	// err already reports the failed handshake; a write error adds nothing.
 	_ = c.handshakeSend(kindReject, body)
 	return err
 }
 
-func rejectedError(body []byte) error {
+// parseReject returns the error that a reject frame reports.
+func parseReject(body []byte) error {
 	var r reject
 	if err := Unmarshal(body, &r); err != nil {
 		return fmt.Errorf("reject: %w: %w", ErrMalformed, err)
--- a/link/peer.go
+++ b/link/peer.go
@@ -8,41 +8,43 @@
 	"time"
 )
 
-// peer is one address: its connection, or the attempt at one, and the notices
-// that wait for it.
+// peer is one address with its connection or dial attempt, and the notices queued
+// for it.
 type peer struct {
-	pool    *Pool
-	addr    string
-	notices chan outgoing
-	used    atomic.Int64 // unix nanoseconds of the last call or notice
-	live    atomic.Bool  // a connection or an attempt at one exists
-
-	mu       sync.Mutex // guards all below
-	conn     *clientConn
-	attempt  *attempt // not nil while dialling
-	failures int      // failed dials in a row
-	notUntil time.Time
-	lastErr  error
+	pool     *Pool
+	addr     string
+	notices  chan outgoing
+	lastUsed atomic.Int64 // last call or notice, in Unix nanoseconds
+	active   atomic.Bool  // a connection or a dial attempt exists
+
+	mu          sync.Mutex // guards the fields below
+	conn        *clientConn
+	dialing     *dialAttempt // nil if no dial is in progress
+	failedDials int          // consecutive
+	nextDial    time.Time    // no dial before it, after a failed one
+	dialErr     error        // of the last dial
 }
 
-func (pr *peer) touch() { pr.used.Store(time.Now().UnixNano()) }
+// touch records a use of the peer.
+func (pr *peer) touch() { pr.lastUsed.Store(time.Now().UnixNano()) }
 
-func (pr *peer) idle() time.Duration {
-	return time.Duration(time.Now().UnixNano() - pr.used.Load())
+// idleTime returns the time since the last use.
+func (pr *peer) idleTime() time.Duration {
+	return time.Duration(time.Now().UnixNano() - pr.lastUsed.Load())
 }
 
-// attempt is one dial that several callers may wait for.
-type attempt struct {
+// dialAttempt is one dial; several callers may wait for it.
+type dialAttempt struct {
 	done chan struct{}
-	conn *clientConn // set before done is closed, with err
+	conn *clientConn // conn and err are set before done is closed
 	err  error
 }
 
-// connect returns the live connection, or joins or starts a dial. During the
-// pause after a failed dial it fails at once with the last error: the caller
-// may know another address, and waiting would only use up its deadline.
+// connect returns the open connection, or waits for a dial in progress or a new
+// one. During the backoff after a failed dial it returns the last error at once,
+// so that the caller can try another address before its deadline.
 func (pr *peer) connect(ctx context.Context) (*clientConn, error) {
-	c, a, err := pr.begin()
+	c, a, err := pr.connOrDial()
 	if c != nil || err != nil {
 		return c, err
 	}
@@ -54,36 +56,36 @@
 	}
 }
 
-// begin returns the connection, or the attempt to wait for, or the error of
-// the last dial while its pause runs.
-func (pr *peer) begin() (*clientConn, *attempt, error) {
+// connOrDial returns the open connection, or the dial attempt to wait for, which it
+// starts if there is none, or the error of the last dial during the backoff.
+func (pr *peer) connOrDial() (*clientConn, *dialAttempt, error) {
 	pr.mu.Lock()
-	if pr.conn != nil && pr.conn.open() {
+	if pr.conn != nil && pr.conn.isOpen() {
 		defer pr.mu.Unlock()
 		return pr.conn, nil, nil
 	}
-	if pr.attempt != nil {
+	if pr.dialing != nil {
 		defer pr.mu.Unlock()
-		return nil, pr.attempt, nil
+		return nil, pr.dialing, nil
 	}
-	if pr.lastErr != nil && time.Now().Before(pr.notUntil) {
+	if pr.dialErr != nil && time.Now().Before(pr.nextDial) {
 		defer pr.mu.Unlock()
-		return nil, nil, pr.lastErr
+		return nil, nil, pr.dialErr
 	}
-	a := &attempt{done: make(chan struct{})}
-	pr.attempt = a
-	pr.live.Store(true)
+	a := &dialAttempt{done: make(chan struct{})}
+	pr.dialing = a
+	pr.active.Store(true)
 	pr.mu.Unlock()
-	if !pr.pool.start(func() { pr.run(a) }) {
-		pr.finish(a, nil, ErrClosed)
+	if !pr.pool.goUnlessClosed(func() { pr.dialAndServe(a) }) {
+		pr.finishDial(a, nil, ErrClosed)
 	}
 	return nil, a, nil
 }
 
-// run dials, and then serves the connection until it ends.
-func (pr *peer) run(a *attempt) {
+// dialAndServe dials, then serves the connection until it ends.
+func (pr *peer) dialAndServe(a *dialAttempt) {
 	c, err := pr.dial()
-	pr.finish(a, c, err)
+	pr.finishDial(a, c, err)
 	if err != nil {
 		pr.dropNotices()
 		return
@@ -91,40 +93,42 @@
 	c.run()
 }
 
-func (pr *peer) finish(a *attempt, c *clientConn, err error) {
+// finishDial records the result of a dial and wakes those who wait for it.
+func (pr *peer) finishDial(a *dialAttempt, c *clientConn, err error) {
 	pr.mu.Lock()
-	pr.live.Store(err == nil)
-	pr.attempt = nil
+	pr.active.Store(err == nil)
+	pr.dialing = nil
 	pr.conn = c
-	pr.lastErr = err
+	pr.dialErr = err
 	if err == nil {
-		pr.failures = 0
+		pr.failedDials = 0
 	} else {
-		pr.notUntil = time.Now().Add(pr.backoff())
-		pr.failures++
+		pr.nextDial = time.Now().Add(pr.backoff())
+		pr.failedDials++
 	}
 	pr.mu.Unlock()
 	a.conn, a.err = c, err
 	close(a.done)
 }
 
-// backoff doubles with each failure and is drawn from the upper half of its
-// range. Without the jitter all instances that lost a peer at one moment would
-// dial it again at one moment, just as it starts.
+// backoff returns the delay before the next dial. It doubles with each failure, up
+// to BackoffMax, and is drawn from the upper half of its range: without jitter all
+// instances that lost the same peer would dial it at the same moment.
 func (pr *peer) backoff() time.Duration {
 	cfg := pr.pool.cfg
 	d := cfg.BackoffMax
-	if pr.failures < 16 {
-		d = min(cfg.BackoffMin<<pr.failures, cfg.BackoffMax)
+	if pr.failedDials < 16 {
+		d = min(cfg.BackoffMin<<pr.failedDials, cfg.BackoffMax)
 	}
 	return d/2 + time.Duration(pr.pool.jitter()*float64(d/2))
 }
 
+// dial connects and runs the handshake, both within the heartbeat timeout.
 func (pr *peer) dial() (*clientConn, error) {
 	p := pr.pool
-	ctx, cancel := context.WithTimeout(p.ctx, p.limits.silence)
+	ctx, cancel := context.WithTimeout(p.ctx, p.limits.heartbeatTimeout)
 	defer cancel()
-	nc, err := openConn(ctx, p.dial, pr.addr)
+	nc, err := dialWithRetry(ctx, p.dial, pr.addr)
 	if err != nil {
 		return nil, &CallError{Step: StepDial, Peer: pr.addr, Kind: ErrUnreachable, Cause: err}
 	}
@@ -132,7 +136,7 @@
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	info, err := dialHandshake(c, p.cfg.Self, p.cfg.ClusterKey)
 	if err == nil && !stop() {
-		err = ErrSilent
+		err = ErrHeartbeatTimeout
 	}
 	if err != nil {
 		stop()
@@ -144,29 +148,29 @@
 	return newClientConn(c, pr, info), nil
 }
 
-// firstTry is how long a first connect may take before it is begun anew: several
-// round trips between regions. Each further one has twice as long.
-const firstTry = 250 * time.Millisecond
+// firstConnectTimeout bounds the first connect attempt: several round trips
+// between regions. Each further attempt has twice the timeout of the last.
+const firstConnectTimeout = 250 * time.Millisecond
 
-// openConn connects, and begins anew where there is no answer.
+// dialWithRetry connects to addr, and dials again when an attempt times out.
 //
 // The first packet to an instance that is just starting is lost, and the kernel
-// sends it again only a second later. After a power failure the processes that are
-// back first would wait that long for those that are back a moment later.
-func openConn(ctx context.Context, dial func(context.Context, string) (net.Conn, error), addr string) (net.Conn, error) {
-	for limit := firstTry; ; limit *= 2 {
-		tryCtx, cancel := context.WithTimeout(ctx, limit)
-		nc, err := dial(tryCtx, addr)
-		unanswered := tryCtx.Err() != nil
+// retransmits it only after a second. Without own retries, processes that restart
+// together would wait that long for one that starts slightly later.
+func dialWithRetry(ctx context.Context, dial func(context.Context, string) (net.Conn, error), addr string) (net.Conn, error) {
+	for timeout := firstConnectTimeout; ; timeout *= 2 {
+		attemptCtx, cancel := context.WithTimeout(ctx, timeout)
+		nc, err := dial(attemptCtx, addr)
+		timedOut := attemptCtx.Err() != nil
 		cancel()
-		if err == nil || !unanswered || ctx.Err() != nil {
+		if err == nil || !timedOut || ctx.Err() != nil {
 			return nc, err
 		}
 	}
 }
 
-// dropNotices empties the queue after a failed dial: what waited there is old
-// by the time the peer is back.
+// dropNotices empties the notice queue after a failed dial: the notices would be
+// outdated by the time the peer is reachable.
 func (pr *peer) dropNotices() {
 	for {
 		select {
@@ -177,19 +181,19 @@
 	}
 }
 
-// ended marks the peer as without connection, unless a new one exists already.
-func (pr *peer) ended(c *clientConn) {
+// clearConn removes c, which has ended, unless a new dial has already started.
+func (pr *peer) clearConn(c *clientConn) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	if pr.conn == c && pr.attempt == nil {
+	if pr.conn == c && pr.dialing == nil {
 		pr.conn = nil
-		pr.live.Store(false)
+		pr.active.Store(false)
 	}
 }
 
-// redialForNotices dials again if notices came in while the connection ended.
+// redialForNotices dials again if notices were queued while the connection ended.
 func (pr *peer) redialForNotices() {
 	if len(pr.notices) > 0 && pr.pool.ctx.Err() == nil {
-		_, _, _ = pr.begin()
+		_, _, _ = pr.connOrDial()
 	}
 }
