--- a/link/errors.go
+++ b/link/errors.go
@@ -17,8 +17,7 @@
 	ErrBusy = errors.New("queue to the peer is full")
 	// ErrClosed: the pool has been closed.
 	ErrClosed = errors.New("pool is closed")
-	// ErrHeartbeatTimeout: nothing was received within the heartbeat timeout, or
-	// the handshake was not complete within it.
+	// ErrHeartbeatTimeout: nothing was received within the heartbeat timeout.
 	ErrHeartbeatTimeout = errors.New("nothing received within the heartbeat timeout")
 	// ErrWrongKey: the two ends do not hold the same cluster key.
 	ErrWrongKey = errors.New("wrong cluster key")
