--- a/entry/lane.go
+++ b/entry/lane.go
@@ -117,7 +117,7 @@
 	}
 	item := itemOf(t.request, t.weight, now)
 	item.Deadline = l.latestStart(t.request, now)
-	l.starter.Seen(now, &item)
+	l.starter.ObserveArrival(now, &item)
 	verdict := l.queue.Push(now, item)
 	for _, item := range verdict.Evicted {
 		l.refuse(item.ID, l.fullProblem(item.Workspace, now))
@@ -164,7 +164,7 @@
 // is held.
 func (l *lane) free(now time.Time) queue.Slots {
 	turn := l.number + int(now.Unix())
-	s := queue.Slots{Entries: l.entries, Entry: l.number, Report: int(now.Unix())}
+	s := queue.Slots{Entries: l.entries, EntryNumber: l.number, ReportNumber: int(now.Unix())}
 	l.occupancies = l.router.Occupancies(l.occupancies[:0], now)
 	l.parts = l.parts[:0]
 	for _, o := range l.occupancies {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -201,7 +201,7 @@
 	c.rank = j.rank()
 	if ok && !j.begun {
 		c.rank, c.urgency = urgency.Decide(urgency.Request{
-			Rank: c.rank, Objective: j.route.Objective, Waited: j.age(req.Now), Expected: c.verdict.Score, PrefillTime: c.read, Retried: j.late,
+			Rank: c.rank, Objective: j.route.Objective, Waited: j.age(req.Now), ExpectedWait: c.verdict.Score, PrefillTime: c.read, Retried: j.late,
 		})
 	}
 	return c, ok
--- a/policy/admit/admitter_test.go
+++ b/policy/admit/admitter_test.go
@@ -247,7 +247,7 @@
 	assert.Equal(t, 300*time.Millisecond, e.FirstToken)
 	e = d.Estimate(now, queue.Backlog{Ahead: 1_000, Total: 1_100, Share: 0.1})
 	assert.InDelta(t, 0.23, e.Wait.Seconds(), 0.01, "all work is less than its own divided by its share")
-	e = d.Estimate(now, queue.Backlog{Total: 5_000, Share: 0.5, Lasting: 0.1, Others: 4})
+	e = d.Estimate(now, queue.Backlog{Total: 5_000, Share: 0.5, LastingShare: 0.1, OtherWorkspaces: 4})
 	assert.InDelta(t, 0.05+p95Deviations*0.0224, e.WaitP95.Seconds(), 0.01, "one request of each other workspace may start first")
 	e = d.Estimate(now, queue.Backlog{Ahead: 1_000, Total: 1_000, Share: 0.5, Starts: true})
 	assert.Zero(t, e.Wait)
--- a/policy/admit/drain.go
+++ b/policy/admit/drain.go
@@ -156,11 +156,11 @@
 	interval := d.requestTokens.value / rate
 	starts := min(float64(backlog.Ahead)/backlog.Share, float64(backlog.Total))/d.requestTokens.value + 1
 	e.Wait = secondsToDuration(starts * interval)
-	lastingShare := backlog.Lasting
+	lastingShare := backlog.LastingShare
 	if lastingShare == 0 {
 		lastingShare = backlog.Share
 	}
-	starts = float64(backlog.Ahead)/lastingShare/d.requestTokens.value + float64(backlog.Others) + 1
+	starts = float64(backlog.Ahead)/lastingShare/d.requestTokens.value + float64(backlog.OtherWorkspaces) + 1
 	e.WaitP95 = secondsToDuration((starts + p95Deviations*math.Sqrt(starts)) * interval)
 	return e
 }
--- a/policy/patience/patience.go
+++ b/policy/patience/patience.go
@@ -20,78 +20,78 @@
 )
 
 const (
-	// usualPart and upperPart say which of the callers stand for those at their first
+	// lowerLevel and upperPart say which of the callers stand for those at their first
 	// try: so many of them have less time left. The lowest ones have come back.
-	usualPart = 0.3
-	upperPart = 0.7
-	// beyond is how far below the usual time the least patient callers are taken to lie,
+	lowerLevel = 0.3
+	upperLevel = 0.7
+	// extrapolationFactor is how far below the usual time the least patient callers are taken to lie,
 	// in parts of the distance between usual and upper. Where callers differ evenly it is
 	// 0.75; with less, those that came back soonest are told as well.
-	beyond = 0.55
-	// step is by which part of itself the usual time moves with each request. It settles
+	extrapolationFactor = 0.55
+	// stepFraction is by which part of itself the usual time moves with each request. It settles
 	// within some hundred and passes over a burst of callers that come back.
-	step = 0.005
-	// lateStep is the part of a step by which those move it that are taken to have come
+	stepFraction = 0.005
+	// lateStepFactor is the part of a step by which those move it that are taken to have come
 	// back. They must not pull it down to where they pass for fresh ones; where all
 	// callers wait less than before, it is found within some thousand requests.
-	lateStep = 0.2
+	lateStepFactor = 0.2
 )
 
 // Estimator holds how long callers usually wait, by route.
 type Estimator struct {
-	routes map[string]*callers
+	routes map[string]*routeEstimate
 }
 
-// callers is how long those of one route wait, from their first try.
-type callers struct {
-	usual, upper time.Duration
+// routeEstimate is how long those of one route wait, from their first try.
+type routeEstimate struct {
+	lower, upper time.Duration
 }
 
-// least is what the least patient caller at its first try has left. Where callers differ
+// minFirstTry is what the minFirstTry patient caller at its first try has left. Where callers differ
 // by more than their objective, as with long answers, one that waits less than most is
 // no sign that it has come back.
-func (c *callers) least() time.Duration {
-	return c.usual - time.Duration(beyond*float64(max(c.upper-c.usual, 0)))
+func (c *routeEstimate) minFirstTry() time.Duration {
+	return c.lower - time.Duration(extrapolationFactor*float64(max(c.upper-c.lower, 0)))
 }
 
 // NewEstimator returns an Estimator that knows no route.
-func NewEstimator() *Estimator { return &Estimator{routes: make(map[string]*callers)} }
+func NewEstimator() *Estimator { return &Estimator{routes: make(map[string]*routeEstimate)} }
 
 // ObjectivePassed takes a request's time left and reports whether its objective has passed since
 // the caller's first try, as far as that can be told. 0 left: the caller does not say.
-func (b *Estimator) ObjectivePassed(route string, left, objective time.Duration) bool {
-	if left <= 0 {
+func (b *Estimator) ObjectivePassed(route string, remaining, objective time.Duration) bool {
+	if remaining <= 0 {
 		return false
 	}
 	c := b.routes[route]
 	if c == nil {
-		b.routes[route] = &callers{usual: left, upper: left}
+		b.routes[route] = &routeEstimate{lower: remaining, upper: remaining}
 		return false
 	}
-	if left+objective < c.least() {
-		c.shift(-step * lateStep * (1 - usualPart))
+	if remaining+objective < c.minFirstTry() {
+		c.scale(-stepFraction * lateStepFactor * (1 - lowerLevel))
 		return true
 	}
-	c.usual = towards(c.usual, left, usualPart)
-	c.upper = towards(c.upper, left, upperPart)
+	c.lower = stepQuantile(c.lower, remaining, lowerLevel)
+	c.upper = stepQuantile(c.upper, remaining, upperLevel)
 	return false
 }
 
-// shift moves both by a part of the usual time.
-func (c *callers) shift(part float64) {
-	move := time.Duration(part * float64(c.usual))
-	c.usual += move
-	c.upper += move
+// scale moves both by a part of the usual time.
+func (c *routeEstimate) scale(change float64) {
+	delta := time.Duration(change * float64(c.lower))
+	c.lower += delta
+	c.upper += delta
 }
 
-// towards moves a quantile by a step: up where a value is above it, down where it is
+// stepQuantile moves a quantile by a step: up where a value is above it, down where it is
 // below, so that it settles where this part of the values is below.
-func towards(quantile, value time.Duration, part float64) time.Duration {
-	move := step * part
-	if value < quantile {
-		move = -step * (1 - part)
+func stepQuantile(estimate, value time.Duration, level float64) time.Duration {
+	change := stepFraction * level
+	if value < estimate {
+		change = -stepFraction * (1 - level)
 	}
-	return quantile + time.Duration(move*float64(quantile))
+	return estimate + time.Duration(change*float64(estimate))
 }
 
 // Retain drops all routes but these.
--- a/policy/policytest/decided.go
+++ b/policy/policytest/decided.go
@@ -44,7 +44,7 @@
 
 func (l *fairLine) Push(now time.Time, j *Job) []*Job {
 	it := item(j)
-	l.starter.Seen(now, &it)
+	l.starter.ObserveArrival(now, &it)
 	l.jobs[it.ID] = j
 	v := l.queue.Push(now, it)
 	var out []*Job
--- a/policy/policytest/model.go
+++ b/policy/policytest/model.go
@@ -205,7 +205,7 @@
 
 // slots sums up the view.
 func (e *entry) slots(entries int) queue.Slots {
-	s := queue.Slots{Entries: entries, Entry: e.number, Report: e.report}
+	s := queue.Slots{Entries: entries, EntryNumber: e.number, ReportNumber: e.report}
 	for _, v := range e.view {
 		if !v.Alive {
 			continue
--- a/policy/queue/config.go
+++ b/policy/queue/config.go
@@ -80,18 +80,18 @@
 	)
 }
 
-// urgency is the instant by which an item is ordered within its class: its
-// deadline, no further off than Horizon, put back by its length. Every urgency
+// effectiveDeadline is the instant by which an item is ordered within its class: its
+// deadline, no further off than Horizon, put back by its length. Every effectiveDeadline
 // lies within Horizon+LongMax of the item's arrival, hence anything that
 // arrives later than that sorts behind it: no item of the class starves.
-func (c *Config) urgency(i *Item) time.Time {
+func (c *Config) effectiveDeadline(i *Item) time.Time {
 	due := i.Enqueued.Add(c.Horizon)
 	if !i.Deadline.IsZero() && i.Deadline.Before(due) {
 		due = i.Deadline
 	}
-	long := time.Duration(float64(i.Cost) / c.LongRate * float64(time.Second))
-	if long > c.LongMax || long < 0 {
-		long = c.LongMax
+	lengthDelay := time.Duration(float64(i.Cost) / c.LongRate * float64(time.Second))
+	if lengthDelay > c.LongMax || lengthDelay < 0 {
+		lengthDelay = c.LongMax
 	}
-	return due.Add(long)
+	return due.Add(lengthDelay)
 }
--- a/policy/queue/flow.go
+++ b/policy/queue/flow.go
@@ -2,65 +2,65 @@
 
 import "time"
 
-const classes = 3 // contract.Class.Rank returns 0, 1 or 2
+const numClasses = 3 // contract.Class.Rank returns 0, 1 or 2
 
 // flow is one workspace's part of the queue.
 type flow struct {
-	workspace string
-	weight    int64
-	lanes     [classes]lane
-	items     int
-	tokens    int64
+	workspace   string
+	weight      int64
+	classQueues [numClasses]classQueue
+	items       int
+	tokens      int64
 
-	// start is the virtual time at which the workspace's next item would
-	// start, in tokens per unit of weight.
-	start float64
+	// virtualStart is the virtual time at which the workspace's next item would
+	// virtualStart, in tokens per unit of weight.
+	virtualStart float64
 
-	// owed is what Charge has added since the next item took its place.
-	owed float64
+	// pendingCharge is what Charge has added since the next item took its place.
+	pendingCharge float64
 
-	// repay is how many tokens of more urgent classes have to start before the
+	// agedDebt is how many tokens of more urgent classes have to start before the
 	// next aged item may start ahead of them.
-	repay float64
+	agedDebt float64
 
-	started int64 // tokens of items that have been popped, as corrected by Charge
-	evicted int64 // items that made room for others
+	startedTokens int64 // tokens of items that have been popped, as corrected by Charge
+	evictedItems  int64 // items that made room for others
 
 	readyIndex int // in Queue.ready; -1: nothing waits
 	loadIndex  int // in Queue.load; -1: nothing waits
 }
 
-// lane holds the items of one class, by urgency and by arrival.
-type lane struct {
-	byUrgency indexedHeap[waiter]
-	oldest    *waiter
-	newest    *waiter
-	tokens    int64
+// classQueue holds the items of one class, by urgency and by arrival.
+type classQueue struct {
+	byDeadline indexedHeap[waiter]
+	oldest     *waiter
+	newest     *waiter
+	tokens     int64
 }
 
-func newFlow(workspace string, start float64) *flow {
-	f := &flow{workspace: workspace, weight: 1, start: start, readyIndex: -1, loadIndex: -1}
-	for i := range f.lanes {
-		f.lanes[i].byUrgency = indexedHeap[waiter]{less: moreUrgent, index: laneIndex}
+func newFlow(workspace string, virtualStart float64) *flow {
+	f := &flow{workspace: workspace, weight: 1, virtualStart: virtualStart, readyIndex: -1, loadIndex: -1}
+	for i := range f.classQueues {
+		f.classQueues[i].byDeadline = indexedHeap[waiter]{less: earlierEffectiveDeadline, index: classIndex}
 	}
 	return f
 }
 
-func moreUrgent(a, b *waiter) bool {
-	if !a.urgency.Equal(b.urgency) {
-		return a.urgency.Before(b.urgency)
+func earlierEffectiveDeadline(a, b *waiter) bool {
+	if !a.effectiveDeadline.Equal(b.effectiveDeadline) {
+		return a.effectiveDeadline.Before(b.effectiveDeadline)
 	}
 	return a.sequence < b.sequence
 }
 
-func laneIndex(e *waiter) *int     { return &e.laneIndex }
+func classIndex(e *waiter) *int    { return &e.classIndex }
 func deadlineIndex(e *waiter) *int { return &e.deadlineIndex }
 func readyIndex(f *flow) *int      { return &f.readyIndex }
 func loadIndex(f *flow) *int       { return &f.loadIndex }
 
 func (f *flow) add(e *waiter) {
-	l := &f.lanes[e.rank]
-	l.byUrgency.push(e)
+	l := &f.classQueues[e.rank]
+	l.byDeadline.push(e)
 	e.older = l.newest
 	if l.newest != nil {
 		l.newest.newer = e
@@ -73,9 +73,9 @@
 	f.tokens += e.item.Cost
 }
 
-func (f *flow) drop(e *waiter) {
-	l := &f.lanes[e.rank]
-	l.byUrgency.remove(e)
+func (f *flow) remove(e *waiter) {
+	l := &f.classQueues[e.rank]
+	l.byDeadline.remove(e)
 	if e.older != nil {
 		e.older.newer = e.newer
 	} else {
@@ -92,11 +92,11 @@
 	f.tokens -= e.item.Cost
 }
 
-// least returns the item that the workspace can best do without: the newest
+// evictionCandidate returns the item that the workspace can best do without: the newest
 // of its lowest class, or nil if it holds resumed items only.
-func (f *flow) least() *waiter {
-	for rank := classes - 1; rank >= 0; rank-- {
-		for e := f.lanes[rank].newest; e != nil; e = e.older {
+func (f *flow) evictionCandidate() *waiter {
+	for rank := numClasses - 1; rank >= 0; rank-- {
+		for e := f.classQueues[rank].newest; e != nil; e = e.older {
 			if !e.item.Resumed {
 				return e
 			}
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// overShare orders flows by what they hold for their weight, the largest first.
-func overShare(a, b *flow) bool {
+// moreItemsForWeight orders flows by what they hold for their weight, the largest first.
+func moreItemsForWeight(a, b *flow) bool {
 	left, right := int64(a.items)*b.weight, int64(b.items)*a.weight
 	if left != right {
 		return left > right
@@ -114,61 +114,61 @@
 	return a.workspace < b.workspace
 }
 
-func startsEarlier(a, b *flow) bool {
-	if a.start != b.start {
-		return a.start < b.start
+func earlierVirtualStart(a, b *flow) bool {
+	if a.virtualStart != b.virtualStart {
+		return a.virtualStart < b.virtualStart
 	}
 	return a.workspace < b.workspace
 }
 
 // search is one look for an item that can run.
 type search struct {
-	now   time.Time
-	cfg   *Config
-	judge func(*Item) Eligibility
-	last  Eligibility // what judge said last
+	now         time.Time
+	cfg         *Config
+	eligibility func(*Item) Eligibility
+	lastResult  Eligibility // what judge said last
 }
 
-func (s *search) runs(e *waiter) bool {
-	s.last = s.judge(&e.item)
-	return s.last == Runs
+func (s *search) canRun(e *waiter) bool {
+	s.lastResult = s.eligibility(&e.item)
+	return s.lastResult == Runs
 }
 
-// over reports whether the rest of the workspace need not be searched.
-func (s *search) over() bool { return s.last >= WorkspaceWaits }
+// skipsWorkspace reports whether the rest of the workspace need not be searched.
+func (s *search) skipsWorkspace() bool { return s.lastResult >= WorkspaceWaits }
 
-// pick returns the flow's next item that can run, or nil. An aged item of a
+// next returns the flow's next item that can run, or nil. An aged item of a
 // lower class comes first if the workspace's more urgent work has been repaid
 // for the last one.
-func (f *flow) pick(s *search) (e *waiter, aged bool) {
-	s.last = Waits
-	if f.repay <= 0 {
-		if e := f.pickAged(s); e != nil {
+func (f *flow) next(s *search) (e *waiter, aged bool) {
+	s.lastResult = Waits
+	if f.agedDebt <= 0 {
+		if e := f.nextAged(s); e != nil {
 			return e, true
 		}
 	}
-	for rank := range f.lanes {
-		if s.over() {
+	for rank := range f.classQueues {
+		if s.skipsWorkspace() {
 			return nil, false
 		}
-		if e := f.lanes[rank].pick(s); e != nil {
+		if e := f.classQueues[rank].next(s); e != nil {
 			return e, false
 		}
 	}
 	return nil, false
 }
 
-// pickAged returns the longest waiting item that can run among those that more
+// nextAged returns the longest waiting item that can run among those that more
 // urgent classes hold up and that have waited for AgeAfter.
-func (f *flow) pickAged(s *search) *waiter {
+func (f *flow) nextAged(s *search) *waiter {
 	var found *waiter
-	waiting := f.lanes[0].oldest != nil
-	for rank := 1; rank < classes; rank++ {
-		l := &f.lanes[rank]
-		if waiting && !s.over() {
-			found = longerWaiting(found, l.aged(s))
+	moreUrgentWaits := f.classQueues[0].oldest != nil
+	for rank := 1; rank < numClasses; rank++ {
+		l := &f.classQueues[rank]
+		if moreUrgentWaits && !s.skipsWorkspace() {
+			found = longerWaiting(found, l.oldestAged(s))
 		}
-		waiting = waiting || l.oldest != nil
+		moreUrgentWaits = moreUrgentWaits || l.oldest != nil
 	}
 	return found
 }
@@ -180,48 +180,48 @@
 	return a
 }
 
-// aged returns the first item, by arrival, that can run and has waited for
+// oldestAged returns the first item, by arrival, that can run and has waited for
 // AgeAfter.
-func (l *lane) aged(s *search) *waiter {
+func (l *classQueue) oldestAged(s *search) *waiter {
 	for e := l.oldest; e != nil && s.now.Sub(e.item.Enqueued) >= s.cfg.AgeAfter; e = e.newer {
-		if s.runs(e) {
+		if s.canRun(e) {
 			return e
 		}
-		if s.over() {
+		if s.skipsWorkspace() {
 			return nil
 		}
 	}
 	return nil
 }
 
-// pick returns the most urgent item that can run. The head almost always can;
+// next returns the most urgent item that can run. The head almost always can;
 // past it the lane is searched in full, since work that can run must not wait
 // behind work that cannot.
-func (l *lane) pick(s *search) *waiter {
-	head := l.byUrgency.min()
+func (l *classQueue) next(s *search) *waiter {
+	head := l.byDeadline.min()
 	if head == nil {
 		return nil
 	}
-	if s.runs(head) {
+	if s.canRun(head) {
 		return head
 	}
 	var found *waiter
-	for _, e := range l.byUrgency.elems[1:] {
-		if s.over() {
+	for _, e := range l.byDeadline.elems[1:] {
+		if s.skipsWorkspace() {
 			break
 		}
-		if (found == nil || moreUrgent(e, found)) && s.runs(e) {
+		if (found == nil || earlierEffectiveDeadline(e, found)) && s.canRun(e) {
 			found = e
 		}
 	}
 	return found
 }
 
-// settleAged keeps the account of aged starts after item e was picked.
-func (f *flow) settleAged(e *waiter, aged bool, share float64) {
+// updateAgedDebt keeps the account of aged starts after item e was picked.
+func (f *flow) updateAgedDebt(e *waiter, aged bool, share float64) {
 	if aged {
-		f.repay = float64(e.item.Cost) * (1 - share) / share
+		f.agedDebt = float64(e.item.Cost) * (1 - share) / share
 		return
 	}
-	f.repay = max(0, f.repay-float64(e.item.Cost))
+	f.agedDebt = max(0, f.agedDebt-float64(e.item.Cost))
 }
--- a/policy/queue/item.go
+++ b/policy/queue/item.go
@@ -72,13 +72,13 @@
 
 // waiter is an Item in the queue with its places in the queue's indexes.
 type waiter struct {
-	item     Item
-	flow     *flow
-	rank     int       // index into flow.lanes
-	urgency  time.Time // place within the lane, see Config.urgency
-	sequence uint64    // order of pushes, breaks ties
+	item              Item
+	flow              *flow
+	rank              int       // index into flow.lanes
+	effectiveDeadline time.Time // place within the lane, see Config.urgency
+	sequence          uint64    // order of pushes, breaks ties
 
-	laneIndex     int // in lane.byUrgency
+	classIndex    int // in lane.byUrgency
 	deadlineIndex int // in Queue.deadlines; -1: no deadline
 
 	newer, older *waiter // neighbours in the lane's order of arrival
--- a/policy/queue/queue.go
+++ b/policy/queue/queue.go
@@ -7,9 +7,9 @@
 // defaultWeight is the weight of a workspace that nobody has set one for.
 const defaultWeight = 1
 
-// sweepIdle is how many workspaces without items are kept before those that
+// minIdleToDrop is how many workspaces without items are kept before those that
 // no longer matter to fairness are forgotten.
-const sweepIdle = 64
+const minIdleToDrop = 64
 
 // Queue holds the requests that wait for a backend server. Between workspaces
 // it is fair by weight in tokens of work; see the package's comment for the
@@ -18,20 +18,20 @@
 	cfg  Config
 	byID map[string]*waiter
 
-	flows map[string]*flow
-	ready indexedHeap[flow] // flows with items, earliest virtual start first
-	load  indexedHeap[flow] // flows with items, furthest over its share first
+	flows   map[string]*flow
+	byStart indexedHeap[flow] // flows with items, earliest virtual start first
+	byLoad  indexedHeap[flow] // flows with items, furthest over its share first
 
 	deadlines indexedHeap[waiter]
 	expired   []Item // taken out, not yet collected by Expired
 
-	virtual  float64 // the largest virtual start of any item popped
-	tokens   int64
-	weights  int64 // sum of the weights of flows with items
-	sequence uint64
+	virtualTime  float64 // the largest virtual start of any item popped
+	tokens       int64
+	activeWeight int64 // sum of the weights of flows with items
+	sequence     uint64
 
-	free    []*waiter
-	skipped []*flow // scratch of Pop
+	freeWaiters  []*waiter
+	skippedFlows []*flow // scratch of Pop
 }
 
 // New returns an empty queue, or the *policy.ConfigError of an invalid cfg.
@@ -43,8 +43,8 @@
 		cfg:       cfg,
 		byID:      make(map[string]*waiter),
 		flows:     make(map[string]*flow),
-		ready:     indexedHeap[flow]{less: startsEarlier, index: readyIndex},
-		load:      indexedHeap[flow]{less: overShare, index: loadIndex},
+		byStart:   indexedHeap[flow]{less: earlierVirtualStart, index: readyIndex},
+		byLoad:    indexedHeap[flow]{less: moreItemsForWeight, index: loadIndex},
 		deadlines: indexedHeap[waiter]{less: earlierDeadline, index: deadlineIndex},
 	}, nil
 }
@@ -65,7 +65,7 @@
 	if item.ID == "" || item.Workspace == "" {
 		return Verdict{Reason: Unnamed}
 	}
-	q.sweep(now)
+	q.removeExpired(now)
 	if item.expired(now) {
 		return Verdict{Reason: AlreadyExpired}
 	}
@@ -73,19 +73,19 @@
 		return Verdict{Reason: DuplicateID}
 	}
 	e := q.insert(now, item)
-	return q.bound(e)
+	return q.enforceBounds(e)
 }
 
-// bound takes out one item if e has put the queue over a bound.
-func (q *Queue) bound(e *waiter) Verdict {
-	over, reason := e.flow, WorkspaceFull
+// enforceBounds takes out one item if e has put the queue over a enforceBounds.
+func (q *Queue) enforceBounds(e *waiter) Verdict {
+	fullest, reason := e.flow, WorkspaceFull
 	if e.flow.items <= q.cfg.MaxPerWorkspace {
 		if len(q.byID) <= q.cfg.MaxItems {
 			return Verdict{Accepted: true, Reason: Queued}
 		}
-		over, reason = q.load.min(), TotalFull
+		fullest, reason = q.byLoad.min(), TotalFull
 	}
-	victim := over.least()
+	victim := fullest.evictionCandidate()
 	if victim == nil && !e.item.Resumed {
 		victim = e
 	}
@@ -93,11 +93,11 @@
 		return Verdict{Accepted: true, Reason: Queued}
 	}
 	if victim == e {
-		q.take(e)
+		q.removeWaiter(e)
 		return Verdict{Reason: reason}
 	}
-	over.evicted++
-	return Verdict{Accepted: true, Reason: QueuedByEviction, Evicted: []Item{q.take(victim)}}
+	fullest.evictedItems++
+	return Verdict{Accepted: true, Reason: QueuedByEviction, Evicted: []Item{q.removeWaiter(victim)}}
 }
 
 func (q *Queue) insert(now time.Time, item Item) *waiter {
@@ -105,7 +105,7 @@
 	if item.Enqueued.IsZero() {
 		item.Enqueued = now
 	}
-	f := q.flow(item.Workspace)
+	f := q.flowOf(item.Workspace)
 	if item.Weight > 0 {
 		q.setWeight(f, int64(item.Weight))
 	}
@@ -113,9 +113,9 @@
 	q.sequence++
 	e.item, e.flow, e.sequence = item, f, q.sequence
 	e.rank = item.Class.Rank()
-	e.urgency = q.cfg.urgency(&item)
+	e.effectiveDeadline = q.cfg.effectiveDeadline(&item)
 	if item.Resumed {
-		e.rank, e.urgency = 0, time.Time{}
+		e.rank, e.effectiveDeadline = 0, time.Time{}
 	}
 	q.byID[item.ID] = e
 	if !item.Deadline.IsZero() {
@@ -124,7 +124,7 @@
 	q.tokens += item.Cost
 	f.add(e)
 	if f.items > 1 {
-		q.load.fix(f)
+		q.byLoad.fix(f)
 		return e
 	}
 	q.activate(f)
@@ -135,69 +135,69 @@
 // starts at the present virtual time: idle time earns no credit, or a workspace
 // that was idle for hours could hold up all others for as long.
 func (q *Queue) activate(f *flow) {
-	f.start = max(f.start, q.virtual)
-	q.weights += f.weight
-	q.ready.push(f)
-	q.load.push(f)
+	f.virtualStart = max(f.virtualStart, q.virtualTime)
+	q.activeWeight += f.weight
+	q.byStart.push(f)
+	q.byLoad.push(f)
 }
 
-// take removes e from all indexes and returns its item.
-func (q *Queue) take(e *waiter) Item {
+// removeWaiter removes e from all indexes and returns its item.
+func (q *Queue) removeWaiter(e *waiter) Item {
 	f, item := e.flow, e.item
 	delete(q.byID, item.ID)
 	if e.deadlineIndex >= 0 {
 		q.deadlines.remove(e)
 	}
 	q.tokens -= item.Cost
-	f.drop(e)
+	f.remove(e)
 	if f.items == 0 {
-		q.weights -= f.weight
-		q.load.remove(f)
+		q.activeWeight -= f.weight
+		q.byLoad.remove(f)
 		if f.readyIndex >= 0 {
-			q.ready.remove(f)
+			q.byStart.remove(f)
 		}
-		f.repay = 0
+		f.agedDebt = 0
 	} else {
-		q.load.fix(f)
+		q.byLoad.fix(f)
 	}
 	*e = waiter{}
-	q.free = append(q.free, e)
+	q.freeWaiters = append(q.freeWaiters, e)
 	return item
 }
 
 func (q *Queue) newWaiter() *waiter {
 	var e *waiter
-	if n := len(q.free); n > 0 {
-		e = q.free[n-1]
-		q.free = q.free[:n-1]
+	if n := len(q.freeWaiters); n > 0 {
+		e = q.freeWaiters[n-1]
+		q.freeWaiters = q.freeWaiters[:n-1]
 	} else {
 		e = new(waiter)
 	}
-	e.laneIndex, e.deadlineIndex = -1, -1
+	e.classIndex, e.deadlineIndex = -1, -1
 	return e
 }
 
-func (q *Queue) flow(workspace string) *flow {
+func (q *Queue) flowOf(workspace string) *flow {
 	f, ok := q.flows[workspace]
 	if !ok {
-		q.forgetIdle()
-		f = newFlow(workspace, q.virtual)
+		q.dropIdleFlows()
+		f = newFlow(workspace, q.virtualTime)
 		f.weight = defaultWeight
 		q.flows[workspace] = f
 	}
 	return f
 }
 
-// forgetIdle drops flows without items whose virtual start is past, since a new
+// dropIdleFlows drops flows without items whose virtual start is past, since a new
 // flow in their place would get the same start, and all of them if nothing
 // waits, since then no workspace has had its service at the cost of another.
 // Without it, every workspace name that was ever seen would stay in memory.
-func (q *Queue) forgetIdle() {
-	if len(q.flows)-q.ready.len() < sweepIdle+q.ready.len() {
+func (q *Queue) dropIdleFlows() {
+	if len(q.flows)-q.byStart.len() < minIdleToDrop+q.byStart.len() {
 		return
 	}
 	for name, f := range q.flows {
-		if f.items == 0 && (f.start <= q.virtual || len(q.byID) == 0) {
+		if f.items == 0 && (f.virtualStart <= q.virtualTime || len(q.byID) == 0) {
 			delete(q.flows, name)
 		}
 	}
@@ -233,45 +233,45 @@
 }
 
 // PopFunc is Pop for a caller that knows why an item cannot run.
-func (q *Queue) PopFunc(now time.Time, judge func(*Item) Eligibility) (item Item, ok bool) {
-	q.sweep(now)
-	q.skipped = q.skipped[:0]
-	s := search{now: now, cfg: &q.cfg, judge: judge}
-	for f := q.ready.min(); f != nil && s.last != AllWait; f = q.ready.min() {
-		e, aged := f.pick(&s)
+func (q *Queue) PopFunc(now time.Time, eligibility func(*Item) Eligibility) (item Item, ok bool) {
+	q.removeExpired(now)
+	q.skippedFlows = q.skippedFlows[:0]
+	s := search{now: now, cfg: &q.cfg, eligibility: eligibility}
+	for f := q.byStart.min(); f != nil && s.lastResult != AllWait; f = q.byStart.min() {
+		e, aged := f.next(&s)
 		if e == nil {
-			q.ready.remove(f)
-			q.skipped = append(q.skipped, f)
+			q.byStart.remove(f)
+			q.skippedFlows = append(q.skippedFlows, f)
 			continue
 		}
-		f.settleAged(e, aged, q.cfg.AgedShare)
+		f.updateAgedDebt(e, aged, q.cfg.AgedShare)
 		item, ok = q.serve(f, e), true
 		break
 	}
-	for _, f := range q.skipped {
-		f.start = max(f.start, q.earliest(f))
-		q.ready.push(f)
+	for _, f := range q.skippedFlows {
+		f.virtualStart = max(f.virtualStart, q.minVirtualStart(f))
+		q.byStart.push(f)
 	}
 	return item, ok
 }
 
 // serve charges the flow for e and takes e out.
 func (q *Queue) serve(f *flow, e *waiter) Item {
-	q.virtual = max(q.virtual, f.start)
-	f.started += e.item.Cost
-	f.start += (float64(e.item.Cost) + f.owed) / float64(f.weight)
-	f.owed = 0
-	item := q.take(e)
+	q.virtualTime = max(q.virtualTime, f.virtualStart)
+	f.startedTokens += e.item.Cost
+	f.virtualStart += (float64(e.item.Cost) + f.pendingCharge) / float64(f.weight)
+	f.pendingCharge = 0
+	item := q.removeWaiter(e)
 	if f.items > 0 {
-		q.ready.fix(f)
+		q.byStart.fix(f)
 	}
 	return item
 }
 
-// earliest is the earliest virtual start that f may have: MaxCredit tokens
+// minVirtualStart is the minVirtualStart virtual start that f may have: MaxCredit tokens
 // behind the present, for its weight.
-func (q *Queue) earliest(f *flow) float64 {
-	return q.virtual - float64(q.cfg.MaxCredit)/float64(f.weight)
+func (q *Queue) minVirtualStart(f *flow) float64 {
+	return q.virtualTime - float64(q.cfg.MaxCredit)/float64(f.weight)
 }
 
 // Charge corrects what a workspace has been charged: extra tokens beyond the
@@ -279,18 +279,18 @@
 // understates its answers' length takes more than its share. The item that is
 // next keeps its place: it was let in on the strength of it.
 func (q *Queue) Charge(workspace string, extra int64) {
-	f := q.flow(workspace)
-	f.started += extra
+	f := q.flowOf(workspace)
+	f.startedTokens += extra
 	if f.items > 0 {
-		f.owed += float64(extra)
+		f.pendingCharge += float64(extra)
 		return
 	}
-	f.start = max(f.start+float64(extra)/float64(f.weight), q.earliest(f))
+	f.virtualStart = max(f.virtualStart+float64(extra)/float64(f.weight), q.minVirtualStart(f))
 }
 
 // SetWeight sets a workspace's share among workspaces; below 1 counts as 1.
 func (q *Queue) SetWeight(workspace string, weight int) {
-	q.setWeight(q.flow(workspace), int64(max(1, weight)))
+	q.setWeight(q.flowOf(workspace), int64(max(1, weight)))
 }
 
 func (q *Queue) setWeight(f *flow, weight int64) {
@@ -298,11 +298,11 @@
 		return
 	}
 	if f.items > 0 {
-		q.weights += weight - f.weight
+		q.activeWeight += weight - f.weight
 	}
 	f.weight = weight
 	if f.loadIndex >= 0 {
-		q.load.fix(f)
+		q.byLoad.fix(f)
 	}
 }
 
@@ -312,24 +312,24 @@
 	if !ok {
 		return Item{}, false
 	}
-	return q.take(e), true
+	return q.removeWaiter(e), true
 }
 
 // Expired returns the items whose deadline has passed since the last call, by
 // deadline. They have not run and never will; each caller is owed its final
 // answer at once. Call it before Pop and at NextDeadline.
 func (q *Queue) Expired(now time.Time) []Item {
-	q.sweep(now)
+	q.removeExpired(now)
 	out := q.expired
 	q.expired = nil
 	return out
 }
 
-// sweep takes expired items out, so that none of them costs a backend server
+// removeExpired takes expired items out, so that none of them costs a backend server
 // work that nobody waits for, or a place in the queue.
-func (q *Queue) sweep(now time.Time) {
+func (q *Queue) removeExpired(now time.Time) {
 	for e := q.deadlines.min(); e != nil && e.item.expired(now); e = q.deadlines.min() {
-		q.expired = append(q.expired, q.take(e))
+		q.expired = append(q.expired, q.removeWaiter(e))
 	}
 }
 
--- a/policy/queue/queue_test.go
+++ b/policy/queue/queue_test.go
@@ -325,8 +325,8 @@
 	q.Push(at(0), Item{ID: "a", Workspace: "w", Class: contract.ClassInteractive, Weight: 3, Cost: 100})
 	q.Push(at(time.Second), Item{ID: "b", Workspace: "w", Class: contract.ClassBatch, Cost: 200})
 	q.Push(at(0), Item{ID: "c", Workspace: "v", Class: contract.ClassBatch, Cost: 400})
-	assert.Equal(t, Backlog{Ahead: 100, Total: 700, Waiting: 1, Others: 1, Share: 0.75}, q.Backlog("w", contract.ClassStandard, 0))
-	assert.Equal(t, Backlog{Ahead: 0, Total: 700, Others: 2, Share: 0.2}, q.Backlog("new", contract.ClassStandard, 1))
+	assert.Equal(t, Backlog{Ahead: 100, Total: 700, Waiting: 1, OtherWorkspaces: 1, Share: 0.75}, q.Backlog("w", contract.ClassStandard, 0))
+	assert.Equal(t, Backlog{Ahead: 0, Total: 700, OtherWorkspaces: 2, Share: 0.2}, q.Backlog("new", contract.ClassStandard, 1))
 
 	stats, ok := q.Stats("w")
 	require.True(t, ok)
@@ -349,7 +349,7 @@
 		q.Push(at(0), Item{ID: "x", Workspace: fmt.Sprint(i)})
 		q.Pop(at(0), anyItem)
 	}
-	assert.LessOrEqual(t, len(q.flows), sweepIdle+1)
+	assert.LessOrEqual(t, len(q.flows), minIdleToDrop+1)
 }
 
 // model drives a queue with random calls and checks what must hold after each.
--- a/policy/queue/start.go
+++ b/policy/queue/start.go
@@ -54,32 +54,32 @@
 // side, as one entry sees them: by load reports that all entries share and that
 // are late. A server with more work than slots has none free.
 type Slots struct {
-	Total    int
-	Free     int // of all, as last reported
-	Taken    int // how many of these this entry has taken since, less those it has given back
-	Assigned int // this entry's part of them by SplitSlots, less what it has taken; not used with one entry
-	Entries  int // how many entries start work on them; below 1 counts as 1
-	Entry    int // this one's number among them, from 0
-	Report   int // number of the report, the same at all entries
+	Total        int
+	Free         int // of all, as last reported
+	Taken        int // how many of these this entry has taken since, less those it has given back
+	Assigned     int // this entry's part of them by SplitSlots, less what it has taken; not used with one entry
+	Entries      int // how many entries start work on them; below 1 counts as 1
+	EntryNumber  int // this one's number among them, from 0
+	ReportNumber int // number of the report, the same at all entries
 }
 
-// left returns how many slots this entry may take of those that are free
+// available returns how many slots this entry may take of those that are free
 // beyond kept. It is negative where the entry has to let some go.
-func (s Slots) left(kept int) int {
-	return EntrySlots(s.Free-kept, s.Entries, s.Entry+s.Report) - s.Taken
+func (s Slots) available(reserved int) int {
+	return EntrySlots(s.Free-reserved, s.Entries, s.EntryNumber+s.ReportNumber) - s.Taken
 }
 
-// plenty is how many times as many slots as entries have to be free for all to
+// minFreePerEntry is how many times as many slots as entries have to be free for all to
 // take any of them: two that take the same are rare then.
-const plenty = 3
+const minFreePerEntry = 3
 
-// mine reports whether this entry may take a slot at all.
-func (s Slots) mine(sparing bool) bool {
-	left := s.Free - s.Taken
+// mayTake reports whether this entry may take a slot at all.
+func (s Slots) mayTake(onlyAssigned bool) bool {
+	free := s.Free - s.Taken
 	if s.Entries <= 1 || s.Assigned > 0 {
-		return left > 0
+		return free > 0
 	}
-	return !sparing && left > plenty*s.Entries
+	return !onlyAssigned && free > minFreePerEntry*s.Entries
 }
 
 // EntrySlots returns one entry's part of n slots that all entries learn of by the same
@@ -89,11 +89,11 @@
 //
 // The parts of entries with turns that differ by one each add up to n, also for
 // negative n. With turn = entry + report the remainder goes around.
-func EntrySlots(n, entries, turn int) int {
+func EntrySlots(n, entries, rotation int) int {
 	if entries <= 1 {
 		return n
 	}
-	return int(math.Floor(float64(n+turn%entries) / float64(entries)))
+	return int(math.Floor(float64(n+rotation%entries) / float64(entries)))
 }
 
 // SplitSlots splits the free slots of servers among the entries, in place: free[i]
@@ -101,14 +101,14 @@
 // the entries get of all servers together differs by one slot at most. A server
 // with more work than slots has a negative number, of which each entry has its
 // part to work off.
-func SplitSlots(free []int, entries, turn int) []int {
+func SplitSlots(free []int, entries, rotation int) []int {
 	before := 0
 	for i, n := range free {
 		if n < 0 {
-			free[i] = EntrySlots(n, entries, turn+i)
+			free[i] = EntrySlots(n, entries, rotation+i)
 			continue
 		}
-		free[i] = EntrySlots(before+n, entries, turn) - EntrySlots(before, entries, turn)
+		free[i] = EntrySlots(before+n, entries, rotation) - EntrySlots(before, entries, rotation)
 		before += n
 	}
 	return free
@@ -127,7 +127,7 @@
 	AssignedElsewhere                    // the free slots are other entries' to take
 )
 
-var startNames = [...]string{
+var startReasonNames = [...]string{
 	StartBelowShare:   "start_below_share",
 	StartFree:         "start_free",
 	NoSlot:            "no_slot",
@@ -138,10 +138,10 @@
 
 // String returns the reason as it stands in logs.
 func (r StartReason) String() string {
-	if int(r) >= len(startNames) {
+	if int(r) >= len(startReasonNames) {
 		return "unknown"
 	}
-	return startNames[r]
+	return startReasonNames[r]
 }
 
 // StartVerdict is the decision whether an item may take a slot now.
@@ -179,20 +179,20 @@
 // it is first in the queue. So whoever holds its share of the slots leaves a
 // few free. It is not safe for concurrent use.
 type Starter struct {
-	cfg     StartConfig
-	running map[string]*usage
-	weights int       // of all of running
-	short   time.Time // when short work was last seen
-	swept   time.Time
+	cfg         StartConfig
+	usages      map[string]*usage
+	totalWeight int       // of all of running
+	lastShort   time.Time // when short work was last seen
+	lastSweep   time.Time
 }
 
 // usage is what one workspace holds.
 type usage struct {
-	weight    int
-	slots     int
-	elsewhere int // slots that other entries hold for it, as last heard
-	seen      time.Time
-	turn      int // spreads the remainders of several workspaces over the entries
+	weight      int
+	slots       int
+	remoteSlots int // slots that other entries hold for it, as last heard
+	lastArrival time.Time
+	rotation    int // spreads the remainders of several workspaces over the entries
 }
 
 // NewStarter returns a Starter with nothing running, or the *policy.ConfigError of an
@@ -201,60 +201,60 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	return &Starter{cfg: cfg, running: make(map[string]*usage)}, nil
+	return &Starter{cfg: cfg, usages: make(map[string]*usage)}, nil
 }
 
-// Seen notes an item that has come. Call it before Decide.
-func (s *Starter) Seen(now time.Time, item *Item) {
-	u, ok := s.running[item.Workspace]
+// ObserveArrival notes an item that has come. Call it before Decide.
+func (s *Starter) ObserveArrival(now time.Time, item *Item) {
+	u, ok := s.usages[item.Workspace]
 	if !ok {
-		u = &usage{weight: defaultWeight, turn: int(xxhash.Sum64String(item.Workspace) % maxTurn)}
-		s.running[item.Workspace] = u
-		s.weights += u.weight
+		u = &usage{weight: defaultWeight, rotation: int(xxhash.Sum64String(item.Workspace) % maxRotation)}
+		s.usages[item.Workspace] = u
+		s.totalWeight += u.weight
 	}
-	u.seen = now
+	u.lastArrival = now
 	if item.Weight > 0 {
-		s.weights += item.Weight - u.weight
+		s.totalWeight += item.Weight - u.weight
 		u.weight = item.Weight
 	}
 	if item.Cost < s.cfg.LongTokens {
-		s.short = now
+		s.lastShort = now
 	}
 }
 
-// maxTurn bounds the turn of a workspace; it is more than the number of entries.
-const maxTurn = 1 << 16
+// maxRotation bounds the turn of a workspace; it is more than the number of entries.
+const maxRotation = 1 << 16
 
 // sweepsPerMemory is how often, in a Memory, workspaces that no longer count
 // are looked for.
 const sweepsPerMemory = 60
 
 func (s *Starter) sweep(now time.Time) {
-	if now.Sub(s.swept) < s.cfg.Memory/sweepsPerMemory {
+	if now.Sub(s.lastSweep) < s.cfg.Memory/sweepsPerMemory {
 		return
 	}
-	s.swept = now
-	for name, u := range s.running {
+	s.lastSweep = now
+	for name, u := range s.usages {
 		if !u.active(now, s.cfg.Memory) {
-			s.weights -= u.weight
-			delete(s.running, name)
+			s.totalWeight -= u.weight
+			delete(s.usages, name)
 		}
 	}
 }
 
 func (u *usage) active(now time.Time, memory time.Duration) bool {
-	return u.slots > 0 || now.Sub(u.seen) < memory
+	return u.slots > 0 || now.Sub(u.lastArrival) < memory
 }
 
 // Started notes that an item took a slot.
 func (s *Starter) Started(now time.Time, item *Item) {
-	s.Seen(now, item)
-	s.running[item.Workspace].slots++
+	s.ObserveArrival(now, item)
+	s.usages[item.Workspace].slots++
 }
 
 // Ended notes that a started item of this workspace has given its slot back.
 func (s *Starter) Ended(workspace string) {
-	if u, ok := s.running[workspace]; ok {
+	if u, ok := s.usages[workspace]; ok {
 		u.slots = max(0, u.slots-1)
 	}
 }
@@ -271,17 +271,17 @@
 	s.sweep(now)
 	slots.Taken += waiting
 	slots.Assigned -= waiting
-	if s.yieldsToShort(now, item) && slots.left(kept(s.cfg.LongHeadroom, slots)) <= 0 {
+	if s.mustLeaveRoomForShort(now, item) && slots.available(reservedSlots(s.cfg.LongHeadroom, slots)) <= 0 {
 		return StartVerdict{Reason: HeldForShort}
 	}
 	below := item.Resumed || s.belowShare(item.Workspace, slots, waiting)
-	if !below && slots.left(kept(s.cfg.Headroom, slots)) <= 0 {
+	if !below && slots.available(reservedSlots(s.cfg.Headroom, slots)) <= 0 {
 		return StartVerdict{Reason: HeldForOthers}
 	}
 	if slots.Free <= slots.Taken {
 		return StartVerdict{Reason: NoSlot}
 	}
-	if !slots.mine(!below) {
+	if !slots.mayTake(!below) {
 		return StartVerdict{Reason: AssignedElsewhere}
 	}
 	if below {
@@ -290,27 +290,27 @@
 	return StartVerdict{Start: true, Reason: StartFree}
 }
 
-// yieldsToShort reports whether item is long and there is short work.
-func (s *Starter) yieldsToShort(now time.Time, item *Item) bool {
-	return item.Cost >= s.cfg.LongTokens && !item.Resumed && now.Sub(s.short) < s.cfg.Memory
+// mustLeaveRoomForShort reports whether item is long and there is short work.
+func (s *Starter) mustLeaveRoomForShort(now time.Time, item *Item) bool {
+	return item.Cost >= s.cfg.LongTokens && !item.Resumed && now.Sub(s.lastShort) < s.cfg.Memory
 }
 
-// kept is that part of all slots, and at least one for each entry: with fewer,
+// reservedSlots is that part of all slots, and at least one for each entry: with fewer,
 // an entry's part of them is none most of the time, and the next request of a
 // quiet workspace there would wait all the same.
-func kept(part float64, slots Slots) int {
-	if part == 0 {
+func reservedSlots(fraction float64, slots Slots) int {
+	if fraction == 0 {
 		return 0
 	}
-	return max(slots.Entries, int(math.Ceil(part*float64(slots.Total))))
+	return max(slots.Entries, int(math.Ceil(fraction*float64(slots.Total))))
 }
 
 // SetRemoteSlots notes how many slots other entries hold for a workspace, as they
 // said last. Without it a workspace that holds much here and little elsewhere
 // would count as above its share.
 func (s *Starter) SetRemoteSlots(workspace string, slots int) {
-	if u, ok := s.running[workspace]; ok {
-		u.elsewhere = slots
+	if u, ok := s.usages[workspace]; ok {
+		u.remoteSlots = slots
 	}
 }
 
@@ -323,18 +323,18 @@
 		waiting = f.items
 	}
 	v := s.DecideBehind(now, item, slots, waiting)
-	b.Lasting, b.Starts, b.Held = s.Share(item.Workspace), v.Start, v.Held()
+	b.LastingShare, b.Starts, b.Held = s.Share(item.Workspace), v.Start, v.Held()
 	return b
 }
 
 // Share returns a workspace's part of the service, 0 to 1, by its weight among
 // the workspaces that run something or have lately.
 func (s *Starter) Share(workspace string) float64 {
-	own, ok := s.running[workspace]
-	if !ok || s.weights == 0 {
-		return float64(defaultWeight) / float64(s.weights+defaultWeight)
+	own, ok := s.usages[workspace]
+	if !ok || s.totalWeight == 0 {
+		return float64(defaultWeight) / float64(s.totalWeight+defaultWeight)
 	}
-	return float64(own.weight) / float64(s.weights)
+	return float64(own.weight) / float64(s.totalWeight)
 }
 
 // belowShare reports whether a workspace holds fewer slots than its weight among
@@ -345,14 +345,14 @@
 // up by itself, small workspaces would get about half a slot too much at each,
 // which at seven entries is a third of their share.
 func (s *Starter) belowShare(workspace string, slots Slots, waiting int) bool {
-	own, ok := s.running[workspace]
+	own, ok := s.usages[workspace]
 	if !ok {
 		return true
 	}
-	share := slots.Total * own.weight / s.weights
+	share := slots.Total * own.weight / s.totalWeight
 	held := own.slots + waiting
-	if held < EntrySlots(share, slots.Entries, slots.Entry+own.turn) {
+	if held < EntrySlots(share, slots.Entries, slots.EntryNumber+own.rotation) {
 		return true
 	}
-	return slots.Entries > 1 && held+own.elsewhere < share
+	return slots.Entries > 1 && held+own.remoteSlots < share
 }
--- a/policy/queue/start_test.go
+++ b/policy/queue/start_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, err)
 	surge := &Item{Workspace: "surge", Cost: 200}
 	quiet := &Item{Workspace: "quiet", Cost: 200}
-	s.Seen(at(0), quiet)
+	s.ObserveArrival(at(0), quiet)
 	free := 100
 	for s.Decide(at(0), surge, Slots{Total: 100, Free: free}).Start {
 		s.Started(at(0), surge)
@@ -49,7 +49,7 @@
 	short := &Item{Workspace: "w", Cost: 200}
 	slots := Slots{Total: 100, Free: 5}
 	assert.True(t, s.Decide(at(0), long, slots).Start, "no short work has been seen")
-	s.Seen(at(0), short)
+	s.ObserveArrival(at(0), short)
 	assert.Equal(t, HeldForShort, s.Decide(at(0), long, slots).Reason)
 	assert.True(t, s.Decide(at(0), short, slots).Start)
 	assert.Equal(t, "held_for_short", HeldForShort.String())
@@ -82,7 +82,7 @@
 	s, err := NewStarter(DefaultStartConfig())
 	require.NoError(t, err)
 	quiet := &Item{Workspace: "quiet", Weight: 1, Cost: 200}
-	s.Seen(at(0), &Item{Workspace: "surge", Weight: 9, Cost: 200})
+	s.ObserveArrival(at(0), &Item{Workspace: "surge", Weight: 9, Cost: 200})
 	s.Started(at(0), quiet)
 	s.Started(at(0), quiet)
 	slots := Slots{Total: 100, Free: 3, Assigned: 1, Entries: 7}
@@ -104,15 +104,15 @@
 	s, err := NewStarter(DefaultStartConfig())
 	require.NoError(t, err)
 	item := &Item{ID: "a", Workspace: "w", Class: contract.ClassStandard, Weight: 1, Cost: 200}
-	s.Seen(at(0), item)
-	s.Seen(at(0), &Item{Workspace: "v", Weight: 3, Cost: 200})
-	assert.Equal(t, Backlog{Share: 1, Lasting: 0.25, Starts: true}, s.Backlog(at(0), q, item, Slots{Total: 8, Free: 2}))
+	s.ObserveArrival(at(0), item)
+	s.ObserveArrival(at(0), &Item{Workspace: "v", Weight: 3, Cost: 200})
+	assert.Equal(t, Backlog{Share: 1, LastingShare: 0.25, Starts: true}, s.Backlog(at(0), q, item, Slots{Total: 8, Free: 2}))
 	for range 2 {
 		s.Started(at(0), item)
 	}
 	fill(t, q, at(0), 1, *item)
 	b := s.Backlog(at(0), q, item, Slots{Total: 8, Free: 1})
-	assert.Equal(t, Backlog{Ahead: 200, Total: 200, Waiting: 1, Share: 1, Lasting: 0.25, Held: true}, b)
+	assert.Equal(t, Backlog{Ahead: 200, Total: 200, Waiting: 1, Share: 1, LastingShare: 0.25, Held: true}, b)
 }
 
 // Seven entries learn of the same free slots. If each took them all, six of
--- a/policy/queue/stats.go
+++ b/policy/queue/stats.go
@@ -37,19 +37,19 @@
 		Items:     f.items,
 		Tokens:    f.tokens,
 		Oldest:    f.oldest(),
-		Started:   f.started,
-		Evicted:   f.evicted,
+		Started:   f.startedTokens,
+		Evicted:   f.evictedItems,
 	}
 	if f.items > 0 {
-		stats.Share = float64(f.weight) / float64(q.weights)
+		stats.Share = float64(f.weight) / float64(q.activeWeight)
 	}
 	return stats, true
 }
 
 func (f *flow) oldest() time.Time {
 	var oldest time.Time
-	for i := range f.lanes {
-		e := f.lanes[i].oldest
+	for i := range f.classQueues {
+		e := f.classQueues[i].oldest
 		if e != nil && (oldest.IsZero() || e.item.Enqueued.Before(oldest)) {
 			oldest = e.item.Enqueued
 		}
@@ -61,40 +61,40 @@
 type Backlog struct {
 	// Ahead is the tokens of its own workspace, of its class or a more urgent
 	// one, and what the workspace has had lately beyond its share.
-	Ahead   int64
-	Total   int64   // tokens of all waiting items
-	Waiting int     // items among Ahead
-	Others  int     // other workspaces with waiting items: each may start one first
-	Share   float64 // the workspace's part of the service while all of them wait, 0..1
+	Ahead           int64
+	Total           int64   // tokens of all waiting items
+	Waiting         int     // items among Ahead
+	OtherWorkspaces int     // other workspaces with waiting items: each may start one first
+	Share           float64 // the workspace's part of the service while all of them wait, 0..1
 
 	// The rest is filled in by Starter.Backlog.
 
-	Lasting float64 // the part of the service while all workspaces ask for theirs that have lately, 0..1; 0 counts as Share
-	Starts  bool    // it would start at once, whatever waits
-	Held    bool    // it would not start even as the first of the queue, since the free slots are kept for others
+	LastingShare float64 // the part of the service while all workspaces ask for theirs that have lately, 0..1; 0 counts as Share
+	Starts       bool    // it would start at once, whatever waits
+	Held         bool    // it would not start even as the first of the queue, since the free slots are kept for others
 }
 
 // Backlog returns what a new item of this workspace, class and weight would
 // wait behind. Weight 0 takes the weight that is known.
 func (q *Queue) Backlog(workspace string, class contract.Class, weight int) Backlog {
 	b := Backlog{Total: q.tokens}
-	own, others := int64(defaultWeight), q.weights
-	b.Others = q.ready.len()
+	ownWeight, otherWeight := int64(defaultWeight), q.activeWeight
+	b.OtherWorkspaces = q.byStart.len()
 	if f, ok := q.flows[workspace]; ok {
-		own = f.weight
+		ownWeight = f.weight
 		if f.items > 0 {
-			others -= f.weight
-			b.Others--
+			otherWeight -= f.weight
+			b.OtherWorkspaces--
 		}
-		b.Ahead = int64(max(0, f.start-q.virtual) * float64(f.weight))
+		b.Ahead = int64(max(0, f.virtualStart-q.virtualTime) * float64(f.weight))
 		for rank := 0; rank <= class.Rank(); rank++ {
-			b.Ahead += f.lanes[rank].tokens
-			b.Waiting += f.lanes[rank].byUrgency.len()
+			b.Ahead += f.classQueues[rank].tokens
+			b.Waiting += f.classQueues[rank].byDeadline.len()
 		}
 	}
 	if weight > 0 {
-		own = int64(weight)
+		ownWeight = int64(weight)
 	}
-	b.Share = float64(own) / float64(own+others)
+	b.Share = float64(ownWeight) / float64(ownWeight+otherWeight)
 	return b
 }
--- a/policy/urgency/urgency.go
+++ b/policy/urgency/urgency.go
@@ -19,12 +19,12 @@
 
 // Request is what the decision knows of a request.
 type Request struct {
-	Rank        int // by its workspace or route; 0 is the most urgent
-	Objective   time.Duration
-	Waited      time.Duration // since it came
-	Expected    time.Duration // from now until its answer begins, at the chosen server
-	PrefillTime time.Duration // of that, what its own prompt takes to be read
-	Retried     bool          // its objective has passed since its caller's first try
+	Rank         int // by its workspace or route; 0 is the most urgent
+	Objective    time.Duration
+	Waited       time.Duration // since it came
+	ExpectedWait time.Duration // from now until its answer begins, at the chosen server
+	PrefillTime  time.Duration // of that, what its own prompt takes to be read
+	Retried      bool          // its objective has passed since its caller's first try
 }
 
 // Reason says why a request has the rank that it has.
@@ -43,21 +43,21 @@
 	return [...]string{"in_time", "late", "came_back", "large_prompt"}[r]
 }
 
-// behind is by how many ranks a request that will be late stands behind its like: more
+// lateRankOffset is by how many ranks a request that will be late stands lateRankOffset its like: more
 // than there are ranks of requests in use.
-const behind = 5
+const lateRankOffset = 5
 
 // Decide returns the rank to be told to the server, and why.
 func Decide(r Request) (rank int, reason Reason) {
 	switch {
 	case r.Retried:
-		return r.Rank + behind, CallerRetried
-	case r.Objective <= 0 || r.Waited+r.Expected <= r.Objective:
+		return r.Rank + lateRankOffset, CallerRetried
+	case r.Objective <= 0 || r.Waited+r.ExpectedWait <= r.Objective:
 		return r.Rank, InTime
 	case r.PrefillTime > r.Objective:
 		// Callers with the largest prompts would be served by nobody in an overload.
 		return r.Rank, LargePrompt
 	default:
-		return r.Rank + behind, Late
+		return r.Rank + lateRankOffset, Late
 	}
 }
--- a/policy/urgency/urgency_test.go
+++ b/policy/urgency/urgency_test.go
@@ -12,19 +12,19 @@
 const objective = 500 * time.Millisecond
 
 func TestDecide(t *testing.T) {
-	fresh := Request{Rank: 1, Objective: objective, Waited: 10 * time.Millisecond, Expected: 100 * time.Millisecond}
+	fresh := Request{Rank: 1, Objective: objective, Waited: 10 * time.Millisecond, ExpectedWait: 100 * time.Millisecond}
 	for name, c := range map[string]struct {
 		change func(*Request)
 		rank   int
 		reason Reason
 	}{
 		"in time":            {func(*Request) {}, 1, InTime},
-		"behind others":      {func(r *Request) { r.Expected = time.Second }, 1 + behind, Late},
-		"waited":             {func(r *Request) { r.Waited = time.Second }, 1 + behind, Late},
-		"came back":          {func(r *Request) { r.Retried = true }, 1 + behind, CallerRetried},
-		"large by itself":    {func(r *Request) { r.Expected, r.PrefillTime = time.Second, 600*time.Millisecond }, 1, LargePrompt},
-		"without objective":  {func(r *Request) { r.Objective, r.Expected = 0, time.Hour }, 1, InTime},
-		"at the last moment": {func(r *Request) { r.Expected = objective - r.Waited }, 1, InTime},
+		"behind others":      {func(r *Request) { r.ExpectedWait = time.Second }, 1 + lateRankOffset, Late},
+		"waited":             {func(r *Request) { r.Waited = time.Second }, 1 + lateRankOffset, Late},
+		"came back":          {func(r *Request) { r.Retried = true }, 1 + lateRankOffset, CallerRetried},
+		"large by itself":    {func(r *Request) { r.ExpectedWait, r.PrefillTime = time.Second, 600*time.Millisecond }, 1, LargePrompt},
+		"without objective":  {func(r *Request) { r.Objective, r.ExpectedWait = 0, time.Hour }, 1, InTime},
+		"at the last moment": {func(r *Request) { r.ExpectedWait = objective - r.Waited }, 1, InTime},
 	} {
 		r := fresh
 		c.change(&r)
@@ -41,9 +41,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Request {
 			return Request{
-				Rank: rapid.IntRange(0, behind-1).Draw(t, name+" rank"), Objective: objective,
-				Expected: time.Duration(rapid.IntRange(0, 1000).Draw(t, name+" expected")) * time.Millisecond,
-				Retried:  rapid.Bool().Draw(t, name+" came back"),
+				Rank: rapid.IntRange(0, lateRankOffset-1).Draw(t, name+" rank"), Objective: objective,
+				ExpectedWait: time.Duration(rapid.IntRange(0, 1000).Draw(t, name+" expected")) * time.Millisecond,
+				Retried:      rapid.Bool().Draw(t, name+" came back"),
 			}
 		}
 		a, b := draw("a"), draw("b")
@@ -95,7 +95,7 @@
 			}
 		}
 		expected := max(busyUntil-at, 0) + time.Duration(ahead+1)*read
-		queue = append(queue, job{at, decide(Request{Objective: objective, Expected: expected, PrefillTime: read})})
+		queue = append(queue, job{at, decide(Request{Objective: objective, ExpectedWait: expected, PrefillTime: read})})
 	}
 	return float64(inTime) / (float64(length) / float64(read))
 }
