--- a/policy/patience/patience.go
+++ b/policy/patience/patience.go
@@ -69,7 +69,7 @@
 		return false
 	}
 	if remaining+objective < c.minFirstTry() {
-		c.scale(-stepFraction * lateStepFactor * (1 - lowerLevel))
+		c.shift(-stepFraction * lateStepFactor * (1 - lowerLevel))
 		return true
 	}
 	c.lower = stepQuantile(c.lower, remaining, lowerLevel)
@@ -77,8 +77,8 @@
 	return false
 }
 
-// scale moves both by a part of the usual time.
-func (c *routeEstimate) scale(change float64) {
+// shift moves both by a part of the usual time.
+func (c *routeEstimate) shift(change float64) {
 	delta := time.Duration(change * float64(c.lower))
 	c.lower += delta
 	c.upper += delta
--- a/policy/patience/patience_test.go
+++ b/policy/patience/patience_test.go
@@ -14,75 +14,75 @@
 
 const objective = 500 * time.Millisecond
 
-// wait is how long one of many callers waits: 2.5 to 3 s.
-func wait(rng *rand.Rand) time.Duration {
+// randomTimeout is how long one of many callers waits: 2.5 to 3 s.
+func randomTimeout(rng *rand.Rand) time.Duration {
 	return 2500*time.Millisecond + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
 }
 
 // Callers that were refused come back a second later. Their answers are late whatever
 // happens; taken for fresh ones, they would make those late as well.
-func TestThoseThatComeBackAreTold(t *testing.T) {
+func TestRetriesAreDetected(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b := NewEstimator()
 	for range 100 {
-		b.ObjectivePassed("r", wait(rng), objective)
+		b.ObjectivePassed("r", randomTimeout(rng), objective)
 	}
-	told, wrong := 0, 0
+	detected, falsePositives := 0, 0
 	for i := range 1000 {
-		left := wait(rng)
-		if back := i%3 == 0; back {
-			if b.ObjectivePassed("r", left-time.Second, objective) {
-				told++
+		remaining := randomTimeout(rng)
+		if retried := i%3 == 0; retried {
+			if b.ObjectivePassed("r", remaining-time.Second, objective) {
+				detected++
 			}
-		} else if b.ObjectivePassed("r", left, objective) {
-			wrong++
+		} else if b.ObjectivePassed("r", remaining, objective) {
+			falsePositives++
 		}
 	}
-	require.Greater(t, told, 300, "of 334 that came back")
-	require.Zero(t, wrong, "fresh ones")
+	require.Greater(t, detected, 300, "of 334 that came back")
+	require.Zero(t, falsePositives, "fresh ones")
 }
 
 // Callers of long answers differ by seconds in how long they wait, and ask for a first
 // event within half of one. Those who wait less than most are at their first try all the
 // same; taken for ones that came back, one in five was put behind all others.
-func TestLessPatientCallersAreFresh(t *testing.T) {
+func TestShortTimeoutsAreNotTakenForRetries(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b := NewEstimator()
-	patient := func() time.Duration {
+	longTimeout := func() time.Duration {
 		return 12750*time.Millisecond + time.Duration(rng.Int64N(int64(4500*time.Millisecond)))
 	}
 	for range 300 {
-		b.ObjectivePassed("r", patient(), objective)
+		b.ObjectivePassed("r", longTimeout(), objective)
 	}
-	wrong, told := 0, 0
+	falsePositives, detected := 0, 0
 	for range 1000 {
-		if b.ObjectivePassed("r", patient(), objective) {
-			wrong++
+		if b.ObjectivePassed("r", longTimeout(), objective) {
+			falsePositives++
 		}
 	}
 	for range 100 {
-		if b.ObjectivePassed("r", patient()-5*time.Second, objective) {
-			told++
+		if b.ObjectivePassed("r", longTimeout()-5*time.Second, objective) {
+			detected++
 		}
 	}
-	require.LessOrEqual(t, wrong, 50, "one in twenty of those at their first try")
-	require.Greater(t, told, 80, "of 100 that came back after 5 s")
+	require.LessOrEqual(t, falsePositives, 50, "one in twenty of those at their first try")
+	require.Greater(t, detected, 80, "of 100 that came back after 5 s")
 }
 
 // Callers of a route begin to wait for half as long, with a new release of theirs. They
 // are taken for fresh ones again within some thousand requests.
-func TestPatienceChanges(t *testing.T) {
+func TestEstimateFollowsShorterTimeouts(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b := NewEstimator()
 	for range 500 {
-		b.ObjectivePassed("r", wait(rng), objective)
+		b.ObjectivePassed("r", randomTimeout(rng), objective)
 	}
 	for range 1000 {
-		b.ObjectivePassed("r", wait(rng)/2, objective)
+		b.ObjectivePassed("r", randomTimeout(rng)/2, objective)
 	}
 	late := 0
 	for range 200 {
-		if b.ObjectivePassed("r", wait(rng)/2, objective) {
+		if b.ObjectivePassed("r", randomTimeout(rng)/2, objective) {
 			late++
 		}
 	}
@@ -91,7 +91,7 @@
 
 // Callers that do not say how long they wait are never held to be late, nor is the
 // first one of a route.
-func TestNothingIsSaid(t *testing.T) {
+func TestCallersWithoutTimeoutAreNeverLate(t *testing.T) {
 	b := NewEstimator()
 	require.False(t, b.ObjectivePassed("r", 0, objective))
 	require.False(t, b.ObjectivePassed("r", time.Second, objective))
--- a/policy/queue/queue_test.go
+++ b/policy/queue/queue_test.go
@@ -16,7 +16,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-func at(d time.Duration) time.Time { return epoch.Add(d) }
+func timeAt(d time.Duration) time.Time { return epoch.Add(d) }
 
 func anyItem(*Item) bool { return true }
 
@@ -40,7 +40,7 @@
 }
 
 func TestConfigValidateNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"MaxItems":        func(c *Config) { c.MaxItems = 0 },
 		"MaxPerWorkspace": func(c *Config) { c.MaxPerWorkspace = c.MaxItems + 1 },
 		"Horizon":         func(c *Config) { c.Horizon = 0 },
@@ -51,7 +51,7 @@
 		"MaxCredit":       func(c *Config) { c.MaxCredit = -1 },
 	} {
 		cfg := DefaultConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		_, err := New(cfg)
 		var fieldErr *policy.ConfigError
 		require.ErrorAs(t, err, &fieldErr, field)
@@ -65,13 +65,13 @@
 // its caller would see a first token seconds late.
 //
 // Removing the line "f.start += ..." in serve makes this fail.
-func TestSurgeOfOneWorkspaceDoesNotDelayAnother(t *testing.T) {
+func TestSurgeDoesNotDelayOtherWorkspaces(t *testing.T) {
 	q := newQueue(t, nil)
-	fill(t, q, at(0), 500, Item{Workspace: "busy", Class: contract.ClassInteractive, Cost: 400})
-	_, ok := q.Pop(at(0), anyItem)
+	fill(t, q, timeAt(0), 500, Item{Workspace: "busy", Class: contract.ClassInteractive, Cost: 400})
+	_, ok := q.Pop(timeAt(0), anyItem)
 	require.True(t, ok)
-	fill(t, q, at(0), 1, Item{Workspace: "quiet", Class: contract.ClassInteractive, Cost: 400})
-	item, _ := q.Pop(at(0), anyItem)
+	fill(t, q, timeAt(0), 1, Item{Workspace: "quiet", Class: contract.ClassInteractive, Cost: 400})
+	item, _ := q.Pop(timeAt(0), anyItem)
 	assert.Equal(t, "quiet", item.Workspace)
 }
 
@@ -80,34 +80,34 @@
 // would get ten times the work of the other.
 func TestShareFollowsWeightInTokens(t *testing.T) {
 	q := newQueue(t, nil)
-	fill(t, q, at(0), 400, Item{Workspace: "long", Class: contract.ClassStandard, Weight: 1, Cost: 4_000})
-	fill(t, q, at(0), 4_000, Item{Workspace: "short", Class: contract.ClassStandard, Weight: 3, Cost: 400})
-	got := map[string]int64{}
+	fill(t, q, timeAt(0), 400, Item{Workspace: "long", Class: contract.ClassStandard, Weight: 1, Cost: 4_000})
+	fill(t, q, timeAt(0), 4_000, Item{Workspace: "short", Class: contract.ClassStandard, Weight: 3, Cost: 400})
+	tokensPopped := map[string]int64{}
 	for range 1_000 {
-		item, _ := q.Pop(at(0), anyItem)
-		got[item.Workspace] += item.Cost
+		item, _ := q.Pop(timeAt(0), anyItem)
+		tokensPopped[item.Workspace] += item.Cost
 	}
 	// 1,000 starts are some 100 of the long item; fair within one of them.
-	assert.InDelta(t, 3, float64(got["short"])/float64(got["long"]), 0.1)
+	assert.InDelta(t, 3, float64(tokensPopped["short"])/float64(tokensPopped["long"]), 0.1)
 }
 
 // A caller states a small answer length and takes a long one. Unless the charge
 // is corrected it gets many times its share, and others wait for it.
 //
 // Removing the line "f.start += ..." in Charge makes this fail.
-func TestChargeCorrectsAnUnderstatedCost(t *testing.T) {
+func TestChargeCorrectsUnderstatedCost(t *testing.T) {
 	q := newQueue(t, nil)
-	fill(t, q, at(0), 1_000, Item{Workspace: "understates", Class: contract.ClassStandard, Cost: 100})
-	fill(t, q, at(0), 1_000, Item{Workspace: "honest", Class: contract.ClassStandard, Cost: 1_000})
-	work := map[string]int{}
+	fill(t, q, timeAt(0), 1_000, Item{Workspace: "understates", Class: contract.ClassStandard, Cost: 100})
+	fill(t, q, timeAt(0), 1_000, Item{Workspace: "honest", Class: contract.ClassStandard, Cost: 1_000})
+	tokensRun := map[string]int{}
 	for range 400 {
-		item, _ := q.Pop(at(0), anyItem)
-		work[item.Workspace] += 1_000
+		item, _ := q.Pop(timeAt(0), anyItem)
+		tokensRun[item.Workspace] += 1_000
 		if item.Workspace == "understates" {
 			q.Charge(item.Workspace, 900)
 		}
 	}
-	assert.InDelta(t, 1, float64(work["understates"])/float64(work["honest"]), 0.05)
+	assert.InDelta(t, 1, float64(tokensRun["understates"])/float64(tokensRun["honest"]), 0.05)
 }
 
 // The queue is full of one workspace's surge when another asks for its first
@@ -115,30 +115,30 @@
 // for as long as the surge lasts.
 //
 // Removing the use of q.load in bound makes this fail.
-func TestFullQueueEvictsFromTheWorkspaceFurthestOverItsShare(t *testing.T) {
+func TestFullQueueEvictsFromWorkspaceWithMostItemsForItsWeight(t *testing.T) {
 	q := newQueue(t, func(c *Config) { c.MaxItems, c.MaxPerWorkspace = 100, 100 })
-	fill(t, q, at(0), 99, Item{Workspace: "surge", Class: contract.ClassInteractive, Cost: 10})
-	fill(t, q, at(time.Second), 1, Item{Workspace: "surge", Class: contract.ClassBatch, Cost: 10})
+	fill(t, q, timeAt(0), 99, Item{Workspace: "surge", Class: contract.ClassInteractive, Cost: 10})
+	fill(t, q, timeAt(time.Second), 1, Item{Workspace: "surge", Class: contract.ClassBatch, Cost: 10})
 
-	v := q.Push(at(time.Second), Item{ID: "a", Workspace: "quiet", Class: contract.ClassBatch, Cost: 10})
+	v := q.Push(timeAt(time.Second), Item{ID: "a", Workspace: "quiet", Class: contract.ClassBatch, Cost: 10})
 	assert.Equal(t, QueuedByEviction, v.Reason)
 	require.Len(t, v.Evicted, 1)
 	assert.Equal(t, contract.ClassBatch, v.Evicted[0].Class, "the lowest class goes first")
 	assert.Equal(t, "surge", v.Evicted[0].Workspace)
 
-	v = q.Push(at(time.Second), Item{ID: "b", Workspace: "surge", Class: contract.ClassInteractive, Cost: 10})
+	v = q.Push(timeAt(time.Second), Item{ID: "b", Workspace: "surge", Class: contract.ClassInteractive, Cost: 10})
 	assert.False(t, v.Accepted)
 	assert.Equal(t, TotalFull, v.Reason)
 	assert.Equal(t, 100, q.Len())
 }
 
-func TestWorkspaceBoundKeepsItsMoreUrgentItems(t *testing.T) {
+func TestWorkspaceBoundEvictsLeastUrgent(t *testing.T) {
 	q := newQueue(t, func(c *Config) { c.MaxPerWorkspace = 3 })
-	fill(t, q, at(0), 3, Item{Workspace: "w", Class: contract.ClassBatch, Cost: 10})
-	v := q.Push(at(0), Item{ID: "urgent", Workspace: "w", Class: contract.ClassInteractive})
+	fill(t, q, timeAt(0), 3, Item{Workspace: "w", Class: contract.ClassBatch, Cost: 10})
+	v := q.Push(timeAt(0), Item{ID: "urgent", Workspace: "w", Class: contract.ClassInteractive})
 	assert.Equal(t, QueuedByEviction, v.Reason)
 	assert.Equal(t, "w-batch-10-2", v.Evicted[0].ID)
-	v = q.Push(at(0), Item{ID: "late", Workspace: "w", Class: contract.ClassBatch})
+	v = q.Push(timeAt(0), Item{ID: "late", Workspace: "w", Class: contract.ClassBatch})
 	assert.Equal(t, Verdict{Reason: WorkspaceFull}, v)
 }
 
@@ -146,31 +146,31 @@
 // peer turned them away, callers would lose requests that had been accepted.
 //
 // Removing the test of Resumed in least makes this fail.
-func TestResumedItemIsNeverTurnedAway(t *testing.T) {
+func TestResumedItemIsNeverRejected(t *testing.T) {
 	q := newQueue(t, func(c *Config) { c.MaxItems, c.MaxPerWorkspace = 2, 2 })
-	fill(t, q, at(0), 2, Item{Workspace: "w", Class: contract.ClassInteractive, Cost: 1})
+	fill(t, q, timeAt(0), 2, Item{Workspace: "w", Class: contract.ClassInteractive, Cost: 1})
 	for i := range 4 {
-		v := q.Push(at(0), Item{ID: fmt.Sprint(i), Workspace: "w", Class: contract.ClassBatch, Resumed: true})
+		v := q.Push(timeAt(0), Item{ID: fmt.Sprint(i), Workspace: "w", Class: contract.ClassBatch, Resumed: true})
 		assert.True(t, v.Accepted)
 	}
 	assert.Equal(t, 4, q.Len(), "the two others made room")
-	v := q.Push(at(0), Item{ID: "new", Workspace: "w", Class: contract.ClassInteractive})
+	v := q.Push(timeAt(0), Item{ID: "new", Workspace: "w", Class: contract.ClassInteractive})
 	assert.Equal(t, Verdict{Reason: WorkspaceFull}, v)
-	item, _ := q.Pop(at(0), anyItem)
+	item, _ := q.Pop(timeAt(0), anyItem)
 	assert.Equal(t, "0", item.ID)
 }
 
-func TestClassThenDeadlineWithinAWorkspace(t *testing.T) {
+func TestWorkspaceOrderIsClassThenDeadline(t *testing.T) {
 	q := newQueue(t, nil)
 	push := func(id string, c contract.Class, deadline time.Duration) {
-		q.Push(at(0), Item{ID: id, Workspace: "w", Class: c, Cost: 10, Deadline: at(deadline)})
+		q.Push(timeAt(0), Item{ID: id, Workspace: "w", Class: c, Cost: 10, Deadline: timeAt(deadline)})
 	}
 	push("batch", contract.ClassBatch, time.Second)
 	push("standard-late", contract.ClassStandard, 20*time.Second)
 	push("standard-soon", contract.ClassStandard, 10*time.Second)
 	push("interactive", contract.ClassInteractive, 25*time.Second)
 	var order []string
-	for item, ok := q.Pop(at(0), anyItem); ok; item, ok = q.Pop(at(0), anyItem) {
+	for item, ok := q.Pop(timeAt(0), anyItem); ok; item, ok = q.Pop(timeAt(0), anyItem) {
 		order = append(order, item.ID)
 	}
 	assert.Equal(t, []string{"interactive", "standard-soon", "standard-late", "batch"}, order)
@@ -178,12 +178,12 @@
 
 // One workspace sends long documents and then short questions. In order of
 // arrival each question would wait for all the documents.
-func TestShortPassesLongThatCameALittleEarlier(t *testing.T) {
+func TestShortItemsPassSlightlyOlderLongItems(t *testing.T) {
 	q := newQueue(t, nil)
-	fill(t, q, at(0), 20, Item{Workspace: "w", Class: contract.ClassStandard, Cost: 9_000})
-	fill(t, q, at(time.Second), 20, Item{Workspace: "w", Class: contract.ClassStandard, Cost: 100})
+	fill(t, q, timeAt(0), 20, Item{Workspace: "w", Class: contract.ClassStandard, Cost: 9_000})
+	fill(t, q, timeAt(time.Second), 20, Item{Workspace: "w", Class: contract.ClassStandard, Cost: 100})
 	for range 20 {
-		item, _ := q.Pop(at(time.Second), anyItem)
+		item, _ := q.Pop(timeAt(time.Second), anyItem)
 		assert.EqualValues(t, 100, item.Cost)
 	}
 }
@@ -193,11 +193,11 @@
 // until the deadline for nothing.
 //
 // Removing the bound by LongMax in urgency makes this fail.
-func TestLongDoesNotStarveAmongShort(t *testing.T) {
+func TestLongItemDoesNotStarveAmongShortItems(t *testing.T) {
 	q := newQueue(t, nil)
-	q.Push(at(0), Item{ID: "long", Workspace: "w", Class: contract.ClassStandard, Cost: 100_000})
+	q.Push(timeAt(0), Item{ID: "long", Workspace: "w", Class: contract.ClassStandard, Cost: 100_000})
 	// Half of what comes is served, so what came after 10 s starts after 20 s.
-	started := startsWithin(t, q, contract.ClassStandard, 21*time.Second)
+	started := startedWithin(t, q, contract.ClassStandard, 21*time.Second)
 	assert.True(t, slices.Contains(started, "long"))
 }
 
@@ -205,22 +205,22 @@
 // same workspace would wait for as long as that lasts.
 //
 // Removing the call of pickAged makes this fail.
-func TestBatchAgesPastInteractive(t *testing.T) {
+func TestAgedBatchItemStartsDespiteInteractiveLoad(t *testing.T) {
 	q := newQueue(t, nil)
-	q.Push(at(0), Item{ID: "batch", Workspace: "w", Class: contract.ClassBatch, Cost: 100})
-	started := startsWithin(t, q, contract.ClassInteractive, 6*time.Second)
+	q.Push(timeAt(0), Item{ID: "batch", Workspace: "w", Class: contract.ClassBatch, Cost: 100})
+	started := startedWithin(t, q, contract.ClassInteractive, 6*time.Second)
 	assert.True(t, slices.Contains(started, "batch"))
 }
 
-// startsWithin pushes two short items and pops one every 10 ms.
-func startsWithin(t *testing.T, q *Queue, c contract.Class, limit time.Duration) []string {
+// startedWithin pushes two short items and pops one every 10 ms.
+func startedWithin(t *testing.T, q *Queue, c contract.Class, limit time.Duration) []string {
 	t.Helper()
 	var started []string
 	for now := time.Duration(0); now < limit; now += 10 * time.Millisecond {
 		for i := range 2 {
-			q.Push(at(now), Item{ID: fmt.Sprint(now, i), Workspace: "w", Class: c, Cost: 100})
+			q.Push(timeAt(now), Item{ID: fmt.Sprint(now, i), Workspace: "w", Class: c, Cost: 100})
 		}
-		item, _ := q.Pop(at(now), anyItem)
+		item, _ := q.Pop(timeAt(now), anyItem)
 		started = append(started, item.ID)
 	}
 	return started
@@ -230,13 +230,13 @@
 // work simply went first, people would wait for the whole backlog.
 //
 // Removing the test of f.repay in pick makes this fail.
-func TestAgedBacklogTakesABoundedShare(t *testing.T) {
+func TestAgedBacklogIsLimitedToAgedShare(t *testing.T) {
 	q := newQueue(t, nil)
-	fill(t, q, at(0), 500, Item{Workspace: "w", Class: contract.ClassBatch, Cost: 1_000})
-	fill(t, q, at(time.Minute), 500, Item{Workspace: "w", Class: contract.ClassInteractive, Cost: 1_000})
+	fill(t, q, timeAt(0), 500, Item{Workspace: "w", Class: contract.ClassBatch, Cost: 1_000})
+	fill(t, q, timeAt(time.Minute), 500, Item{Workspace: "w", Class: contract.ClassInteractive, Cost: 1_000})
 	batch := 0
 	for range 400 {
-		item, _ := q.Pop(at(time.Minute), anyItem)
+		item, _ := q.Pop(timeAt(time.Minute), anyItem)
 		if item.Class == contract.ClassBatch {
 			batch++
 		}
@@ -248,34 +248,34 @@
 // saturated fleet would spend its time on answers that nobody reads.
 //
 // Removing the call of sweep in Pop makes this fail.
-func TestExpiredItemsLeaveBeforeTheyCost(t *testing.T) {
+func TestExpiredItemsAreNeverPopped(t *testing.T) {
 	q := newQueue(t, nil)
-	fill(t, q, at(0), 10, Item{Workspace: "w", Class: contract.ClassInteractive, Cost: 10, Deadline: at(time.Second)})
-	q.Push(at(0), Item{ID: "alive", Workspace: "w", Class: contract.ClassBatch, Cost: 10})
-	item, ok := q.Pop(at(time.Second), anyItem)
+	fill(t, q, timeAt(0), 10, Item{Workspace: "w", Class: contract.ClassInteractive, Cost: 10, Deadline: timeAt(time.Second)})
+	q.Push(timeAt(0), Item{ID: "alive", Workspace: "w", Class: contract.ClassBatch, Cost: 10})
+	item, ok := q.Pop(timeAt(time.Second), anyItem)
 	require.True(t, ok)
 	assert.Equal(t, "alive", item.ID)
-	assert.Len(t, q.Expired(at(time.Second)), 10)
-	assert.Empty(t, q.Expired(at(time.Second)), "each is named once")
-	v := q.Push(at(time.Second), Item{ID: "late", Workspace: "w", Deadline: at(time.Second)})
+	assert.Len(t, q.Expired(timeAt(time.Second)), 10)
+	assert.Empty(t, q.Expired(timeAt(time.Second)), "each is named once")
+	v := q.Push(timeAt(time.Second), Item{ID: "late", Workspace: "w", Deadline: timeAt(time.Second)})
 	assert.Equal(t, Verdict{Reason: AlreadyExpired}, v)
 }
 
 // The backend servers of one service are gone, and its requests head the queue.
 // If the queue waited for the head, everything behind it would stand still
 // while servers are idle.
-func TestPopSkipsWhatCannotRunAndKeepsItsPlace(t *testing.T) {
+func TestPopSkipsIneligibleItemsWithoutLosingTheirTurn(t *testing.T) {
 	q := newQueue(t, nil)
-	fill(t, q, at(0), 50, Item{Workspace: "blocked", Service: "gone", Class: contract.ClassInteractive, Cost: 100})
-	fill(t, q, at(0), 50, Item{Workspace: "other", Service: "up", Class: contract.ClassBatch, Cost: 100})
+	fill(t, q, timeAt(0), 50, Item{Workspace: "blocked", Service: "gone", Class: contract.ClassInteractive, Cost: 100})
+	fill(t, q, timeAt(0), 50, Item{Workspace: "other", Service: "up", Class: contract.ClassBatch, Cost: 100})
 	up := func(i *Item) bool { return i.Service == "up" }
 	for range 20 {
-		item, ok := q.Pop(at(0), up)
+		item, ok := q.Pop(timeAt(0), up)
 		require.True(t, ok)
 		assert.Equal(t, "other", item.Workspace)
 	}
 	for range 20 {
-		item, _ := q.Pop(at(0), anyItem)
+		item, _ := q.Pop(timeAt(0), anyItem)
 		assert.Equal(t, "blocked", item.Workspace, "it catches up")
 	}
 }
@@ -284,19 +284,19 @@
 // up for the whole hour, all others would get nothing for minutes.
 //
 // Removing the use of earliest in Pop makes this fail.
-func TestCatchingUpIsBounded(t *testing.T) {
+func TestCatchUpIsLimitedByMaxCredit(t *testing.T) {
 	q := newQueue(t, func(c *Config) { c.MaxCredit = 1_000 })
-	fill(t, q, at(0), 1_000, Item{Workspace: "blocked", Service: "gone", Class: contract.ClassInteractive, Cost: 100})
-	fill(t, q, at(0), 1_000, Item{Workspace: "other", Service: "up", Class: contract.ClassInteractive, Cost: 100})
+	fill(t, q, timeAt(0), 1_000, Item{Workspace: "blocked", Service: "gone", Class: contract.ClassInteractive, Cost: 100})
+	fill(t, q, timeAt(0), 1_000, Item{Workspace: "other", Service: "up", Class: contract.ClassInteractive, Cost: 100})
 	for range 500 {
-		_, ok := q.Pop(at(0), func(i *Item) bool { return i.Service == "up" })
+		_, ok := q.Pop(timeAt(0), func(i *Item) bool { return i.Service == "up" })
 		require.True(t, ok)
 	}
-	run := 0
-	for item, _ := q.Pop(at(0), anyItem); item.Workspace == "blocked"; item, _ = q.Pop(at(0), anyItem) {
-		run++
+	popped := 0
+	for item, _ := q.Pop(timeAt(0), anyItem); item.Workspace == "blocked"; item, _ = q.Pop(timeAt(0), anyItem) {
+		popped++
 	}
-	assert.InDelta(t, 11, run, 1)
+	assert.InDelta(t, 11, popped, 1)
 }
 
 // A workspace is idle for hours while another works. If idle time counted as
@@ -305,16 +305,16 @@
 // Removing the use of q.virtual in activate makes this fail.
 func TestIdleTimeEarnsNoCredit(t *testing.T) {
 	q := newQueue(t, nil)
-	fill(t, q, at(0), 1, Item{Workspace: "idle", Class: contract.ClassInteractive, Cost: 1})
-	q.Pop(at(0), anyItem)
-	fill(t, q, at(0), 300, Item{Workspace: "busy", Class: contract.ClassStandard, Cost: 100})
+	fill(t, q, timeAt(0), 1, Item{Workspace: "idle", Class: contract.ClassInteractive, Cost: 1})
+	q.Pop(timeAt(0), anyItem)
+	fill(t, q, timeAt(0), 300, Item{Workspace: "busy", Class: contract.ClassStandard, Cost: 100})
 	for range 200 {
-		q.Pop(at(0), anyItem)
+		q.Pop(timeAt(0), anyItem)
 	}
-	fill(t, q, at(0), 100, Item{Workspace: "idle", Class: contract.ClassStandard, Cost: 100})
+	fill(t, q, timeAt(0), 100, Item{Workspace: "idle", Class: contract.ClassStandard, Cost: 100})
 	got := map[string]int{}
 	for range 100 {
-		item, _ := q.Pop(at(0), anyItem)
+		item, _ := q.Pop(timeAt(0), anyItem)
 		got[item.Workspace]++
 	}
 	assert.InDelta(t, 50, got["busy"], 1)
@@ -322,48 +322,48 @@
 
 func TestRemoveStatsAndBacklog(t *testing.T) {
 	q := newQueue(t, nil)
-	q.Push(at(0), Item{ID: "a", Workspace: "w", Class: contract.ClassInteractive, Weight: 3, Cost: 100})
-	q.Push(at(time.Second), Item{ID: "b", Workspace: "w", Class: contract.ClassBatch, Cost: 200})
-	q.Push(at(0), Item{ID: "c", Workspace: "v", Class: contract.ClassBatch, Cost: 400})
+	q.Push(timeAt(0), Item{ID: "a", Workspace: "w", Class: contract.ClassInteractive, Weight: 3, Cost: 100})
+	q.Push(timeAt(time.Second), Item{ID: "b", Workspace: "w", Class: contract.ClassBatch, Cost: 200})
+	q.Push(timeAt(0), Item{ID: "c", Workspace: "v", Class: contract.ClassBatch, Cost: 400})
 	assert.Equal(t, Backlog{Ahead: 100, Total: 700, Waiting: 1, OtherWorkspaces: 1, Share: 0.75}, q.Backlog("w", contract.ClassStandard, 0))
 	assert.Equal(t, Backlog{Ahead: 0, Total: 700, OtherWorkspaces: 2, Share: 0.2}, q.Backlog("new", contract.ClassStandard, 1))
 
 	stats, ok := q.Stats("w")
 	require.True(t, ok)
-	assert.Equal(t, WorkspaceStats{Workspace: "w", Weight: 3, Items: 2, Tokens: 300, Oldest: at(0), Share: 0.75}, stats)
+	assert.Equal(t, WorkspaceStats{Workspace: "w", Weight: 3, Items: 2, Tokens: 300, Oldest: timeAt(0), Share: 0.75}, stats)
 
 	item, ok := q.Remove("a")
 	require.True(t, ok)
 	assert.Equal(t, "a", item.ID)
 	_, ok = q.Remove("a")
 	assert.False(t, ok)
-	assert.Equal(t, Verdict{Reason: DuplicateID}, q.Push(at(0), Item{ID: "b", Workspace: "w"}))
-	assert.Equal(t, Verdict{Reason: Unnamed}, q.Push(at(0), Item{ID: "x"}))
+	assert.Equal(t, Verdict{Reason: DuplicateID}, q.Push(timeAt(0), Item{ID: "b", Workspace: "w"}))
+	assert.Equal(t, Verdict{Reason: Unnamed}, q.Push(timeAt(0), Item{ID: "x"}))
 	assert.Equal(t, 2, q.Len())
 	assert.EqualValues(t, 600, q.Tokens())
 }
 
-func TestIdleWorkspacesAreForgotten(t *testing.T) {
+func TestIdleFlowsAreDropped(t *testing.T) {
 	q := newQueue(t, nil)
 	for i := range 10_000 {
-		q.Push(at(0), Item{ID: "x", Workspace: fmt.Sprint(i)})
-		q.Pop(at(0), anyItem)
+		q.Push(timeAt(0), Item{ID: "x", Workspace: fmt.Sprint(i)})
+		q.Pop(timeAt(0), anyItem)
 	}
 	assert.LessOrEqual(t, len(q.flows), minIdleToDrop+1)
 }
 
 // model drives a queue with random calls and checks what must hold after each.
 type model struct {
-	q      *Queue
-	now    time.Time
-	next   int
-	inside map[string]Item
+	q       *Queue
+	now     time.Time
+	lastID  int
+	waiting map[string]Item
 }
 
 func (m *model) push(t *rapid.T) {
-	m.next++
+	m.lastID++
 	item := Item{
-		ID:        fmt.Sprint(m.next),
+		ID:        fmt.Sprint(m.lastID),
 		Workspace: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "workspace"),
 		Service:   rapid.SampledFrom([]string{"x", "y"}).Draw(t, "service"),
 		Class:     rapid.SampledFrom([]contract.Class{contract.ClassInteractive, contract.ClassStandard, contract.ClassBatch}).Draw(t, "class"),
@@ -376,29 +376,29 @@
 	}
 	v := m.q.Push(m.now, item)
 	if v.Accepted {
-		m.inside[item.ID] = item
+		m.waiting[item.ID] = item
 	}
 	if item.Resumed && !v.Accepted && v.Reason != AlreadyExpired {
 		t.Fatalf("resumed item turned away: %v", v.Reason)
 	}
 	for _, e := range v.Evicted {
-		m.leave(t, e)
+		m.recordLeaving(t, e)
 	}
 }
 
-func (m *model) leave(t *rapid.T, item Item) {
-	if _, ok := m.inside[item.ID]; !ok {
+func (m *model) recordLeaving(t *rapid.T, item Item) {
+	if _, ok := m.waiting[item.ID]; !ok {
 		t.Fatalf("%s left twice or was never in", item.ID)
 	}
-	delete(m.inside, item.ID)
+	delete(m.waiting, item.ID)
 }
 
 func (m *model) pop(t *rapid.T) {
 	m.expire(t)
 	service := rapid.SampledFrom([]string{"x", "y", "none"}).Draw(t, "eligible")
-	can := false
-	for _, item := range m.inside {
-		can = can || item.Service == service
+	anyEligible := false
+	for _, item := range m.waiting {
+		anyEligible = anyEligible || item.Service == service
 	}
 	item, ok := m.q.Pop(m.now, func(i *Item) bool {
 		if i.expired(m.now) {
@@ -406,27 +406,27 @@
 		}
 		return i.Service == service
 	})
-	if ok != can {
-		t.Fatalf("not work-conserving: popped %v, an eligible item waits %v", ok, can)
+	if ok != anyEligible {
+		t.Fatalf("not work-conserving: popped %v, an eligible item waits %v", ok, anyEligible)
 	}
 	if ok {
-		m.leave(t, item)
+		m.recordLeaving(t, item)
 	}
 }
 
 func (m *model) expire(t *rapid.T) {
 	for _, item := range m.q.Expired(m.now) {
-		m.leave(t, item)
+		m.recordLeaving(t, item)
 	}
 }
 
 func (m *model) check(t *rapid.T) {
 	m.expire(t)
-	if m.q.Len() != len(m.inside) {
-		t.Fatalf("holds %d, want %d", m.q.Len(), len(m.inside))
+	if m.q.Len() != len(m.waiting) {
+		t.Fatalf("holds %d, want %d", m.q.Len(), len(m.waiting))
 	}
 	var tokens int64
-	for _, item := range m.inside {
+	for _, item := range m.waiting {
 		tokens += max(1, item.Cost)
 	}
 	if m.q.Tokens() != tokens {
@@ -435,12 +435,12 @@
 }
 
 // Every item leaves once, by one way; Pop is work-conserving; the sums agree.
-func TestPropertyEveryItemLeavesOnceAndPopConservesWork(t *testing.T) {
+func TestPropertyItemsLeaveOnceAndPopIsWorkConserving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		cfg.MaxItems, cfg.MaxPerWorkspace = 12, 8
 		q, _ := New(cfg)
-		m := &model{q: q, now: epoch, inside: map[string]Item{}}
+		m := &model{q: q, now: epoch, waiting: map[string]Item{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"push":   m.push,
 			"pop":    m.pop,
@@ -457,7 +457,7 @@
 // With all workspaces backlogged, what two of them have been given for their
 // weights never differs by more than their two largest items, as Goyal, Vin and
 // Cheng prove for start-time fair queueing.
-func TestPropertyFairWithinOneItem(t *testing.T) {
+func TestPropertyFairWithinLargestItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, _ := New(DefaultConfig())
 		names := []string{"a", "b", "c"}
@@ -497,7 +497,7 @@
 		q.Push(epoch, Item{ID: "watched", Workspace: "w", Class: class.Draw(t, "class"), Cost: rapid.Int64Range(1, 1_000_000).Draw(t, "cost")})
 		load, deadline := class.Draw(t, "load"), time.Duration(rapid.IntRange(1, 30).Draw(t, "deadline"))*time.Second
 		for step := range 1_000 {
-			now := at(time.Duration(step) * 100 * time.Millisecond)
+			now := timeAt(time.Duration(step) * 100 * time.Millisecond)
 			for i := range 2 {
 				q.Push(now, Item{ID: fmt.Sprint(step, "/", i), Workspace: "w", Class: load, Cost: 100, Deadline: now.Add(deadline)})
 			}
@@ -520,7 +520,7 @@
 			Class:     contract.ClassInteractive,
 			Weight:    1 + i%5,
 			Cost:      int64(100 + i%900),
-			Deadline:  at(30 * time.Second),
+			Deadline:  timeAt(30 * time.Second),
 		}
 		q.Push(epoch, items[i])
 	}
--- a/policy/queue/start.go
+++ b/policy/queue/start.go
@@ -330,11 +330,11 @@
 // Share returns a workspace's part of the service, 0 to 1, by its weight among
 // the workspaces that run something or have lately.
 func (s *Starter) Share(workspace string) float64 {
-	own, ok := s.usages[workspace]
+	u, ok := s.usages[workspace]
 	if !ok || s.totalWeight == 0 {
 		return float64(defaultWeight) / float64(s.totalWeight+defaultWeight)
 	}
-	return float64(own.weight) / float64(s.totalWeight)
+	return float64(u.weight) / float64(s.totalWeight)
 }
 
 // belowShare reports whether a workspace holds fewer slots than its weight among
@@ -345,14 +345,14 @@
 // up by itself, small workspaces would get about half a slot too much at each,
 // which at seven entries is a third of their share.
 func (s *Starter) belowShare(workspace string, slots Slots, waiting int) bool {
-	own, ok := s.usages[workspace]
+	u, ok := s.usages[workspace]
 	if !ok {
 		return true
 	}
-	share := slots.Total * own.weight / s.totalWeight
-	held := own.slots + waiting
-	if held < EntrySlots(share, slots.Entries, slots.EntryNumber+own.rotation) {
+	share := slots.Total * u.weight / s.totalWeight
+	held := u.slots + waiting
+	if held < EntrySlots(share, slots.Entries, slots.EntryNumber+u.rotation) {
 		return true
 	}
-	return slots.Entries > 1 && held+own.remoteSlots < share
+	return slots.Entries > 1 && held+u.remoteSlots < share
 }
--- a/policy/urgency/urgency_test.go
+++ b/policy/urgency/urgency_test.go
@@ -37,7 +37,7 @@
 
 // Whatever is told of requests, those that will be late keep their order among
 // themselves, and stand behind all that can be in time.
-func TestOrderIsKept(t *testing.T) {
+func TestLateRequestsKeepOrderBehindOnTimeRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Request {
 			return Request{
@@ -47,12 +47,12 @@
 			}
 		}
 		a, b := draw("a"), draw("b")
-		rankA, whyA := Decide(a)
-		rankB, whyB := Decide(b)
+		rankA, reasonA := Decide(a)
+		rankB, reasonB := Decide(b)
 		switch {
-		case (whyA == InTime) == (whyB == InTime):
+		case (reasonA == InTime) == (reasonB == InTime):
 			require.Equal(t, a.Rank < b.Rank, rankA < rankB)
-		case whyA == InTime:
+		case reasonA == InTime:
 			require.Less(t, rankA, rankB)
 		}
 	})
@@ -60,15 +60,15 @@
 
 // job is a request at the one server of the test.
 type job struct {
-	came time.Duration
-	rank int
+	arrived time.Duration
+	rank    int
 }
 
-// play has requests come at a pace for ten seconds to a server that reads one after the
+// simulate has requests come at a pace for ten seconds to a server that reads one after the
 // other, the most urgent first, and returns how many of those that it could have read
 // were in time. Callers leave after three seconds.
-func play(every, read time.Duration, decide func(Request) int) float64 {
-	const patience = 3 * time.Second
+func simulate(interval, prefill time.Duration, decide func(Request) int) float64 {
+	const callerTimeout = 3 * time.Second
 	var queue []job
 	var busyUntil time.Duration
 	inTime := 0
@@ -76,17 +76,17 @@
 		for len(queue) > 0 && busyUntil <= until {
 			next := slices.MinFunc(queue, func(a, b job) int { return a.rank - b.rank })
 			queue = slices.DeleteFunc(queue, func(j job) bool { return j == next })
-			if busyUntil-next.came > patience {
+			if busyUntil-next.arrived > callerTimeout {
 				continue
 			}
-			busyUntil = max(busyUntil, next.came) + read
-			if busyUntil-next.came <= objective {
+			busyUntil = max(busyUntil, next.arrived) + prefill
+			if busyUntil-next.arrived <= objective {
 				inTime++
 			}
 		}
 	}
-	const length = 10 * time.Second
-	for at := time.Duration(0); at < length; at += every {
+	const duration = 10 * time.Second
+	for at := time.Duration(0); at < duration; at += interval {
 		step(at)
 		ahead := 0 // of those that would be read before it
 		for _, j := range queue {
@@ -94,20 +94,20 @@
 				ahead++
 			}
 		}
-		expected := max(busyUntil-at, 0) + time.Duration(ahead+1)*read
-		queue = append(queue, job{at, decide(Request{Objective: objective, ExpectedWait: expected, PrefillTime: read})})
+		expected := max(busyUntil-at, 0) + time.Duration(ahead+1)*prefill
+		queue = append(queue, job{at, decide(Request{Objective: objective, ExpectedWait: expected, PrefillTime: prefill})})
 	}
-	return float64(inTime) / (float64(length) / float64(read))
+	return float64(inTime) / (float64(duration) / float64(prefill))
 }
 
 // For ten seconds half as much again is asked as the server can do. Served in the order
 // in which they came, hardly any caller has its answer in time; with those behind that
 // will be late anyway, nearly as many as the server can serve.
-func TestOverload(t *testing.T) {
-	const read = 60 * time.Millisecond
-	inOrder := play(read*2/3, read, func(Request) int { return 0 })
-	decided := play(read*2/3, read, func(r Request) int { rank, _ := Decide(r); return rank })
-	t.Logf("in time, of what the server can do: %.2f in order, %.2f decided", inOrder, decided)
+func TestOverloadServesOnTimeRequestsFirst(t *testing.T) {
+	const prefill = 60 * time.Millisecond
+	inOrder := simulate(prefill*2/3, prefill, func(Request) int { return 0 })
+	byUrgency := simulate(prefill*2/3, prefill, func(r Request) int { rank, _ := Decide(r); return rank })
+	t.Logf("in time, of what the server can do: %.2f in order, %.2f decided", inOrder, byUrgency)
 	require.Less(t, inOrder, 0.3)
-	require.Greater(t, decided, 0.9)
+	require.Greater(t, byUrgency, 0.9)
 }
