--- a/policy/patience/patience.go
+++ b/policy/patience/patience.go
@@ -1,16 +1,13 @@
-// Package patience tells a caller's first try from one that comes back, by how long
-// the caller still waits.
+// Package patience detects retries of callers by the time that remains until their timeout.
 //
-// Load pattern answered: a workspace sends more than its limit for a while, and those
-// that are refused come back a second later, among fresh requests.
+// Load pattern: a workspace exceeds its limit for a while, and callers retry rejected
+// requests a second later, among new ones. Without this package retries that are already
+// late are admitted in place of new requests, which are rejected, retried and late as well:
+// hardly any answer meets its objective.
 //
-// Without it whoever is there when the limit has room is let in. Half of them have come
-// back, are late already, and take the room in which a fresh request would have been
-// answered in time, which then comes back late in its turn: of a workspace's answers
-// under a surge hardly any is in time, though as many are given.
-//
-// Callers wait for about the same time on each route, counted from their first try, and
-// say how long is left. One that has much less left than most is not at its first try.
+// On one route most callers have about the same timeout, counted from their first attempt,
+// and each request states the time that remains. A request with much less than the others
+// is a retry.
 //
 // The package does no I/O and reads no clock. An Estimator is not safe for concurrent use.
 package patience
@@ -20,45 +17,46 @@
 )
 
 const (
-	// lowerLevel and upperPart say which of the callers stand for those at their first
-	// try: so many of them have less time left. The lowest ones have come back.
+	// lowerLevel and upperLevel are the quantiles of the remaining time that are tracked.
+	// Both are those of first attempts; retries lie below.
 	lowerLevel = 0.3
 	upperLevel = 0.7
-	// extrapolationFactor is how far below the usual time the least patient callers are taken to lie,
-	// in parts of the distance between usual and upper. Where callers differ evenly it is
-	// 0.75; with less, those that came back soonest are told as well.
+	// extrapolationFactor sets the estimated minimum of first attempts: this many times the
+	// distance between the quantiles below the lower one. For a uniform distribution it
+	// would be 0.75; a lower value detects early retries as well.
 	extrapolationFactor = 0.55
-	// stepFraction is by which part of itself the usual time moves with each request. It settles
-	// within some hundred and passes over a burst of callers that come back.
+	// stepFraction is the relative step of an estimate with each request. It converges
+	// within some hundred requests and is little affected by a burst of retries.
 	stepFraction = 0.005
-	// lateStepFactor is the part of a step by which those move it that are taken to have come
-	// back. They must not pull it down to where they pass for fresh ones; where all
-	// callers wait less than before, it is found within some thousand requests.
+	// lateStepFactor scales the step for detected retries, so that they do not pull the
+	// estimates down to their own values. If callers shorten their timeout, the
+	// estimates still follow within some thousand requests.
 	lateStepFactor = 0.2
 )
 
-// Estimator holds how long callers usually wait, by route.
+// Estimator estimates, for each route, the remaining time of first attempts.
 type Estimator struct {
 	routes map[string]*routeEstimate
 }
 
-// routeEstimate is how long those of one route wait, from their first try.
+// routeEstimate holds two quantiles of the time that remains to first attempts.
 type routeEstimate struct {
 	lower, upper time.Duration
 }
 
-// minFirstTry is what the minFirstTry patient caller at its first try has left. Where callers differ
-// by more than their objective, as with long answers, one that waits less than most is
-// no sign that it has come back.
+// minFirstTry returns the estimated minimum of the time that remains to first attempts.
+// It lies below the lower quantile by a multiple of the spread, so that on routes whose
+// timeouts vary widely a short one is not taken for a retry.
 func (c *routeEstimate) minFirstTry() time.Duration {
 	return c.lower - time.Duration(extrapolationFactor*float64(max(c.upper-c.lower, 0)))
 }
 
-// NewEstimator returns an Estimator that knows no route.
+// NewEstimator returns an Estimator without routes.
 func NewEstimator() *Estimator { return &Estimator{routes: make(map[string]*routeEstimate)} }
 
-// ObjectivePassed takes a request's time left and reports whether its objective has passed since
-// the caller's first try, as far as that can be told. 0 left: the caller does not say.
+// ObjectivePassed reports whether the objective of a request has probably passed since its
+// caller's first attempt, and updates the route's estimate. remaining is the time until
+// the caller's timeout; 0 means unknown, and the result is then false.
 func (b *Estimator) ObjectivePassed(route string, remaining, objective time.Duration) bool {
 	if remaining <= 0 {
 		return false
@@ -77,15 +75,15 @@
 	return false
 }
 
-// shift moves both by a part of the usual time.
+// shift moves both quantiles by change times the lower one.
 func (c *routeEstimate) shift(change float64) {
 	delta := time.Duration(change * float64(c.lower))
 	c.lower += delta
 	c.upper += delta
 }
 
-// stepQuantile moves a quantile by a step: up where a value is above it, down where it is
-// below, so that it settles where this part of the values is below.
+// stepQuantile returns estimate moved one step towards value. Steps up and down are
+// weighted so that the estimate converges to the quantile at level.
 func stepQuantile(estimate, value time.Duration, level float64) time.Duration {
 	change := stepFraction * level
 	if value < estimate {
@@ -94,7 +92,7 @@
 	return estimate + time.Duration(change*float64(estimate))
 }
 
-// Retain drops all routes but these.
+// Retain drops the estimates of all routes but these.
 func (b *Estimator) Retain(routes map[string]bool) {
 	for name := range b.routes {
 		if !routes[name] {
--- a/policy/patience/patience_test.go
+++ b/policy/patience/patience_test.go
@@ -14,13 +14,12 @@
 
 const objective = 500 * time.Millisecond
 
-// randomTimeout is how long one of many callers waits: 2.5 to 3 s.
+// randomTimeout returns a caller's timeout, 2.5 to 3 s.
 func randomTimeout(rng *rand.Rand) time.Duration {
 	return 2500*time.Millisecond + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
 }
 
-// Callers that were refused come back a second later. Their answers are late whatever
-// happens; taken for fresh ones, they would make those late as well.
+// Retries that are already late, taken for first attempts, would delay those as well.
 func TestRetriesAreDetected(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b := NewEstimator()
@@ -38,13 +37,12 @@
 			falsePositives++
 		}
 	}
-	require.Greater(t, detected, 300, "of 334 that came back")
-	require.Zero(t, falsePositives, "fresh ones")
+	require.Greater(t, detected, 300, "detected of 334 retries")
+	require.Zero(t, falsePositives, "first attempts taken for retries")
 }
 
-// Callers of long answers differ by seconds in how long they wait, and ask for a first
-// event within half of one. Those who wait less than most are at their first try all the
-// same; taken for ones that came back, one in five was put behind all others.
+// On routes whose callers' timeouts differ by seconds, a first attempt with a short timeout
+// must not be taken for a retry, which would rank it behind all others.
 func TestShortTimeoutsAreNotTakenForRetries(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b := NewEstimator()
@@ -65,12 +63,12 @@
 			detected++
 		}
 	}
-	require.LessOrEqual(t, falsePositives, 50, "one in twenty of those at their first try")
-	require.Greater(t, detected, 80, "of 100 that came back after 5 s")
+	require.LessOrEqual(t, falsePositives, 50, "of 1,000 first attempts taken for retries")
+	require.Greater(t, detected, 80, "detected of 100 retries after 5 s")
 }
 
-// Callers of a route begin to wait for half as long, with a new release of theirs. They
-// are taken for fresh ones again within some thousand requests.
+// After callers have halved their timeout, their first attempts must count as such again
+// within some thousand requests.
 func TestEstimateFollowsShorterTimeouts(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b := NewEstimator()
@@ -89,8 +87,8 @@
 	require.Zero(t, late)
 }
 
-// Callers that do not say how long they wait are never held to be late, nor is the
-// first one of a route.
+// Neither a caller without a stated timeout nor the first caller of a route may count as
+// late.
 func TestCallersWithoutTimeoutAreNeverLate(t *testing.T) {
 	b := NewEstimator()
 	require.False(t, b.ObjectivePassed("r", 0, objective))
--- a/policy/queue/config.go
+++ b/policy/queue/config.go
@@ -6,53 +6,43 @@
 	"savoryreel.example/savoryreel/policy"
 )
 
-// Config bounds a Queue and sets how waiting time counts. The zero value is
-// not valid; start from DefaultConfig.
+// Config sets the bounds and the order of a Queue. The zero value is not
+// valid; start from DefaultConfig.
 type Config struct {
-	// MaxItems bounds all items together. What goes wrong without it: memory
-	// and waiting time grow without end under load above capacity, and every
-	// answer comes too late.
+	// MaxItems bounds the number of items in the queue. Without it memory and
+	// waiting time grow without limit under overload.
 	MaxItems int
 
-	// MaxPerWorkspace bounds the items of one workspace.
+	// MaxPerWorkspace bounds the number of items of one workspace.
 	MaxPerWorkspace int
 
-	// Horizon caps how far off a deadline counts. An item with a later
-	// deadline, or with none, takes the place of one with a deadline Horizon
-	// after it was enqueued, so that a stream of nearer deadlines cannot pass
-	// it for ever.
+	// Horizon caps the effective deadline of an item: one with a later deadline,
+	// or with none, is ordered as if its deadline were Horizon after it was
+	// enqueued. Otherwise a stream of earlier deadlines would starve it.
 	Horizon time.Duration
 
-	// LongRate and LongMax set how short work passes long work of the same
-	// workspace and class: an item of Cost tokens takes the place of one with
-	// a deadline later by Cost/LongRate seconds, and by LongMax at most. So
-	// short work passes long work that came up to LongMax earlier, and no
-	// long work is passed by anything that came later than that.
-	LongRate float64 // tokens a second
+	// LongRate and LongMax let short items pass long ones of the same workspace
+	// and class: the effective deadline of an item of Cost tokens is put off by
+	// Cost/LongRate seconds, but by at most LongMax, so that long items do not
+	// starve.
+	LongRate float64 // tokens per second
 	LongMax  time.Duration
 
-	// AgeAfter is the wait after which an item may start before more urgent
-	// classes of its workspace, and AgedShare the part of the workspace's
-	// tokens that such items get while more urgent items wait. Without them a
-	// steady interactive load keeps a batch from ever starting; without the
-	// bound an old backlog of batch work would hold up interactive work.
+	// AgeAfter is the wait after which an item may start before items of more
+	// urgent classes of its workspace, so that a steady interactive load does
+	// not starve batch work. AgedShare is the fraction of the workspace's tokens
+	// that such items get while more urgent ones wait, so that an old backlog
+	// of batch work does not block interactive work.
 	AgeAfter  time.Duration
 	AgedShare float64 // above 0, at most 0.5
 
-	// MaxCredit bounds, in tokens for a workspace of weight 1, what a
-	// workspace can catch up on after its items could not run for a while.
-	// Without it, one whose only backend servers come back after an hour
-	// would take the whole fleet until it had made up for that hour.
+	// MaxCredit bounds, in tokens, how much a workspace catches up after its
+	// items could not run. Without it, one whose backend servers return after an
+	// hour would take the whole fleet until it had made up for that hour.
 	MaxCredit int64
 }
 
-// DefaultConfig returns the values in use; docs/DECISIONS.md has the reasons.
-//
-// MaxItems is three seconds of the arrival rate of 3,500 requests a second that
-// the system is designed for: what waits longer misses the first-token target
-// of 0.72 s several times over. Horizon is the usual timeout of HTTP clients.
-// LongRate makes a request of 8,000 tokens wait for up to eight seconds of
-// short work. AgedShare of an eighth leaves interactive work seven eighths.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		MaxItems:        10_500,
@@ -80,10 +70,10 @@
 	)
 }
 
-// effectiveDeadline is the instant by which an item is ordered within its class: its
-// deadline, no further off than Horizon, put back by its length. Every effectiveDeadline
-// lies within Horizon+LongMax of the item's arrival, hence anything that
-// arrives later than that sorts behind it: no item of the class starves.
+// effectiveDeadline returns the time by which an item is ordered within its
+// class: its deadline, at most Horizon after its arrival, put off by its length.
+// It is never later than Horizon+LongMax after the arrival, so no item starves
+// within its class.
 func (c *Config) effectiveDeadline(i *Item) time.Time {
 	due := i.Enqueued.Add(c.Horizon)
 	if !i.Deadline.IsZero() && i.Deadline.Before(due) {
--- a/policy/queue/flow.go
+++ b/policy/queue/flow.go
@@ -4,7 +4,7 @@
 
 const numClasses = 3 // contract.Class.Rank returns 0, 1 or 2
 
-// flow is one workspace's part of the queue.
+// flow holds the waiting items of one workspace and its fair-queueing state.
 type flow struct {
 	workspace   string
 	weight      int64
@@ -12,25 +12,26 @@
 	items       int
 	tokens      int64
 
-	// virtualStart is the virtual time at which the workspace's next item would
-	// virtualStart, in tokens per unit of weight.
+	// virtualStart is the virtual start time of the workspace's next item, in
+	// tokens per unit of weight.
 	virtualStart float64
 
-	// pendingCharge is what Charge has added since the next item took its place.
+	// pendingCharge is the tokens that Charge has added while items wait. It
+	// enters virtualStart when the next item is popped.
 	pendingCharge float64
 
-	// agedDebt is how many tokens of more urgent classes have to start before the
-	// next aged item may start ahead of them.
+	// agedDebt is how many tokens have to start in the regular order before the
+	// next aged item may start out of order.
 	agedDebt float64
 
 	startedTokens int64 // tokens of items that have been popped, as corrected by Charge
-	evictedItems  int64 // items that made room for others
+	evictedItems  int64 // items evicted to make room
 
-	readyIndex int // in Queue.ready; -1: nothing waits
-	loadIndex  int // in Queue.load; -1: nothing waits
+	readyIndex int // in Queue.byStart; -1: not in it
+	loadIndex  int // in Queue.byLoad; -1: not in it
 }
 
-// classQueue holds the items of one class, by urgency and by arrival.
+// classQueue holds a workspace's items of one class, by effective deadline and by arrival.
 type classQueue struct {
 	byDeadline indexedHeap[waiter]
 	oldest     *waiter
@@ -92,8 +93,8 @@
 	f.tokens -= e.item.Cost
 }
 
-// evictionCandidate returns the item that the workspace can best do without: the newest
-// of its lowest class, or nil if it holds resumed items only.
+// evictionCandidate returns the newest item of the lowest class that is not a
+// resumed one, or nil if all are.
 func (f *flow) evictionCandidate() *waiter {
 	for rank := numClasses - 1; rank >= 0; rank-- {
 		for e := f.classQueues[rank].newest; e != nil; e = e.older {
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// moreItemsForWeight orders flows by what they hold for their weight, the largest first.
+// moreItemsForWeight orders flows by items per unit of weight, the largest first.
 func moreItemsForWeight(a, b *flow) bool {
 	left, right := int64(a.items)*b.weight, int64(b.items)*a.weight
 	if left != right {
@@ -121,12 +122,12 @@
 	return a.workspace < b.workspace
 }
 
-// search is one look for an item that can run.
+// search is the state of one PopFunc call.
 type search struct {
 	now         time.Time
 	cfg         *Config
 	eligibility func(*Item) Eligibility
-	lastResult  Eligibility // what judge said last
+	lastResult  Eligibility // the latest result of eligibility
 }
 
 func (s *search) canRun(e *waiter) bool {
@@ -134,12 +135,11 @@
 	return s.lastResult == Runs
 }
 
-// skipsWorkspace reports whether the rest of the workspace need not be searched.
+// skipsWorkspace reports whether no other item of the workspace can run either.
 func (s *search) skipsWorkspace() bool { return s.lastResult >= WorkspaceWaits }
 
-// next returns the flow's next item that can run, or nil. An aged item of a
-// lower class comes first if the workspace's more urgent work has been repaid
-// for the last one.
+// next returns the flow's next item that can run, or nil. An aged item comes
+// first if agedDebt has been worked off.
 func (f *flow) next(s *search) (e *waiter, aged bool) {
 	s.lastResult = Waits
 	if f.agedDebt <= 0 {
@@ -158,8 +158,8 @@
 	return nil, false
 }
 
-// nextAged returns the longest waiting item that can run among those that more
-// urgent classes hold up and that have waited for AgeAfter.
+// nextAged returns the longest waiting item that can run, has waited for at
+// least AgeAfter and has items of a more urgent class before it.
 func (f *flow) nextAged(s *search) *waiter {
 	var found *waiter
 	moreUrgentWaits := f.classQueues[0].oldest != nil
@@ -180,8 +180,8 @@
 	return a
 }
 
-// oldestAged returns the first item, by arrival, that can run and has waited for
-// AgeAfter.
+// oldestAged returns the oldest item that can run and has waited for at least
+// AgeAfter, or nil.
 func (l *classQueue) oldestAged(s *search) *waiter {
 	for e := l.oldest; e != nil && s.now.Sub(e.item.Enqueued) >= s.cfg.AgeAfter; e = e.newer {
 		if s.canRun(e) {
@@ -194,9 +194,9 @@
 	return nil
 }
 
-// next returns the most urgent item that can run. The head almost always can;
-// past it the lane is searched in full, since work that can run must not wait
-// behind work that cannot.
+// next returns the item with the earliest effective deadline that can run, or
+// nil. If the head cannot run, it searches all other items, so that an item that
+// can run does not wait behind one that cannot.
 func (l *classQueue) next(s *search) *waiter {
 	head := l.byDeadline.min()
 	if head == nil {
@@ -217,7 +217,7 @@
 	return found
 }
 
-// updateAgedDebt keeps the account of aged starts after item e was picked.
+// updateAgedDebt accounts for the start of e; share is Config.AgedShare.
 func (f *flow) updateAgedDebt(e *waiter, aged bool, share float64) {
 	if aged {
 		f.agedDebt = float64(e.item.Cost) * (1 - share) / share
--- a/policy/queue/heap.go
+++ b/policy/queue/heap.go
@@ -1,17 +1,16 @@
 package queue
 
-// indexedHeap is a binary heap whose elements know their index, so that one in
-// the middle can be moved or removed in logarithmic time. It does not allocate
-// beyond its slice.
+// indexedHeap is a binary heap whose elements store their index, so that any
+// element can be moved or removed in logarithmic time.
 type indexedHeap[T any] struct {
 	elems []*T
 	less  func(a, b *T) bool
-	index func(*T) *int // where the element keeps its index
+	index func(*T) *int // the field that stores the element's index
 }
 
 func (h *indexedHeap[T]) len() int { return len(h.elems) }
 
-// min returns the first element, or nil.
+// min returns the first element, or nil if the heap is empty.
 func (h *indexedHeap[T]) min() *T {
 	if len(h.elems) == 0 {
 		return nil
@@ -37,7 +36,7 @@
 	}
 }
 
-// fix restores the order after e's key has changed.
+// fix restores the heap order after e's key has changed.
 func (h *indexedHeap[T]) fix(e *T) {
 	i := *h.index(e)
 	if !h.down(i) {
--- a/policy/queue/item.go
+++ b/policy/queue/item.go
@@ -12,35 +12,35 @@
 	Workspace string
 	Service   string
 	Class     contract.Class
-	Weight    int       // the workspace's share among workspaces; the latest push decides; 0 keeps what is known
-	Cost      int64     // estimated work in tokens, prompt and answer; below 1 counts as 1
+	Weight    int       // weight of the workspace, as of its latest push; 0 leaves it unchanged
+	Cost      int64     // estimated tokens of prompt and answer; below 1 counts as 1
 	Deadline  time.Time // zero: none
 	Enqueued  time.Time // zero: the time of the push
 
-	// Resumed marks a request that was accepted before: handed over by another
-	// entry, or begun on a backend server that has gone. It goes ahead of the
-	// workspace's other items and no bound turns it away, since an accepted
-	// request has to be answered.
+	// Resumed marks a request that was accepted earlier: handed over by another
+	// entry, or started on a backend server that has failed. It is ordered
+	// before the workspace's other items and exempt from all bounds, since an
+	// accepted request has to be answered.
 	Resumed bool
 }
 
-// expired reports whether an answer could no longer be used at now.
+// expired reports whether the deadline has passed at now.
 func (i *Item) expired(now time.Time) bool {
 	return !i.Deadline.IsZero() && !now.Before(i.Deadline)
 }
 
-// Reason says why Push took an item or turned it away.
+// Reason is why Push accepted or rejected an item.
 type Reason uint8
 
-// The reasons of a Verdict.
+// Reasons of a Verdict.
 const (
-	Queued           Reason = iota // there was room
-	QueuedByEviction               // there was room once the item in Evicted had left
-	WorkspaceFull                  // the workspace is at its own bound and the item is its least urgent
-	TotalFull                      // the queue is full and the item's workspace is the furthest over its share
+	Queued           Reason = iota // the queue is within its bounds
+	QueuedByEviction               // the item in Evicted was removed to make room
+	WorkspaceFull                  // the workspace is at MaxPerWorkspace and the item is its least urgent
+	TotalFull                      // the queue is at MaxItems and the item's workspace has the most items for its weight
 	AlreadyExpired                 // the deadline had passed before the push
-	DuplicateID                    // an item with this ID waits already
-	Unnamed                        // the item names no workspace or has no ID
+	DuplicateID                    // an item with this ID is already in the queue
+	Unnamed                        // the item has no workspace or no ID
 )
 
 var reasonNames = [...]string{
@@ -53,7 +53,7 @@
 	Unnamed:          "unnamed",
 }
 
-// String returns the reason as it stands in logs.
+// String returns the reason for logs.
 func (r Reason) String() string {
 	if int(r) >= len(reasonNames) {
 		return "unknown"
@@ -61,25 +61,24 @@
 	return reasonNames[r]
 }
 
-// Verdict is what Push decided. An item in Evicted waited before and has left
-// the queue without running: its caller is owed its final answer, not run, at
-// once.
+// Verdict is the result of Push. An item in Evicted has been removed from the
+// queue without running; the caller of Push has to answer its request.
 type Verdict struct {
 	Accepted bool
 	Reason   Reason
 	Evicted  []Item // at most one
 }
 
-// waiter is an Item in the queue with its places in the queue's indexes.
+// waiter is an Item in the queue with its positions in the queue's indexes.
 type waiter struct {
 	item              Item
 	flow              *flow
-	rank              int       // index into flow.lanes
-	effectiveDeadline time.Time // place within the lane, see Config.urgency
-	sequence          uint64    // order of pushes, breaks ties
+	rank              int       // index into flow.classQueues
+	effectiveDeadline time.Time // see Config.effectiveDeadline
+	sequence          uint64    // order of pushes; breaks ties
 
-	classIndex    int // in lane.byUrgency
+	classIndex    int // in classQueue.byDeadline
 	deadlineIndex int // in Queue.deadlines; -1: no deadline
 
-	newer, older *waiter // neighbours in the lane's order of arrival
+	newer, older *waiter // neighbours in the class queue's order of arrival
 }
--- a/policy/queue/queue.go
+++ b/policy/queue/queue.go
@@ -4,37 +4,37 @@
 	"time"
 )
 
-// defaultWeight is the weight of a workspace that nobody has set one for.
+// defaultWeight is the weight of a workspace without a configured one.
 const defaultWeight = 1
 
-// minIdleToDrop is how many workspaces without items are kept before those that
-// no longer matter to fairness are forgotten.
+// minIdleToDrop is how many idle flows beyond the number of active ones may
+// exist before dropIdleFlows looks for some to drop.
 const minIdleToDrop = 64
 
-// Queue holds the requests that wait for a backend server. Between workspaces
-// it is fair by weight in tokens of work; see the package's comment for the
-// pattern of load it answers. It is not safe for concurrent use.
+// Queue holds the requests that wait for a backend server. It shares starts
+// between workspaces by weight, counted in tokens. It is not safe for concurrent
+// use.
 type Queue struct {
 	cfg  Config
 	byID map[string]*waiter
 
 	flows   map[string]*flow
 	byStart indexedHeap[flow] // flows with items, earliest virtual start first
-	byLoad  indexedHeap[flow] // flows with items, furthest over its share first
+	byLoad  indexedHeap[flow] // flows with items, most items for their weight first
 
 	deadlines indexedHeap[waiter]
-	expired   []Item // taken out, not yet collected by Expired
+	expired   []Item // removed, not yet returned by Expired
 
-	virtualTime  float64 // the largest virtual start of any item popped
+	virtualTime  float64 // the largest virtual start time of a popped item
 	tokens       int64
 	activeWeight int64 // sum of the weights of flows with items
 	sequence     uint64
 
 	freeWaiters  []*waiter
-	skippedFlows []*flow // scratch of Pop
+	skippedFlows []*flow // scratch space of PopFunc
 }
 
-// New returns an empty queue, or the *policy.ConfigError of an invalid cfg.
+// New returns an empty queue, or a *policy.ConfigError if cfg is invalid.
 func New(cfg Config) (*Queue, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -56,11 +56,10 @@
 	return a.sequence < b.sequence
 }
 
-// Push puts item in the queue, or says why not. When the queue is full, the
-// workspace that holds most for its weight, with the new item counted, loses
-// the newest item of its lowest class. Turning away whoever comes last instead
-// would let one workspace fill the queue and shut out all others: they would
-// see refusals although they ask for less than their share.
+// Push adds item to the queue, or returns why it is rejected. If the queue is
+// full, the workspace with the most items for its weight, counting the new one,
+// loses the newest item of its lowest class. Rejecting the new item instead
+// would let one workspace fill the queue and lock out all others.
 func (q *Queue) Push(now time.Time, item Item) Verdict {
 	if item.ID == "" || item.Workspace == "" {
 		return Verdict{Reason: Unnamed}
@@ -76,7 +75,8 @@
 	return q.enforceBounds(e)
 }
 
-// enforceBounds takes out one item if e has put the queue over a enforceBounds.
+// enforceBounds removes one item if e, just inserted, exceeds a bound of the
+// queue, and returns the result of the push.
 func (q *Queue) enforceBounds(e *waiter) Verdict {
 	fullest, reason := e.flow, WorkspaceFull
 	if e.flow.items <= q.cfg.MaxPerWorkspace {
@@ -131,9 +131,9 @@
 	return e
 }
 
-// activate enters a flow that has its first item. A workspace that was idle
-// starts at the present virtual time: idle time earns no credit, or a workspace
-// that was idle for hours could hold up all others for as long.
+// activate adds a flow that has received its first item to the heaps. Its
+// virtual start is at least the current virtual time: otherwise a workspace that
+// was idle for hours could block all others while it catches up.
 func (q *Queue) activate(f *flow) {
 	f.virtualStart = max(f.virtualStart, q.virtualTime)
 	q.activeWeight += f.weight
@@ -141,7 +141,7 @@
 	q.byLoad.push(f)
 }
 
-// removeWaiter removes e from all indexes and returns its item.
+// removeWaiter removes e from all indexes and returns its item; e is reused.
 func (q *Queue) removeWaiter(e *waiter) Item {
 	f, item := e.flow, e.item
 	delete(q.byID, item.ID)
@@ -188,10 +188,10 @@
 	return f
 }
 
-// dropIdleFlows drops flows without items whose virtual start is past, since a new
-// flow in their place would get the same start, and all of them if nothing
-// waits, since then no workspace has had its service at the cost of another.
-// Without it, every workspace name that was ever seen would stay in memory.
+// dropIdleFlows drops flows without items, so that memory does not grow with
+// every workspace name. It drops those whose virtual start is not after the
+// virtual time, since a new flow would get the same start, and all of them if
+// the queue is empty.
 func (q *Queue) dropIdleFlows() {
 	if len(q.flows)-q.byStart.len() < minIdleToDrop+q.byStart.len() {
 		return
@@ -203,26 +203,26 @@
 	}
 }
 
-// Eligibility says whether an item can run now.
+// Eligibility is the result of checking whether an item can run now.
 type Eligibility uint8
 
-// The eligibilities. WorkspaceWaits and AllWait spare the search of items that
-// would be turned down for the same reason.
+// WorkspaceWaits and AllWait end the search early: all items that they cover
+// would be rejected for the same reason.
 const (
-	Waits          Eligibility = iota // not this item
-	Runs                              // this item
-	WorkspaceWaits                    // no item of its workspace
-	AllWait                           // no item at all
+	Waits          Eligibility = iota // this item cannot run
+	Runs                              // this item can run
+	WorkspaceWaits                    // no item of its workspace can run
+	AllWait                           // no item can run
 )
 
-// Pop takes out the item to run next among those that eligible accepts; ok is
-// false if there is none. It returns an item whenever any eligible one waits,
-// and calls eligible for no item that has expired. Items that eligible turns
-// down keep their places, and their workspace catches up later, within
-// Config.MaxCredit. eligible must neither keep nor change its argument.
+// Pop removes and returns the item to run next among those for which eligible
+// returns true; ok is false if there is none. It never calls eligible with an
+// expired item. The other items keep their positions, and their workspace
+// catches up later, within Config.MaxCredit. eligible must neither retain nor
+// modify its argument.
 //
-// Cost: logarithmic in workspaces and items if the heads are eligible; at worst
-// one call of eligible for each item that waits.
+// It takes logarithmic time in workspaces and items if the first items are
+// eligible, and at worst calls eligible for every waiting item.
 func (q *Queue) Pop(now time.Time, eligible func(*Item) bool) (item Item, ok bool) {
 	return q.PopFunc(now, func(i *Item) Eligibility {
 		if eligible(i) {
@@ -232,7 +232,7 @@
 	})
 }
 
-// PopFunc is Pop for a caller that knows why an item cannot run.
+// PopFunc is like Pop, but eligibility can also end the search early.
 func (q *Queue) PopFunc(now time.Time, eligibility func(*Item) Eligibility) (item Item, ok bool) {
 	q.removeExpired(now)
 	q.skippedFlows = q.skippedFlows[:0]
@@ -255,7 +255,7 @@
 	return item, ok
 }
 
-// serve charges the flow for e and takes e out.
+// serve charges the flow for e and removes e.
 func (q *Queue) serve(f *flow, e *waiter) Item {
 	q.virtualTime = max(q.virtualTime, f.virtualStart)
 	f.startedTokens += e.item.Cost
@@ -268,16 +268,16 @@
 	return item
 }
 
-// minVirtualStart is the minVirtualStart virtual start that f may have: MaxCredit tokens
-// behind the present, for its weight.
+// minVirtualStart returns the earliest virtual start that f may have, which lets
+// its workspace catch up by MaxCredit tokens.
 func (q *Queue) minVirtualStart(f *flow) float64 {
 	return q.virtualTime - float64(q.cfg.MaxCredit)/float64(f.weight)
 }
 
-// Charge corrects what a workspace has been charged: extra tokens beyond the
-// estimates of its popped items, or fewer if negative. Without it a caller that
-// understates its answers' length takes more than its share. The item that is
-// next keeps its place: it was let in on the strength of it.
+// Charge corrects the cost of a workspace's popped items by extra tokens, which
+// may be negative. Without it a caller that understates the length of its
+// answers gets more than its share. The position of the workspace's next item
+// does not change, since its admission was based on it.
 func (q *Queue) Charge(workspace string, extra int64) {
 	f := q.flowOf(workspace)
 	f.startedTokens += extra
@@ -288,7 +288,7 @@
 	f.virtualStart = max(f.virtualStart+float64(extra)/float64(f.weight), q.minVirtualStart(f))
 }
 
-// SetWeight sets a workspace's share among workspaces; below 1 counts as 1.
+// SetWeight sets the weight of a workspace; below 1 counts as 1.
 func (q *Queue) SetWeight(workspace string, weight int) {
 	q.setWeight(q.flowOf(workspace), int64(max(1, weight)))
 }
@@ -306,7 +306,8 @@
 	}
 }
 
-// Remove takes out the item with this ID, as when its caller has gone away.
+// Remove removes the item with this ID, for example because its caller has
+// disconnected. It returns false if there is none.
 func (q *Queue) Remove(id string) (Item, bool) {
 	e, ok := q.byID[id]
 	if !ok {
@@ -315,9 +316,9 @@
 	return q.removeWaiter(e), true
 }
 
-// Expired returns the items whose deadline has passed since the last call, by
-// deadline. They have not run and never will; each caller is owed its final
-// answer at once. Call it before Pop and at NextDeadline.
+// Expired returns the items whose deadline has passed since the last call, in
+// order of their deadlines. They have been removed without running, and the
+// caller has to answer their requests. Call it before Pop and at NextDeadline.
 func (q *Queue) Expired(now time.Time) []Item {
 	q.removeExpired(now)
 	out := q.expired
@@ -325,16 +326,16 @@
 	return out
 }
 
-// removeExpired takes expired items out, so that none of them costs a backend server
-// work that nobody waits for, or a place in the queue.
+// removeExpired moves expired items to q.expired, so that they neither run nor
+// count towards the bounds.
 func (q *Queue) removeExpired(now time.Time) {
 	for e := q.deadlines.min(); e != nil && e.item.expired(now); e = q.deadlines.min() {
 		q.expired = append(q.expired, q.removeWaiter(e))
 	}
 }
 
-// NextDeadline returns the earliest deadline of a waiting item; ok is false if
-// none has one.
+// NextDeadline returns the earliest deadline of the waiting items; ok is false
+// if none has a deadline.
 func (q *Queue) NextDeadline() (deadline time.Time, ok bool) {
 	if e := q.deadlines.min(); e != nil {
 		return e.item.Deadline, true
--- a/policy/queue/queue_test.go
+++ b/policy/queue/queue_test.go
@@ -60,11 +60,8 @@
 	assert.NoError(t, DefaultConfig().Validate())
 }
 
-// A surge of one workspace puts hundreds of requests before those of another.
-// In order of arrival the quiet workspace's request would wait for all of them;
-// its caller would see a first token seconds late.
-//
-// Removing the line "f.start += ..." in serve makes this fail.
+// Without fair queueing a workspace's request waits behind all requests of another
+// workspace's surge, and its first token is seconds late.
 func TestSurgeDoesNotDelayOtherWorkspaces(t *testing.T) {
 	q := newQueue(t, nil)
 	fill(t, q, timeAt(0), 500, Item{Workspace: "busy", Class: contract.ClassInteractive, Cost: 400})
@@ -75,9 +72,8 @@
 	assert.Equal(t, "quiet", item.Workspace)
 }
 
-// Two workspaces keep the system saturated, one with long answers and one with
-// short ones. If turns were counted in requests, the one with long answers
-// would get ten times the work of the other.
+// If starts were counted in requests rather than tokens, a workspace with long answers
+// would get many times the work of one with short answers.
 func TestShareFollowsWeightInTokens(t *testing.T) {
 	q := newQueue(t, nil)
 	fill(t, q, timeAt(0), 400, Item{Workspace: "long", Class: contract.ClassStandard, Weight: 1, Cost: 4_000})
@@ -87,14 +83,12 @@
 		item, _ := q.Pop(timeAt(0), anyItem)
 		tokensPopped[item.Workspace] += item.Cost
 	}
-	// 1,000 starts are some 100 of the long item; fair within one of them.
+	// About 100 of the 1,000 starts are long items; the difference is at most one of them.
 	assert.InDelta(t, 3, float64(tokensPopped["short"])/float64(tokensPopped["long"]), 0.1)
 }
 
-// A caller states a small answer length and takes a long one. Unless the charge
-// is corrected it gets many times its share, and others wait for it.
-//
-// Removing the line "f.start += ..." in Charge makes this fail.
+// Without Charge a caller that understates the length of its answers gets several times
+// its share.
 func TestChargeCorrectsUnderstatedCost(t *testing.T) {
 	q := newQueue(t, nil)
 	fill(t, q, timeAt(0), 1_000, Item{Workspace: "understates", Class: contract.ClassStandard, Cost: 100})
@@ -110,11 +104,8 @@
 	assert.InDelta(t, 1, float64(tokensRun["understates"])/float64(tokensRun["honest"]), 0.05)
 }
 
-// The queue is full of one workspace's surge when another asks for its first
-// request. If whoever comes last were turned away, the second would be shut out
-// for as long as the surge lasts.
-//
-// Removing the use of q.load in bound makes this fail.
+// If a full queue rejected every new item, one workspace's surge would lock out all
+// others for as long as it lasts.
 func TestFullQueueEvictsFromWorkspaceWithMostItemsForItsWeight(t *testing.T) {
 	q := newQueue(t, func(c *Config) { c.MaxItems, c.MaxPerWorkspace = 100, 100 })
 	fill(t, q, timeAt(0), 99, Item{Workspace: "surge", Class: contract.ClassInteractive, Cost: 10})
@@ -132,6 +123,7 @@
 	assert.Equal(t, 100, q.Len())
 }
 
+// At its bound a workspace must lose batch items rather than interactive ones.
 func TestWorkspaceBoundEvictsLeastUrgent(t *testing.T) {
 	q := newQueue(t, func(c *Config) { c.MaxPerWorkspace = 3 })
 	fill(t, q, timeAt(0), 3, Item{Workspace: "w", Class: contract.ClassBatch, Cost: 10})
@@ -142,10 +134,8 @@
 	assert.Equal(t, Verdict{Reason: WorkspaceFull}, v)
 }
 
-// An entry hands its accepted requests to a peer whose queue is full. If the
-// peer turned them away, callers would lose requests that had been accepted.
-//
-// Removing the test of Resumed in least makes this fail.
+// A request handed over by another entry was already accepted: rejecting it would lose
+// its answer.
 func TestResumedItemIsNeverRejected(t *testing.T) {
 	q := newQueue(t, func(c *Config) { c.MaxItems, c.MaxPerWorkspace = 2, 2 })
 	fill(t, q, timeAt(0), 2, Item{Workspace: "w", Class: contract.ClassInteractive, Cost: 1})
@@ -153,13 +143,14 @@
 		v := q.Push(timeAt(0), Item{ID: fmt.Sprint(i), Workspace: "w", Class: contract.ClassBatch, Resumed: true})
 		assert.True(t, v.Accepted)
 	}
-	assert.Equal(t, 4, q.Len(), "the two others made room")
+	assert.Equal(t, 4, q.Len(), "the two other items were evicted")
 	v := q.Push(timeAt(0), Item{ID: "new", Workspace: "w", Class: contract.ClassInteractive})
 	assert.Equal(t, Verdict{Reason: WorkspaceFull}, v)
 	item, _ := q.Pop(timeAt(0), anyItem)
 	assert.Equal(t, "0", item.ID)
 }
 
+// Items of one workspace start by class, and within a class by deadline.
 func TestWorkspaceOrderIsClassThenDeadline(t *testing.T) {
 	q := newQueue(t, nil)
 	push := func(id string, c contract.Class, deadline time.Duration) {
@@ -176,8 +167,8 @@
 	assert.Equal(t, []string{"interactive", "standard-soon", "standard-late", "batch"}, order)
 }
 
-// One workspace sends long documents and then short questions. In order of
-// arrival each question would wait for all the documents.
+// In order of arrival short questions would wait for all long documents that the same
+// workspace sent shortly before.
 func TestShortItemsPassSlightlyOlderLongItems(t *testing.T) {
 	q := newQueue(t, nil)
 	fill(t, q, timeAt(0), 20, Item{Workspace: "w", Class: contract.ClassStandard, Cost: 9_000})
@@ -188,23 +179,16 @@
 	}
 }
 
-// Short questions come without a pause, faster than they are served. If they
-// always went first, the document would never start and its caller would wait
-// until the deadline for nothing.
-//
-// Removing the bound by LongMax in urgency makes this fail.
+// Without LongMax a steady overload of short items would starve a long one.
 func TestLongItemDoesNotStarveAmongShortItems(t *testing.T) {
 	q := newQueue(t, nil)
 	q.Push(timeAt(0), Item{ID: "long", Workspace: "w", Class: contract.ClassStandard, Cost: 100_000})
-	// Half of what comes is served, so what came after 10 s starts after 20 s.
+	// Half of the items are served, so one that arrives after 10 s starts after 20 s.
 	started := startedWithin(t, q, contract.ClassStandard, 21*time.Second)
 	assert.True(t, slices.Contains(started, "long"))
 }
 
-// Interactive requests keep a workspace's whole share busy. A batch job of the
-// same workspace would wait for as long as that lasts.
-//
-// Removing the call of pickAged makes this fail.
+// Without aging, interactive overload would starve a batch item of the same workspace.
 func TestAgedBatchItemStartsDespiteInteractiveLoad(t *testing.T) {
 	q := newQueue(t, nil)
 	q.Push(timeAt(0), Item{ID: "batch", Workspace: "w", Class: contract.ClassBatch, Cost: 100})
@@ -212,7 +196,8 @@
 	assert.True(t, slices.Contains(started, "batch"))
 }
 
-// startedWithin pushes two short items and pops one every 10 ms.
+// startedWithin pushes two short items and pops one every 10 ms until limit. It returns the
+// IDs of the popped items.
 func startedWithin(t *testing.T, q *Queue, c contract.Class, limit time.Duration) []string {
 	t.Helper()
 	var started []string
@@ -226,10 +211,8 @@
 	return started
 }
 
-// A large backlog of batch work has aged when interactive work comes. If aged
-// work simply went first, people would wait for the whole backlog.
-//
-// Removing the test of f.repay in pick makes this fail.
+// If aged items always went first, interactive requests would wait for a whole backlog of
+// batch work.
 func TestAgedBacklogIsLimitedToAgedShare(t *testing.T) {
 	q := newQueue(t, nil)
 	fill(t, q, timeAt(0), 500, Item{Workspace: "w", Class: contract.ClassBatch, Cost: 1_000})
@@ -244,10 +227,8 @@
 	assert.InDelta(t, 400*DefaultConfig().AgedShare, batch, 1)
 }
 
-// Callers give up while their requests wait. If those were still run, a
-// saturated fleet would spend its time on answers that nobody reads.
-//
-// Removing the call of sweep in Pop makes this fail.
+// Running items whose deadline has passed would spend a saturated fleet on answers that
+// nobody receives.
 func TestExpiredItemsAreNeverPopped(t *testing.T) {
 	q := newQueue(t, nil)
 	fill(t, q, timeAt(0), 10, Item{Workspace: "w", Class: contract.ClassInteractive, Cost: 10, Deadline: timeAt(time.Second)})
@@ -256,14 +237,13 @@
 	require.True(t, ok)
 	assert.Equal(t, "alive", item.ID)
 	assert.Len(t, q.Expired(timeAt(time.Second)), 10)
-	assert.Empty(t, q.Expired(timeAt(time.Second)), "each is named once")
+	assert.Empty(t, q.Expired(timeAt(time.Second)), "each expired item is returned once")
 	v := q.Push(timeAt(time.Second), Item{ID: "late", Workspace: "w", Deadline: timeAt(time.Second)})
 	assert.Equal(t, Verdict{Reason: AlreadyExpired}, v)
 }
 
-// The backend servers of one service are gone, and its requests head the queue.
-// If the queue waited for the head, everything behind it would stand still
-// while servers are idle.
+// If Pop waited for a first item whose service has no servers, all items after it would
+// wait while servers are idle.
 func TestPopSkipsIneligibleItemsWithoutLosingTheirTurn(t *testing.T) {
 	q := newQueue(t, nil)
 	fill(t, q, timeAt(0), 50, Item{Workspace: "blocked", Service: "gone", Class: contract.ClassInteractive, Cost: 100})
@@ -276,14 +256,12 @@
 	}
 	for range 20 {
 		item, _ := q.Pop(timeAt(0), anyItem)
-		assert.Equal(t, "blocked", item.Workspace, "it catches up")
+		assert.Equal(t, "blocked", item.Workspace, "the blocked workspace catches up")
 	}
 }
 
-// A workspace whose servers were away for an hour comes back. If it could make
-// up for the whole hour, all others would get nothing for minutes.
-//
-// Removing the use of earliest in Pop makes this fail.
+// A workspace whose servers return after an hour must not block all others until it has
+// made up for that hour.
 func TestCatchUpIsLimitedByMaxCredit(t *testing.T) {
 	q := newQueue(t, func(c *Config) { c.MaxCredit = 1_000 })
 	fill(t, q, timeAt(0), 1_000, Item{Workspace: "blocked", Service: "gone", Class: contract.ClassInteractive, Cost: 100})
@@ -299,10 +277,8 @@
 	assert.InDelta(t, 11, popped, 1)
 }
 
-// A workspace is idle for hours while another works. If idle time counted as
-// credit, the other would get nothing for as long afterwards.
-//
-// Removing the use of q.virtual in activate makes this fail.
+// If idle time counted as credit, a workspace that was idle for hours could block all
+// others for as long.
 func TestIdleTimeEarnsNoCredit(t *testing.T) {
 	q := newQueue(t, nil)
 	fill(t, q, timeAt(0), 1, Item{Workspace: "idle", Class: contract.ClassInteractive, Cost: 1})
@@ -320,6 +296,8 @@
 	assert.InDelta(t, 50, got["busy"], 1)
 }
 
+// Stats and Backlog must match the queue's items after pushes and removals, since
+// admission relies on them.
 func TestRemoveStatsAndBacklog(t *testing.T) {
 	q := newQueue(t, nil)
 	q.Push(timeAt(0), Item{ID: "a", Workspace: "w", Class: contract.ClassInteractive, Weight: 3, Cost: 100})
@@ -343,6 +321,7 @@
 	assert.EqualValues(t, 600, q.Tokens())
 }
 
+// Memory must not grow with every workspace name that has ever been used.
 func TestIdleFlowsAreDropped(t *testing.T) {
 	q := newQueue(t, nil)
 	for i := range 10_000 {
@@ -352,7 +331,7 @@
 	assert.LessOrEqual(t, len(q.flows), minIdleToDrop+1)
 }
 
-// model drives a queue with random calls and checks what must hold after each.
+// model drives a queue with random calls and checks its invariants after each.
 type model struct {
 	q       *Queue
 	now     time.Time
@@ -379,7 +358,7 @@
 		m.waiting[item.ID] = item
 	}
 	if item.Resumed && !v.Accepted && v.Reason != AlreadyExpired {
-		t.Fatalf("resumed item turned away: %v", v.Reason)
+		t.Fatalf("resumed item rejected: %v", v.Reason)
 	}
 	for _, e := range v.Evicted {
 		m.recordLeaving(t, e)
@@ -388,7 +367,7 @@
 
 func (m *model) recordLeaving(t *rapid.T, item Item) {
 	if _, ok := m.waiting[item.ID]; !ok {
-		t.Fatalf("%s left twice or was never in", item.ID)
+		t.Fatalf("%s left the queue twice or was never in it", item.ID)
 	}
 	delete(m.waiting, item.ID)
 }
@@ -402,12 +381,12 @@
 	}
 	item, ok := m.q.Pop(m.now, func(i *Item) bool {
 		if i.expired(m.now) {
-			t.Fatalf("%s offered after its deadline", i.ID)
+			t.Fatalf("%s passed to eligible after its deadline", i.ID)
 		}
 		return i.Service == service
 	})
 	if ok != anyEligible {
-		t.Fatalf("not work-conserving: popped %v, an eligible item waits %v", ok, anyEligible)
+		t.Fatalf("not work-conserving: popped %v, eligible item waiting %v", ok, anyEligible)
 	}
 	if ok {
 		m.recordLeaving(t, item)
@@ -423,18 +402,19 @@
 func (m *model) check(t *rapid.T) {
 	m.expire(t)
 	if m.q.Len() != len(m.waiting) {
-		t.Fatalf("holds %d, want %d", m.q.Len(), len(m.waiting))
+		t.Fatalf("queue has %d items, want %d", m.q.Len(), len(m.waiting))
 	}
 	var tokens int64
 	for _, item := range m.waiting {
 		tokens += max(1, item.Cost)
 	}
 	if m.q.Tokens() != tokens {
-		t.Fatalf("holds %d tokens, want %d", m.q.Tokens(), tokens)
+		t.Fatalf("queue has %d tokens, want %d", m.q.Tokens(), tokens)
 	}
 }
 
-// Every item leaves once, by one way; Pop is work-conserving; the sums agree.
+// Every item leaves the queue exactly once, Pop returns an item whenever an eligible one
+// waits, and the totals match: otherwise requests would be lost or answered twice.
 func TestPropertyItemsLeaveOnceAndPopIsWorkConserving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
@@ -454,9 +434,8 @@
 	})
 }
 
-// With all workspaces backlogged, what two of them have been given for their
-// weights never differs by more than their two largest items, as Goyal, Vin and
-// Cheng prove for start-time fair queueing.
+// While all workspaces are backlogged, the work of two of them per unit of weight differs
+// by at most their two largest items (Goyal, Vin and Cheng, 1996).
 func TestPropertyFairWithinLargestItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, _ := New(DefaultConfig())
@@ -485,9 +464,8 @@
 	})
 }
 
-// No item waits for ever: whatever its class and cost, it starts within the
-// bound that Horizon, LongMax and AgedShare set, under a load twice what is
-// served.
+// At twice the capacity every item starts within the bound given by Horizon, LongMax and
+// AgedShare, whatever its class and cost.
 func TestPropertyNoStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
@@ -540,7 +518,7 @@
 	}
 }
 
-// Pushing and popping allocates nothing once the queue has reached its size.
+// Push and Pop must not allocate once the queue has reached its size.
 func TestPushPopDoNotAllocate(t *testing.T) {
 	for _, workspaces := range []int{10, 1_000} {
 		q, _ := benchmarkQueue(workspaces)
--- a/policy/queue/start.go
+++ b/policy/queue/start.go
@@ -9,28 +9,23 @@
 	"savoryreel.example/savoryreel/policy"
 )
 
-// StartConfig sets how many slots are kept free, and for whom.
+// StartConfig sets how many free slots a Starter reserves, and for whom.
 type StartConfig struct {
-	// Headroom is the part of all slots that a workspace leaves free once it
-	// runs its share of them, for those that run less than theirs. Unless it
-	// is 0, at least one slot for each entry is left free.
+	// Headroom is the fraction of all slots reserved for workspaces below their
+	// share. Unless it is 0, at least one slot per entry is reserved.
 	Headroom float64 // 0 to 0.5
 
-	// LongTokens is the cost from which on an item is long, and LongHeadroom
-	// the part of all slots that long items leave free for short ones.
+	// LongTokens is the cost from which an item counts as long. LongHeadroom is
+	// the fraction of all slots reserved for short items.
 	LongTokens   int64
 	LongHeadroom float64 // 0 to 0.5
 
-	// Memory is how long after its last item a workspace, or short work, still
-	// counts.
+	// Memory is how long a workspace counts as active after its last item, and
+	// how long slots stay reserved after the last short item.
 	Memory time.Duration
 }
 
-// DefaultStartConfig returns the values in use; docs/DECISIONS.md has the reasons.
-//
-// Both headrooms cost that part of the capacity while they are kept, hence
-// about a twentieth, and nothing while all workspaces run their share. Items of
-// 2,000 tokens hold a slot ten times as long as the usual answer of 200.
+// DefaultStartConfig returns the default configuration.
 func DefaultStartConfig() StartConfig {
 	return StartConfig{
 		Headroom:     0.05,
@@ -50,30 +45,31 @@
 	)
 }
 
-// Slots are the requests that the backend servers of a service run side by
-// side, as one entry sees them: by load reports that all entries share and that
-// are late. A server with more work than slots has none free.
+// Slots is one entry's view of the slots of a service's backend servers: the
+// requests that they can run at the same time. It is based on delayed load
+// reports that all entries receive.
 type Slots struct {
-	Total        int
-	Free         int // of all, as last reported
-	Taken        int // how many of these this entry has taken since, less those it has given back
-	Assigned     int // this entry's part of them by SplitSlots, less what it has taken; not used with one entry
-	Entries      int // how many entries start work on them; below 1 counts as 1
-	EntryNumber  int // this one's number among them, from 0
-	ReportNumber int // number of the report, the same at all entries
+	Total        int // of all servers
+	Free         int // of Total, by the last report; a server with more requests than slots has none free
+	Taken        int // slots that this entry has taken since the report, less those it has released
+	Assigned     int // free slots assigned to this entry by SplitSlots, less Taken; unused with one entry
+	Entries      int // number of entries that use these slots; below 1 counts as 1
+	EntryNumber  int // number of this entry, from 0
+	ReportNumber int // number of the load report, the same at all entries
 }
 
-// available returns how many slots this entry may take of those that are free
-// beyond kept. It is negative where the entry has to let some go.
+// available returns how many of the free slots beyond reserved this entry may
+// take. It is negative if the entry has taken too many.
 func (s Slots) available(reserved int) int {
 	return EntrySlots(s.Free-reserved, s.Entries, s.EntryNumber+s.ReportNumber) - s.Taken
 }
 
-// minFreePerEntry is how many times as many slots as entries have to be free for all to
-// take any of them: two that take the same are rare then.
+// minFreePerEntry is the number of free slots per entry above which an entry may
+// also take slots assigned to others: two entries rarely take the same one then.
 const minFreePerEntry = 3
 
-// mayTake reports whether this entry may take a slot at all.
+// mayTake reports whether this entry may take a free slot; with onlyAssigned, it
+// may take only those assigned to it.
 func (s Slots) mayTake(onlyAssigned bool) bool {
 	free := s.Free - s.Taken
 	if s.Entries <= 1 || s.Assigned > 0 {
@@ -82,13 +78,13 @@
 	return !onlyAssigned && free > minFreePerEntry*s.Entries
 }
 
-// EntrySlots returns one entry's part of n slots that all entries learn of by the same
-// report. What goes wrong otherwise: each entry takes all of them, and requests
-// pile up at the servers; one would notice it by first tokens that are late
-// although slots were free.
+// EntrySlots returns how many of n free slots one entry may take. Without the
+// split every entry would take all slots of the same report, and requests would
+// queue at the servers.
 //
-// The parts of entries with turns that differ by one each add up to n, also for
-// negative n. With turn = entry + report the remainder goes around.
+// The results for successive values of rotation, one for each entry, add up to
+// n, also for negative n. With rotation = entry number + report number the
+// remainder goes to different entries in turn.
 func EntrySlots(n, entries, rotation int) int {
 	if entries <= 1 {
 		return n
@@ -96,11 +92,11 @@
 	return int(math.Floor(float64(n+rotation%entries) / float64(entries)))
 }
 
-// SplitSlots splits the free slots of servers among the entries, in place: free[i]
-// becomes this entry's part of server i's. No slot is in two parts, and what
-// the entries get of all servers together differs by one slot at most. A server
-// with more work than slots has a negative number, of which each entry has its
-// part to work off.
+// SplitSlots assigns the free slots of servers to the entries, in place: free[i]
+// becomes the number of server i's slots assigned to this entry. Each slot is
+// assigned to one entry, and the totals of the entries differ by at most one
+// slot. A negative number, of a server with more requests than slots, is split
+// in the same way.
 func SplitSlots(free []int, entries, rotation int) []int {
 	before := 0
 	for i, n := range free {
@@ -114,17 +110,17 @@
 	return free
 }
 
-// StartReason says why an item may start or has to wait.
+// StartReason is why an item may start or has to wait.
 type StartReason uint8
 
-// The reasons of a StartVerdict.
+// Reasons of a StartVerdict.
 const (
-	StartBelowShare   StartReason = iota // the workspace runs less than its share
-	StartFree                            // there are more free slots than are kept for others
-	NoSlot                               // every slot is taken
-	HeldForOthers                        // the free slots are kept for workspaces below their share
-	HeldForShort                         // the free slots are kept for short work
-	AssignedElsewhere                    // the free slots are other entries' to take
+	StartBelowShare   StartReason = iota // the workspace has fewer slots than its share
+	StartFree                            // more slots are free than are reserved for others
+	NoSlot                               // no slot is free
+	HeldForOthers                        // the free slots are reserved for workspaces below their share
+	HeldForShort                         // the free slots are reserved for short items
+	AssignedElsewhere                    // the free slots are assigned to other entries
 )
 
 var startReasonNames = [...]string{
@@ -136,7 +132,7 @@
 	AssignedElsewhere: "not_mine",
 }
 
-// String returns the reason as it stands in logs.
+// String returns the reason for logs.
 func (r StartReason) String() string {
 	if int(r) >= len(startReasonNames) {
 		return "unknown"
@@ -150,13 +146,14 @@
 	Reason StartReason
 }
 
-// Held reports whether the item waits for more than its turn.
+// Held reports whether the item waits although a slot may be free, since the free
+// slots are reserved.
 func (v StartVerdict) Held() bool {
 	return v.Reason == HeldForOthers || v.Reason == HeldForShort
 }
 
-// Eligibility returns the verdict as PopFunc takes it, for a queue whose items
-// all compete for the same slots.
+// Eligibility returns the verdict as a result for PopFunc, for a queue whose
+// items all compete for the same slots.
 func (v StartVerdict) Eligibility() Eligibility {
 	switch {
 	case v.Start:
@@ -170,33 +167,30 @@
 	}
 }
 
-// Starter decides whether a waiting item may take a free slot. It answers a
-// surge of one workspace, and long work among short.
-//
-// A fair order of starts is not enough: requests are not interrupted, so once a
-// surge or some long answers hold every slot, the next request of a quiet
-// workspace waits until one of them ends, and its first token is late although
-// it is first in the queue. So whoever holds its share of the slots leaves a
-// few free. It is not safe for concurrent use.
+// Starter decides whether a waiting item may take a free slot. Running requests
+// are not preempted: if a surge or long answers took every slot, the next request
+// of another workspace would wait for one of them to end although it is first in
+// the queue. So some slots are reserved for workspaces below their share and for
+// short items. A Starter is not safe for concurrent use.
 type Starter struct {
 	cfg         StartConfig
 	usages      map[string]*usage
-	totalWeight int       // of all of running
-	lastShort   time.Time // when short work was last seen
+	totalWeight int       // sum of the weights in usages
+	lastShort   time.Time // arrival of the last short item
 	lastSweep   time.Time
 }
 
-// usage is what one workspace holds.
+// usage is the slots that one workspace uses, and its weight.
 type usage struct {
 	weight      int
 	slots       int
-	remoteSlots int // slots that other entries hold for it, as last heard
+	remoteSlots int // slots that it uses through other entries, as last reported
 	lastArrival time.Time
-	rotation    int // spreads the remainders of several workspaces over the entries
+	rotation    int // differs by workspace, so that remainders go to different entries
 }
 
-// NewStarter returns a Starter with nothing running, or the *policy.ConfigError of an
-// invalid cfg.
+// NewStarter returns a Starter without running items, or a *policy.ConfigError if
+// cfg is invalid.
 func NewStarter(cfg StartConfig) (*Starter, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -204,7 +198,7 @@
 	return &Starter{cfg: cfg, usages: make(map[string]*usage)}, nil
 }
 
-// ObserveArrival notes an item that has come. Call it before Decide.
+// ObserveArrival records the arrival of item. Call it before Decide.
 func (s *Starter) ObserveArrival(now time.Time, item *Item) {
 	u, ok := s.usages[item.Workspace]
 	if !ok {
@@ -222,11 +216,11 @@
 	}
 }
 
-// maxRotation bounds the turn of a workspace; it is more than the number of entries.
+// maxRotation bounds the rotation of a workspace. It exceeds the number of entries.
 const maxRotation = 1 << 16
 
-// sweepsPerMemory is how often, in a Memory, workspaces that no longer count
-// are looked for.
+// sweepsPerMemory is how often within StartConfig.Memory inactive workspaces are
+// removed.
 const sweepsPerMemory = 60
 
 func (s *Starter) sweep(now time.Time) {
@@ -246,27 +240,27 @@
 	return u.slots > 0 || now.Sub(u.lastArrival) < memory
 }
 
-// Started notes that an item took a slot.
+// Started records that item took a slot.
 func (s *Starter) Started(now time.Time, item *Item) {
 	s.ObserveArrival(now, item)
 	s.usages[item.Workspace].slots++
 }
 
-// Ended notes that a started item of this workspace has given its slot back.
+// Ended records that a started item of this workspace released its slot.
 func (s *Starter) Ended(workspace string) {
 	if u, ok := s.usages[workspace]; ok {
 		u.slots = max(0, u.slots-1)
 	}
 }
 
-// Decide says whether item may take one of the free slots. One that has started
-// before is not held for others: its caller is in the middle of the answer.
+// Decide returns whether item may take a free slot. A resumed item may take
+// reserved slots too, since its caller may already have part of the answer.
 func (s *Starter) Decide(now time.Time, item *Item, slots Slots) StartVerdict {
 	return s.DecideBehind(now, item, slots, 0)
 }
 
-// DecideBehind is Decide for an item that has not been let in yet, as if so many
-// others of its workspace that wait had started.
+// DecideBehind is like Decide for an item that is not admitted yet: it decides
+// as if waiting other items of its workspace had started first.
 func (s *Starter) DecideBehind(now time.Time, item *Item, slots Slots, waiting int) StartVerdict {
 	s.sweep(now)
 	slots.Taken += waiting
@@ -290,14 +284,14 @@
 	return StartVerdict{Start: true, Reason: StartFree}
 }
 
-// mustLeaveRoomForShort reports whether item is long and there is short work.
+// mustLeaveRoomForShort reports whether item is long and a short item arrived
+// within StartConfig.Memory.
 func (s *Starter) mustLeaveRoomForShort(now time.Time, item *Item) bool {
 	return item.Cost >= s.cfg.LongTokens && !item.Resumed && now.Sub(s.lastShort) < s.cfg.Memory
 }
 
-// reservedSlots is that part of all slots, and at least one for each entry: with fewer,
-// an entry's part of them is none most of the time, and the next request of a
-// quiet workspace there would wait all the same.
+// reservedSlots returns fraction of all slots, but at least one per entry: with
+// fewer, most entries would have no reserved slot.
 func reservedSlots(fraction float64, slots Slots) int {
 	if fraction == 0 {
 		return 0
@@ -305,17 +299,17 @@
 	return max(slots.Entries, int(math.Ceil(fraction*float64(slots.Total))))
 }
 
-// SetRemoteSlots notes how many slots other entries hold for a workspace, as they
-// said last. Without it a workspace that holds much here and little elsewhere
-// would count as above its share.
+// SetRemoteSlots sets how many slots a workspace uses through other entries, by
+// their last reports. Without it a workspace that sends most requests through
+// this entry would count as above its share.
 func (s *Starter) SetRemoteSlots(workspace string, slots int) {
 	if u, ok := s.usages[workspace]; ok {
 		u.remoteSlots = slots
 	}
 }
 
-// Backlog returns what item would wait behind in q if it were let in now, with
-// what depends on the slots filled in.
+// Backlog returns the work in q that would start before item if it were admitted
+// now, with all fields set.
 func (s *Starter) Backlog(now time.Time, q *Queue, item *Item, slots Slots) Backlog {
 	b := q.Backlog(item.Workspace, item.Class, item.Weight)
 	waiting := 0
@@ -327,8 +321,8 @@
 	return b
 }
 
-// Share returns a workspace's part of the service, 0 to 1, by its weight among
-// the workspaces that run something or have lately.
+// Share returns a workspace's fraction of the service, 0 to 1, by its weight among
+// the workspaces active within StartConfig.Memory.
 func (s *Starter) Share(workspace string) float64 {
 	u, ok := s.usages[workspace]
 	if !ok || s.totalWeight == 0 {
@@ -337,13 +331,12 @@
 	return float64(u.weight) / float64(s.totalWeight)
 }
 
-// belowShare reports whether a workspace holds fewer slots than its weight among
-// the active workspaces gives it: here fewer than this entry's part of them, or
-// over all entries.
+// belowShare reports whether a workspace uses fewer slots than its share by
+// weight among the active workspaces: fewer at this entry than EntrySlots gives
+// this entry of the share, or fewer than the share over all entries.
 //
-// The parts of all entries add up to the share. If each entry rounded the share
-// up by itself, small workspaces would get about half a slot too much at each,
-// which at seven entries is a third of their share.
+// EntrySlots makes the entries' slots add up to the share. If each entry rounded
+// up instead, small workspaces would get more than their share.
 func (s *Starter) belowShare(workspace string, slots Slots, waiting int) bool {
 	u, ok := s.usages[workspace]
 	if !ok {
--- a/policy/queue/start_test.go
+++ b/policy/queue/start_test.go
@@ -13,11 +13,8 @@
 	"savoryreel.example/savoryreel/policy"
 )
 
-// A surge of one workspace holds all slots but the headroom. Without headroom a
-// quiet workspace's request, though first in the queue, waits until one of the
-// surge's answers ends.
-//
-// Removing the test of Headroom in Decide makes this fail.
+// Without headroom a surge takes every slot, and the next request of another workspace
+// waits for a running answer to end.
 func TestWorkspaceAtItsShareLeavesHeadroom(t *testing.T) {
 	s, err := NewStarter(DefaultStartConfig())
 	require.NoError(t, err)
@@ -33,30 +30,28 @@
 	assert.Equal(t, HeldForOthers, s.Decide(timeAt(0), surge, Slots{Total: 100, Free: free}).Reason)
 	assert.Equal(t, StartVerdict{Start: true, Reason: StartBelowShare}, s.Decide(timeAt(0), quiet, Slots{Total: 100, Free: free}))
 	later := timeAt(2 * time.Minute)
-	assert.True(t, s.Decide(later, surge, Slots{Total: 100, Free: free}).Start, "nobody else is left")
+	assert.True(t, s.Decide(later, surge, Slots{Total: 100, Free: free}).Start, "no other workspace is active")
 	s.Ended("surge")
 	assert.Equal(t, NoSlot, s.Decide(timeAt(0), quiet, Slots{Total: 100}).Reason)
 }
 
-// Answers of minutes take every slot as it comes free, and questions of a
-// second wait for minutes.
-//
-// Removing the use of keptForShort in Decide makes this fail.
+// Without the headroom for short items, answers of minutes take every slot, and short
+// questions wait for minutes.
 func TestLongItemsLeaveHeadroomForShortItems(t *testing.T) {
 	s, err := NewStarter(DefaultStartConfig())
 	require.NoError(t, err)
 	long := &Item{Workspace: "w", Cost: 8_000}
 	short := &Item{Workspace: "w", Cost: 200}
 	slots := Slots{Total: 100, Free: 5}
-	assert.True(t, s.Decide(timeAt(0), long, slots).Start, "no short work has been seen")
+	assert.True(t, s.Decide(timeAt(0), long, slots).Start, "no short item has arrived")
 	s.ObserveArrival(timeAt(0), short)
 	assert.Equal(t, HeldForShort, s.Decide(timeAt(0), long, slots).Reason)
 	assert.True(t, s.Decide(timeAt(0), short, slots).Start)
 	assert.Equal(t, "held_for_short", HeldForShort.String())
 }
 
-// A surge of 1,000 items waits while every slot is taken. Asking about each of
-// them at each Pop would cost more than the requests.
+// While no slot is free, checking every waiting item at each Pop would cost more than the
+// requests themselves.
 func TestPopFuncSkipsItemsWithTheSameVerdict(t *testing.T) {
 	q := newQueue(t, nil)
 	fill(t, q, timeAt(0), 1_000, Item{Workspace: "surge", Class: contract.ClassInteractive, Cost: 100})
@@ -73,11 +68,8 @@
 	assert.Equal(t, Runs, StartVerdict{Start: true}.Eligibility())
 }
 
-// A small workspace holds two slots at one entry and none at the other six. If
-// only what is held here counted, it would be told that it holds its share, and
-// wait behind a surge.
-//
-// Removing the use of elsewhere in belowShare makes this fail.
+// A workspace that uses few slots in all, but most of them through one entry, must not
+// count as at its share there.
 func TestShareCountsSlotsOfAllEntries(t *testing.T) {
 	s, err := NewStarter(DefaultStartConfig())
 	require.NoError(t, err)
@@ -90,15 +82,17 @@
 	s.SetRemoteSlots("quiet", 8)
 	assert.Equal(t, HeldForOthers, s.Decide(timeAt(0), quiet, slots).Reason, "its share is ten")
 	s.SetRemoteSlots("quiet", 7)
-	assert.Equal(t, HeldForOthers, s.DecideBehind(timeAt(0), quiet, slots, 1).Reason, "the one before it takes the last")
+	assert.Equal(t, HeldForOthers, s.DecideBehind(timeAt(0), quiet, slots, 1).Reason, "the waiting item takes the last slot of the share")
 	quiet.Resumed = true
 	s.SetRemoteSlots("quiet", 20)
-	assert.True(t, s.Decide(timeAt(0), quiet, slots).Start, "its answer has begun")
+	assert.True(t, s.Decide(timeAt(0), quiet, slots).Start, "resumed items may take reserved slots")
 	slots.Assigned = 0
 	assert.Equal(t, AssignedElsewhere, s.Decide(timeAt(0), quiet, slots).Reason)
 	assert.InDelta(t, 0.1, s.Share("quiet"), 1e-9)
 }
 
+// Admission relies on Backlog to tell an item that would start at once from one that has
+// to wait for reserved slots.
 func TestBacklogReportsWhetherItemWouldStart(t *testing.T) {
 	q := newQueue(t, nil)
 	s, err := NewStarter(DefaultStartConfig())
@@ -115,8 +109,8 @@
 	assert.Equal(t, Backlog{Ahead: 200, Total: 200, Waiting: 1, Share: 1, LastingShare: 0.25, Held: true}, b)
 }
 
-// Seven entries learn of the same free slots. If each took them all, six of
-// seven requests would wait at the servers.
+// If every entry took all free slots of the same report, most requests would queue at the
+// servers.
 func TestEntrySlotsAddUpToAllSlots(t *testing.T) {
 	for n := -20; n <= 20; n++ {
 		for reportNumber := range 7 {
@@ -130,7 +124,7 @@
 	}
 }
 
-// Two entries that take the same free slot make one request wait at the server.
+// A slot assigned to two entries makes a request queue at the server.
 func TestSplitSlotsAssignsEachSlotOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		free := rapid.SliceOfN(rapid.IntRange(-5, 20), 1, 12).Draw(t, "free")
@@ -145,7 +139,7 @@
 			minTotal, maxTotal = min(minTotal, total), max(maxTotal, total)
 		}
 		if !slices.Equal(sums, free) || maxTotal-minTotal > 1 {
-			t.Fatalf("parts of %v add up to %v, %d to %d", free, sums, minTotal, maxTotal)
+			t.Fatalf("slots %v: assigned %v in all, %d to %d per entry", free, sums, minTotal, maxTotal)
 		}
 	})
 }
@@ -166,6 +160,7 @@
 	}
 }
 
+// Start decisions run for every request and must not allocate.
 func TestStartDecisionsDoNotAllocate(t *testing.T) {
 	s, err := NewStarter(DefaultStartConfig())
 	require.NoError(t, err)
--- a/policy/queue/stats.go
+++ b/policy/queue/stats.go
@@ -6,26 +6,26 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// WorkspaceStats describes one workspace in the queue.
+// WorkspaceStats is the state of one workspace in the queue.
 type WorkspaceStats struct {
 	Workspace string
 	Weight    int
 	Items     int
 	Tokens    int64     // of the waiting items
-	Oldest    time.Time // arrival of the item that has waited longest; zero: none waits
+	Oldest    time.Time // arrival of the oldest waiting item; zero: none waits
 	Started   int64     // tokens of popped items, as corrected by Charge
-	Evicted   int64     // items that made room for others
-	Share     float64   // its weight among the workspaces with waiting items; 0: none waits
+	Evicted   int64     // number of items evicted to make room
+	Share     float64   // fraction of the weights of all workspaces with waiting items; 0: none waits
 }
 
-// Len returns how many items wait.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// Tokens returns the work of all waiting items, in tokens.
+// Tokens returns the sum of the waiting items' costs, in tokens.
 func (q *Queue) Tokens() int64 { return q.tokens }
 
-// Stats describes a workspace; ok is false if the queue knows nothing of it.
-// Counts start again when an idle workspace has been forgotten.
+// Stats returns the state of a workspace; ok is false if the queue has no flow
+// for it. Its counters restart at 0 after an idle flow has been dropped.
 func (q *Queue) Stats(workspace string) (stats WorkspaceStats, ok bool) {
 	f, ok := q.flows[workspace]
 	if !ok {
@@ -57,25 +57,25 @@
 	return oldest
 }
 
-// Backlog is the work that a new item would wait behind.
+// Backlog is the work that would start before a new item.
 type Backlog struct {
-	// Ahead is the tokens of its own workspace, of its class or a more urgent
-	// one, and what the workspace has had lately beyond its share.
+	// Ahead is the waiting tokens of its own workspace, in its class or a more
+	// urgent one, plus the tokens that the workspace has run beyond its share.
 	Ahead           int64
 	Total           int64   // tokens of all waiting items
-	Waiting         int     // items among Ahead
-	OtherWorkspaces int     // other workspaces with waiting items: each may start one first
-	Share           float64 // the workspace's part of the service while all of them wait, 0..1
+	Waiting         int     // number of items in Ahead
+	OtherWorkspaces int     // number of other workspaces with waiting items; each may start one item first
+	Share           float64 // the workspace's fraction of the service while all of them wait, 0..1
 
-	// The rest is filled in by Starter.Backlog.
+	// The fields below are set only by Starter.Backlog.
 
-	LastingShare float64 // the part of the service while all workspaces ask for theirs that have lately, 0..1; 0 counts as Share
-	Starts       bool    // it would start at once, whatever waits
-	Held         bool    // it would not start even as the first of the queue, since the free slots are kept for others
+	LastingShare float64 // result of Starter.Share, 0..1; 0: use Share
+	Starts       bool    // the item would start at once
+	Held         bool    // the item would not start even if it were first, since the free slots are reserved for others
 }
 
-// Backlog returns what a new item of this workspace, class and weight would
-// wait behind. Weight 0 takes the weight that is known.
+// Backlog returns the work that would start before a new item of this workspace,
+// class and weight. Weight 0 uses the workspace's present weight.
 func (q *Queue) Backlog(workspace string, class contract.Class, weight int) Backlog {
 	b := Backlog{Total: q.tokens}
 	ownWeight, otherWeight := int64(defaultWeight), q.activeWeight
--- a/policy/urgency/urgency.go
+++ b/policy/urgency/urgency.go
@@ -1,41 +1,39 @@
-// Package urgency decides how urgent a request is to the server that runs it, given when
-// its answer can be expected to begin.
+// Package urgency decides the priority of a request at its backend server, by whether
+// its first token can still meet the objective.
 //
-// Load pattern answered: for some seconds more is asked than the servers can do, as when
-// a zone's servers are taken away in a surge.
+// Load pattern: a few seconds of overload, as when servers of a zone are lost during a
+// surge. Without this package the server prefills requests that will be late anyway before
+// those that could still meet their objective, which become late as well: at 1.5 times the
+// capacity nearly all answers are late, though two of three could meet the objective.
 //
-// Without it a request that will be late anyway is read before one that could still be in
-// time, which is late in its turn: in an overload of half as much again nearly all
-// answers are late, though the servers could give two of three in time.
-//
-// A request that cannot be in time any more stays in the order of its rank among its
-// like, and behind all that can: it is served in what the servers have left, and not
-// refused, since a late answer is of some use to its caller.
+// A request that cannot meet its objective is not rejected: it is served after all those
+// that can, in the order of rank among other late ones. Prompts whose prefill alone exceeds
+// the objective keep their rank.
 //
 // The package does no I/O and reads no clock.
 package urgency
 
 import "time"
 
-// Request is what the decision knows of a request.
+// Request is the input of Decide.
 type Request struct {
-	Rank         int // by its workspace or route; 0 is the most urgent
+	Rank         int // of its workspace or route; 0 is the most urgent
 	Objective    time.Duration
-	Waited       time.Duration // since it came
-	ExpectedWait time.Duration // from now until its answer begins, at the chosen server
-	PrefillTime  time.Duration // of that, what its own prompt takes to be read
-	Retried      bool          // its objective has passed since its caller's first try
+	Waited       time.Duration // since it arrived
+	ExpectedWait time.Duration // from now until its first token, at the chosen server
+	PrefillTime  time.Duration // of ExpectedWait, the prefill of its own prompt
+	Retried      bool          // its objective has passed since its caller's first attempt
 }
 
-// Reason says why a request has the rank that it has.
+// Reason is why a request gets its rank.
 type Reason uint8
 
-// The reasons.
+// Reasons of a decision.
 const (
-	InTime        Reason = iota // it can be in time
-	Late                        // it can't, for what is ahead of it
-	CallerRetried               // it can't, since its caller has been refused before
-	LargePrompt                 // it never could: its prompt takes longer than its objective
+	InTime        Reason = iota // it can meet its objective
+	Late                        // it cannot, because of the requests before it
+	CallerRetried               // it cannot, since an earlier attempt of its caller was rejected
+	LargePrompt                 // it never could: the prefill takes longer than its objective
 )
 
 // String returns the reason for logs.
@@ -43,11 +41,11 @@
 	return [...]string{"in_time", "late", "came_back", "large_prompt"}[r]
 }
 
-// lateRankOffset is by how many ranks a request that will be late stands lateRankOffset its like: more
-// than there are ranks of requests in use.
+// lateRankOffset is added to the rank of a late request. It exceeds every rank in use, so
+// that late requests come after all others.
 const lateRankOffset = 5
 
-// Decide returns the rank to be told to the server, and why.
+// Decide returns the rank to send to the server, 0 being the most urgent, and the reason.
 func Decide(r Request) (rank int, reason Reason) {
 	switch {
 	case r.Retried:
@@ -55,7 +53,7 @@
 	case r.Objective <= 0 || r.Waited+r.ExpectedWait <= r.Objective:
 		return r.Rank, InTime
 	case r.PrefillTime > r.Objective:
-		// Callers with the largest prompts would be served by nobody in an overload.
+		// With the offset, the largest prompts would never be served during an overload.
 		return r.Rank, LargePrompt
 	default:
 		return r.Rank + lateRankOffset, Late
--- a/policy/urgency/urgency_test.go
+++ b/policy/urgency/urgency_test.go
@@ -18,13 +18,13 @@
 		rank   int
 		reason Reason
 	}{
-		"in time":            {func(*Request) {}, 1, InTime},
-		"behind others":      {func(r *Request) { r.ExpectedWait = time.Second }, 1 + lateRankOffset, Late},
-		"waited":             {func(r *Request) { r.Waited = time.Second }, 1 + lateRankOffset, Late},
-		"came back":          {func(r *Request) { r.Retried = true }, 1 + lateRankOffset, CallerRetried},
-		"large by itself":    {func(r *Request) { r.ExpectedWait, r.PrefillTime = time.Second, 600*time.Millisecond }, 1, LargePrompt},
-		"without objective":  {func(r *Request) { r.Objective, r.ExpectedWait = 0, time.Hour }, 1, InTime},
-		"at the last moment": {func(r *Request) { r.ExpectedWait = objective - r.Waited }, 1, InTime},
+		"on time":           {func(*Request) {}, 1, InTime},
+		"behind others":     {func(r *Request) { r.ExpectedWait = time.Second }, 1 + lateRankOffset, Late},
+		"waited":            {func(r *Request) { r.Waited = time.Second }, 1 + lateRankOffset, Late},
+		"retried":           {func(r *Request) { r.Retried = true }, 1 + lateRankOffset, CallerRetried},
+		"large prompt":      {func(r *Request) { r.ExpectedWait, r.PrefillTime = time.Second, 600*time.Millisecond }, 1, LargePrompt},
+		"without objective": {func(r *Request) { r.Objective, r.ExpectedWait = 0, time.Hour }, 1, InTime},
+		"just on time":      {func(r *Request) { r.ExpectedWait = objective - r.Waited }, 1, InTime},
 	} {
 		r := fresh
 		c.change(&r)
@@ -35,8 +35,8 @@
 	}
 }
 
-// Whatever is told of requests, those that will be late keep their order among
-// themselves, and stand behind all that can be in time.
+// A late request must not be served before one that can still meet its objective, and late
+// ones keep their order of rank.
 func TestLateRequestsKeepOrderBehindOnTimeRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Request {
@@ -58,15 +58,15 @@
 	})
 }
 
-// job is a request at the one server of the test.
+// job is a request waiting at the simulated server.
 type job struct {
 	arrived time.Duration
 	rank    int
 }
 
-// simulate has requests come at a pace for ten seconds to a server that reads one after the
-// other, the most urgent first, and returns how many of those that it could have read
-// were in time. Callers leave after three seconds.
+// simulate sends a request per interval for ten seconds to a server that prefills one at a
+// time, lowest rank first. It returns how many met their objective, as a fraction of those
+// that the server could prefill. Callers time out after three seconds.
 func simulate(interval, prefill time.Duration, decide func(Request) int) float64 {
 	const callerTimeout = 3 * time.Second
 	var queue []job
@@ -88,7 +88,7 @@
 	const duration = 10 * time.Second
 	for at := time.Duration(0); at < duration; at += interval {
 		step(at)
-		ahead := 0 // of those that would be read before it
+		ahead := 0 // requests that would be served before it
 		for _, j := range queue {
 			if j.rank == 0 {
 				ahead++
@@ -100,14 +100,13 @@
 	return float64(inTime) / (float64(duration) / float64(prefill))
 }
 
-// For ten seconds half as much again is asked as the server can do. Served in the order
-// in which they came, hardly any caller has its answer in time; with those behind that
-// will be late anyway, nearly as many as the server can serve.
+// At 1.5 times the capacity, serving in order of arrival makes nearly all answers late. With
+// late requests ranked last, nearly as many as the server can handle meet the objective.
 func TestOverloadServesOnTimeRequestsFirst(t *testing.T) {
 	const prefill = 60 * time.Millisecond
 	inOrder := simulate(prefill*2/3, prefill, func(Request) int { return 0 })
 	byUrgency := simulate(prefill*2/3, prefill, func(r Request) int { rank, _ := Decide(r); return rank })
-	t.Logf("in time, of what the server can do: %.2f in order, %.2f decided", inOrder, byUrgency)
+	t.Logf("fraction of capacity that met the objective: %.2f in order of arrival, %.2f by urgency", inOrder, byUrgency)
 	require.Less(t, inOrder, 0.3)
 	require.Greater(t, byUrgency, 0.9)
 }
