--- a/policy/urgency/urgency_test.go
+++ b/policy/urgency/urgency_test.go
@@ -43,7 +43,7 @@
 			return Request{
 				Rank: rapid.IntRange(0, lateRankOffset-1).Draw(t, name+" rank"), Objective: objective,
 				ExpectedWait: time.Duration(rapid.IntRange(0, 1000).Draw(t, name+" expected")) * time.Millisecond,
-				Retried:      rapid.Bool().Draw(t, name+" came back"),
+				Retried:      rapid.Bool().Draw(t, name+" retried"),
 			}
 		}
 		a, b := draw("a"), draw("b")
