--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -41,7 +41,7 @@
 func (s *shares) settled(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.words.Settled(now)
+	return s.words.ShareRecovered(now)
 }
 
 // returned takes that an entry, which started so long ago, has given back what the life
--- a/policy/limit/keeper.go
+++ b/policy/limit/keeper.go
@@ -11,81 +11,81 @@
 // PoolSet is what one entry has of all limits: its own shares, where they are lent, and
 // the pools with what is lent to it.
 type PoolSet struct {
-	self string
-	part float64 // this entry's share of each pool
-	// since is since when nobody uses the share of a pool that is not in pools.
-	since time.Time
-	pools map[Key]*kept
+	self  string
+	share float64 // this entry's share of each pool
+	// unusedSince is unusedSince when nobody uses the share of a pool that is not in pools.
+	unusedSince time.Time
+	pools       map[Key]*ownedPool
 }
 
-// kept is one pool, and what became of this entry's share of it.
-type kept struct {
+// ownedPool is one pool, and what became of this entry's share of it.
+type ownedPool struct {
 	Pool
-	// holder has this entry's share until then. Whether this entry's share is in Pool is
+	// borrower has this entry's share until then. Whether this entry's share is in Pool is
 	// decided by nothing else.
-	holder string
-	until  time.Time
-	asked  time.Time // by the entry that should keep the pool, for the last time
+	borrower         string
+	leaseEnd         time.Time
+	ownerRequestedAt time.Time // by the entry that should keep the pool, for the last time
 }
 
 // NewPoolSet returns a PoolSet that has no share yet.
-func NewPoolSet(self string) *PoolSet { return &PoolSet{self: self, pools: make(map[Key]*kept)} }
+func NewPoolSet(self string) *PoolSet { return &PoolSet{self: self, pools: make(map[Key]*ownedPool)} }
 
 // SetShare sets this entry's share, of which nobody has used anything since a time. What is
 // lent stays as it was lent.
-func (k *PoolSet) SetShare(part float64, since, now time.Time) {
-	if part == k.part {
+func (s *PoolSet) SetShare(share float64, unusedSince, now time.Time) {
+	if share == s.share {
 		return
 	}
-	k.part, k.since = part, since
-	for _, p := range k.pools {
-		if k.settle(p, now) {
-			p.RemoveShare(k.self, now)
-			p.AddShare(k.self, part, since, now.Add(always), now)
+	s.share, s.unusedSince = share, unusedSince
+	for _, p := range s.pools {
+		if s.reclaimShare(p, now) {
+			p.RemoveShare(s.self, now)
+			p.AddShare(s.self, share, unusedSince, now.Add(forever), now)
 		}
 	}
 }
 
-// always stands for the end of what has none.
-const always = 100 * 365 * 24 * time.Hour
+// forever stands for the end of what has none.
+const forever = 100 * 365 * 24 * time.Hour
 
 // Share returns this entry's share.
-func (k *PoolSet) Share() float64 { return k.part }
+func (s *PoolSet) Share() float64 { return s.share }
 
-// of returns a pool as it is at now.
-func (k *PoolSet) of(key Key, now time.Time) *kept {
-	p := k.pools[key]
+// get returns a pool as it is at now.
+func (s *PoolSet) get(key Key, now time.Time) *ownedPool {
+	p := s.pools[key]
 	if p == nil {
-		p = &kept{Pool: newPool(k.self, k.part, k.since, now.Add(always))}
-		k.pools[key] = p
+		p = &ownedPool{Pool: newPool(s.self, s.share, s.unusedSince, now.Add(forever))}
+		s.pools[key] = p
 	}
-	k.settle(p, now)
+	s.reclaimShare(p, now)
 	return p
 }
 
-// settle takes this entry's share back once its lease has run out, and reports whether it
+// reclaimShare takes this entry's share back once its lease has run out, and reports whether it
 // is here.
-func (k *PoolSet) settle(p *kept, now time.Time) (here bool) {
-	if p.holder == "" {
+func (s *PoolSet) reclaimShare(p *ownedPool, now time.Time) (reclaimed bool) {
+	if p.borrower == "" {
 		return true
 	}
-	if now.Before(p.until) {
+	if now.Before(p.leaseEnd) {
 		return false
 	}
-	p.AddShare(k.self, k.part, p.until, now.Add(always), now)
-	p.holder = ""
+	p.AddShare(s.self, s.share, p.leaseEnd, now.Add(forever), now)
+	p.borrower = ""
 	return true
 }
 
 // Pool returns a pool with the limit in force.
-func (k *PoolSet) Pool(key Key, l Limit, now time.Time) *Pool {
-	p := k.of(key, now)
+func (s *PoolSet) Pool(key Key, l Limit, now time.Time) *Pool {
+	p := s.get(key, now)
 	p.SetLimit(l, now)
 	return &p.Pool
 }
 
 // Borrower returns who has this entry's share of a pool; empty if it is here.
-func (k *PoolSet) Borrower(key Key, now time.Time) string { return k.of(key, now).holder }
+func (s *PoolSet) Borrower(key Key, now time.Time) string { return s.get(key, now).borrower }
 
 // Lend lends this entry's share of a pool to an entry that asks for it, for so long from
 // now on. owner is the one that should keep the pool as far as is known here. Another one
@@ -93,41 +93,41 @@
 // reach this entry.
 //
 // What the share has brought goes with it: saved is what is left of it here.
-func (k *PoolSet) Lend(key Key, asker, owner string, long time.Duration, now time.Time) (part, saved float64, ok bool) {
-	p := k.of(key, now)
-	if asker == owner {
-		p.asked = now
+func (s *PoolSet) Lend(key Key, borrower, owner string, lease time.Duration, now time.Time) (share, saved float64, ok bool) {
+	p := s.get(key, now)
+	if borrower == owner {
+		p.ownerRequestedAt = now
 	}
-	ownerAsks := owner == k.self || !p.asked.IsZero() && now.Sub(p.asked) <= long
+	ownerRequests := owner == s.self || !p.ownerRequestedAt.IsZero() && now.Sub(p.ownerRequestedAt) <= lease
 	switch {
-	case k.part == 0:
+	case s.share == 0:
 		return 0, 0, false // nothing is lent that is not there
-	case p.holder != "" && p.holder != asker:
+	case p.borrower != "" && p.borrower != borrower:
 		return 0, 0, false
-	case asker != owner && ownerAsks:
+	case borrower != owner && ownerRequests:
 		return 0, 0, false
 	}
-	if p.holder == "" {
-		saved = p.takeOut(k.self, now)
+	if p.borrower == "" {
+		saved = p.withdrawShare(s.self, now)
 	}
-	p.holder = asker
-	if until := now.Add(long); until.After(p.until) {
-		p.until = until
+	p.borrower = borrower
+	if leaseEnd := now.Add(lease); leaseEnd.After(p.leaseEnd) {
+		p.leaseEnd = leaseEnd
 	}
-	return k.part, saved, true
+	return s.share, saved, true
 }
 
 // Borrow takes another entry's share of a pool until a time, with what it had saved.
-func (k *PoolSet) Borrow(key Key, from string, part, saved float64, until, now time.Time) {
-	p := k.of(key, now)
-	p.AddShare(from, part, now, until, now)
+func (s *PoolSet) Borrow(key Key, lender string, share, saved float64, until, now time.Time) {
+	p := s.get(key, now)
+	p.AddShare(lender, share, now, until, now)
 	p.add(saved)
 }
 
 // ReturnShares drops what an entry has lent, which has started anew and uses it itself. It
 // reports whether there was anything.
-func (k *PoolSet) ReturnShares(entry string, now time.Time) (held bool) {
-	for _, p := range k.pools {
+func (s *PoolSet) ReturnShares(entry string, now time.Time) (held bool) {
+	for _, p := range s.pools {
 		held = p.RemoveShare(entry, now) || held
 	}
 	return held
@@ -135,10 +135,10 @@
 
 // Retain drops the pools of workspaces for which keep does not hold: their limits are gone.
 // One whose share is lent stays until it is back: the limit may come again.
-func (k *PoolSet) Retain(keep func(workspace string) bool, now time.Time) {
-	for key, p := range k.pools {
-		if !keep(key.Workspace) && k.settle(p, now) {
-			delete(k.pools, key)
+func (s *PoolSet) Retain(keep func(workspace string) bool, now time.Time) {
+	for key, p := range s.pools {
+		if !keep(key.Workspace) && s.reclaimShare(p, now) {
+			delete(s.pools, key)
 		}
 	}
 }
--- a/policy/limit/model_test.go
+++ b/policy/limit/model_test.go
@@ -154,7 +154,7 @@
 		since, e.hadPart = e.words.UnusedSince(), true
 	}
 	e.keeper.SetShare(part, since, m.now)
-	if !e.words.Settled(m.now) {
+	if !e.words.ShareRecovered(m.now) {
 		m.askSharesBack(e)
 	}
 	for _, r := range m.replicas {
--- a/policy/limit/pool.go
+++ b/policy/limit/pool.go
@@ -19,28 +19,28 @@
 	level  float64          // below 0: overdrawn
 	// promised is what those use who were told when to come back: each is told a time
 	// after those before it, so that they don't all come for the same room.
-	promised float64
-	at       time.Time // up to which level counts
+	promised  float64
+	updatedAt time.Time // up to which level counts
 }
 
 // share is an entry's share for a time.
 type share struct {
-	part        float64 // of the whole
+	fraction    float64 // of the whole
 	from, until time.Time
 }
 
 const (
-	// mostPromised bounds what is promised, in seconds of the limit's rate: callers give up
+	// maxPromisedSeconds bounds what is promised, in seconds of the limit's rate: callers give up
 	// sooner than after that.
-	mostPromised = 5.0
-	// mostParts is the part of all shares above which a pool lets in a request that is
+	maxPromisedSeconds = 5.0
+	// majorityShare is the part of all shares above which a pool lets in a request that is
 	// larger than it can ever hold. Only one pool has so many.
-	mostParts = 0.5
+	majorityShare = 0.5
 )
 
 // newPool returns a pool with one share, of which nothing has been used since a time.
-func newPool(entry string, part float64, since, until time.Time) Pool {
-	return Pool{shares: map[string]share{entry: {part: part, from: since, until: until}}, at: since}
+func newPool(entry string, fraction float64, unusedSince, until time.Time) Pool {
+	return Pool{shares: map[string]share{entry: {fraction: fraction, from: unusedSince, until: until}}, updatedAt: unusedSince}
 }
 
 // SetLimit takes the limit in force.
@@ -50,25 +50,25 @@
 	}
 	p.fill(now)
 	p.limit = l
-	p.level = min(p.level, p.size())
+	p.level = min(p.level, p.capacity())
 }
 
 // AddShare adds an entry's share from a time that may have passed until another one, or
 // replaces the one that was there.
-func (p *Pool) AddShare(entry string, part float64, from, until, now time.Time) {
+func (p *Pool) AddShare(entry string, fraction float64, from, until, now time.Time) {
 	p.fill(now)
 	if p.shares == nil {
 		p.shares = make(map[string]share)
 	}
-	old, had := p.shares[entry]
-	if had && !until.After(old.until) {
+	old, exists := p.shares[entry]
+	if exists && !until.After(old.until) {
 		return // overtaken by a later word
 	}
-	if had {
+	if exists {
 		from = now // what came before is counted
 	}
-	p.shares[entry] = share{part: part, from: from, until: until}
-	p.add(p.limit.Rate * part * positive(now.Sub(from)))
+	p.shares[entry] = share{fraction: fraction, from: from, until: until}
+	p.add(p.limit.Rate * fraction * positiveSeconds(now.Sub(from)))
 }
 
 // RemoveShare takes an entry's share out and reports whether it was there.
@@ -76,61 +76,61 @@
 	p.fill(now)
 	_, held = p.shares[entry]
 	delete(p.shares, entry)
-	p.level = min(p.level, p.size())
+	p.level = min(p.level, p.capacity())
 	return held
 }
 
-// takeOut drops an entry's share with its part of what is left, which it returns.
-func (p *Pool) takeOut(entry string, now time.Time) float64 {
+// withdrawShare drops an entry's share with its part of what is left, which it returns.
+func (p *Pool) withdrawShare(entry string, now time.Time) float64 {
 	p.fill(now)
-	before := p.level
+	oldLevel := p.level
 	p.RemoveShare(entry, now)
-	return max(before, 0) - max(p.level, 0)
+	return max(oldLevel, 0) - max(p.level, 0)
 }
 
 // ShareSum is the sum of the shares that are here.
 func (p *Pool) ShareSum(now time.Time) float64 {
 	p.fill(now)
-	return p.parts()
+	return p.shareSum()
 }
 
-func (p *Pool) parts() float64 {
+func (p *Pool) shareSum() float64 {
 	sum := 0.0
 	for _, s := range p.shares {
-		sum += s.part
+		sum += s.fraction
 	}
 	return sum
 }
 
-func (p *Pool) size() float64 { return p.limit.Burst * p.parts() }
+func (p *Pool) capacity() float64 { return p.limit.Burst * p.shareSum() }
 
 // fill brings the pool up to now.
 func (p *Pool) fill(now time.Time) {
-	fresh := 0.0
+	refill := 0.0
 	for entry, s := range p.shares {
-		from, until := p.at, now
+		from, until := p.updatedAt, now
 		if s.from.After(from) {
 			from = s.from
 		}
 		if s.until.Before(until) {
 			until = s.until
 		}
-		fresh += p.limit.Rate * s.part * positive(until.Sub(from))
+		refill += p.limit.Rate * s.fraction * positiveSeconds(until.Sub(from))
 		if !s.until.After(now) {
 			delete(p.shares, entry)
 		}
 	}
-	p.at = now
-	p.promised = max(p.promised-fresh, 0)
-	p.add(fresh)
+	p.updatedAt = now
+	p.promised = max(p.promised-refill, 0)
+	p.add(refill)
 }
 
 // add puts in what is not above the size.
 func (p *Pool) add(n float64) {
-	p.level = min(p.level+n, p.size())
+	p.level = min(p.level+n, p.capacity())
 }
 
-func positive(d time.Duration) float64 { return max(d.Seconds(), 0) }
+func positiveSeconds(d time.Duration) float64 { return max(d.Seconds(), 0) }
 
 // Refund gives back what a request that did not run had taken.
 func (p *Pool) Refund(cost float64, now time.Time) {
@@ -141,26 +141,26 @@
 // Allow takes cost from pools of one limit that are at one place, or says when there will
 // be enough. late says that the request's objective has passed.
 func Allow(pools []*Pool, cost float64, late bool, now time.Time) (ok bool, wait time.Duration) {
-	var level, size, rate, parts, promised, spare float64
+	var level, capacity, rate, shareSum, promised, lateReserve float64
 	for _, p := range pools {
 		p.fill(now)
 		level += p.level
-		size += p.size()
-		rate += p.limit.Rate * p.parts()
-		parts += p.parts()
+		capacity += p.capacity()
+		rate += p.limit.Rate * p.shareSum()
+		shareSum += p.shareSum()
 		promised += p.promised
-		spare = p.limit.LateReserve
+		lateReserve = p.limit.LateReserve
 	}
 	need := cost
 	if late {
-		need += spare * size
+		need += lateReserve * capacity
 	}
-	if size > 0 && parts > mostParts*float64(len(pools)) {
-		need = min(need, size) // one that is larger than all that there can be goes through when it is full
-	} else if late && cost <= size {
-		need = min(need, size)
+	if capacity > 0 && shareSum > majorityShare*float64(len(pools)) {
+		need = min(need, capacity) // one that is larger than all that there can be goes through when it is full
+	} else if late && cost <= capacity {
+		need = min(need, capacity)
 	}
-	if size > 0 && level >= need {
+	if capacity > 0 && level >= need {
 		draw(pools, cost)
 		return true, 0
 	}
@@ -169,8 +169,8 @@
 	}
 	wait = time.Duration((need - level + promised) / rate * float64(time.Second))
 	for _, p := range pools {
-		part := p.limit.Rate * p.parts()
-		p.promised = min(p.promised+cost*part/rate, mostPromised*part)
+		poolRate := p.limit.Rate * p.shareSum()
+		p.promised = min(p.promised+cost*poolRate/rate, maxPromisedSeconds*poolRate)
 	}
 	return false, wait
 }
--- a/policy/limit/pool_test.go
+++ b/policy/limit/pool_test.go
@@ -13,7 +13,7 @@
 func full(l Limit, level float64) *Pool {
 	p := &Pool{}
 	p.SetLimit(l, start)
-	p.AddShare("self", 1, start.Add(-time.Duration(level/l.Rate*float64(time.Second))), start.Add(always), start)
+	p.AddShare("self", 1, start.Add(-time.Duration(level/l.Rate*float64(time.Second))), start.Add(forever), start)
 	return p
 }
 
@@ -39,7 +39,7 @@
 		refused++
 		waits[wait] = true
 		require.Positive(t, wait)
-		require.LessOrEqual(t, wait, time.Duration((mostPromised+size/rate)*float64(time.Second)))
+		require.LessOrEqual(t, wait, time.Duration((maxPromisedSeconds+size/rate)*float64(time.Second)))
 	}
 	require.InDelta(t, size+rate, let[0], cost)
 	for _, n := range let[1:] {
@@ -68,7 +68,7 @@
 func TestSmallPoolLetsInNoLargeRequest(t *testing.T) {
 	p := &Pool{}
 	p.SetLimit(Limit{Burst: 100, Rate: 10}, start)
-	p.AddShare("self", 0.25, start, start.Add(always), start)
+	p.AddShare("self", 0.25, start, start.Add(forever), start)
 	ok, _ := take(p, 60, false, start.Add(time.Minute))
 	require.False(t, ok)
 	ok, _ = take(p, 25, false, start.Add(time.Minute))
--- a/policy/limit/roster.go
+++ b/policy/limit/roster.go
@@ -25,26 +25,26 @@
 // long after its last call, since it may be cut off and go on; and a new one may use a
 // share only once each of the others has said that its own is small enough.
 type Registry struct {
-	settled time.Time // from when on all entries are known
-	entries map[string]*sharer
+	completeAt time.Time // from when on all entries are known
+	entries    map[string]*member
 }
 
-// sharer is an entry that may use a share.
-type sharer struct {
-	heard   time.Time
-	divisor int // of which its share is a part at most; 0: it uses none, unknownShare: not known
-	allowed bool
+// member is an entry that may use a share.
+type member struct {
+	lastHeartbeat time.Time
+	divisor       int // of which its share is a part at most; 0: it uses none, unknownShare: not known
+	allowed       bool
 }
 
-// unknownShare is the divisor of an entry that has not called since this replica began.
-const unknownShare = -1
+// unknownDivisor is the divisor of an entry that has not called since this replica began.
+const unknownDivisor = -1
 
 // NewRegistry returns the roster of a replica that starts. firstStart says that the whole
 // system does: there is no entry then that it doesn't know.
 func NewRegistry(now time.Time, firstStart bool) *Registry {
-	r := &Registry{entries: make(map[string]*sharer), settled: now}
+	r := &Registry{entries: make(map[string]*member), completeAt: now}
 	if !firstStart {
-		r.settled = now.Add(ShareTTL)
+		r.completeAt = now.Add(ShareTTL)
 	}
 	return r
 }
@@ -54,20 +54,20 @@
 func (r *Registry) Restore(names []string, now time.Time) {
 	for _, name := range names {
 		if r.entries[name] == nil {
-			r.entries[name] = &sharer{heard: now, divisor: unknownShare, allowed: true}
+			r.entries[name] = &member{lastHeartbeat: now, divisor: unknownDivisor, allowed: true}
 		}
 	}
-	r.settled = now
+	r.completeAt = now
 }
 
 // Observe takes a call of an entry, whose largest share that is in use is a part of divisor.
 func (r *Registry) Observe(name string, divisor int, now time.Time) {
 	s := r.entries[name]
-	if s == nil || now.Sub(s.heard) > ShareTTL {
-		s = &sharer{}
+	if s == nil || now.Sub(s.lastHeartbeat) > ShareTTL {
+		s = &member{}
 		r.entries[name] = s
 	}
-	s.heard = now
+	s.lastHeartbeat = now
 	if divisor > 0 || !s.allowed {
 		s.divisor = divisor // one that may use a share and does not yet goes by what it was told
 	}
@@ -76,26 +76,26 @@
 // Vote returns what an entry is told.
 func (r *Registry) Vote(name string, now time.Time) ShareVote {
 	for other, s := range r.entries {
-		if now.Sub(s.heard) > ShareTTL {
+		if now.Sub(s.lastHeartbeat) > ShareTTL {
 			delete(r.entries, other)
 		}
 	}
 	s := r.entries[name]
-	if s == nil || now.Before(r.settled) {
+	if s == nil || now.Before(r.completeAt) {
 		return ShareVote{}
 	}
 	n := len(r.entries)
-	s.allowed = s.allowed || r.othersLeave(name, n)
+	s.allowed = s.allowed || r.othersUseAtMost(name, n)
 	if s.allowed && s.divisor == 0 {
 		s.divisor = n // from this word on
 	}
 	return ShareVote{Entries: n, Allowed: s.allowed}
 }
 
-// othersLeave reports whether no other entry uses more than one share of n.
-func (r *Registry) othersLeave(name string, n int) bool {
+// othersUseAtMost reports whether no other entry uses more than one share of n.
+func (r *Registry) othersUseAtMost(name string, divisor int) bool {
 	for other, s := range r.entries {
-		if other != name && s.divisor != 0 && s.divisor < n {
+		if other != name && s.divisor != 0 && s.divisor < divisor {
 			return false
 		}
 	}
@@ -106,7 +106,7 @@
 func (r *Registry) AllowedEntries(now time.Time) []string {
 	names := make([]string, 0, len(r.entries))
 	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
-		if s := r.entries[name]; s.allowed && now.Sub(s.heard) <= ShareTTL {
+		if s := r.entries[name]; s.allowed && now.Sub(s.lastHeartbeat) <= ShareTTL {
 			names = append(names, name)
 		}
 	}
--- a/policy/limit/roster_test.go
+++ b/policy/limit/roster_test.go
@@ -82,9 +82,9 @@
 func TestShareEndsWithoutTheReplicas(t *testing.T) {
 	w := settled(start)
 	w.Record("c1", ShareVote{Entries: 2, Allowed: true}, 1, start)
-	require.Equal(t, 0.5, w.Share(start.Add(shareFor)))
-	require.Zero(t, w.Share(start.Add(shareFor+time.Second)))
-	require.Less(t, shareFor+LeaseDuration(1000), ShareTTL)
+	require.Equal(t, 0.5, w.Share(start.Add(voteTTL)))
+	require.Zero(t, w.Share(start.Add(voteTTL+time.Second)))
+	require.Less(t, voteTTL+LeaseDuration(1000), ShareTTL)
 }
 
 // A share becomes smaller while the larger one is lent. The replicas are told of the smaller
@@ -118,9 +118,9 @@
 	w = NewShareVotes(start)
 	w.Record("c1", ShareVote{Entries: 3, Allowed: true}, 1, start)
 	w.RecordReturn("b", false, time.Hour, start)
-	end := LeaseDuration(3) + lendSlack
-	require.Zero(t, w.Share(start.Add(end+answersFor-time.Millisecond)))
-	require.Equal(t, 1.0/3, w.Share(start.Add(end+answersFor)))
+	end := LeaseDuration(3) + leaseMargin
+	require.Zero(t, w.Share(start.Add(end+returnTimeout-time.Millisecond)))
+	require.Equal(t, 1.0/3, w.Share(start.Add(end+returnTimeout)))
 	require.Equal(t, start.Add(end), w.UnusedSince())
 }
 
--- a/policy/limit/words.go
+++ b/policy/limit/words.go
@@ -13,133 +13,133 @@
 // replicas must have said it, and not too long ago: they count an entry for
 // ShareTTL after its last call.
 type ShareVotes struct {
-	start     time.Time            // of this life
-	returned  map[string]bool      // entries that have given back what the life before lent
-	freeSince time.Time            // since when nobody uses what that life lent, once it is settled
-	words     map[string]heardWord // by replica
-	counted   int                  // entries that share, as the replicas say
-	divisor   int                  // entries that share, as last taken; 0: this one has no share
-	changedAt time.Time            // when divisor was taken
-	told      int                  // the smallest divisor that may still be in use
+	start        time.Time               // of this life
+	returned     map[string]bool         // entries that have given back what the life before lent
+	unusedSince  time.Time               // since when nobody uses what that life lent, once it is settled
+	votes        map[string]receivedVote // by replica
+	entryCount   int                     // entries that share, as the replicas say
+	divisor      int                     // entries that share, as last taken; 0: this one has no share
+	divisorSince time.Time               // when divisor was taken
+	divisorInUse int                     // the smallest divisor that may still be in use
 }
 
-// heardWord is one replica's last word.
-type heardWord struct {
+// receivedVote is one replica's last word.
+type receivedVote struct {
 	ShareVote
-	replicas int       // that it knows
-	at       time.Time // when it was asked
+	replicas    int       // that it knows
+	requestedAt time.Time // when it was asked
 }
 
-// shareFor is how long a replica's word counts: shorter than it counts this entry, by more
+// voteTTL is how long a replica's word counts: shorter than it counts this entry, by more
 // than a lease and a call take.
-const shareFor = ShareTTL - 10*time.Second
+const voteTTL = ShareTTL - 10*time.Second
 
 // NewShareVotes returns ShareVotes of no replica, for an entry that starts.
 func NewShareVotes(start time.Time) *ShareVotes {
-	return &ShareVotes{start: start, freeSince: start, returned: make(map[string]bool), words: make(map[string]heardWord)}
+	return &ShareVotes{start: start, unusedSince: start, returned: make(map[string]bool), votes: make(map[string]receivedVote)}
 }
 
 // Record takes a replica's answer to a call that was made at a time. replicas is how many it
 // knows, itself among them.
-func (w *ShareVotes) Record(replica string, word ShareVote, replicas int, asked time.Time) {
-	w.words[replica] = heardWord{ShareVote: word, replicas: replicas, at: asked}
+func (v *ShareVotes) Record(replica string, vote ShareVote, replicas int, requestedAt time.Time) {
+	v.votes[replica] = receivedVote{ShareVote: vote, replicas: replicas, requestedAt: requestedAt}
 }
 
-// answersFor is for how long an entry that starts waits for the others' answers beyond the
+// returnTimeout is for how long an entry that starts waits for the others' answers beyond the
 // end of all leases. With all of them it has what its share has brought since the start.
-const answersFor = 200 * time.Millisecond
+const returnTimeout = 200 * time.Millisecond
 
 // RecordReturn takes that an entry, which started so long ago, has given back what the life
 // before this one had lent it, if it held anything. Its own life before may have held it
 // until it ended.
-func (w *ShareVotes) RecordReturn(entry string, held bool, up time.Duration, now time.Time) {
-	free := now.Add(-up)
+func (v *ShareVotes) RecordReturn(entry string, held bool, uptime time.Duration, now time.Time) {
+	unusedSince := now.Add(-uptime)
 	if held {
-		free = now
+		unusedSince = now
 	}
-	if !w.returned[entry] && free.After(w.freeSince) {
-		w.freeSince = free
+	if !v.returned[entry] && unusedSince.After(v.unusedSince) {
+		v.unusedSince = unusedSince
 	}
-	w.returned[entry] = true
+	v.returned[entry] = true
 }
 
 // HasReturned reports whether an entry has given back what the life before this one had lent
 // it.
-func (w *ShareVotes) HasReturned(entry string) bool { return w.returned[entry] }
+func (v *ShareVotes) HasReturned(entry string) bool { return v.returned[entry] }
 
-// Settled reports whether the share that the life before this one may have lent in its last
+// ShareRecovered reports whether the share that the life before this one may have lent in its last
 // moment is back: all others have said so, or the lease has run out.
-func (w *ShareVotes) Settled(now time.Time) bool {
-	if w.counted > 0 && len(w.returned) >= w.counted-1 {
+func (v *ShareVotes) ShareRecovered(now time.Time) bool {
+	if v.entryCount > 0 && len(v.returned) >= v.entryCount-1 {
 		return true
 	}
-	end := w.start.Add(LeaseDuration(w.counted) + lendSlack)
-	if now.Before(end.Add(answersFor)) {
+	leaseEnd := v.start.Add(LeaseDuration(v.entryCount) + leaseMargin)
+	if now.Before(leaseEnd.Add(returnTimeout)) {
 		return false
 	}
-	if w.freeSince.Before(end) {
-		w.freeSince = end
+	if v.unusedSince.Before(leaseEnd) {
+		v.unusedSince = leaseEnd
 	}
 	return true
 }
 
 // UnusedSince is since when nobody has used this entry's share, when it gets one first.
-func (w *ShareVotes) UnusedSince() time.Time { return w.freeSince }
+func (v *ShareVotes) UnusedSince() time.Time { return v.unusedSince }
 
 // Share returns this entry's share of every limit.
-func (w *ShareVotes) Share(now time.Time) float64 {
+func (v *ShareVotes) Share(now time.Time) float64 {
 	allowed, replicas, entries := 0, 0, 0
-	for replica, said := range w.words {
-		if now.Sub(said.at) > shareFor {
-			delete(w.words, replica)
+	for replica, vote := range v.votes {
+		if now.Sub(vote.requestedAt) > voteTTL {
+			delete(v.votes, replica)
 			continue
 		}
-		replicas = max(replicas, said.replicas)
-		entries = max(entries, said.Entries)
-		if said.Allowed {
+		replicas = max(replicas, vote.replicas)
+		entries = max(entries, vote.Entries)
+		if vote.Allowed {
 			allowed++
 		}
 	}
-	w.counted = entries
-	if 2*allowed <= replicas || !w.Settled(now) {
+	v.entryCount = entries
+	if 2*allowed <= replicas || !v.ShareRecovered(now) {
 		entries = 0
 	}
-	w.use(entries, now)
+	v.setDivisor(entries, now)
 	if entries == 0 {
 		return 0
 	}
 	return 1 / float64(entries)
 }
 
-// use takes a divisor into use. A larger share that was lent under the one before may be
-// in use until the lease runs out.
-func (w *ShareVotes) use(divisor int, now time.Time) {
-	if divisor != w.divisor {
-		w.divisor, w.changedAt = divisor, now
+// setDivisor takes a divisor into setDivisor. A larger share that was lent under the one before may be
+// in setDivisor until the lease runs out.
+func (v *ShareVotes) setDivisor(divisor int, now time.Time) {
+	if divisor != v.divisor {
+		v.divisor, v.divisorSince = divisor, now
 	}
-	grew := divisor > 0 && (w.told == 0 || divisor < w.told)
-	if grew || now.Sub(w.changedAt) > LeaseDuration(max(divisor, w.told)) {
-		w.told = divisor
+	shareGrew := divisor > 0 && (v.divisorInUse == 0 || divisor < v.divisorInUse)
+	if shareGrew || now.Sub(v.divisorSince) > LeaseDuration(max(divisor, v.divisorInUse)) {
+		v.divisorInUse = divisor
 	}
 }
 
 // DivisorInUse returns the divisor of the largest share of this entry that may be in use, or of
 // the one that would be; 0 if no replica has said.
-func (w *ShareVotes) DivisorInUse() int {
-	if w.told > 0 {
-		return w.told
+func (v *ShareVotes) DivisorInUse() int {
+	if v.divisorInUse > 0 {
+		return v.divisorInUse
 	}
-	return w.counted
+	return v.entryCount
 }
 
 // String tells for a log what the share is taken from.
-func (w *ShareVotes) String() string {
+func (v *ShareVotes) String() string {
 	allowed, replicas := 0, 0
-	for _, said := range w.words {
-		replicas = max(replicas, said.replicas)
-		if said.Allowed {
+	for _, vote := range v.votes {
+		replicas = max(replicas, vote.replicas)
+		if vote.Allowed {
 			allowed++
 		}
 	}
-	return fmt.Sprintf("allowed by %d of %d replicas, %d entries, %d gave shares back", allowed, replicas, w.counted, len(w.returned))
+	return fmt.Sprintf("allowed by %d of %d replicas, %d entries, %d gave shares back", allowed, replicas, v.entryCount, len(v.returned))
 }
