--- a/policy/limit/doc.go
+++ b/policy/limit/doc.go
@@ -1,23 +1,22 @@
-// Package limit divides a workspace's limit among the entries so that all of them
-// together never let in more than the limit and its burst, whoever hears whom.
+// Package limit divides a workspace's limit among the entries so that together they
+// never admit more than the limit and its burst, also during a network partition.
 //
-// Load pattern answered: a workspace sends many times its limit over many entries, while
-// entries are cut off, frozen, started again, or differ about who is up.
+// Load pattern: a workspace sends many times its limit over many entries, while entries
+// are partitioned, paused, restarted, or disagree about which entries are up.
 //
 // Without it an entry that can't reach the one that decides for all either refuses
-// everything or lets in by guess what another one lets in as well. A margin for that can
-// be passed by the next series of faults.
+// everything or admits requests on an estimate, which another entry may admit as well.
 //
-// Each entry has a share of every limit, and the shares of all entries come to one at
-// most. It lends its share to the entry that keeps the limit's pool, for a short time, and
-// does not use it meanwhile: a lease. Who keeps a pool has the sum of the shares that are
-// lent to it, and lets in from that for all. An entry whose lease has run out uses its share
-// itself. At any moment a share is in one pool only, so two entries that each take
-// themselves for the keeper divide the limit instead of doubling it.
+// Each entry has a share of every limit; the shares of all entries sum to at most 1. An
+// entry lends its share for the duration of a lease to the owner of the limit's pool, and
+// does not use it meanwhile. The owner admits requests of all entries from the sum of the
+// shares lent to it. An entry whose lease has expired uses its share itself. At any moment
+// a share is in one pool only, so two entries that both act as owner divide the limit
+// instead of doubling it.
 //
-// A pool fills at its part of the limit's rate, and holds its part of the limit's size at
-// most. So in all pools together there is never more than the size, and in any window all
-// of them let in no more than the size and what the rate brings.
+// A pool is a token bucket whose rate and burst are the limit's, multiplied by the pool's
+// sum of shares. So all pools together admit, in any window, at most the burst and what
+// the rate adds in that window, except for tokens in transit (see MaxSavedAge).
 //
 // The package does no I/O and reads no clock; its types are not safe for concurrent use.
 package limit
--- a/policy/limit/keeper.go
+++ b/policy/limit/keeper.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Key names a pool: each limit has several, each with the same part of it.
+// Key names a pool. A limit is split evenly into several pools, numbered from 0.
 type Key struct {
 	Workspace string
 	Number    int
 }
 
-// PoolSet is what one entry has of all limits: its own shares, where they are lent, and
-// the pools with what is lent to it.
+// PoolSet holds one entry's pools of all limits: its own shares, their leases, and the
+// shares that other entries have lent to it.
 type PoolSet struct {
 	self  string
 	share float64 // this entry's share of each pool
-	// unusedSince is unusedSince when nobody uses the share of a pool that is not in pools.
+	// unusedSince is the time since which nobody has used the shares of pools not in pools.
 	unusedSince time.Time
 	pools       map[Key]*ownedPool
 }
 
-// ownedPool is one pool, and what became of this entry's share of it.
+// ownedPool is a pool and the lease of this entry's share of it.
 type ownedPool struct {
 	Pool
-	// borrower has this entry's share until then. Whether this entry's share is in Pool is
-	// decided by nothing else.
+	// borrower has this entry's share until leaseEnd. The share is in Pool if and only if
+	// borrower is empty.
 	borrower         string
 	leaseEnd         time.Time
-	ownerRequestedAt time.Time // by the entry that should keep the pool, for the last time
+	ownerRequestedAt time.Time // last request of the pool's owner
 }
 
-// NewPoolSet returns a PoolSet that has no share yet.
+// NewPoolSet returns a PoolSet of the entry self, without a share.
 func NewPoolSet(self string) *PoolSet { return &PoolSet{self: self, pools: make(map[Key]*ownedPool)} }
 
-// SetShare sets this entry's share, of which nobody has used anything since a time. What is
-// lent stays as it was lent.
+// SetShare sets this entry's share, unused since unusedSince. Shares that are lent keep
+// their size until they are back.
 func (s *PoolSet) SetShare(share float64, unusedSince, now time.Time) {
 	if share == s.share {
 		return
@@ -46,13 +46,13 @@
 	}
 }
 
-// forever stands for the end of what has none.
+// forever is the end of a share that is not lent.
 const forever = 100 * 365 * 24 * time.Hour
 
-// Share returns this entry's share.
+// Share returns this entry's share of every limit.
 func (s *PoolSet) Share() float64 { return s.share }
 
-// get returns a pool as it is at now.
+// get returns a pool, with its own share back in it if the lease has expired.
 func (s *PoolSet) get(key Key, now time.Time) *ownedPool {
 	p := s.pools[key]
 	if p == nil {
@@ -63,8 +63,8 @@
 	return p
 }
 
-// reclaimShare takes this entry's share back once its lease has run out, and reports whether it
-// is here.
+// reclaimShare puts this entry's share back into p once its lease has expired, and reports
+// whether the share is in p.
 func (s *PoolSet) reclaimShare(p *ownedPool, now time.Time) (reclaimed bool) {
 	if p.borrower == "" {
 		return true
@@ -77,22 +77,23 @@
 	return true
 }
 
-// Pool returns a pool with the limit in force.
+// Pool returns a pool with the limit set to l.
 func (s *PoolSet) Pool(key Key, l Limit, now time.Time) *Pool {
 	p := s.get(key, now)
 	p.SetLimit(l, now)
 	return &p.Pool
 }
 
-// Borrower returns who has this entry's share of a pool; empty if it is here.
+// Borrower returns the entry that has this entry's share of a pool; empty if it is not lent.
 func (s *PoolSet) Borrower(key Key, now time.Time) string { return s.get(key, now).borrower }
 
-// Lend lends this entry's share of a pool to an entry that asks for it, for so long from
-// now on. owner is the one that should keep the pool as far as is known here. Another one
-// gets the share only while the owner does not ask for it: it may be the one that can
+// Lend lends this entry's share of a pool to borrower for the duration of lease, or renews
+// its lease. owner is the entry that this one takes for the pool's owner. Another borrower
+// gets the share only while the owner does not request it, since it may be the one that can
 // reach this entry.
 //
-// What the share has brought goes with it: saved is what is left of it here.
+// saved is the number of unused tokens that go along with the share; the pool here loses
+// them.
 func (s *PoolSet) Lend(key Key, borrower, owner string, lease time.Duration, now time.Time) (share, saved float64, ok bool) {
 	p := s.get(key, now)
 	if borrower == owner {
@@ -101,7 +102,7 @@
 	ownerRequests := owner == s.self || !p.ownerRequestedAt.IsZero() && now.Sub(p.ownerRequestedAt) <= lease
 	switch {
 	case s.share == 0:
-		return 0, 0, false // nothing is lent that is not there
+		return 0, 0, false // no share to lend
 	case p.borrower != "" && p.borrower != borrower:
 		return 0, 0, false
 	case borrower != owner && ownerRequests:
@@ -117,15 +118,15 @@
 	return s.share, saved, true
 }
 
-// Borrow takes another entry's share of a pool until a time, with what it had saved.
+// Borrow adds a share lent by another entry until a time, and the unused tokens saved.
 func (s *PoolSet) Borrow(key Key, lender string, share, saved float64, until, now time.Time) {
 	p := s.get(key, now)
 	p.AddShare(lender, share, now, until, now)
 	p.add(saved)
 }
 
-// ReturnShares drops what an entry has lent, which has started anew and uses it itself. It
-// reports whether there was anything.
+// ReturnShares removes all shares lent by an entry that has restarted and will use them
+// itself. It reports whether there were any.
 func (s *PoolSet) ReturnShares(entry string, now time.Time) (held bool) {
 	for _, p := range s.pools {
 		held = p.RemoveShare(entry, now) || held
@@ -133,8 +134,9 @@
 	return held
 }
 
-// Retain drops the pools of workspaces for which keep does not hold: their limits are gone.
-// One whose share is lent stays until it is back: the limit may come again.
+// Retain drops the pools of workspaces for which keep returns false. A pool whose share is
+// lent stays until the lease expires: if the limit is set again meanwhile, the share must
+// not be used twice.
 func (s *PoolSet) Retain(keep func(workspace string) bool, now time.Time) {
 	for key, p := range s.pools {
 		if !keep(key.Workspace) && s.reclaimShare(p, now) {
--- a/policy/limit/lease.go
+++ b/policy/limit/lease.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// minRenewPeriod and askEach say how often a keeper asks each entry for its share: one entry
-	// every askEach, so that with hundreds of them it exchanges some hundred datagrams a
-	// second, and none more often than minRenewPeriod.
+	// An owner requests one entry's share every renewPeriodPerEntry, and the same entry's
+	// at most every minRenewPeriod. This bounds its datagrams per second.
 	minRenewPeriod      = 200 * time.Millisecond
 	renewPeriodPerEntry = 8 * time.Millisecond
-	// leaseMargin is what a lease outlasts two questions by, so that one may be lost.
+	// leaseMargin is added to two renew periods, so that a lease survives one lost request.
 	leaseMargin = 100 * time.Millisecond
-	// maxLease bounds a lease: for so long a share is of no use when its keeper is lost.
+	// maxLease bounds how long nobody can use a share whose borrower has failed.
 	maxLease = 8 * time.Second
-	// MaxSavedAge is how old what a share had saved may be when it arrives with the share.
-	// For so long it may be here and, brought anew, there.
+	// MaxSavedAge bounds the age of unused tokens that arrive with a share. Tokens in
+	// transit are not bounded by the burst: in any window the pools may admit what the rate
+	// adds in MaxSavedAge beyond it.
 	MaxSavedAge = 100 * time.Millisecond
 )
 
-// RenewPeriod is how often a keeper asks each of so many entries.
+// RenewPeriod returns how often an owner requests each entry's share, given the number of entries.
 func RenewPeriod(entries int) time.Duration {
 	return max(minRenewPeriod, time.Duration(entries)*renewPeriodPerEntry)
 }
 
-// LeaseDuration is for how long each of so many entries lends its shares.
+// LeaseDuration returns how long an entry lends its share, given the number of entries.
 func LeaseDuration(entries int) time.Duration {
 	return min(2*RenewPeriod(entries)+leaseMargin, maxLease)
 }
 
-// EntriesForShare returns how many entries there are by the share of one; 0 where it has none.
+// EntriesForShare returns the number of entries that a share implies; 0 if share is 0.
 func EntriesForShare(share float64) int {
 	if share <= 0 {
 		return 0
--- a/policy/limit/pool.go
+++ b/policy/limit/pool.go
@@ -4,46 +4,47 @@
 	"time"
 )
 
-// Limit is what may be used of a pool that has all shares, in the limit's unit.
+// Limit is the limit of a pool that has all shares, in the limit's unit.
 type Limit struct {
-	Burst float64 // at once
-	Rate  float64 // in a second
-	// LateReserve is the part of Burst that requests leave which can't be in time any more.
+	Burst float64 // the most tokens at once
+	Rate  float64 // per second
+	// LateReserve is the fraction of Burst that requests past their objective may not use.
 	LateReserve float64
 }
 
-// Pool is what is left of a limit, as far as its shares are here. The zero Pool is empty.
+// Pool is a token bucket for the shares of a limit that it holds. The zero Pool has no
+// shares and admits nothing.
 type Pool struct {
 	limit  Limit
 	shares map[string]share // by entry
-	level  float64          // below 0: overdrawn
-	// promised is what those use who were told when to come back: each is told a time
-	// after those before it, so that they don't all come for the same room.
+	level  float64          // unused tokens; below 0: overdrawn
+	// promised is the cost of refused requests that were given a time to retry. Each
+	// further one waits until these have been served, so that they don't all retry for
+	// the same tokens.
 	promised  float64
-	updatedAt time.Time // up to which level counts
+	updatedAt time.Time // time of the last fill
 }
 
-// share is an entry's share for a time.
+// share is an entry's share of a limit and the time during which the pool may use it.
 type share struct {
-	fraction    float64 // of the whole
+	fraction    float64 // of the limit, 0..1
 	from, until time.Time
 }
 
 const (
-	// maxPromisedSeconds bounds what is promised, in seconds of the limit's rate: callers give up
-	// sooner than after that.
+	// maxPromisedSeconds bounds promised, in seconds of the pool's rate: callers give up sooner.
 	maxPromisedSeconds = 5.0
-	// majorityShare is the part of all shares above which a pool lets in a request that is
-	// larger than it can ever hold. Only one pool has so many.
+	// majorityShare is the sum of shares above which a pool admits a request larger than its
+	// capacity. At most one pool exceeds it.
 	majorityShare = 0.5
 )
 
-// newPool returns a pool with one share, of which nothing has been used since a time.
+// newPool returns a pool with one entry's share, unused since unusedSince.
 func newPool(entry string, fraction float64, unusedSince, until time.Time) Pool {
 	return Pool{shares: map[string]share{entry: {fraction: fraction, from: unusedSince, until: until}}, updatedAt: unusedSince}
 }
 
-// SetLimit takes the limit in force.
+// SetLimit sets the limit. Tokens above the new capacity are dropped.
 func (p *Pool) SetLimit(l Limit, now time.Time) {
 	if p.limit == (Limit{}) {
 		p.limit = l
@@ -53,8 +54,9 @@
 	p.level = min(p.level, p.capacity())
 }
 
-// AddShare adds an entry's share from a time that may have passed until another one, or
-// replaces the one that was there.
+// AddShare adds an entry's share, valid from a time that may have passed until another
+// one. It replaces the entry's earlier share if the new one ends later, and otherwise does
+// nothing.
 func (p *Pool) AddShare(entry string, fraction float64, from, until, now time.Time) {
 	p.fill(now)
 	if p.shares == nil {
@@ -62,16 +64,16 @@
 	}
 	old, exists := p.shares[entry]
 	if exists && !until.After(old.until) {
-		return // overtaken by a later word
+		return // a later lease arrived first
 	}
 	if exists {
-		from = now // what came before is counted
+		from = now // tokens up to now are already in level
 	}
 	p.shares[entry] = share{fraction: fraction, from: from, until: until}
 	p.add(p.limit.Rate * fraction * positiveSeconds(now.Sub(from)))
 }
 
-// RemoveShare takes an entry's share out and reports whether it was there.
+// RemoveShare removes an entry's share and reports whether the pool had it.
 func (p *Pool) RemoveShare(entry string, now time.Time) (held bool) {
 	p.fill(now)
 	_, held = p.shares[entry]
@@ -80,7 +82,7 @@
 	return held
 }
 
-// withdrawShare drops an entry's share with its part of what is left, which it returns.
+// withdrawShare removes an entry's share and returns the tokens that no longer fit without it.
 func (p *Pool) withdrawShare(entry string, now time.Time) float64 {
 	p.fill(now)
 	oldLevel := p.level
@@ -88,7 +90,7 @@
 	return max(oldLevel, 0) - max(p.level, 0)
 }
 
-// ShareSum is the sum of the shares that are here.
+// ShareSum returns the sum of the shares in the pool.
 func (p *Pool) ShareSum(now time.Time) float64 {
 	p.fill(now)
 	return p.shareSum()
@@ -104,7 +106,7 @@
 
 func (p *Pool) capacity() float64 { return p.limit.Burst * p.shareSum() }
 
-// fill brings the pool up to now.
+// fill adds the tokens since the last call and removes expired shares.
 func (p *Pool) fill(now time.Time) {
 	refill := 0.0
 	for entry, s := range p.shares {
@@ -125,21 +127,23 @@
 	p.add(refill)
 }
 
-// add puts in what is not above the size.
+// add adds n tokens, up to the pool's capacity.
 func (p *Pool) add(n float64) {
 	p.level = min(p.level+n, p.capacity())
 }
 
 func positiveSeconds(d time.Duration) float64 { return max(d.Seconds(), 0) }
 
-// Refund gives back what a request that did not run had taken.
+// Refund returns the cost of a request that did not run.
 func (p *Pool) Refund(cost float64, now time.Time) {
 	p.fill(now)
 	p.add(cost)
 }
 
-// Allow takes cost from pools of one limit that are at one place, or says when there will
-// be enough. late says that the request's objective has passed.
+// Allow takes cost from the pools, which belong to one limit and one entry, and reports
+// whether they had enough. If not, wait is the time until they will, or 0 if they have no
+// shares. late says that the request's objective has passed; such a request leaves
+// Limit.LateReserve.
 func Allow(pools []*Pool, cost float64, late bool, now time.Time) (ok bool, wait time.Duration) {
 	var level, capacity, rate, shareSum, promised, lateReserve float64
 	for _, p := range pools {
@@ -156,7 +160,7 @@
 		need += lateReserve * capacity
 	}
 	if capacity > 0 && shareSum > majorityShare*float64(len(pools)) {
-		need = min(need, capacity) // one that is larger than all that there can be goes through when it is full
+		need = min(need, capacity) // a larger request is admitted when the pool is full
 	} else if late && cost <= capacity {
 		need = min(need, capacity)
 	}
@@ -175,7 +179,7 @@
 	return false, wait
 }
 
-// draw takes cost from the pools, and what none of them has from the last one.
+// draw takes cost from the pools in order; the last one may be overdrawn.
 func draw(pools []*Pool, cost float64) {
 	for i, p := range pools {
 		n := min(max(p.level, 0), cost)
--- a/policy/limit/roster.go
+++ b/policy/limit/roster.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// ShareTTL is how long a control replica counts an entry among those that may use a share
-// of the limits after its last call. An entry stops using its share sooner than that without
-// a word of most replicas, so that the rest may have it.
+// ShareTTL is how long a control replica counts an entry after its last call. Without votes
+// of a majority of the replicas an entry stops using its share sooner, so that the others
+// may divide it.
 const ShareTTL = time.Minute
 
-// ShareVote is what a replica says of an entry's share of the limits. The zero ShareVote says nothing:
-// a replica that has just started without its memory knows of too few.
+// ShareVote is a replica's vote on an entry's share of the limits. The zero ShareVote is an
+// abstention: a replica restarted without its stored entries knows too few.
 type ShareVote struct {
-	Entries int  `msgpack:"n"` // that may use a share, this one among them
+	Entries int  `msgpack:"n"` // number that may use a share, this one included
 	Allowed bool `msgpack:"ok"`
 }
 
-// Registry is what a control replica knows of the entries that may use a share of the
-// workspaces' limits. It says which may.
+// Registry is a control replica's record of the entries that may use a share of the
+// workspaces' limits, and decides which may.
 //
-// The shares of all entries must not come to more than one. So an entry is counted for
-// long after its last call, since it may be cut off and go on; and a new one may use a
-// share only once each of the others has said that its own is small enough.
+// The shares of all entries must sum to at most 1. So an entry is counted for ShareTTL
+// after its last call, since it may be partitioned and still admit requests; and a new one
+// may use a share only once each of the others has reported a share that is small enough.
 type Registry struct {
-	completeAt time.Time // from when on all entries are known
+	completeAt time.Time // from then on all entries are known; until then Vote abstains
 	entries    map[string]*member
 }
 
-// member is an entry that may use a share.
+// member is an entry that has or requests a share.
 type member struct {
 	lastHeartbeat time.Time
-	divisor       int // of which its share is a part at most; 0: it uses none, unknownShare: not known
+	divisor       int // its share is at most 1/divisor; 0: it uses none, or unknownDivisor
 	allowed       bool
 }
 
-// unknownDivisor is the divisor of an entry that has not called since this replica began.
+// unknownDivisor is the divisor of an entry that has not called since this replica started.
 const unknownDivisor = -1
 
-// NewRegistry returns the roster of a replica that starts. firstStart says that the whole
-// system does: there is no entry then that it doesn't know.
+// NewRegistry returns the registry of a replica that starts. firstStart says that the whole
+// system starts for the first time, so that no other entry can have a share.
 func NewRegistry(now time.Time, firstStart bool) *Registry {
 	r := &Registry{entries: make(map[string]*member), completeAt: now}
 	if !firstStart {
@@ -49,8 +49,8 @@
 	return r
 }
 
-// Restore takes the entries that were written down before this replica started. Each may
-// have called in the last moment.
+// Restore adds the entries that were stored before this replica restarted. Each may have
+// called just before the restart.
 func (r *Registry) Restore(names []string, now time.Time) {
 	for _, name := range names {
 		if r.entries[name] == nil {
@@ -60,7 +60,8 @@
 	r.completeAt = now
 }
 
-// Observe takes a call of an entry, whose largest share that is in use is a part of divisor.
+// Observe records a call of an entry; divisor is that of its largest share that may be in
+// use, 0 if it uses none.
 func (r *Registry) Observe(name string, divisor int, now time.Time) {
 	s := r.entries[name]
 	if s == nil || now.Sub(s.lastHeartbeat) > ShareTTL {
@@ -69,11 +70,11 @@
 	}
 	s.lastHeartbeat = now
 	if divisor > 0 || !s.allowed {
-		s.divisor = divisor // one that may use a share and does not yet goes by what it was told
+		s.divisor = divisor // an allowed entry that reports 0 may be about to use the share last voted
 	}
 }
 
-// Vote returns what an entry is told.
+// Vote returns this replica's vote on an entry's share, and drops expired entries.
 func (r *Registry) Vote(name string, now time.Time) ShareVote {
 	for other, s := range r.entries {
 		if now.Sub(s.lastHeartbeat) > ShareTTL {
@@ -87,12 +88,12 @@
 	n := len(r.entries)
 	s.allowed = s.allowed || r.othersUseAtMost(name, n)
 	if s.allowed && s.divisor == 0 {
-		s.divisor = n // from this word on
+		s.divisor = n // it may use 1/n once it receives this vote
 	}
 	return ShareVote{Entries: n, Allowed: s.allowed}
 }
 
-// othersUseAtMost reports whether no other entry uses more than one share of n.
+// othersUseAtMost reports whether no other entry uses a share larger than 1/divisor.
 func (r *Registry) othersUseAtMost(name string, divisor int) bool {
 	for other, s := range r.entries {
 		if other != name && s.divisor != 0 && s.divisor < divisor {
@@ -102,7 +103,7 @@
 	return true
 }
 
-// AllowedEntries returns the entries that may use a share, in order.
+// AllowedEntries returns the names of the entries that may use a share, sorted.
 func (r *Registry) AllowedEntries(now time.Time) []string {
 	names := make([]string, 0, len(r.entries))
 	for _, name := range slices.Sorted(maps.Keys(r.entries)) {
--- a/policy/limit/words.go
+++ b/policy/limit/words.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// ShareVotes is what the control replicas say of this entry's share of every limit: how
-// many entries there may be that use one, and whether this one may.
+// ShareVotes collects the control replicas' votes on this entry's share of every limit:
+// the number of entries that may use a share, and whether this one may.
 //
-// An entry that took its share by the word of a few replicas might be one of those that
-// are cut off with them, while the others have given its share to the rest. So most
-// replicas must have said it, and not too long ago: they count an entry for
-// ShareTTL after its last call.
+// A share requires the recent votes of a majority of the replicas. An entry with fewer
+// may be partitioned together with them, while the others divide its share among the
+// remaining entries. Replicas count an entry for ShareTTL after its last call.
 type ShareVotes struct {
-	start        time.Time               // of this life
-	returned     map[string]bool         // entries that have given back what the life before lent
-	unusedSince  time.Time               // since when nobody uses what that life lent, once it is settled
+	start        time.Time               // of this incarnation
+	returned     map[string]bool         // entries that have returned the previous incarnation's share
+	unusedSince  time.Time               // final once ShareRecovered returns true
 	votes        map[string]receivedVote // by replica
-	entryCount   int                     // entries that share, as the replicas say
-	divisor      int                     // entries that share, as last taken; 0: this one has no share
-	divisorSince time.Time               // when divisor was taken
+	entryCount   int                     // entries that may use a share, by the votes
+	divisor      int                     // the share is 1/divisor; 0: no share
+	divisorSince time.Time               // when divisor last changed
 	divisorInUse int                     // the smallest divisor that may still be in use
 }
 
-// receivedVote is one replica's last word.
+// receivedVote is one replica's latest vote.
 type receivedVote struct {
 	ShareVote
-	replicas    int       // that it knows
-	requestedAt time.Time // when it was asked
+	replicas    int       // number of replicas that it knows of
+	requestedAt time.Time // start of the call that returned the vote
 }
 
-// voteTTL is how long a replica's word counts: shorter than it counts this entry, by more
-// than a lease and a call take.
+// voteTTL is how long a replica's vote is valid. It is shorter than ShareTTL by more than a
+// lease and a call take, so that an entry stops using its share before others get it.
 const voteTTL = ShareTTL - 10*time.Second
 
-// NewShareVotes returns ShareVotes of no replica, for an entry that starts.
+// NewShareVotes returns a ShareVotes without votes, for an entry that starts at start.
 func NewShareVotes(start time.Time) *ShareVotes {
 	return &ShareVotes{start: start, unusedSince: start, returned: make(map[string]bool), votes: make(map[string]receivedVote)}
 }
 
-// Record takes a replica's answer to a call that was made at a time. replicas is how many it
-// knows, itself among them.
+// Record stores a replica's answer to a call made at requestedAt. replicas is the number of
+// replicas that it knows of, itself included.
 func (v *ShareVotes) Record(replica string, vote ShareVote, replicas int, requestedAt time.Time) {
 	v.votes[replica] = receivedVote{ShareVote: vote, replicas: replicas, requestedAt: requestedAt}
 }
 
-// returnTimeout is for how long an entry that starts waits for the others' answers beyond the
-// end of all leases. With all of them it has what its share has brought since the start.
+// returnTimeout is how long a restarted entry waits, after the end of all leases, for the
+// remaining entries to return its share. Once all have answered, the share's tokens count
+// from an earlier time.
 const returnTimeout = 200 * time.Millisecond
 
-// RecordReturn takes that an entry, which started so long ago, has given back what the life
-// before this one had lent it, if it held anything. Its own life before may have held it
-// until it ended.
+// RecordReturn records that an entry, running for uptime, has returned the share that this
+// entry's previous incarnation had lent it; held says whether it had one. The entry's own
+// previous incarnation may have used the share until that entry started.
 func (v *ShareVotes) RecordReturn(entry string, held bool, uptime time.Duration, now time.Time) {
 	unusedSince := now.Add(-uptime)
 	if held {
@@ -63,12 +63,12 @@
 	v.returned[entry] = true
 }
 
-// HasReturned reports whether an entry has given back what the life before this one had lent
-// it.
+// HasReturned reports whether an entry has returned the share lent by this entry's previous
+// incarnation.
 func (v *ShareVotes) HasReturned(entry string) bool { return v.returned[entry] }
 
-// ShareRecovered reports whether the share that the life before this one may have lent in its last
-// moment is back: all others have said so, or the lease has run out.
+// ShareRecovered reports whether the share that the previous incarnation may have lent is
+// back: all other entries have returned it, or the lease has expired.
 func (v *ShareVotes) ShareRecovered(now time.Time) bool {
 	if v.entryCount > 0 && len(v.returned) >= v.entryCount-1 {
 		return true
@@ -83,10 +83,11 @@
 	return true
 }
 
-// UnusedSince is since when nobody has used this entry's share, when it gets one first.
+// UnusedSince returns the time since which nobody has used this entry's share. It is final
+// once ShareRecovered returns true.
 func (v *ShareVotes) UnusedSince() time.Time { return v.unusedSince }
 
-// Share returns this entry's share of every limit.
+// Share returns this entry's share of every limit, or 0 while it may use none.
 func (v *ShareVotes) Share(now time.Time) float64 {
 	allowed, replicas, entries := 0, 0, 0
 	for replica, vote := range v.votes {
@@ -111,8 +112,8 @@
 	return 1 / float64(entries)
 }
 
-// setDivisor takes a divisor into setDivisor. A larger share that was lent under the one before may be
-// in setDivisor until the lease runs out.
+// setDivisor sets the divisor of this entry's share. A larger share that was lent under the
+// previous divisor may be in use until its lease expires, so divisorInUse grows only then.
 func (v *ShareVotes) setDivisor(divisor int, now time.Time) {
 	if divisor != v.divisor {
 		v.divisor, v.divisorSince = divisor, now
@@ -123,8 +124,8 @@
 	}
 }
 
-// DivisorInUse returns the divisor of the largest share of this entry that may be in use, or of
-// the one that would be; 0 if no replica has said.
+// DivisorInUse returns the divisor of this entry's largest share that may be in use; if none
+// is, the number of entries by the votes, or 0 without votes.
 func (v *ShareVotes) DivisorInUse() int {
 	if v.divisorInUse > 0 {
 		return v.divisorInUse
@@ -132,7 +133,7 @@
 	return v.entryCount
 }
 
-// String tells for a log what the share is taken from.
+// String returns the votes in short, for logs.
 func (v *ShareVotes) String() string {
 	allowed, replicas := 0, 0
 	for _, vote := range v.votes {
