--- a/entry/retries.go
+++ b/entry/retries.go
@@ -31,7 +31,7 @@
 func (t *retries) first(now time.Time, r *request.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.policy.First(now, callOf(r))
+	t.policy.RecordFirstAttempt(now, callOf(r))
 }
 
 // failed notes a failed attempt on a server and decides whether another may
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -191,7 +191,7 @@
 func (g *Gateway) noteFirst(c retry.Call) {
 	g.retryMu.Lock()
 	defer g.retryMu.Unlock()
-	g.retries.First(g.now(), c)
+	g.retries.RecordFirstAttempt(g.now(), c)
 }
 
 func (g *Gateway) failed(f retry.Failure) retry.Verdict {
--- a/policy/policytest/fault.go
+++ b/policy/policytest/fault.go
@@ -114,7 +114,7 @@
 			return
 		}
 		slots := e.slots(len(m.entries))
-		v := e.retry.Slow(m.now, retry.Slowness{
+		v := e.retry.Slow(m.now, retry.SlowAttempt{
 			Call: call(j), Waited: m.now.Sub(j.Started), Usual: e.usualFirst(),
 			Load: 1 - float64(slots.Free-slots.Taken)/float64(max(1, slots.Total)),
 		})
--- a/policy/policytest/model.go
+++ b/policy/policytest/model.go
@@ -225,7 +225,7 @@
 	e := m.entries[j.Entry]
 	m.expire(e)
 	if e.retry != nil {
-		e.retry.First(m.now, call(j))
+		e.retry.RecordFirstAttempt(m.now, call(j))
 	}
 	backlog := e.line.Backlog(m.now, j, e.slots(len(m.entries)))
 	if ok, after := e.gate.Admit(m.now, j, backlog); !ok {
--- a/policy/retry/budget.go
+++ b/policy/retry/budget.go
@@ -7,36 +7,36 @@
 
 // budget counts what one workspace or one service may still repeat.
 type budget struct {
-	left   float64
-	recent float64 // decayed count of first attempts
-	last   time.Time
+	available    float64
+	recentFirsts float64 // decayed count of first attempts
+	updatedAt    time.Time
 }
 
-func (b *budget) first(now time.Time, cfg *Config) {
-	b.recent = b.decayed(now, cfg.Window) + 1
-	b.last = now
-	b.left = min(b.left+cfg.Ratio, b.most(now, cfg))
+func (b *budget) recordFirst(now time.Time, cfg *Config) {
+	b.recentFirsts = b.decayedFirsts(now, cfg.Window) + 1
+	b.updatedAt = now
+	b.available = min(b.available+cfg.Ratio, b.maxAvailable(now, cfg))
 }
 
-func (b *budget) decayed(now time.Time, window time.Duration) float64 {
-	elapsed := now.Sub(b.last)
+func (b *budget) decayedFirsts(now time.Time, window time.Duration) float64 {
+	elapsed := now.Sub(b.updatedAt)
 	if elapsed <= 0 {
-		return b.recent
+		return b.recentFirsts
 	}
-	return b.recent * math.Exp(-elapsed.Seconds()/window.Seconds())
+	return b.recentFirsts * math.Exp(-elapsed.Seconds()/window.Seconds())
 }
 
-// most is what the budget may hold now.
-func (b *budget) most(now time.Time, cfg *Config) float64 {
-	return max(cfg.MinBudget, cfg.Ratio*b.decayed(now, cfg.Window))
+// maxAvailable is what the budget may hold now.
+func (b *budget) maxAvailable(now time.Time, cfg *Config) float64 {
+	return max(cfg.MinBudget, cfg.Ratio*b.decayedFirsts(now, cfg.Window))
 }
 
 // allows reports whether one attempt can be paid that has to leave this part of
 // the whole budget behind.
-func (b *budget) allows(now time.Time, cfg *Config, leave float64) bool {
-	b.left = min(b.left, b.most(now, cfg))
-	return b.left-1 >= leave*b.most(now, cfg)-roundingSlack
+func (b *budget) allows(now time.Time, cfg *Config, reserveFraction float64) bool {
+	b.available = min(b.available, b.maxAvailable(now, cfg))
+	return b.available-1 >= reserveFraction*b.maxAvailable(now, cfg)-roundingTolerance
 }
 
-// roundingSlack keeps ten tenths from falling short of one.
-const roundingSlack = 1e-9
+// roundingTolerance keeps ten tenths from falling short of one.
+const roundingTolerance = 1e-9
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -6,10 +6,10 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// batchLeaves is the part of a budget that a retry of class batch has to leave
+// batchReserveFraction is the part of a budget that a retry of class batch has to leave
 // for those somebody waits for. While little fails the budget is full and no
 // batch retry is refused; when it drains, batch work stops first.
-const batchLeaves = 0.5
+const batchReserveFraction = 0.5
 
 // Policy decides on retries and hedges at one entry. See the package's comment
 // for the pattern of load it answers. It is not safe for concurrent use.
@@ -30,7 +30,7 @@
 		cfg:        cfg,
 		workspaces: make(map[string]*budget),
 		services:   make(map[string]*budget),
-		wave:       wave{failed: make(map[string]time.Time)},
+		wave:       wave{lastFailure: make(map[string]time.Time)},
 	}, nil
 }
 
@@ -47,16 +47,16 @@
 // share is split anew. What is saved up beyond it is lost.
 func (p *Policy) SetMinBudget(attempts float64) { p.cfg.MinBudget = attempts }
 
-// First notes the first attempt of a request.
-func (p *Policy) First(now time.Time, c Call) {
-	p.budgetOf(p.workspaces, c.Workspace).first(now, &p.cfg)
-	p.budgetOf(p.services, c.Service).first(now, &p.cfg)
+// RecordFirstAttempt notes the first attempt of a request.
+func (p *Policy) RecordFirstAttempt(now time.Time, c Call) {
+	p.budgetOf(p.workspaces, c.Workspace).recordFirst(now, &p.cfg)
+	p.budgetOf(p.services, c.Service).recordFirst(now, &p.cfg)
 }
 
 func (p *Policy) budgetOf(budgets map[string]*budget, name string) *budget {
 	b, ok := budgets[name]
 	if !ok {
-		b = &budget{left: min(p.cfg.Start, p.cfg.MinBudget)}
+		b = &budget{available: min(p.cfg.Start, p.cfg.MinBudget)}
 		budgets[name] = b
 	}
 	return b
@@ -65,11 +65,11 @@
 // ServerFailed notes that a backend server failed an attempt, was lost or was
 // reclaimed. Call it before Failed.
 func (p *Policy) ServerFailed(now time.Time, server string) {
-	p.wave.note(now, server, p.cfg.WaveWindow)
+	p.wave.recordFailure(now, server, p.cfg.WaveWindow)
 }
 
 // InWave reports whether many backend servers fail at once.
-func (p *Policy) InWave(now time.Time) bool { return p.wave.on(now, &p.cfg, p.servers) }
+func (p *Policy) InWave(now time.Time) bool { return p.wave.active(now, &p.cfg, p.servers) }
 
 // Failed decides whether a failed attempt is repeated; random is uniform in
 // [0, 1) and spreads the wait.
@@ -83,62 +83,62 @@
 	if f.Attempts >= p.cfg.MaxAttempts {
 		return Verdict{Reason: TooManyAttempts}
 	}
-	after := p.wait(now, f.Attempts, random)
-	if !f.Call.inTime(now, after) {
+	delay := p.retryDelay(now, f.Attempts, random)
+	if !f.Call.meetsDeadline(now, delay) {
 		return Verdict{Reason: NoTimeLeft}
 	}
-	leave := 0.0
+	reserveFraction := 0.0
 	if f.Call.Class == contract.ClassBatch {
-		leave = batchLeaves
+		reserveFraction = batchReserveFraction
 	}
-	if reason, ok := p.spend(now, f.Call, leave); !ok {
+	if reason, ok := p.spend(now, f.Call, reserveFraction); !ok {
 		return Verdict{Reason: reason}
 	}
-	if after > 0 {
-		return Verdict{Go: true, Reason: RetryLater, After: after}
+	if delay > 0 {
+		return Verdict{Go: true, Reason: RetryLater, After: delay}
 	}
 	return Verdict{Go: true, Reason: Retry}
 }
 
-// wait is none before the first retry, unless in a wave, and a random part of
+// retryDelay is none before the first retry, unless in a wave, and a random part of
 // the doubled backoff before each further one.
-func (p *Policy) wait(now time.Time, attempts int, random float64) time.Duration {
-	longest := time.Duration(0)
+func (p *Policy) retryDelay(now time.Time, attempts int, random float64) time.Duration {
+	maxDelay := time.Duration(0)
 	if attempts > 1 {
-		longest = p.cfg.Backoff << (attempts - 2)
+		maxDelay = p.cfg.Backoff << (attempts - 2)
 	}
 	if p.InWave(now) {
-		longest = max(longest, p.cfg.WaveSpread)
+		maxDelay = max(maxDelay, p.cfg.WaveSpread)
 	}
-	return time.Duration(random * float64(longest))
+	return time.Duration(random * float64(maxDelay))
 }
 
-// inTime reports whether an attempt that starts after so long can still be
+// meetsDeadline reports whether an attempt that starts after so long can still be
 // answered before the deadline.
-func (c *Call) inTime(now time.Time, after time.Duration) bool {
-	return c.Deadline.IsZero() || !now.Add(after+c.Needs).After(c.Deadline)
+func (c *Call) meetsDeadline(now time.Time, delay time.Duration) bool {
+	return c.Deadline.IsZero() || !now.Add(delay+c.EstimatedDuration).After(c.Deadline)
 }
 
 // spend pays for one attempt from both budgets, or says which one cannot.
-func (p *Policy) spend(now time.Time, c Call, leave float64) (Reason, bool) {
+func (p *Policy) spend(now time.Time, c Call, reserveFraction float64) (Reason, bool) {
 	workspace := p.budgetOf(p.workspaces, c.Workspace)
 	service := p.budgetOf(p.services, c.Service)
-	if !workspace.allows(now, &p.cfg, leave) {
+	if !workspace.allows(now, &p.cfg, reserveFraction) {
 		return WorkspaceBudget, false
 	}
-	if !service.allows(now, &p.cfg, leave) {
+	if !service.allows(now, &p.cfg, reserveFraction) {
 		return ServiceBudget, false
 	}
-	workspace.left--
-	service.left--
+	workspace.available--
+	service.available--
 	return Retry, true
 }
 
 // Slow decides whether an attempt without a first token is doubled on another
 // backend server, of which the first answer counts. After says when to ask
 // again if it is too early.
-func (p *Policy) Slow(now time.Time, s Slowness) Verdict {
-	slow := time.Duration(p.cfg.HedgeAfter * float64(s.Usual))
+func (p *Policy) Slow(now time.Time, s SlowAttempt) Verdict {
+	hedgeDelay := time.Duration(p.cfg.HedgeAfter * float64(s.Usual))
 	switch {
 	case !s.Call.Idempotent:
 		return Verdict{Reason: NotIdempotent}
@@ -146,13 +146,13 @@
 		return Verdict{Reason: ClassNotHedged}
 	case s.Hedged:
 		return Verdict{Reason: AlreadyHedged}
-	case s.Waited < slow:
-		return Verdict{Reason: TooEarly, After: slow - s.Waited}
+	case s.Waited < hedgeDelay:
+		return Verdict{Reason: TooEarly, After: hedgeDelay - s.Waited}
 	case s.Load >= p.cfg.MaxHedgeLoad:
 		return Verdict{Reason: LoadTooHigh}
 	case p.InWave(now):
 		return Verdict{Reason: Wave}
-	case !s.Call.inTime(now, 0):
+	case !s.Call.meetsDeadline(now, 0):
 		return Verdict{Reason: NoTimeLeft}
 	}
 	if reason, ok := p.spend(now, s.Call, 0); !ok {
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, err)
 	p.SetServers(20)
 	for range firsts {
-		p.First(epoch, chat)
+		p.RecordFirstAttempt(epoch, chat)
 	}
 	return p
 }
@@ -62,7 +62,7 @@
 	payment.Idempotent = false
 	assert.Equal(t, Verdict{Reason: MayHaveRun}, p.Failed(epoch, Failure{Call: payment, Attempts: 1, Reclaimed: true}, 0))
 	assert.True(t, p.Failed(epoch, Failure{Call: payment, Attempts: 1, NotRun: true}, 0).Go)
-	assert.Equal(t, NotIdempotent, p.Slow(epoch, Slowness{Call: payment, Waited: time.Hour}).Reason)
+	assert.Equal(t, NotIdempotent, p.Slow(epoch, SlowAttempt{Call: payment, Waited: time.Hour}).Reason)
 }
 
 // Every attempt fails because a service is down. Unbounded retries would triple
@@ -74,7 +74,7 @@
 	retries := 0
 	for i := range 10_000 {
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
-		p.First(now, chat)
+		p.RecordFirstAttempt(now, chat)
 		for attempts := 1; p.Failed(now, Failure{Call: chat, Attempts: attempts, NotRun: true}, 0).Go; attempts++ {
 			retries++
 		}
@@ -90,13 +90,13 @@
 	cfg.Start = 1
 	p, err := New(cfg)
 	require.NoError(t, err)
-	p.First(epoch, chat)
+	p.RecordFirstAttempt(epoch, chat)
 	require.True(t, p.Failed(epoch, Failure{Call: chat, Attempts: 1}, 0).Go)
 	require.False(t, p.Failed(epoch, Failure{Call: chat, Attempts: 1}, 0).Go, "once")
 	p.SetMinBudget(0.5)
 	other := chat
 	other.Workspace, other.Service = "w2", "s2"
-	p.First(epoch, other)
+	p.RecordFirstAttempt(epoch, other)
 	require.False(t, p.Failed(epoch, Failure{Call: other, Attempts: 1}, 0).Go, "a budget holds no more than it may save up")
 }
 
@@ -107,7 +107,7 @@
 func TestBudgetIsBounded(t *testing.T) {
 	p := newPolicy(t, 0)
 	for i := range 10_000 {
-		p.First(epoch.Add(time.Duration(i)*time.Minute), chat)
+		p.RecordFirstAttempt(epoch.Add(time.Duration(i)*time.Minute), chat)
 	}
 	now := epoch.Add(10_000 * time.Minute)
 	retries := 0
@@ -124,7 +124,7 @@
 	other := chat
 	other.Workspace = "v"
 	for range 50 {
-		p.First(epoch, other)
+		p.RecordFirstAttempt(epoch, other)
 	}
 	fail := func(c Call) Verdict { return p.Failed(epoch, Failure{Call: c, Attempts: 1, NotRun: true}, 0) }
 	for range 5 {
@@ -151,8 +151,8 @@
 		p.ServerFailed(epoch, server)
 	}
 	assert.Equal(t, Verdict{Go: true, Reason: RetryLater, After: 500 * time.Millisecond}, p.Failed(epoch, f, 0.5))
-	assert.Equal(t, Wave, p.Slow(epoch, Slowness{Call: chat, Waited: time.Second}).Reason)
-	f.Call.Deadline, f.Call.Needs = epoch.Add(time.Second), 600*time.Millisecond
+	assert.Equal(t, Wave, p.Slow(epoch, SlowAttempt{Call: chat, Waited: time.Second}).Reason)
+	f.Call.Deadline, f.Call.EstimatedDuration = epoch.Add(time.Second), 600*time.Millisecond
 	assert.Equal(t, NoTimeLeft, p.Failed(epoch, f, 0.5).Reason)
 	f.Reclaimed = true
 	assert.Equal(t, Verdict{Go: true, Reason: GoOn}, p.Failed(epoch, f, 0.5), "what was accepted goes on")
@@ -190,14 +190,14 @@
 // that from callers; doubling under load would make the others slow too.
 func TestHedgeOnlyWhatMayAndWhenThereIsRoom(t *testing.T) {
 	p := newPolicy(t, 100)
-	s := Slowness{Call: chat, Waited: time.Second, Usual: 400 * time.Millisecond, Load: 0.5}
+	s := SlowAttempt{Call: chat, Waited: time.Second, Usual: 400 * time.Millisecond, Load: 0.5}
 	assert.Equal(t, Verdict{Go: true, Reason: Hedge}, p.Slow(epoch, s))
-	for reason, change := range map[Reason]func(*Slowness){
-		ClassNotHedged: func(s *Slowness) { s.Call.Class = contract.ClassBatch },
-		AlreadyHedged:  func(s *Slowness) { s.Hedged = true },
-		TooEarly:       func(s *Slowness) { s.Waited = 700 * time.Millisecond },
-		LoadTooHigh:    func(s *Slowness) { s.Load = 0.7 },
-		NoTimeLeft:     func(s *Slowness) { s.Call.Deadline = epoch.Add(-time.Second) },
+	for reason, change := range map[Reason]func(*SlowAttempt){
+		ClassNotHedged: func(s *SlowAttempt) { s.Call.Class = contract.ClassBatch },
+		AlreadyHedged:  func(s *SlowAttempt) { s.Hedged = true },
+		TooEarly:       func(s *SlowAttempt) { s.Waited = 700 * time.Millisecond },
+		LoadTooHigh:    func(s *SlowAttempt) { s.Load = 0.7 },
+		NoTimeLeft:     func(s *SlowAttempt) { s.Call.Deadline = epoch.Add(-time.Second) },
 	} {
 		changed := s
 		change(&changed)
@@ -234,10 +234,10 @@
 				random := rapid.Float64Range(0, 0.999).Draw(t, "random")
 				v, w = a.Failed(now, f, random), b.Failed(now, f, random)
 			case 1:
-				v, w = a.Slow(now, Slowness{Call: c}), b.Slow(now, Slowness{Call: c})
+				v, w = a.Slow(now, SlowAttempt{Call: c}), b.Slow(now, SlowAttempt{Call: c})
 			default:
-				a.First(now, c)
-				b.First(now, c)
+				a.RecordFirstAttempt(now, c)
+				b.RecordFirstAttempt(now, c)
 				firsts[c.Workspace]++
 				firsts[c.Service]++
 			}
@@ -270,7 +270,7 @@
 	p := newPolicy(t, 100)
 	f := Failure{Call: chat, Attempts: 1, NotRun: true}
 	assert.Zero(t, testing.AllocsPerRun(100, func() {
-		p.First(epoch, chat)
+		p.RecordFirstAttempt(epoch, chat)
 		p.Failed(epoch, f, 0)
 	}))
 }
@@ -288,7 +288,7 @@
 		now := time.Unix(0, 0)
 		call := Call{Service: "web", Idempotent: true}
 		for range 500 {
-			p.First(now, call)
+			p.RecordFirstAttempt(now, call)
 		}
 		p.SetMinBudget(budget)
 		now = now.Add(time.Hour) // what was saved by the rate is forgotten
--- a/policy/retry/verdict.go
+++ b/policy/retry/verdict.go
@@ -8,12 +8,12 @@
 
 // Call is the request that an attempt belongs to.
 type Call struct {
-	Workspace  string
-	Service    string
-	Class      contract.Class
-	Idempotent bool
-	Deadline   time.Time     // zero: none
-	Needs      time.Duration // estimated time from a start to the whole answer
+	Workspace         string
+	Service           string
+	Class             contract.Class
+	Idempotent        bool
+	Deadline          time.Time     // zero: none
+	EstimatedDuration time.Duration // estimated time from a start to the whole answer
 }
 
 // Failure is one failed attempt.
@@ -27,8 +27,8 @@
 	Reclaimed bool
 }
 
-// Slowness is an attempt whose first token has not come.
-type Slowness struct {
+// SlowAttempt is an attempt whose first token has not come.
+type SlowAttempt struct {
 	Call   Call
 	Hedged bool          // it has been doubled before
 	Waited time.Duration // since its start
--- a/policy/retry/wave.go
+++ b/policy/retry/wave.go
@@ -8,24 +8,24 @@
 // so that these attempts fail too. One would notice it by the retries of one
 // second in the metrics, and by first tokens that come late everywhere.
 type wave struct {
-	failed map[string]time.Time // last failure of each backend server
+	lastFailure map[string]time.Time // last failure of each backend server
 }
 
-func (w *wave) note(now time.Time, server string, window time.Duration) {
-	for name, at := range w.failed {
+func (w *wave) recordFailure(now time.Time, server string, window time.Duration) {
+	for name, at := range w.lastFailure {
 		if now.Sub(at) >= window {
-			delete(w.failed, name)
+			delete(w.lastFailure, name)
 		}
 	}
-	w.failed[server] = now
+	w.lastFailure[server] = now
 }
 
-func (w *wave) on(now time.Time, cfg *Config, servers int) bool {
-	n := 0
-	for _, at := range w.failed {
+func (w *wave) active(now time.Time, cfg *Config, servers int) bool {
+	failures := 0
+	for _, at := range w.lastFailure {
 		if now.Sub(at) < cfg.WaveWindow {
-			n++
+			failures++
 		}
 	}
-	return n >= cfg.WaveServers && float64(n) >= cfg.WaveShare*float64(servers)
+	return failures >= cfg.WaveServers && float64(failures) >= cfg.WaveShare*float64(servers)
 }
