--- a/policy/retry/budget.go
+++ b/policy/retry/budget.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// budget counts what one workspace or one service may still repeat.
+// budget counts the retries and hedges available to one workspace or one service.
 type budget struct {
 	available    float64
-	recentFirsts float64 // decayed count of first attempts
+	recentFirsts float64 // first attempts, decayed exponentially over Config.Window
 	updatedAt    time.Time
 }
 
@@ -26,17 +26,17 @@
 	return b.recentFirsts * math.Exp(-elapsed.Seconds()/window.Seconds())
 }
 
-// maxAvailable is what the budget may hold now.
+// maxAvailable returns the most attempts that the budget may save up now.
 func (b *budget) maxAvailable(now time.Time, cfg *Config) float64 {
 	return max(cfg.MinBudget, cfg.Ratio*b.decayedFirsts(now, cfg.Window))
 }
 
-// allows reports whether one attempt can be paid that has to leave this part of
-// the whole budget behind.
+// allows reports whether one attempt can be spent while reserveFraction of the full budget
+// stays available.
 func (b *budget) allows(now time.Time, cfg *Config, reserveFraction float64) bool {
 	b.available = min(b.available, b.maxAvailable(now, cfg))
 	return b.available-1 >= reserveFraction*b.maxAvailable(now, cfg)-roundingTolerance
 }
 
-// roundingTolerance keeps ten tenths from falling short of one.
+// roundingTolerance allows an attempt after ten additions of 0.1, whose sum is less than 1.
 const roundingTolerance = 1e-9
--- a/policy/retry/config.go
+++ b/policy/retry/config.go
@@ -6,58 +6,45 @@
 	"savoryreel.example/savoryreel/policy"
 )
 
-// Config sets how much is repeated. Start from DefaultConfig.
+// Config bounds retries and hedges. Start from DefaultConfig.
 type Config struct {
-	// Ratio is the part of first attempts that may be repeated or hedged.
+	// Ratio is the fraction of first attempts that may be retried or hedged.
 	Ratio float64 // above 0, at most 1
 
-	// MinBudget bounds what a budget may save up, in attempts, and Window does
-	// so for a busy one: to what its first attempts of about that time have
-	// filled. Without a bound a quiet week would pay for a storm of retries.
+	// A budget saves up at most MinBudget attempts, or, if that is more, Ratio of its
+	// first attempts in about the last Window. Without a bound a quiet week would pay for
+	// a storm of retries.
 	MinBudget float64
 	Window    time.Duration
 
-	// Start is what a budget begins with, in attempts, at most MinBudget. With 0
-	// repetitions are at most Ratio of the first attempts from the first one on. Where
-	// hundreds of entries get a few requests of a workspace each, nothing would ever be
-	// repeated then: a tenth of the requests would end with one server's error though
-	// another one may be asked.
+	// Start is the initial value of a budget, in attempts; MinBudget bounds it. With 0,
+	// an entry that receives only a few requests of a workspace could retry none of them,
+	// and their callers would see one server's error although another server is available.
 	Start float64
 
-	// MaxAttempts bounds the attempts of one request, the first included.
+	// MaxAttempts bounds the attempts of one request, including the first.
 	MaxAttempts int
 
-	// Backoff is the longest wait before the second retry; it doubles with
-	// each further one.
+	// Backoff is the longest delay before the second retry; it doubles with each further
+	// one. The first retry has none, except in a wave.
 	Backoff time.Duration
 
-	// WaveServers and WaveShare say how many backend servers, and what part of
-	// them, have to fail within WaveWindow to make a wave. In one, also the
-	// first retry waits, for up to WaveSpread.
+	// A wave is the failure of at least WaveServers backend servers, and of at least the
+	// fraction WaveShare of them, within WaveWindow. During a wave every retry is delayed
+	// by a random time whose bound is at least WaveSpread.
 	WaveServers int
 	WaveShare   float64 // 0 to 1
 	WaveWindow  time.Duration
 	WaveSpread  time.Duration
 
-	// HedgeAfter is after how many times the usual time to the first token an
-	// attempt counts as slow.
+	// HedgeAfter is the multiple of SlowAttempt.Usual from which on an attempt counts as slow.
 	HedgeAfter float64 // at least 1
 
-	// MaxHedgeLoad is the load, as a part of all slots in use, from which on
-	// nothing is hedged.
+	// MaxHedgeLoad is the fraction of slots in use from which on nothing is hedged.
 	MaxHedgeLoad float64 // 0 to 1
 }
 
-// DefaultConfig returns the values in use; docs/DECISIONS.md has the reasons.
-//
-// A Ratio of a tenth is the bound that the project promises. Where one attempt
-// in ten fails at random, one request in a thousand fails three, and more
-// attempts would only add load. A wave is two servers and a twentieth of them
-// within 5 s: single failures are days apart at the size to design for, six a
-// day, so two at once have a common cause. A spread of 1 s lets the load
-// reports of the surviving servers show what they have taken over. Above seven
-// tenths of the slots in use, a hedge takes the slot of a first attempt in the
-// next burst.
+// DefaultConfig returns the default values; docs/DECISIONS.md has the reasons.
 func DefaultConfig() Config {
 	return Config{
 		Ratio:        0.1,
--- a/policy/retry/doc.go
+++ b/policy/retry/doc.go
@@ -1,18 +1,17 @@
-// Package retry decides whether a failed attempt is repeated, and whether a
-// slow one is doubled. It answers a backend server that fails or is slow, and a
-// wave in which many fail at once.
+// Package retry decides whether a failed attempt is retried, and whether a slow one is
+// hedged on a second backend server.
 //
-// Without it a fleet that loses a zone is asked to do its remaining work and
-// all the lost work again in the same second, and what a few failures began,
-// the repetitions finish: they take the capacity that first attempts need.
+// Load pattern: a backend server fails or is slow, or many fail within seconds, as when a
+// zone is lost.
 //
-// Retries and hedges spend a budget for each workspace and each service, which
-// a tenth of their first attempts fills. So they never exceed a tenth of the
-// load, whatever fails. Work that must go on because its backend server was
-// reclaimed is not a retry and spends nothing: it was accepted and is owed an
-// answer.
+// Without it the remaining backend servers receive the failed work again at once, on top of
+// their own. The retries take the capacity that first attempts need, which then fail too.
 //
-// The package has no clock and no source of randomness: both come in as
-// arguments. Policy is not safe for concurrent use; its owner holds a lock
-// around it.
+// Retries and hedges spend a budget for each workspace and each service, which is filled
+// by a fraction of their first attempts (Config.Ratio). Beyond Config.Start they stay
+// within that fraction of first attempts, whatever fails. An accepted request whose backend
+// server was reclaimed continues on another one; this is not a retry and spends nothing.
+//
+// The package has no clock and no source of randomness: both are arguments. Policy is not
+// safe for concurrent use; its owner holds a lock around it.
 package retry
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -6,13 +6,11 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// batchReserveFraction is the part of a budget that a retry of class batch has to leave
-// for those somebody waits for. While little fails the budget is full and no
-// batch retry is refused; when it drains, batch work stops first.
+// batchReserveFraction is the fraction of a budget that retries of class batch may not
+// use, so that interactive requests can still be retried.
 const batchReserveFraction = 0.5
 
-// Policy decides on retries and hedges at one entry. See the package's comment
-// for the pattern of load it answers. It is not safe for concurrent use.
+// Policy decides on retries and hedges at one entry. It is not safe for concurrent use.
 type Policy struct {
 	cfg        Config
 	workspaces map[string]*budget
@@ -21,7 +19,7 @@
 	servers    int
 }
 
-// New returns a Policy with empty budgets, or the *policy.ConfigError of an invalid cfg.
+// New returns a Policy, or the *policy.ConfigError of an invalid cfg.
 func New(cfg Config) (*Policy, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -34,20 +32,21 @@
 	}, nil
 }
 
-// SetServers sets how many backend servers there are.
+// SetServers sets the number of backend servers, of which Config.WaveShare is a fraction.
 func (p *Policy) SetServers(n int) { p.servers = n }
 
-// ForgetWorkspace drops the budget of a workspace that the catalogue no longer has.
+// ForgetWorkspace drops the budget of a workspace that was removed from the catalogue.
 func (p *Policy) ForgetWorkspace(name string) { delete(p.workspaces, name) }
 
-// ForgetService drops the budget of a service that the catalogue no longer has.
+// ForgetService drops the budget of a service that was removed from the catalogue.
 func (p *Policy) ForgetService(name string) { delete(p.services, name) }
 
-// SetMinBudget changes Config.MinBudget, as where a budget that several entries
-// share is split anew. What is saved up beyond it is lost.
+// SetMinBudget changes Config.MinBudget, for example when the number of entries that share
+// a budget changes. Attempts saved up beyond the new bound are lost.
 func (p *Policy) SetMinBudget(attempts float64) { p.cfg.MinBudget = attempts }
 
-// RecordFirstAttempt notes the first attempt of a request.
+// RecordFirstAttempt adds the first attempt of a request to the budgets of its workspace
+// and service.
 func (p *Policy) RecordFirstAttempt(now time.Time, c Call) {
 	p.budgetOf(p.workspaces, c.Workspace).recordFirst(now, &p.cfg)
 	p.budgetOf(p.services, c.Service).recordFirst(now, &p.cfg)
@@ -62,17 +61,17 @@
 	return b
 }
 
-// ServerFailed notes that a backend server failed an attempt, was lost or was
-// reclaimed. Call it before Failed.
+// ServerFailed records that a backend server failed an attempt, became unreachable or was
+// reclaimed. Call it before Failed, so that Failed counts it towards a wave.
 func (p *Policy) ServerFailed(now time.Time, server string) {
 	p.wave.recordFailure(now, server, p.cfg.WaveWindow)
 }
 
-// InWave reports whether many backend servers fail at once.
+// InWave reports whether many backend servers have failed within Config.WaveWindow.
 func (p *Policy) InWave(now time.Time) bool { return p.wave.active(now, &p.cfg, p.servers) }
 
-// Failed decides whether a failed attempt is repeated; random is uniform in
-// [0, 1) and spreads the wait.
+// Failed decides whether a failed attempt is retried, and spends the budgets if so. random
+// is uniform in [0, 1) and spreads the delay.
 func (p *Policy) Failed(now time.Time, f Failure, random float64) Verdict {
 	if !f.Call.Idempotent && !f.NotRun {
 		return Verdict{Reason: MayHaveRun}
@@ -100,8 +99,7 @@
 	return Verdict{Go: true, Reason: Retry}
 }
 
-// retryDelay is none before the first retry, unless in a wave, and a random part of
-// the doubled backoff before each further one.
+// retryDelay returns a random fraction of the longest delay before the next attempt.
 func (p *Policy) retryDelay(now time.Time, attempts int, random float64) time.Duration {
 	maxDelay := time.Duration(0)
 	if attempts > 1 {
@@ -113,13 +111,13 @@
 	return time.Duration(random * float64(maxDelay))
 }
 
-// meetsDeadline reports whether an attempt that starts after so long can still be
-// answered before the deadline.
+// meetsDeadline reports whether an attempt that starts after delay can end by the deadline.
 func (c *Call) meetsDeadline(now time.Time, delay time.Duration) bool {
 	return c.Deadline.IsZero() || !now.Add(delay+c.EstimatedDuration).After(c.Deadline)
 }
 
-// spend pays for one attempt from both budgets, or says which one cannot.
+// spend takes one attempt from both budgets, or returns the reason if one of them does not
+// allow it.
 func (p *Policy) spend(now time.Time, c Call, reserveFraction float64) (Reason, bool) {
 	workspace := p.budgetOf(p.workspaces, c.Workspace)
 	service := p.budgetOf(p.services, c.Service)
@@ -134,9 +132,9 @@
 	return Retry, true
 }
 
-// Slow decides whether an attempt without a first token is doubled on another
-// backend server, of which the first answer counts. After says when to ask
-// again if it is too early.
+// Slow decides whether an attempt without a first token is hedged on another backend
+// server; the caller uses whichever answers first. If it is too early, Verdict.After is the
+// time until the next check.
 func (p *Policy) Slow(now time.Time, s SlowAttempt) Verdict {
 	hedgeDelay := time.Duration(p.cfg.HedgeAfter * float64(s.Usual))
 	switch {
--- a/policy/retry/verdict.go
+++ b/policy/retry/verdict.go
@@ -13,49 +13,49 @@
 	Class             contract.Class
 	Idempotent        bool
 	Deadline          time.Time     // zero: none
-	EstimatedDuration time.Duration // estimated time from a start to the whole answer
+	EstimatedDuration time.Duration // from the start of an attempt to its complete answer
 }
 
 // Failure is one failed attempt.
 type Failure struct {
 	Call     Call
-	Attempts int  // so far, this one included
-	NotRun   bool // it surely did not run: nothing was written, or the server refused it first
+	Attempts int  // attempts of the request, this one included
+	NotRun   bool // it certainly did not run: nothing was sent, or the server refused it
 
-	// Reclaimed says that the backend server left or was reclaimed. The
-	// request goes on elsewhere.
+	// Reclaimed says that the backend server left or was reclaimed. The request continues
+	// on another one.
 	Reclaimed bool
 }
 
-// SlowAttempt is an attempt whose first token has not come.
+// SlowAttempt is an attempt whose first token has not arrived.
 type SlowAttempt struct {
 	Call   Call
-	Hedged bool          // it has been doubled before
+	Hedged bool          // it was hedged already
 	Waited time.Duration // since its start
-	Usual  time.Duration // p95 of the time to the first token, as learnt
-	Load   float64       // part of all slots in use, 0..1
+	Usual  time.Duration // estimated p95 of the time to the first token
+	Load   float64       // fraction of all slots in use, 0..1
 }
 
-// Reason says why an attempt is repeated or not.
+// Reason is why an attempt is retried or hedged, or is not.
 type Reason uint8
 
 // The reasons of a Verdict.
 const (
 	Retry           Reason = iota // at once
 	RetryLater                    // after the wait in Verdict.After
-	GoOn                          // its server was reclaimed: go on elsewhere at once, at no cost to a budget
-	Hedge                         // double it now
-	MayHaveRun                    // it is not idempotent and may have run: the outcome is unknown
-	NotIdempotent                 // it is not idempotent and still runs
+	GoOn                          // its server was reclaimed: continue on another one at once, without spending a budget
+	Hedge                         // start a second attempt now
+	MayHaveRun                    // not idempotent, and may have run: the outcome is unknown
+	NotIdempotent                 // not idempotent, and still running
 	TooManyAttempts               // MaxAttempts is used up
-	NoTimeLeft                    // the answer would come after the deadline
+	NoTimeLeft                    // the answer would miss the deadline
 	WorkspaceBudget               // the workspace's budget is used up
 	ServiceBudget                 // the service's budget is used up
-	ClassNotHedged                // only interactive requests are
+	ClassNotHedged                // only interactive requests are hedged
 	AlreadyHedged
-	TooEarly    // a first token may still come within the usual time
+	TooEarly    // Verdict.After is the time until the next check
 	LoadTooHigh // see Config.MaxHedgeLoad
-	Wave        // many servers fail at once: nothing is hedged
+	Wave        // nothing is hedged while many servers fail
 )
 
 var reasonNames = [...]string{
@@ -76,7 +76,7 @@
 	Wave:            "wave",
 }
 
-// String returns the reason as it stands in logs.
+// String returns the reason as logs have it.
 func (r Reason) String() string {
 	if int(r) >= len(reasonNames) {
 		return "unknown"
@@ -84,8 +84,8 @@
 	return reasonNames[r]
 }
 
-// Verdict is the decision on one attempt. If Go is false the request gets its
-// final answer at once.
+// Verdict is the decision on one attempt. If Go is false, a failed attempt's error is the
+// request's answer, and a slow one goes on without a hedge.
 type Verdict struct {
 	Go     bool
 	Reason Reason
--- a/policy/retry/wave.go
+++ b/policy/retry/wave.go
@@ -2,13 +2,11 @@
 
 import "time"
 
-// wave notices that many backend servers fail at once, as when a zone is
-// reclaimed. What goes wrong otherwise: all that ran on them is repeated in the
-// same instant on the few that are left, whose queues grow past every deadline,
-// so that these attempts fail too. One would notice it by the retries of one
-// second in the metrics, and by first tokens that come late everywhere.
+// wave detects that many backend servers fail at once, as when a zone is reclaimed. If all
+// their requests were retried at once on the remaining servers, those queues would grow
+// past every deadline and the retries would fail too.
 type wave struct {
-	lastFailure map[string]time.Time // last failure of each backend server
+	lastFailure map[string]time.Time // by backend server
 }
 
 func (w *wave) recordFailure(now time.Time, server string, window time.Duration) {
