--- a/policy/limit/model_test.go
+++ b/policy/limit/model_test.go
@@ -15,76 +15,76 @@
 // say who shares, and a network that loses, delays and cuts. Each entry uses up whatever it
 // has, all the time.
 type model struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      time.Time
-	limit    Limit
-	entries  []*modelEntry
-	replicas []*modelReplica
-	mail     []letter
-	let      []float64 // in each step
-	wiped    time.Time // when a replica last lost its memory
+	t            *testing.T
+	rng          *rand.Rand
+	now          time.Time
+	limit        Limit
+	entries      []*modelEntry
+	replicas     []*modelReplica
+	messages     []message
+	admitted     []float64 // in each step
+	memoryLostAt time.Time // when a replica last lost its memory
 }
 
 type modelEntry struct {
-	name    string
-	group   int // who reaches whom
-	up      bool
-	began   time.Time // of this life
-	hadPart bool
-	at      time.Time // when it acts again, after it was frozen or down
-	keeper  *PoolSet
-	words   *ShareVotes
-	life    int
-	list    []string // the entries that it takes to be up
-	inbox   []func()
-	askedAt map[string]time.Time
-	lives   map[string]lenderLife // of the entries that asked for their shares back
-	calls   map[string]*modelCall // by replica, the last one
+	name        string
+	group       int // who reaches whom
+	up          bool
+	startedAt   time.Time // of this life
+	hadShare    bool
+	resumesAt   time.Time // when it acts again, after it was frozen or down
+	pools       *PoolSet
+	votes       *ShareVotes
+	incarnation int
+	liveEntries []string // the entries that it takes to be up
+	inbox       []func()
+	requestedAt map[string]time.Time
+	lenders     map[string]lenderIncarnation // of the entries that asked for their shares back
+	calls       map[string]*modelCall        // by replica, the last one
 }
 
 type modelReplica struct {
-	name   string
-	group  int
-	roster *Registry
-	memory []string
-	saved  time.Time
+	name        string
+	group       int
+	registry    *Registry
+	persisted   []string
+	persistedAt time.Time
 }
 
 // modelCall is an entry's call to a replica. The next one follows once it has been answered,
 // or has taken too long.
 type modelCall struct {
-	at       time.Time
+	calledAt time.Time
 	answered bool
 }
 
-// lenderLife is a life that has asked for its shares back, and whether there were any.
-type lenderLife struct {
-	life int
-	held bool
+// lenderIncarnation is a life that has asked for its shares back, and whether there were any.
+type lenderIncarnation struct {
+	incarnation int
+	held        bool
 }
 
-// letter is a message on its way.
-type letter struct {
-	at   time.Time
-	to   *modelEntry
-	life int
-	read func()
+// message is a message on its way.
+type message struct {
+	deliverAt   time.Time
+	to          *modelEntry
+	incarnation int
+	deliver     func()
 }
 
 const (
 	modelStep   = 20 * time.Millisecond
 	modelWindow = 8 * time.Second
-	// modelClock is the part of a lease that a keeper counts on.
-	modelClock = 0.95
+	// modelClockFraction is the part of a lease that a keeper counts on.
+	modelClockFraction = 0.95
 )
 
 var modelKey = Key{Workspace: "w"}
 
 func newModel(t *testing.T, seed uint64, entries, replicas int) *model {
-	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: start, limit: Limit{Burst: 150, Rate: 100}, wiped: start}
+	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: start, limit: Limit{Burst: 150, Rate: 100}, memoryLostAt: start}
 	for i := range replicas {
-		m.replicas = append(m.replicas, &modelReplica{name: fmt.Sprint("c", i), roster: NewRegistry(m.now, true)})
+		m.replicas = append(m.replicas, &modelReplica{name: fmt.Sprint("c", i), registry: NewRegistry(m.now, true)})
 	}
 	for range entries {
 		m.addEntry()
@@ -100,12 +100,12 @@
 
 // startEntry begins a new life, which knows nothing.
 func (m *model) startEntry(e *modelEntry) {
-	e.life++
-	e.began = m.now
-	e.up, e.hadPart, e.inbox = true, false, nil
-	e.keeper, e.words = NewPoolSet(e.name), NewShareVotes(m.now)
-	e.list, e.lives = nil, make(map[string]lenderLife)
-	e.askedAt, e.calls = make(map[string]time.Time), make(map[string]*modelCall)
+	e.incarnation++
+	e.startedAt = m.now
+	e.up, e.hadShare, e.inbox = true, false, nil
+	e.pools, e.votes = NewPoolSet(e.name), NewShareVotes(m.now)
+	e.liveEntries, e.lenders = nil, make(map[string]lenderIncarnation)
+	e.requestedAt, e.calls = make(map[string]time.Time), make(map[string]*modelCall)
 }
 
 // owner is the entry of a list that should keep the pool.
@@ -122,7 +122,7 @@
 }
 
 // send delivers read at an entry after a while, unless the message is lost.
-func (m *model) send(group int, to *modelEntry, read func()) {
+func (m *model) send(group int, to *modelEntry, deliver func()) {
 	if group != to.group || m.rng.Float64() < 0.05 {
 		return
 	}
@@ -130,10 +130,10 @@
 	if m.rng.Float64() < 0.03 {
 		delay = time.Duration(m.rng.IntN(3000)) * time.Millisecond
 	}
-	m.mail = append(m.mail, letter{at: m.now.Add(delay), to: to, life: to.life, read: read})
+	m.messages = append(m.messages, message{deliverAt: m.now.Add(delay), to: to, incarnation: to.incarnation, deliver: deliver})
 }
 
-func (m *model) find(name string) *modelEntry {
+func (m *model) entryByName(name string) *modelEntry {
 	for _, e := range m.entries {
 		if e.name == name {
 			return e
@@ -142,52 +142,52 @@
 	return nil
 }
 
-// act has an entry do what is due.
-func (m *model) act(e *modelEntry) {
-	for _, read := range e.inbox {
-		read()
+// tick has an entry do what is due.
+func (m *model) tick(e *modelEntry) {
+	for _, deliver := range e.inbox {
+		deliver()
 	}
 	e.inbox = nil
-	part := e.words.Share(m.now)
-	since := m.now
-	if part > 0 && !e.hadPart {
-		since, e.hadPart = e.words.UnusedSince(), true
+	share := e.votes.Share(m.now)
+	unusedSince := m.now
+	if share > 0 && !e.hadShare {
+		unusedSince, e.hadShare = e.votes.UnusedSince(), true
 	}
-	e.keeper.SetShare(part, since, m.now)
-	if !e.words.ShareRecovered(m.now) {
-		m.askSharesBack(e)
+	e.pools.SetShare(share, unusedSince, m.now)
+	if !e.votes.ShareRecovered(m.now) {
+		m.requestReturns(e)
 	}
 	for _, r := range m.replicas {
 		last := e.calls[r.name]
-		if last == nil || m.now.Sub(last.at) > 3*time.Second || last.answered && m.now.Sub(last.at) > 400*time.Millisecond {
+		if last == nil || m.now.Sub(last.calledAt) > 3*time.Second || last.answered && m.now.Sub(last.calledAt) > 400*time.Millisecond {
 			m.call(e, r)
 		}
 	}
-	if owner(e.list) == e.name {
-		m.askShares(e)
+	if owner(e.liveEntries) == e.name {
+		m.requestShares(e)
 	}
 }
 
 // call tells a replica that the entry is up, and brings its word.
 func (m *model) call(e *modelEntry, r *modelReplica) {
-	e.list = m.listFor(e)
-	c := &modelCall{at: m.now}
+	e.liveEntries = m.liveEntriesFor(e)
+	c := &modelCall{calledAt: m.now}
 	e.calls[r.name] = c
 	if r.group != e.group {
 		return
 	}
-	r.roster.Observe(e.name, e.words.DivisorInUse(), m.now)
-	word := r.roster.Vote(e.name, m.now)
+	r.registry.Observe(e.name, e.votes.DivisorInUse(), m.now)
+	vote := r.registry.Vote(e.name, m.now)
 	m.send(r.group, e, func() {
 		if e.calls[r.name] == c {
 			c.answered = true
-			e.words.Record(r.name, word, len(m.replicas), c.at)
+			e.votes.Record(r.name, vote, len(m.replicas), c.calledAt)
 		}
 	})
 }
 
-// listFor returns the entries that one takes to be up: those of its group, or any others.
-func (m *model) listFor(e *modelEntry) []string {
+// liveEntriesFor returns the entries that one takes to be up: those of its group, or any others.
+func (m *model) liveEntriesFor(e *modelEntry) []string {
 	var list []string
 	for _, o := range m.entries {
 		if o.up && (o.group == e.group || m.rng.Float64() < 0.1) && m.rng.Float64() < 0.95 {
@@ -197,121 +197,121 @@
 	return list
 }
 
-func (m *model) askShares(e *modelEntry) {
-	entries := max(len(e.list), 1)
-	for _, name := range e.list {
-		o := m.find(name)
-		if o == nil || o == e || m.now.Sub(e.askedAt[name]) < RenewPeriod(entries) {
+func (m *model) requestShares(e *modelEntry) {
+	entries := max(len(e.liveEntries), 1)
+	for _, name := range e.liveEntries {
+		lender := m.entryByName(name)
+		if lender == nil || lender == e || m.now.Sub(e.requestedAt[name]) < RenewPeriod(entries) {
 			continue
 		}
-		e.askedAt[name] = m.now
-		asked, long, life := m.now, LeaseDuration(entries), e.life
-		m.send(e.group, o, func() {
-			long := min(long, LeaseDuration(EntriesForShare(o.keeper.Share())))
-			part, saved, ok := o.keeper.Lend(modelKey, e.name, owner(o.list), long, m.now)
-			if !ok || e.life != life {
+		e.requestedAt[name] = m.now
+		requestedAt, lease, incarnation := m.now, LeaseDuration(entries), e.incarnation
+		m.send(e.group, lender, func() {
+			lease := min(lease, LeaseDuration(EntriesForShare(lender.pools.Share())))
+			share, saved, ok := lender.pools.Lend(modelKey, e.name, owner(lender.liveEntries), lease, m.now)
+			if !ok || e.incarnation != incarnation {
 				return
 			}
-			lender := o.life
-			m.send(o.group, e, func() {
-				until := asked.Add(time.Duration(modelClock * float64(long)))
-				if m.now.Before(until) && lender >= e.lives[o.name].life {
-					if m.now.Sub(asked) > MaxSavedAge {
+			lenderRun := lender.incarnation
+			m.send(lender.group, e, func() {
+				until := requestedAt.Add(time.Duration(modelClockFraction * float64(lease)))
+				if m.now.Before(until) && lenderRun >= e.lenders[lender.name].incarnation {
+					if m.now.Sub(requestedAt) > MaxSavedAge {
 						saved = 0
 					}
-					e.keeper.Borrow(modelKey, o.name, part, saved, until, m.now)
+					e.pools.Borrow(modelKey, lender.name, share, saved, until, m.now)
 				}
 			})
 		})
 	}
 }
 
-// askSharesBack asks all others for what the life before lent them.
-func (m *model) askSharesBack(e *modelEntry) {
-	for _, name := range e.list {
-		o, life := m.find(name), e.life
+// requestReturns asks all others for what the life before lent them.
+func (m *model) requestReturns(e *modelEntry) {
+	for _, name := range e.liveEntries {
+		o, incarnation := m.entryByName(name), e.incarnation
 		if o == nil || o == e {
 			continue
 		}
 		m.send(e.group, o, func() {
-			if life > o.lives[e.name].life {
-				o.lives[e.name] = lenderLife{life, o.keeper.ReturnShares(e.name, m.now)}
+			if incarnation > o.lenders[e.name].incarnation {
+				o.lenders[e.name] = lenderIncarnation{incarnation, o.pools.ReturnShares(e.name, m.now)}
 			}
-			held := o.lives[e.name].held
-			up := m.now.Sub(o.began)
-			m.send(o.group, e, func() { e.words.RecordReturn(o.name, held, up, m.now) })
+			held := o.lenders[e.name].held
+			up := m.now.Sub(o.startedAt)
+			m.send(o.group, e, func() { e.votes.RecordReturn(o.name, held, up, m.now) })
 		})
 	}
 }
 
 // step plays one step.
-func (m *model) step() { m.stepNoCheck(); m.requireOneWhole() }
+func (m *model) step() { m.stepNoCheck(); m.requireSharesAtMostOne() }
 
 func (m *model) stepNoCheck() {
 	m.now = m.now.Add(modelStep)
-	m.trouble()
+	m.injectFaults()
 	for _, r := range m.replicas {
-		if m.now.Sub(r.saved) >= time.Second {
-			r.saved, r.memory = m.now, r.roster.AllowedEntries(m.now)
+		if m.now.Sub(r.persistedAt) >= time.Second {
+			r.persistedAt, r.persisted = m.now, r.registry.AllowedEntries(m.now)
 		}
 	}
-	var rest []letter
-	for _, l := range m.mail {
+	var pending []message
+	for _, l := range m.messages {
 		switch {
-		case l.at.After(m.now):
-			rest = append(rest, l)
-		case l.life == l.to.life && l.to.up:
-			l.to.inbox = append(l.to.inbox, l.read)
+		case l.deliverAt.After(m.now):
+			pending = append(pending, l)
+		case l.incarnation == l.to.incarnation && l.to.up:
+			l.to.inbox = append(l.to.inbox, l.deliver)
 		}
 	}
-	m.mail = rest
-	let := 0.0
+	m.messages = pending
+	admitted := 0.0
 	for _, e := range m.entries {
-		if !m.now.Before(e.at) && !e.up {
+		if !m.now.Before(e.resumesAt) && !e.up {
 			m.startEntry(e)
 		}
-		if !e.up || m.now.Before(e.at) {
+		if !e.up || m.now.Before(e.resumesAt) {
 			continue
 		}
-		m.act(e)
-		let += m.useUp(e)
+		m.tick(e)
+		admitted += m.admitAll(e)
 	}
-	m.let = append(m.let, let)
+	m.admitted = append(m.admitted, admitted)
 }
 
-// useUp lets in all that an entry may.
-func (m *model) useUp(e *modelEntry) float64 {
+// admitAll lets in all that an entry may.
+func (m *model) admitAll(e *modelEntry) float64 {
 	const cost = 0.1
-	let := 0.0
+	admitted := 0.0
 	for {
-		if ok, _ := Allow([]*Pool{e.keeper.Pool(modelKey, m.limit, m.now)}, cost, false, m.now); !ok {
-			return let
+		if ok, _ := Allow([]*Pool{e.pools.Pool(modelKey, m.limit, m.now)}, cost, false, m.now); !ok {
+			return admitted
 		}
-		let += cost
+		admitted += cost
 	}
 }
 
-// requireOneWhole checks that the shares in all pools come to one at most.
-func (m *model) requireOneWhole() {
+// requireSharesAtMostOne checks that the shares in all pools come to one at most.
+func (m *model) requireSharesAtMostOne() {
 	sum := 0.0
 	for _, e := range m.entries {
 		if e.up {
-			sum += e.keeper.Pool(modelKey, m.limit, m.now).ShareSum(m.now)
+			sum += e.pools.Pool(modelKey, m.limit, m.now).ShareSum(m.now)
 		}
 	}
 	require.LessOrEqual(m.t, sum, 1+1e-9, "shares in use at %s", m.now.Sub(start))
 }
 
-// trouble changes who reaches whom, and stops, freezes and starts.
-func (m *model) trouble() {
+// injectFaults changes who reaches whom, and stops, freezes and starts.
+func (m *model) injectFaults() {
 	chance := func(perSecond float64) bool { return m.rng.Float64() < perSecond*modelStep.Seconds() }
 	if chance(0.05) { // cut in two
-		part := m.rng.Float64()
+		fraction := m.rng.Float64()
 		for _, e := range m.entries {
-			e.group = m.side(part)
+			e.group = m.randomSide(fraction)
 		}
 		for _, r := range m.replicas {
-			r.group = m.side(part)
+			r.group = m.randomSide(fraction)
 		}
 	}
 	if chance(0.1) { // whole again
@@ -326,20 +326,20 @@
 		m.entries[m.rng.IntN(len(m.entries))].group = 2 + m.rng.IntN(50)
 	}
 	if e := m.entries[m.rng.IntN(len(m.entries))]; chance(0.3) && e.up {
-		e.up, e.at = false, m.now.Add(time.Duration(m.rng.IntN(6000))*time.Millisecond)
+		e.up, e.resumesAt = false, m.now.Add(time.Duration(m.rng.IntN(6000))*time.Millisecond)
 		if m.rng.Float64() < 0.1 {
-			e.at = m.now.Add(time.Duration(m.rng.IntN(90)) * time.Second)
+			e.resumesAt = m.now.Add(time.Duration(m.rng.IntN(90)) * time.Second)
 		}
 	}
 	if e := m.entries[m.rng.IntN(len(m.entries))]; chance(0.3) && e.up {
-		e.at = m.now.Add(time.Duration(m.rng.IntN(9000)) * time.Millisecond)
+		e.resumesAt = m.now.Add(time.Duration(m.rng.IntN(9000)) * time.Millisecond)
 	}
 	if r := m.replicas[m.rng.IntN(len(m.replicas))]; chance(0.2) {
-		r.roster = NewRegistry(m.now, false)
-		if lost := m.now.Sub(m.wiped) > 2*ShareTTL && m.rng.Float64() < 0.3; lost {
-			m.wiped = m.now
+		r.registry = NewRegistry(m.now, false)
+		if lost := m.now.Sub(m.memoryLostAt) > 2*ShareTTL && m.rng.Float64() < 0.3; lost {
+			m.memoryLostAt = m.now
 		} else {
-			r.roster.Restore(r.memory, m.now)
+			r.registry.Restore(r.persisted, m.now)
 		}
 	}
 	if chance(0.02) && len(m.entries) < 12 {
@@ -347,8 +347,8 @@
 	}
 }
 
-func (m *model) side(part float64) int {
-	if m.rng.Float64() < part {
+func (m *model) randomSide(fraction float64) int {
+	if m.rng.Float64() < fraction {
 		return 0
 	}
 	return 1
@@ -357,7 +357,7 @@
 // Entries are cut off, frozen, started again and added, replicas start again and lose
 // their memory, messages are late or lost, and entries differ about who is up. A workspace
 // that sends without end gets the limit and its burst in any window, and no more.
-func TestLimitHoldsInAnyOrder(t *testing.T) {
+func TestPoolsStayWithinLimitUnderFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		m := newModel(t, seed, 6, 5)
 		for range int(120 * time.Second / modelStep) {
@@ -369,36 +369,36 @@
 
 func (m *model) requireWindows(name string) {
 	window := int(modelWindow / modelStep)
-	most := m.limit.Rate*(modelWindow+MaxSavedAge).Seconds() + m.limit.Burst
-	for from := 0; from+window <= len(m.let); from++ {
+	maxAdmitted := m.limit.Rate*(modelWindow+MaxSavedAge).Seconds() + m.limit.Burst
+	for from := 0; from+window <= len(m.admitted); from++ {
 		sum := 0.0
-		for _, n := range m.let[from : from+window] {
+		for _, n := range m.admitted[from : from+window] {
 			sum += n
 		}
-		require.LessOrEqual(m.t, sum, most+1e-6, "%s, window from step %d", name, from)
+		require.LessOrEqual(m.t, sum, maxAdmitted+1e-6, "%s, window from step %d", name, from)
 	}
-	require.False(m.t, slices.Max(m.let) == 0, name)
+	require.False(m.t, slices.Max(m.admitted) == 0, name)
 }
 
 // While all is well the whole limit is let in, wherever its requests come.
-func TestWholeLimitIsServed(t *testing.T) {
+func TestWholeLimitIsAdmittedWithoutFaults(t *testing.T) {
 	m := newModel(t, 1, 8, 5)
-	quiet := func(seconds int) (let float64) {
+	runWithoutFaults := func(seconds int) (admitted float64) {
 		for range seconds * int(time.Second/modelStep) {
 			m.now = m.now.Add(modelStep)
-			for _, l := range m.mail {
-				if !l.at.After(m.now) {
-					l.to.inbox = append(l.to.inbox, l.read)
+			for _, l := range m.messages {
+				if !l.deliverAt.After(m.now) {
+					l.to.inbox = append(l.to.inbox, l.deliver)
 				}
 			}
-			m.mail = slices.DeleteFunc(m.mail, func(l letter) bool { return !l.at.After(m.now) })
+			m.messages = slices.DeleteFunc(m.messages, func(l message) bool { return !l.deliverAt.After(m.now) })
 			for _, e := range m.entries {
-				m.act(e)
-				let += m.useUp(e)
+				m.tick(e)
+				admitted += m.admitAll(e)
 			}
 		}
-		return let
+		return admitted
 	}
-	quiet(10)
-	require.InDelta(t, 10*m.limit.Rate, quiet(10), 0.05*10*m.limit.Rate)
+	runWithoutFaults(10)
+	require.InDelta(t, 10*m.limit.Rate, runWithoutFaults(10), 0.05*10*m.limit.Rate)
 }
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -18,18 +18,18 @@
 var chat = Call{Workspace: "w", Service: "s", Class: contract.ClassInteractive, Idempotent: true}
 
 // newPolicy returns a policy that has seen so many first attempts of chat.
-func newPolicy(t require.TestingT, firsts int) *Policy {
+func newPolicy(t require.TestingT, firstAttempts int) *Policy {
 	p, err := New(DefaultConfig())
 	require.NoError(t, err)
 	p.SetServers(20)
-	for range firsts {
+	for range firstAttempts {
 		p.RecordFirstAttempt(epoch, chat)
 	}
 	return p
 }
 
 func TestConfigValidateNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
+	for field, invalidate := range map[string]func(*Config){
 		"Ratio":        func(c *Config) { c.Ratio = 0 },
 		"MinBudget":    func(c *Config) { c.MinBudget = 0 },
 		"Start":        func(c *Config) { c.Start = -1 },
@@ -44,7 +44,7 @@
 		"MaxHedgeLoad": func(c *Config) { c.MaxHedgeLoad = 2 },
 	} {
 		cfg := DefaultConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		_, err := New(cfg)
 		var fieldErr *policy.ConfigError
 		require.ErrorAs(t, err, &fieldErr, field)
@@ -56,7 +56,7 @@
 // made twice.
 //
 // Removing the first test in Failed makes this fail.
-func TestWhatMayHaveRunIsNotRepeated(t *testing.T) {
+func TestNonIdempotentAttemptIsNotRetried(t *testing.T) {
 	p := newPolicy(t, 100)
 	payment := chat
 	payment.Idempotent = false
@@ -69,7 +69,7 @@
 // its load just when it can bear least.
 //
 // Removing the call of spend in Failed makes this fail.
-func TestRetriesNeverExceedATenthOfTheLoad(t *testing.T) {
+func TestRetriesStayWithinRatio(t *testing.T) {
 	p := newPolicy(t, 0)
 	retries := 0
 	for i := range 10_000 {
@@ -85,7 +85,7 @@
 // Hundreds of entries get a request of a workspace now and then. Were nothing repeated
 // before many have come, its callers would see each server's error although another
 // server may be asked.
-func TestFirstRequestsMayBeRepeated(t *testing.T) {
+func TestStartAllowsRetryOfFirstRequest(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.Start = 1
 	p, err := New(cfg)
@@ -119,7 +119,7 @@
 
 // One workspace's requests all fail. Others of the same service still retry,
 // within the service's budget, and other services are not touched.
-func TestBudgetsAreByWorkspaceAndByService(t *testing.T) {
+func TestBudgetsAreSeparateByWorkspaceAndService(t *testing.T) {
 	p := newPolicy(t, 50)
 	other := chat
 	other.Workspace = "v"
@@ -141,7 +141,7 @@
 // once, all their work would meet the others at the same instant.
 //
 // Removing the test of InWave in wait makes this fail.
-func TestRetryIntoAWaveIsSpread(t *testing.T) {
+func TestRetriesInWaveAreSpread(t *testing.T) {
 	p := newPolicy(t, 1_000)
 	f := Failure{Call: chat, Attempts: 1, NotRun: true}
 	assert.Equal(t, Verdict{Go: true, Reason: Retry}, p.Failed(epoch, f, 0.5))
@@ -159,7 +159,7 @@
 	assert.False(t, p.InWave(epoch.Add(5*time.Second)))
 }
 
-func TestAttemptsAndBackoff(t *testing.T) {
+func TestMaxAttemptsAndBackoff(t *testing.T) {
 	p := newPolicy(t, 1_000)
 	f := Failure{Call: chat, Attempts: 2, NotRun: true}
 	assert.Equal(t, Verdict{Go: true, Reason: RetryLater, After: 50 * time.Millisecond}, p.Failed(epoch, f, 0.5))
@@ -171,7 +171,7 @@
 // backfill could spend the whole budget, the page would not be retried.
 //
 // Removing the use of leave in allows makes this fail.
-func TestBatchLeavesHalfTheBudget(t *testing.T) {
+func TestBatchRetriesLeaveHalfTheBudget(t *testing.T) {
 	p := newPolicy(t, 100)
 	batch := Failure{Call: chat, Attempts: 1, NotRun: true}
 	batch.Call.Class = contract.ClassBatch
@@ -188,7 +188,7 @@
 
 // One server has grown slow without failing. Doubling what waits for it hides
 // that from callers; doubling under load would make the others slow too.
-func TestHedgeOnlyWhatMayAndWhenThereIsRoom(t *testing.T) {
+func TestHedgeConditions(t *testing.T) {
 	p := newPolicy(t, 100)
 	s := SlowAttempt{Call: chat, Waited: time.Second, Usual: 400 * time.Millisecond, Load: 0.5}
 	assert.Equal(t, Verdict{Go: true, Reason: Hedge}, p.Slow(epoch, s))
@@ -211,7 +211,7 @@
 // Whatever fails and however slow things are, repeated attempts stay within a
 // tenth of first attempts, for each workspace and each service; verdicts depend
 // on nothing but the arguments.
-func TestPropertyRepetitionsStayWithinTheRatio(t *testing.T) {
+func TestPropertyRetriesAndHedgesStayWithinRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newPolicy(t, 0), newPolicy(t, 0)
 		firsts, repeated := map[string]int{}, map[string]int{}
@@ -280,7 +280,7 @@
 // servers are lost.
 //
 // It breaks without SetMinBudget.
-func TestMinBudgetFallsAtOnce(t *testing.T) {
+func TestLowerMinBudgetDropsSavings(t *testing.T) {
 	repeats := func(budget float64) (n int) {
 		cfg := DefaultConfig()
 		p, err := New(cfg)
