--- a/policy/limit/model_test.go
+++ b/policy/limit/model_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// model is a site in virtual time: entries that divide one limit, control replicas that
-// say who shares, and a network that loses, delays and cuts. Each entry uses up whatever it
-// has, all the time.
+// model simulates a site in virtual time: entries that divide one limit, control replicas
+// that vote on their shares, and a network that loses and delays messages and partitions.
+// Every entry admits all it can in every step.
 type model struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -22,25 +22,25 @@
 	entries      []*modelEntry
 	replicas     []*modelReplica
 	messages     []message
-	admitted     []float64 // in each step
-	memoryLostAt time.Time // when a replica last lost its memory
+	admitted     []float64 // cost admitted in each step
+	memoryLostAt time.Time // when a replica last lost its stored entries
 }
 
 type modelEntry struct {
 	name        string
-	group       int // who reaches whom
+	group       int // entries and replicas of one group reach each other
 	up          bool
-	startedAt   time.Time // of this life
+	startedAt   time.Time // start of this incarnation
 	hadShare    bool
-	resumesAt   time.Time // when it acts again, after it was frozen or down
+	resumesAt   time.Time // end of a pause or of the time that it is down
 	pools       *PoolSet
 	votes       *ShareVotes
 	incarnation int
-	liveEntries []string // the entries that it takes to be up
+	liveEntries []string // entries that it takes to be up
 	inbox       []func()
 	requestedAt map[string]time.Time
-	lenders     map[string]lenderIncarnation // of the entries that asked for their shares back
-	calls       map[string]*modelCall        // by replica, the last one
+	lenders     map[string]lenderIncarnation // that requested their shares back
+	calls       map[string]*modelCall        // latest call by replica
 }
 
 type modelReplica struct {
@@ -51,20 +51,20 @@
 	persistedAt time.Time
 }
 
-// modelCall is an entry's call to a replica. The next one follows once it has been answered,
-// or has taken too long.
+// modelCall is an entry's call to a replica. The next one follows once it has been answered
+// or has timed out.
 type modelCall struct {
 	calledAt time.Time
 	answered bool
 }
 
-// lenderIncarnation is a life that has asked for its shares back, and whether there were any.
+// lenderIncarnation is the incarnation of an entry that requested its shares back.
 type lenderIncarnation struct {
 	incarnation int
 	held        bool
 }
 
-// message is a message on its way.
+// message is a message in transit.
 type message struct {
 	deliverAt   time.Time
 	to          *modelEntry
@@ -75,7 +75,7 @@
 const (
 	modelStep   = 20 * time.Millisecond
 	modelWindow = 8 * time.Second
-	// modelClockFraction is the part of a lease that a keeper counts on.
+	// modelClockFraction is the fraction of a lease that a borrower uses, for clock drift.
 	modelClockFraction = 0.95
 )
 
@@ -98,7 +98,7 @@
 	m.startEntry(e)
 }
 
-// startEntry begins a new life, which knows nothing.
+// startEntry starts a new incarnation, without any state.
 func (m *model) startEntry(e *modelEntry) {
 	e.incarnation++
 	e.startedAt = m.now
@@ -108,7 +108,7 @@
 	e.requestedAt, e.calls = make(map[string]time.Time), make(map[string]*modelCall)
 }
 
-// owner is the entry of a list that should keep the pool.
+// owner returns the owner of the pool among the entries of a list.
 func owner(list []string) string {
 	best, name := uint64(0), ""
 	for _, n := range list {
@@ -121,7 +121,7 @@
 	return name
 }
 
-// send delivers read at an entry after a while, unless the message is lost.
+// send calls deliver at an entry after a delay, unless the message is lost.
 func (m *model) send(group int, to *modelEntry, deliver func()) {
 	if group != to.group || m.rng.Float64() < 0.05 {
 		return
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// tick has an entry do what is due.
+// tick handles an entry's received messages and makes its due calls and requests.
 func (m *model) tick(e *modelEntry) {
 	for _, deliver := range e.inbox {
 		deliver()
@@ -168,7 +168,7 @@
 	}
 }
 
-// call tells a replica that the entry is up, and brings its word.
+// call makes an entry's call to a replica, whose vote is the answer.
 func (m *model) call(e *modelEntry, r *modelReplica) {
 	e.liveEntries = m.liveEntriesFor(e)
 	c := &modelCall{calledAt: m.now}
@@ -186,7 +186,8 @@
 	})
 }
 
-// liveEntriesFor returns the entries that one takes to be up: those of its group, or any others.
+// liveEntriesFor returns the entries that e takes to be up: most of its group, and a few
+// others.
 func (m *model) liveEntriesFor(e *modelEntry) []string {
 	var list []string
 	for _, o := range m.entries {
@@ -226,7 +227,7 @@
 	}
 }
 
-// requestReturns asks all others for what the life before lent them.
+// requestReturns requests the shares that the previous incarnation lent from all other entries.
 func (m *model) requestReturns(e *modelEntry) {
 	for _, name := range e.liveEntries {
 		o, incarnation := m.entryByName(name), e.incarnation
@@ -244,7 +245,7 @@
 	}
 }
 
-// step plays one step.
+// step simulates one step and checks the sum of shares.
 func (m *model) step() { m.stepNoCheck(); m.requireSharesAtMostOne() }
 
 func (m *model) stepNoCheck() {
@@ -279,7 +280,7 @@
 	m.admitted = append(m.admitted, admitted)
 }
 
-// admitAll lets in all that an entry may.
+// admitAll admits requests until the entry's pool refuses one, and returns their cost.
 func (m *model) admitAll(e *modelEntry) float64 {
 	const cost = 0.1
 	admitted := 0.0
@@ -291,7 +292,7 @@
 	}
 }
 
-// requireSharesAtMostOne checks that the shares in all pools come to one at most.
+// requireSharesAtMostOne checks that the shares in all pools sum to at most 1.
 func (m *model) requireSharesAtMostOne() {
 	sum := 0.0
 	for _, e := range m.entries {
@@ -302,10 +303,10 @@
 	require.LessOrEqual(m.t, sum, 1+1e-9, "shares in use at %s", m.now.Sub(start))
 }
 
-// injectFaults changes who reaches whom, and stops, freezes and starts.
+// injectFaults partitions, pauses, stops, restarts and adds at random.
 func (m *model) injectFaults() {
 	chance := func(perSecond float64) bool { return m.rng.Float64() < perSecond*modelStep.Seconds() }
-	if chance(0.05) { // cut in two
+	if chance(0.05) { // partition in two
 		fraction := m.rng.Float64()
 		for _, e := range m.entries {
 			e.group = m.randomSide(fraction)
@@ -314,7 +315,7 @@
 			r.group = m.randomSide(fraction)
 		}
 	}
-	if chance(0.1) { // whole again
+	if chance(0.1) { // end of all partitions
 		for _, e := range m.entries {
 			e.group = 0
 		}
@@ -322,7 +323,7 @@
 			r.group = 0
 		}
 	}
-	if chance(0.3) { // an entry alone
+	if chance(0.3) { // partition of one entry
 		m.entries[m.rng.IntN(len(m.entries))].group = 2 + m.rng.IntN(50)
 	}
 	if e := m.entries[m.rng.IntN(len(m.entries))]; chance(0.3) && e.up {
@@ -354,9 +355,9 @@
 	return 1
 }
 
-// Entries are cut off, frozen, started again and added, replicas start again and lose
-// their memory, messages are late or lost, and entries differ about who is up. A workspace
-// that sends without end gets the limit and its burst in any window, and no more.
+// Guards against a workspace that gets more than its limit and burst in a window while
+// entries are partitioned, paused, restarted and added, replicas restart and lose their
+// stored entries, and messages are late or lost.
 func TestPoolsStayWithinLimitUnderFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		m := newModel(t, seed, 6, 5)
@@ -380,7 +381,8 @@
 	require.False(m.t, slices.Max(m.admitted) == 0, name)
 }
 
-// While all is well the whole limit is let in, wherever its requests come.
+// Guards against a part of the limit that cannot be used although nothing fails, because
+// shares are lent too late or not at all.
 func TestWholeLimitIsAdmittedWithoutFaults(t *testing.T) {
 	m := newModel(t, 1, 8, 5)
 	runWithoutFaults := func(seconds int) (admitted float64) {
--- a/policy/limit/pool_test.go
+++ b/policy/limit/pool_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fullPool returns a pool that has all shares, filled up to level.
+// fullPool returns a pool that has all shares and level tokens.
 func fullPool(l Limit, level float64) *Pool {
 	p := &Pool{}
 	p.SetLimit(l, start)
@@ -21,9 +21,9 @@
 	return Allow([]*Pool{p}, cost, late, now)
 }
 
-// A workspace sends ten times its limit. What is let in is the limit, in every second,
-// and those who are refused are told times that differ: told the same one, all would
-// come back for the room of one.
+// A workspace sends ten times its limit. Guards against a pool that admits more than the
+// limit, or that gives refused callers the same time to retry: all would return together for
+// the tokens of one.
 func TestSurgeAdmitsLimitAndSpreadsRetries(t *testing.T) {
 	const rate, burst, cost = 100.0, 200.0, 10.0
 	p := fullPool(Limit{Burst: burst, Rate: rate}, burst)
@@ -49,8 +49,8 @@
 	require.Greater(t, refused, 800)
 }
 
-// One request is larger than all that its workspace may use at once. It goes through
-// once the pool is full, and is paid off afterwards.
+// Guards against a request larger than the burst that is never admitted, or that is admitted
+// without delaying the requests after it.
 func TestRequestLargerThanBurstIsAdmittedWhenFull(t *testing.T) {
 	p := fullPool(Limit{Burst: 100, Rate: 10}, 50)
 	ok, wait := allow(p, 250, false, start)
@@ -63,8 +63,8 @@
 	require.Greater(t, wait, 15*time.Second)
 }
 
-// A pool with few of the shares would let in a request that is larger than it can hold, and
-// so would each of the others: together they would pass the limit.
+// Guards against a pool with a minority of the shares that admits a request larger than its
+// capacity: several such pools would together exceed the limit.
 func TestMinorityPoolRefusesLargeRequest(t *testing.T) {
 	p := &Pool{}
 	p.SetLimit(Limit{Burst: 100, Rate: 10}, start)
@@ -75,8 +75,8 @@
 	require.True(t, ok)
 }
 
-// Requests that are late already leave a part of the limit to those that are not, and are
-// let in once the workspace sends less.
+// Guards against requests past their objective that use up the tokens of those that can still
+// meet it, or that stay refused once the workspace sends less.
 func TestLateRequestsLeaveReserve(t *testing.T) {
 	p := fullPool(Limit{Burst: 100, Rate: 10, LateReserve: 0.25}, 30)
 	ok, _ := allow(p, 10, true, start)
@@ -86,11 +86,10 @@
 	ok, _ = allow(p, 10, true, start.Add(2*time.Second))
 	require.True(t, ok)
 	ok, _ = allow(p, 1000, true, start.Add(time.Minute))
-	require.True(t, ok, "also one that is larger than the limit")
+	require.True(t, ok, "also one that is larger than the burst")
 }
 
-// A limit is lowered far below what a workspace sends. What it had saved up under the old
-// limit is not let in any more.
+// Guards against a lowered limit that still admits the tokens saved under the higher one.
 func TestLoweredLimitDropsUnusedTokens(t *testing.T) {
 	p := fullPool(Limit{Burst: 1000, Rate: 1000}, 1000)
 	p.SetLimit(Limit{Burst: 10, Rate: 10}, start)
@@ -103,8 +102,8 @@
 	require.Equal(t, 10, admitted)
 }
 
-// An entry has lent its share and is cut off from the keeper. The keeper stops counting on
-// it when the lease ends, and the entry takes it back then, with what it has brought since.
+// An entry has lent its share and is partitioned from the borrower. Guards against an entry
+// that uses the share during the lease, or that cannot use it afterwards.
 func TestShareReturnsWhenLeaseExpires(t *testing.T) {
 	l := Limit{Burst: 100, Rate: 100}
 	set := NewPoolSet("a")
@@ -125,28 +124,29 @@
 	ok, _ = allow(p, 10, false, at)
 	require.True(t, ok)
 	ok, _ = allow(p, 1, false, at)
-	require.False(t, ok, "0.2 s of half the rate")
+	require.False(t, ok, "0.2 s at half the rate")
 }
 
-// Entries differ about who keeps a pool. A share is lent to one at a time, and goes over to
-// the one that should have it when the lease ends.
+// Entries disagree on a pool's owner. Guards against a share that is lent to two of them at a
+// time, or that does not move to the owner when the lease expires.
 func TestShareIsLentToOneBorrower(t *testing.T) {
 	set := NewPoolSet("a")
 	set.SetShare(0.5, start, start)
 	key := Key{Workspace: "w"}
-	lend := func(asker string, at time.Duration) bool {
-		_, _, ok := set.Lend(key, asker, "c", time.Second, start.Add(at))
+	lend := func(borrower string, at time.Duration) bool {
+		_, _, ok := set.Lend(key, borrower, "c", time.Second, start.Add(at))
 		return ok
 	}
-	require.True(t, lend("b", 0), "the one that should keep it does not ask")
+	require.True(t, lend("b", 0), "the owner does not request it")
 	require.True(t, lend("b", 500*time.Millisecond))
 	require.False(t, lend("c", 600*time.Millisecond))
-	require.False(t, lend("b", 700*time.Millisecond), "c asks")
+	require.False(t, lend("b", 700*time.Millisecond), "the owner requests it")
 	require.True(t, lend("c", 1500*time.Millisecond))
 	require.False(t, lend("b", 1600*time.Millisecond))
 }
 
-// A limit is taken away and comes again at once, while an entry's share of it is lent.
+// A limit is removed and set again while an entry's share of it is lent. Guards against an
+// entry that then uses the share as well as its borrower.
 func TestRemovedLimitKeepsLease(t *testing.T) {
 	set := NewPoolSet("a")
 	set.SetShare(0.5, start, start)
--- a/policy/limit/roster.go
+++ b/policy/limit/roster.go
@@ -12,7 +12,7 @@
 const ShareTTL = time.Minute
 
 // ShareVote is a replica's vote on an entry's share of the limits. The zero ShareVote is an
-// abstention: a replica restarted without its stored entries knows too few.
+// abstention: a replica restarted without its stored entries counts too few.
 type ShareVote struct {
 	Entries int  `msgpack:"n"` // number that may use a share, this one included
 	Allowed bool `msgpack:"ok"`
--- a/policy/limit/roster_test.go
+++ b/policy/limit/roster_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Entries are added while others have a share of the limits. A new one has none until each
-// of the others has said that its own share is small enough.
+// Guards against a new entry that uses a share before the other entries have reported that
+// theirs are small enough: the shares would sum to more than 1.
 func TestNewEntryWaitsForSmallerShares(t *testing.T) {
 	r := NewRegistry(start, true)
 	r.Observe("a", 0, start)
@@ -21,7 +21,8 @@
 	require.Equal(t, ShareVote{Entries: 2, Allowed: true}, r.Vote("b", start))
 }
 
-// An entry is cut off and goes on with its share. The others must not have it meanwhile.
+// An entry is partitioned and continues to use its share. Guards against the others using it
+// at the same time.
 func TestPartitionedEntryIsCounted(t *testing.T) {
 	r := NewRegistry(start, true)
 	r.Observe("a", 2, start)
@@ -34,7 +35,8 @@
 	require.Equal(t, 1, voteAfter(ShareTTL+time.Second).Entries)
 }
 
-// An entry starts again at once. It keeps its place, and needs not wait for the others.
+// Guards against an entry that restarts at once and then waits for the reports of all others
+// before it may use its share.
 func TestRestartedEntryStaysAllowed(t *testing.T) {
 	r := NewRegistry(start, true)
 	for _, name := range []string{"a", "b"} {
@@ -47,11 +49,11 @@
 	require.Equal(t, ShareVote{Entries: 2, Allowed: true}, r.Vote("b", start.Add(time.Second)))
 }
 
-// recoveredVotes returns the words of an entry that started long ago.
+// recoveredVotes returns the votes of an entry that started a minute before now.
 func recoveredVotes(now time.Time) *ShareVotes { return NewShareVotes(now.Add(-time.Minute)) }
 
-// An entry is in touch with a few replicas only, which are cut off from the others. Its
-// share may be given to the rest, so it uses none.
+// Guards against an entry, partitioned with a minority of the replicas, that uses a share
+// which the other replicas may have given to others.
 func TestShareNeedsMajorityOfReplicas(t *testing.T) {
 	votes := recoveredVotes(start)
 	votes.Record("c1", ShareVote{Entries: 4, Allowed: true}, 5, start)
@@ -60,11 +62,11 @@
 	votes.Record("c3", ShareVote{Entries: 3, Allowed: false}, 5, start)
 	require.Zero(t, votes.Share(start))
 	votes.Record("c4", ShareVote{Entries: 3, Allowed: true}, 5, start)
-	require.Equal(t, 0.25, votes.Share(start), "the highest count of entries")
+	require.Equal(t, 0.25, votes.Share(start), "the highest number of entries")
 }
 
-// A replica starts anew and has heard of few entries. The entry does not take a larger share
-// for it.
+// Guards against a restarted replica, which counts few entries, whose vote enlarges an entry's
+// share.
 func TestRestartedReplicaDoesNotEnlargeShare(t *testing.T) {
 	votes := recoveredVotes(start)
 	for _, replica := range []string{"c1", "c2", "c3"} {
@@ -77,8 +79,8 @@
 	require.Equal(t, 1.0/6, votes.Share(start))
 }
 
-// All control replicas are out of reach. The entry goes on with its share, and gives it up
-// before it may be given to others.
+// All control replicas are unreachable. Guards against an entry that gives up its share at
+// once, or that still uses it when they may have given it to others.
 func TestShareExpiresWithoutReplicas(t *testing.T) {
 	votes := recoveredVotes(start)
 	votes.Record("c1", ShareVote{Entries: 2, Allowed: true}, 1, start)
@@ -87,8 +89,8 @@
 	require.Less(t, voteTTL+LeaseDuration(1000), ShareTTL)
 }
 
-// A share becomes smaller while the larger one is lent. The replicas are told of the smaller
-// one only when the lease has ended: a new entry would have its share too soon.
+// A share shrinks while the larger one is lent. Guards against an entry that reports the
+// smaller one before the lease has expired: a new entry would get its share too early.
 func TestLargerShareIsInUseUntilLeaseExpires(t *testing.T) {
 	votes := recoveredVotes(start)
 	divisorInUse := func(entries int, after time.Duration) int {
@@ -100,11 +102,11 @@
 	require.Equal(t, 2, divisorInUse(3, time.Second))
 	require.Equal(t, 2, divisorInUse(3, time.Second+LeaseDuration(3)))
 	require.Equal(t, 3, divisorInUse(3, time.Second+LeaseDuration(3)+time.Millisecond))
-	require.Equal(t, 2, divisorInUse(2, time.Minute), "a larger one is in use at once")
+	require.Equal(t, 2, divisorInUse(2, time.Minute), "a larger share is in use at once")
 }
 
-// An entry dies right after it has lent its share, and starts again. It uses the share once
-// the keeper has given it back, or the lease has ended; both would use it otherwise.
+// An entry crashes after it has lent its share, and restarts. Guards against using the share
+// before the borrower has returned it or the lease has expired: both would use it.
 func TestRestartedEntryWaitsForLentShare(t *testing.T) {
 	votes := NewShareVotes(start)
 	votes.Record("c1", ShareVote{Entries: 3, Allowed: true}, 1, start)
@@ -113,7 +115,7 @@
 	require.Zero(t, votes.Share(start))
 	votes.RecordReturn("c", true, time.Hour, start.Add(50*time.Millisecond))
 	require.Equal(t, 1.0/3, votes.Share(start.Add(60*time.Millisecond)))
-	require.Equal(t, start.Add(50*time.Millisecond), votes.UnusedSince(), "it was in use until then")
+	require.Equal(t, start.Add(50*time.Millisecond), votes.UnusedSince(), "in use until then")
 
 	votes = NewShareVotes(start)
 	votes.Record("c1", ShareVote{Entries: 3, Allowed: true}, 1, start)
@@ -124,8 +126,8 @@
 	require.Equal(t, start.Add(end), votes.UnusedSince())
 }
 
-// All entries start at once. What their shares have brought since the last one started is
-// there, but no more: the life before of the last one may have held any share until then.
+// All entries restart together. Guards against a share that brings tokens from before the last
+// restart: that entry's previous incarnation may have used the share until then.
 func TestShareIsUnusedSinceLastStart(t *testing.T) {
 	votes := NewShareVotes(start)
 	now := start.Add(300 * time.Millisecond)
--- a/policy/limit/words.go
+++ b/policy/limit/words.go
@@ -25,7 +25,7 @@
 // receivedVote is one replica's latest vote.
 type receivedVote struct {
 	ShareVote
-	replicas    int       // number of replicas that it knows of
+	replicas    int       // number of control replicas
 	requestedAt time.Time // start of the call that returned the vote
 }
 
@@ -39,7 +39,7 @@
 }
 
 // Record stores a replica's answer to a call made at requestedAt. replicas is the number of
-// replicas that it knows of, itself included.
+// control replicas by that answer, itself included.
 func (v *ShareVotes) Record(replica string, vote ShareVote, replicas int, requestedAt time.Time) {
 	v.votes[replica] = receivedVote{ShareVote: vote, replicas: replicas, requestedAt: requestedAt}
 }
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -17,7 +17,7 @@
 
 var chat = Call{Workspace: "w", Service: "s", Class: contract.ClassInteractive, Idempotent: true}
 
-// newPolicy returns a policy that has seen so many first attempts of chat.
+// newPolicy returns a policy that has recorded a number of first attempts of chat.
 func newPolicy(t require.TestingT, firstAttempts int) *Policy {
 	p, err := New(DefaultConfig())
 	require.NoError(t, err)
@@ -28,6 +28,7 @@
 	return p
 }
 
+// Guards against a configuration error that does not name the field at fault.
 func TestConfigValidateNamesTheField(t *testing.T) {
 	for field, invalidate := range map[string]func(*Config){
 		"Ratio":        func(c *Config) { c.Ratio = 0 },
@@ -52,10 +53,8 @@
 	}
 }
 
-// A payment was written to a backend server that died. Sent again, it might be
-// made twice.
-//
-// Removing the first test in Failed makes this fail.
+// Guards against a retry of a request that is not idempotent and may have run, for example a
+// payment that is then made twice.
 func TestNonIdempotentAttemptIsNotRetried(t *testing.T) {
 	p := newPolicy(t, 100)
 	payment := chat
@@ -65,10 +64,8 @@
 	assert.Equal(t, NotIdempotent, p.Slow(epoch, SlowAttempt{Call: payment, Waited: time.Hour}).Reason)
 }
 
-// Every attempt fails because a service is down. Unbounded retries would triple
-// its load just when it can bear least.
-//
-// Removing the call of spend in Failed makes this fail.
+// A service is down and every attempt fails. Guards against retries that add more than a tenth
+// to its load.
 func TestRetriesStayWithinRatio(t *testing.T) {
 	p := newPolicy(t, 0)
 	retries := 0
@@ -82,9 +79,8 @@
 	assert.InDelta(t, 1_000, retries, 1)
 }
 
-// Hundreds of entries get a request of a workspace now and then. Were nothing repeated
-// before many have come, its callers would see each server's error although another
-// server may be asked.
+// Guards against an empty budget for a workspace's first request at an entry: its caller would
+// see one server's error although another server is available.
 func TestStartAllowsRetryOfFirstRequest(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.Start = 1
@@ -92,18 +88,16 @@
 	require.NoError(t, err)
 	p.RecordFirstAttempt(epoch, chat)
 	require.True(t, p.Failed(epoch, Failure{Call: chat, Attempts: 1}, 0).Go)
-	require.False(t, p.Failed(epoch, Failure{Call: chat, Attempts: 1}, 0).Go, "once")
+	require.False(t, p.Failed(epoch, Failure{Call: chat, Attempts: 1}, 0).Go, "only once")
 	p.SetMinBudget(0.5)
 	other := chat
 	other.Workspace, other.Service = "w2", "s2"
 	p.RecordFirstAttempt(epoch, other)
-	require.False(t, p.Failed(epoch, Failure{Call: other, Attempts: 1}, 0).Go, "a budget holds no more than it may save up")
+	require.False(t, p.Failed(epoch, Failure{Call: other, Attempts: 1}, 0).Go, "MinBudget bounds Start")
 }
 
-// A quiet workspace has saved up its budget for a week when its service fails.
-// Unbounded savings would pay for a storm.
-//
-// Removing the bound by most in first makes this fail.
+// Guards against a quiet workspace that saves up a budget over a week, which would pay for a
+// storm of retries when its service fails.
 func TestBudgetIsBounded(t *testing.T) {
 	p := newPolicy(t, 0)
 	for i := range 10_000 {
@@ -117,8 +111,8 @@
 	assert.Equal(t, 10, retries)
 }
 
-// One workspace's requests all fail. Others of the same service still retry,
-// within the service's budget, and other services are not touched.
+// All requests of one workspace fail. Guards against retries that use up the budget of another
+// workspace, or of another service.
 func TestBudgetsAreSeparateByWorkspaceAndService(t *testing.T) {
 	p := newPolicy(t, 50)
 	other := chat
@@ -134,19 +128,17 @@
 	assert.True(t, fail(other).Go)
 	third := chat
 	third.Service, third.Workspace = "t", "v"
-	assert.Equal(t, ServiceBudget, fail(third).Reason, "it has seen no first attempt")
+	assert.Equal(t, ServiceBudget, fail(third).Reason, "the service had no first attempt")
 }
 
-// A zone is reclaimed and a third of the servers go within a second. Retried at
-// once, all their work would meet the others at the same instant.
-//
-// Removing the test of InWave in wait makes this fail.
+// Three of twenty servers fail at once, as when a zone is reclaimed. Guards against retrying
+// all their requests at the same instant.
 func TestRetriesInWaveAreSpread(t *testing.T) {
 	p := newPolicy(t, 1_000)
 	f := Failure{Call: chat, Attempts: 1, NotRun: true}
 	assert.Equal(t, Verdict{Go: true, Reason: Retry}, p.Failed(epoch, f, 0.5))
 	p.ServerFailed(epoch, "a")
-	assert.False(t, p.InWave(epoch), "one server is no wave")
+	assert.False(t, p.InWave(epoch), "one server is not a wave")
 	for _, server := range []string{"b", "c"} {
 		p.ServerFailed(epoch, server)
 	}
@@ -155,10 +147,11 @@
 	f.Call.Deadline, f.Call.EstimatedDuration = epoch.Add(time.Second), 600*time.Millisecond
 	assert.Equal(t, NoTimeLeft, p.Failed(epoch, f, 0.5).Reason)
 	f.Reclaimed = true
-	assert.Equal(t, Verdict{Go: true, Reason: GoOn}, p.Failed(epoch, f, 0.5), "what was accepted goes on")
+	assert.Equal(t, Verdict{Go: true, Reason: GoOn}, p.Failed(epoch, f, 0.5), "a reclaimed request continues")
 	assert.False(t, p.InWave(epoch.Add(5*time.Second)))
 }
 
+// Guards against a request that is retried without bound or without a delay.
 func TestMaxAttemptsAndBackoff(t *testing.T) {
 	p := newPolicy(t, 1_000)
 	f := Failure{Call: chat, Attempts: 2, NotRun: true}
@@ -167,10 +160,7 @@
 	assert.Equal(t, TooManyAttempts, p.Failed(epoch, f, 0.5).Reason)
 }
 
-// A backfill and a page that a person waits for fail together. If the
-// backfill could spend the whole budget, the page would not be retried.
-//
-// Removing the use of leave in allows makes this fail.
+// Guards against batch retries that leave no budget for those of interactive requests.
 func TestBatchRetriesLeaveHalfTheBudget(t *testing.T) {
 	p := newPolicy(t, 100)
 	batch := Failure{Call: chat, Attempts: 1, NotRun: true}
@@ -186,8 +176,9 @@
 	assert.Equal(t, WorkspaceBudget, p.Failed(epoch, Failure{Call: chat, Attempts: 1, NotRun: true}, 0).Reason)
 }
 
-// One server has grown slow without failing. Doubling what waits for it hides
-// that from callers; doubling under load would make the others slow too.
+// Guards against a slow attempt that is not hedged, and against hedges that must not start: of
+// batch requests, too early, twice, past the deadline, or under load, where they would slow
+// other servers too.
 func TestHedgeConditions(t *testing.T) {
 	p := newPolicy(t, 100)
 	s := SlowAttempt{Call: chat, Waited: time.Second, Usual: 400 * time.Millisecond, Load: 0.5}
@@ -208,9 +199,8 @@
 	assert.Equal(t, "load_too_high", LoadTooHigh.String())
 }
 
-// Whatever fails and however slow things are, repeated attempts stay within a
-// tenth of first attempts, for each workspace and each service; verdicts depend
-// on nothing but the arguments.
+// Guards against retries and hedges of a workspace or service that exceed a tenth of its first
+// attempts, and against a verdict that depends on more than the arguments.
 func TestPropertyRetriesAndHedgesStayWithinRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newPolicy(t, 0), newPolicy(t, 0)
@@ -242,7 +232,7 @@
 				firsts[c.Service]++
 			}
 			if v != w {
-				t.Fatalf("%+v and %+v", v, w)
+				t.Fatalf("verdicts differ: %+v and %+v", v, w)
 			}
 			if v.Go {
 				repeated[c.Workspace]++
@@ -250,7 +240,7 @@
 			}
 			for name, n := range repeated {
 				if float64(n) > 0.1*float64(firsts[name])+1e-6 {
-					t.Fatalf("%s: %d repeated of %d", name, n, firsts[name])
+					t.Fatalf("%s: %d retries and hedges of %d first attempts", name, n, firsts[name])
 				}
 			}
 		}
@@ -266,6 +256,7 @@
 	}
 }
 
+// Guards against allocations on the path of every request.
 func TestDecisionsDoNotAllocate(t *testing.T) {
 	p := newPolicy(t, 100)
 	f := Failure{Call: chat, Attempts: 1, NotRun: true}
@@ -275,11 +266,8 @@
 	}))
 }
 
-// The entries that share a budget become ten times as many. What each has saved up
-// from quiet times falls at once, or all of them together would repeat too much when
-// servers are lost.
-//
-// It breaks without SetMinBudget.
+// The entries that share a budget become ten times as many. Guards against each of them keeping
+// what it has saved up: together they would retry too much when servers fail.
 func TestLowerMinBudgetDropsSavings(t *testing.T) {
 	repeats := func(budget float64) (n int) {
 		cfg := DefaultConfig()
@@ -291,7 +279,7 @@
 			p.RecordFirstAttempt(now, call)
 		}
 		p.SetMinBudget(budget)
-		now = now.Add(time.Hour) // what was saved by the rate is forgotten
+		now = now.Add(time.Hour) // the count of first attempts has decayed
 		for p.Failed(now, Failure{Call: call, Attempts: 1}, 0).Go {
 			n++
 		}
