--- a/policy/limit/roster_test.go
+++ b/policy/limit/roster_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Entries are added while others have a share of the limits. A new one has none until each
-// of the others has said that its own share is small enough.
-func TestNewEntryWaitsForTheOthers(t *testing.T) {
+// Guards against a new entry that uses a share before the other entries have reported that
+// theirs are small enough: the shares would sum to more than 1.
+func TestNewEntryWaitsForSmallerShares(t *testing.T) {
 	r := NewRegistry(start, true)
 	r.Observe("a", 0, start)
 	require.Equal(t, ShareVote{Entries: 1, Allowed: true}, r.Vote("a", start))
@@ -21,21 +21,23 @@
 	require.Equal(t, ShareVote{Entries: 2, Allowed: true}, r.Vote("b", start))
 }
 
-// An entry is cut off and goes on with its share. The others must not have it meanwhile.
-func TestEntryThatIsCutOffIsCounted(t *testing.T) {
+// An entry is partitioned and continues to use its share. Guards against the others using it
+// at the same time.
+func TestPartitionedEntryIsCounted(t *testing.T) {
 	r := NewRegistry(start, true)
 	r.Observe("a", 2, start)
 	r.Observe("b", 2, start)
-	word := func(after time.Duration) ShareVote {
+	voteAfter := func(after time.Duration) ShareVote {
 		r.Observe("a", 2, start.Add(after))
 		return r.Vote("a", start.Add(after))
 	}
-	require.Equal(t, 2, word(ShareTTL).Entries)
-	require.Equal(t, 1, word(ShareTTL+time.Second).Entries)
+	require.Equal(t, 2, voteAfter(ShareTTL).Entries)
+	require.Equal(t, 1, voteAfter(ShareTTL+time.Second).Entries)
 }
 
-// An entry starts again at once. It keeps its place, and needs not wait for the others.
-func TestEntryThatStartsAgainKeepsItsShare(t *testing.T) {
+// Guards against an entry that restarts at once and then waits for the reports of all others
+// before it may use its share.
+func TestRestartedEntryStaysAllowed(t *testing.T) {
 	r := NewRegistry(start, true)
 	for _, name := range []string{"a", "b"} {
 		r.Observe(name, 0, start)
@@ -47,91 +49,91 @@
 	require.Equal(t, ShareVote{Entries: 2, Allowed: true}, r.Vote("b", start.Add(time.Second)))
 }
 
-// settled returns the words of an entry that started long ago.
-func settled(now time.Time) *ShareVotes { return NewShareVotes(now.Add(-time.Minute)) }
+// recoveredVotes returns the votes of an entry that started a minute before now.
+func recoveredVotes(now time.Time) *ShareVotes { return NewShareVotes(now.Add(-time.Minute)) }
 
-// An entry is in touch with a few replicas only, which are cut off from the others. Its
-// share may be given to the rest, so it uses none.
-func TestShareNeedsMostReplicas(t *testing.T) {
-	w := settled(start)
-	w.Record("c1", ShareVote{Entries: 4, Allowed: true}, 5, start)
-	w.Record("c2", ShareVote{Entries: 4, Allowed: true}, 5, start)
-	require.Zero(t, w.Share(start))
-	w.Record("c3", ShareVote{Entries: 3, Allowed: false}, 5, start)
-	require.Zero(t, w.Share(start))
-	w.Record("c4", ShareVote{Entries: 3, Allowed: true}, 5, start)
-	require.Equal(t, 0.25, w.Share(start), "the highest count of entries")
+// Guards against an entry, partitioned with a minority of the replicas, that uses a share
+// which the other replicas may have given to others.
+func TestShareNeedsMajorityOfReplicas(t *testing.T) {
+	votes := recoveredVotes(start)
+	votes.Record("c1", ShareVote{Entries: 4, Allowed: true}, 5, start)
+	votes.Record("c2", ShareVote{Entries: 4, Allowed: true}, 5, start)
+	require.Zero(t, votes.Share(start))
+	votes.Record("c3", ShareVote{Entries: 3, Allowed: false}, 5, start)
+	require.Zero(t, votes.Share(start))
+	votes.Record("c4", ShareVote{Entries: 3, Allowed: true}, 5, start)
+	require.Equal(t, 0.25, votes.Share(start), "the highest number of entries")
 }
 
-// A replica starts anew and has heard of few entries. The entry does not take a larger share
-// for it.
-func TestReplicaThatKnowsFewEntries(t *testing.T) {
-	w := settled(start)
+// Guards against a restarted replica, which counts few entries, whose vote enlarges an entry's
+// share.
+func TestRestartedReplicaDoesNotEnlargeShare(t *testing.T) {
+	votes := recoveredVotes(start)
 	for _, replica := range []string{"c1", "c2", "c3"} {
-		w.Record(replica, ShareVote{Entries: 6, Allowed: true}, 3, start)
+		votes.Record(replica, ShareVote{Entries: 6, Allowed: true}, 3, start)
 	}
-	require.Equal(t, 1.0/6, w.Share(start))
-	w.Record("c1", ShareVote{Entries: 1, Allowed: true}, 3, start)
-	require.Equal(t, 1.0/6, w.Share(start))
-	w.Record("c2", ShareVote{}, 3, start)
-	require.Equal(t, 1.0/6, w.Share(start))
+	require.Equal(t, 1.0/6, votes.Share(start))
+	votes.Record("c1", ShareVote{Entries: 1, Allowed: true}, 3, start)
+	require.Equal(t, 1.0/6, votes.Share(start))
+	votes.Record("c2", ShareVote{}, 3, start)
+	require.Equal(t, 1.0/6, votes.Share(start))
 }
 
-// All control replicas are out of reach. The entry goes on with its share, and gives it up
-// before it may be given to others.
-func TestShareEndsWithoutTheReplicas(t *testing.T) {
-	w := settled(start)
-	w.Record("c1", ShareVote{Entries: 2, Allowed: true}, 1, start)
-	require.Equal(t, 0.5, w.Share(start.Add(shareFor)))
-	require.Zero(t, w.Share(start.Add(shareFor+time.Second)))
-	require.Less(t, shareFor+LeaseDuration(1000), ShareTTL)
+// All control replicas are unreachable. Guards against an entry that gives up its share at
+// once, or that still uses it when they may have given it to others.
+func TestShareExpiresWithoutReplicas(t *testing.T) {
+	votes := recoveredVotes(start)
+	votes.Record("c1", ShareVote{Entries: 2, Allowed: true}, 1, start)
+	require.Equal(t, 0.5, votes.Share(start.Add(voteTTL)))
+	require.Zero(t, votes.Share(start.Add(voteTTL+time.Second)))
+	require.Less(t, voteTTL+LeaseDuration(1000), ShareTTL)
 }
 
-// A share becomes smaller while the larger one is lent. The replicas are told of the smaller
-// one only when the lease has ended: a new entry would have its share too soon.
-func TestLargerShareIsInUseUntilItsLeaseEnds(t *testing.T) {
-	w := settled(start)
-	take := func(entries int, after time.Duration) int {
-		w.Record("c1", ShareVote{Entries: entries, Allowed: true}, 1, start.Add(after))
-		w.Share(start.Add(after))
-		return w.DivisorInUse()
+// A share shrinks while the larger one is lent. Guards against an entry that reports the
+// smaller one before the lease has expired: a new entry would get its share too early.
+func TestLargerShareIsInUseUntilLeaseExpires(t *testing.T) {
+	votes := recoveredVotes(start)
+	divisorInUse := func(entries int, after time.Duration) int {
+		votes.Record("c1", ShareVote{Entries: entries, Allowed: true}, 1, start.Add(after))
+		votes.Share(start.Add(after))
+		return votes.DivisorInUse()
 	}
-	require.Equal(t, 2, take(2, 0))
-	require.Equal(t, 2, take(3, time.Second))
-	require.Equal(t, 2, take(3, time.Second+LeaseDuration(3)))
-	require.Equal(t, 3, take(3, time.Second+LeaseDuration(3)+time.Millisecond))
-	require.Equal(t, 2, take(2, time.Minute), "a larger one is in use at once")
+	require.Equal(t, 2, divisorInUse(2, 0))
+	require.Equal(t, 2, divisorInUse(3, time.Second))
+	require.Equal(t, 2, divisorInUse(3, time.Second+LeaseDuration(3)))
+	require.Equal(t, 3, divisorInUse(3, time.Second+LeaseDuration(3)+time.Millisecond))
+	require.Equal(t, 2, divisorInUse(2, time.Minute), "a larger share is in use at once")
 }
 
-// An entry dies right after it has lent its share, and starts again. It uses the share once
-// the keeper has given it back, or the lease has ended; both would use it otherwise.
-func TestNewLifeWaitsForWhatWasLent(t *testing.T) {
-	w := NewShareVotes(start)
-	w.Record("c1", ShareVote{Entries: 3, Allowed: true}, 1, start)
-	require.Zero(t, w.Share(start))
-	w.RecordReturn("b", false, time.Hour, start)
-	require.Zero(t, w.Share(start))
-	w.RecordReturn("c", true, time.Hour, start.Add(50*time.Millisecond))
-	require.Equal(t, 1.0/3, w.Share(start.Add(60*time.Millisecond)))
-	require.Equal(t, start.Add(50*time.Millisecond), w.UnusedSince(), "it was in use until then")
+// An entry crashes after it has lent its share, and restarts. Guards against using the share
+// before the borrower has returned it or the lease has expired: both would use it.
+func TestRestartedEntryWaitsForLentShare(t *testing.T) {
+	votes := NewShareVotes(start)
+	votes.Record("c1", ShareVote{Entries: 3, Allowed: true}, 1, start)
+	require.Zero(t, votes.Share(start))
+	votes.RecordReturn("b", false, time.Hour, start)
+	require.Zero(t, votes.Share(start))
+	votes.RecordReturn("c", true, time.Hour, start.Add(50*time.Millisecond))
+	require.Equal(t, 1.0/3, votes.Share(start.Add(60*time.Millisecond)))
+	require.Equal(t, start.Add(50*time.Millisecond), votes.UnusedSince(), "in use until then")
 
-	w = NewShareVotes(start)
-	w.Record("c1", ShareVote{Entries: 3, Allowed: true}, 1, start)
-	w.RecordReturn("b", false, time.Hour, start)
-	end := LeaseDuration(3) + lendSlack
-	require.Zero(t, w.Share(start.Add(end+answersFor-time.Millisecond)))
-	require.Equal(t, 1.0/3, w.Share(start.Add(end+answersFor)))
-	require.Equal(t, start.Add(end), w.UnusedSince())
+	votes = NewShareVotes(start)
+	votes.Record("c1", ShareVote{Entries: 3, Allowed: true}, 1, start)
+	votes.RecordReturn("b", false, time.Hour, start)
+	end := LeaseDuration(3) + leaseMargin
+	require.Zero(t, votes.Share(start.Add(end+returnTimeout-time.Millisecond)))
+	require.Equal(t, 1.0/3, votes.Share(start.Add(end+returnTimeout)))
+	require.Equal(t, start.Add(end), votes.UnusedSince())
 }
 
-// All entries start at once. What their shares have brought since the last one started is
-// there, but no more: the life before of the last one may have held any share until then.
-func TestSharesBringNothingBeforeTheLastStart(t *testing.T) {
-	w := NewShareVotes(start)
+// All entries restart together. Guards against a share that brings tokens from before the last
+// restart: that entry's previous incarnation may have used the share until then.
+func TestShareIsUnusedSinceLastStart(t *testing.T) {
+	votes := NewShareVotes(start)
 	now := start.Add(300 * time.Millisecond)
-	w.Record("c1", ShareVote{Entries: 3, Allowed: true}, 1, now)
-	w.RecordReturn("b", false, 350*time.Millisecond, now)
-	w.RecordReturn("c", false, 200*time.Millisecond, now)
-	require.Equal(t, 1.0/3, w.Share(now))
-	require.Equal(t, start.Add(100*time.Millisecond), w.UnusedSince())
+	votes.Record("c1", ShareVote{Entries: 3, Allowed: true}, 1, now)
+	votes.RecordReturn("b", false, 350*time.Millisecond, now)
+	votes.RecordReturn("c", false, 200*time.Millisecond, now)
+	require.Equal(t, 1.0/3, votes.Share(now))
+	require.Equal(t, start.Add(100*time.Millisecond), votes.UnusedSince())
 }
