--- a/gateway/bookkeeper_test.go
+++ b/gateway/bookkeeper_test.go
@@ -18,35 +18,35 @@
 )
 
 // booked is some entries on the loopback network that keep each other's books.
-type booked struct {
-	books   map[string]*bookkeeper
-	entries []directory.Entry
-	limits  []*limits // by entry
-	wires   []*datagrams
-	ports   map[string]string // datagram address by the host that callers are told
+type exchangeCluster struct {
+	exchanges         map[string]*peerExchange
+	entries           []directory.Entry
+	limits            []*limits // by entry
+	sockets           []*datagrams
+	datagramAddresses map[string]string // datagram address by the host that callers are told
 }
 
-func newBooked(t *testing.T, n int) *booked {
-	s := &booked{books: make(map[string]*bookkeeper), ports: make(map[string]string)}
+func newExchangeCluster(t *testing.T, n int) *exchangeCluster {
+	s := &exchangeCluster{exchanges: make(map[string]*peerExchange), datagramAddresses: make(map[string]string)}
 	for i := range n {
 		name := fmt.Sprintf("entry-%d", i)
 		host := fmt.Sprintf("10.0.0.%d", i+1) // stands for its datagram port
-		k := newBookkeeper(booking.Reporter{Name: name, Incarnation: 1}, time.Now)
-		k.entries = func() []directory.Entry { return s.entries }
-		k.known = k.entries
-		k.port = func(host string) string { return s.ports[host] }
-		k.rate = func(string) float64 { return 1 }
-		d := newDatagrams("key", slog.New(slog.DiscardHandler), k.take)
+		x := newPeerExchange(booking.Reporter{Name: name, Incarnation: 1}, time.Now)
+		x.liveEntries = func() []directory.Entry { return s.entries }
+		x.knownEntries = x.liveEntries
+		x.datagramAddress = func(host string) string { return s.datagramAddresses[host] }
+		x.prefillRate = func(string) float64 { return 1 }
+		d := newDatagrams("key", slog.New(slog.DiscardHandler), x.handle)
 		require.NoError(t, d.open(t.Context(), "127.0.0.1:0"))
-		k.wire = d
-		s.wires = append(s.wires, d)
-		s.books[name] = k
-		own := newShares(time.Now().Add(-time.Minute))
-		s.limits = append(s.limits, newLimits(k, own, site.Bounds{}, slog.New(slog.DiscardHandler), time.Now))
+		x.transport = d
+		s.sockets = append(s.sockets, d)
+		s.exchanges[name] = x
+		share := newShares(time.Now().Add(-time.Minute))
+		s.limits = append(s.limits, newLimits(x, share, site.Bounds{}, slog.New(slog.DiscardHandler), time.Now))
 		s.entries = append(s.entries, directory.Entry{Name: name, Address: net.JoinHostPort(host, "80")})
-		s.ports[host] = d.conn.LocalAddr().String()
+		s.datagramAddresses[host] = d.conn.LocalAddr().String()
 	}
-	for _, d := range s.wires {
+	for _, d := range s.sockets {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -60,16 +60,16 @@
 
 // An entry has sent work to servers. Whichever other entry asks next hears of it, and
 // the one that sent it is not told of its own.
-func TestOwnersTellWhatRuns(t *testing.T) {
-	s := newBooked(t, 4)
+func TestOwnersReportLoadOfOthers(t *testing.T) {
+	s := newExchangeCluster(t, 4)
 	var servers []string
 	for i := range 12 {
 		server := fmt.Sprintf("s%d", i)
 		servers = append(servers, server)
-		s.books["entry-0"].tell(serverLoad{Server: server, Running: 2, Prefill: 500})
+		s.exchanges["entry-0"].reportLoads(serverLoad{Server: server, Running: 2, Prefill: 500})
 	}
 	require.Eventually(t, func() bool {
-		loads := s.books["entry-1"].ask(t.Context(), servers)
+		loads := s.exchanges["entry-1"].queryLoads(t.Context(), servers)
 		for _, l := range loads {
 			if l.Running != 2 || l.Prefill < 400 {
 				return false
@@ -77,7 +77,7 @@
 		}
 		return len(loads) == len(servers)
 	}, 2*time.Second, 10*time.Millisecond)
-	for _, l := range s.books["entry-0"].ask(t.Context(), servers) {
+	for _, l := range s.exchanges["entry-0"].queryLoads(t.Context(), servers) {
 		require.Zero(t, l.Running)
 	}
 }
@@ -85,90 +85,90 @@
 // share has a control replica give all entries a share of a limit of 100 tokens, which
 // brings too few in the course of a test to matter, and waits until the pools' keepers have
 // all shares.
-func (s *booked) share(t *testing.T) {
+func (s *exchangeCluster) distributeShares(t *testing.T) {
 	for _, l := range s.limits {
 		l.start = time.Now().Add(-time.Minute)
 		l.setWorkspaces([]routes.Workspace{{Name: "w", PerSecond: 0.5, Burst: 100}})
-		l.shares.take("c1", limit.ShareVote{Entries: len(s.limits), Allowed: true}, 1, time.Now())
+		l.shares.recordVote("c1", limit.ShareVote{Entries: len(s.limits), Allowed: true}, 1, time.Now())
 	}
 	require.Eventually(t, func() bool {
 		for _, l := range s.limits {
-			l.takePart()
-			l.askShares()
+			l.updateShare()
+			l.renewLeases()
 		}
-		return s.parts(0) > 0.99 && s.parts(1) > 0.99
+		return s.shareSum(0) > 0.99 && s.shareSum(1) > 0.99
 	}, 5*time.Second, 10*time.Millisecond)
 }
 
 // parts returns what the keeper of a pool has of its shares.
-func (s *booked) parts(pool int) float64 {
-	most := 0.0
+func (s *exchangeCluster) shareSum(pool int) float64 {
+	highest := 0.0
 	for _, l := range s.limits {
 		l.mu.Lock()
-		of, _ := l.limitOf("w")
-		most = max(most, l.keeper.Pool(limit.Key{Workspace: "w", Number: pool}, of, time.Now()).ShareSum(time.Now()))
+		poolLimit, _ := l.poolLimit("w")
+		highest = max(highest, l.pools.Pool(limit.Key{Workspace: "w", Number: pool}, poolLimit, time.Now()).ShareSum(time.Now()))
 		l.mu.Unlock()
 	}
-	return most
+	return highest
 }
 
 // fill has what the limit's pools hold be a hundred tokens in all.
-func (s *booked) fill() {
+func (s *exchangeCluster) fill() {
 	for _, l := range s.limits {
 		for pool := range limitPools {
-			l.putBack(&limitQuestion{Workspace: "w", Pool: pool, Cost: 1000})
+			l.refundLocal(&limitRequest{Workspace: "w", Pool: pool, Cost: 1000})
 		}
 	}
 }
 
 // A workspace's requests come in at all entries. They are let in as by one bucket,
 // whichever entry they reach.
-func TestKeepersDecideForAllEntries(t *testing.T) {
-	s := newBooked(t, 4)
-	s.share(t)
+func TestPoolOwnersAdmitForAllEntries(t *testing.T) {
+	s := newExchangeCluster(t, 4)
+	s.distributeShares(t)
 	s.fill()
-	let := 0
+	admitted := 0
 	for i := range 40 {
-		d := s.limits[i%4].take(t.Context(), "w", 10, false)
+		d := s.limits[i%4].admit(t.Context(), "w", 10, false)
 		if d.ok {
-			let++
+			admitted++
 		} else {
 			require.Positive(t, d.wait)
 		}
 	}
-	require.Equal(t, 10, let, "the limit is 100")
+	require.Equal(t, 10, admitted, "the limit is 100")
 }
 
 // The keepers of a limit are frozen or have just died. Requests are not held up by them for
 // long, and callers are told to come back when others have taken the pools over.
-func TestKeeperThatDoesNotAnswer(t *testing.T) {
-	s := newBooked(t, 3)
-	s.share(t)
+func TestUnreachablePoolOwners(t *testing.T) {
+	s := newExchangeCluster(t, 3)
+	s.distributeShares(t)
 	s.fill()
-	for _, d := range s.wires[1:] {
+	for _, d := range s.sockets[1:] {
 		require.NoError(t, d.conn.Close())
 	}
 	l := s.limits[0]
-	began := time.Now()
+	start := time.Now()
 	for range 20 {
-		if d := l.take(t.Context(), "w", 100, false); !d.ok {
+		if d := l.admit(t.Context(), "w", 100, false); !d.ok {
 			require.Positive(t, d.wait)
 		}
 	}
-	require.Less(t, time.Since(began), 20*(limitTries*limitPools*askWait+time.Second/20))
-	require.Empty(t, l.books.asked, "no question is kept")
+	require.Less(t, time.Since(start), 20*(maxLimitAttempts*limitPools*responseTimeout+time.Second/20))
+	require.Empty(t, l.exchange.pending, "no question is kept")
 }
 
 // An entry of which no replica says that it has a share must not take itself for the only
 // one: each of seventy would let in the whole limit.
-func TestEntryWithoutAShareLetsInNothing(t *testing.T) {
-	s := newBooked(t, 2)
+func TestEntryWithoutShareAdmitsNothing(t *testing.T) {
+	s := newExchangeCluster(t, 2)
 	s.entries = nil
 	for _, l := range s.limits {
 		l.start = time.Now().Add(-time.Minute)
 		l.setWorkspaces([]routes.Workspace{{Name: "w", PerSecond: 1e6, Burst: 1e6}})
-		l.takePart()
-		d := l.take(t.Context(), "w", 1, false)
+		l.updateShare()
+		d := l.admit(t.Context(), "w", 1, false)
 		require.False(t, d.ok)
 		require.Positive(t, d.wait)
 	}
@@ -176,47 +176,47 @@
 
 // Entries disagree for a moment about who keeps a pool. One that is asked and is not the
 // keeper has lent its share, and lets in nothing beside the keeper.
-func TestOnlyTheKeeperLetsIn(t *testing.T) {
-	s := newBooked(t, 3)
-	s.share(t)
+func TestOnlyPoolOwnerAdmits(t *testing.T) {
+	s := newExchangeCluster(t, 3)
+	s.distributeShares(t)
 	s.fill()
 	for pool := range limitPools {
-		let := 0
+		admitted := 0
 		for _, l := range s.limits {
-			answer, known := l.decide(&limitQuestion{Workspace: "w", Pool: pool, Cost: 30})
+			answer, known := l.decide(&limitRequest{Workspace: "w", Pool: pool, Cost: 30})
 			require.True(t, known)
 			if answer.OK {
-				let++
+				admitted++
 			}
 		}
-		require.Equal(t, 1, let)
+		require.Equal(t, 1, admitted)
 	}
 }
 
 // What a request that did not run had used up is given back, also from another entry.
-func TestUseIsGivenBack(t *testing.T) {
-	s := newBooked(t, 3)
-	s.share(t)
+func TestRefundFromAnotherEntry(t *testing.T) {
+	s := newExchangeCluster(t, 3)
+	s.distributeShares(t)
 	s.fill()
-	var taken []decision
+	var decisions []decision
 	for range 10 {
 		for _, l := range s.limits {
-			if d := l.take(t.Context(), "w", 10, false); d.ok {
-				taken = append(taken, d)
+			if d := l.admit(t.Context(), "w", 10, false); d.ok {
+				decisions = append(decisions, d)
 			}
 		}
 	}
-	require.Len(t, taken, 10)
-	for i := range taken {
-		s.limits[0].refund("w", 10, &taken[i])
+	require.Len(t, decisions, 10)
+	for i := range decisions {
+		s.limits[0].refund("w", 10, &decisions[i])
 	}
-	let := 0
+	admitted := 0
 	require.Eventually(t, func() bool {
 		for _, l := range s.limits {
-			if l.take(t.Context(), "w", 10, false).ok {
-				let++
+			if l.admit(t.Context(), "w", 10, false).ok {
+				admitted++
 			}
 		}
-		return let == 10
+		return admitted == 10
 	}, 5*time.Second, 10*time.Millisecond)
 }
--- a/gateway/datagram.go
+++ b/gateway/datagram.go
@@ -20,19 +20,19 @@
 
 const (
 	// maxDatagram is the longest datagram, in bytes: it fits a packet of any network.
-	maxDatagram = 1400
+	maxDatagramBytes = 1400
 	// sealBytes is the length of the code that shows that a datagram comes from this
 	// system.
-	sealBytes = 16
+	macBytes = 16
 )
 
 // datagrams sends messages to other entries and takes theirs. One that is lost costs
 // what it cost without it, so nobody waits for the receipt.
 type datagrams struct {
-	key   []byte
-	log   *slog.Logger
-	taken func(message)
-	conn  *net.UDPConn
+	key    []byte
+	log    *slog.Logger
+	handle func(message)
+	conn   *net.UDPConn
 
 	mu      sync.Mutex
 	failing bool
@@ -46,8 +46,8 @@
 	Sequence uint64
 	Kind     messageKind
 	Loads    []serverLoad
-	Limit    *limitQuestion
-	Answer   *limitAnswer
+	Limit    *limitRequest
+	Answer   *limitResponse
 	Shares   *sharesMessage
 	Held     bool          // shares that are given back
 	Up       time.Duration // since the sender's start
@@ -59,25 +59,25 @@
 const (
 	// askLoads asks what others have running at the servers of Loads, whose figures
 	// don't count.
-	askLoads messageKind = iota + 1
+	kindLoadsRequest messageKind = iota + 1
 	// tellLoads answers it.
-	tellLoads
+	kindLoadsResponse
 	// noteLoads tells a server's owner what the sender has running there now.
-	noteLoads
+	kindLoadsReport
 	// askLimit asks the keeper of a pool of a workspace's limit to let a request in.
-	askLimit
+	kindLimitRequest
 	// tellLimit answers it.
-	tellLimit
+	kindLimitResponse
 	// noteRefund gives back what a request that did not run had taken.
-	noteRefund
+	kindRefund
 	// askShares asks an entry for its shares of pools.
-	askShares
+	kindLeaseRequest
 	// lendShares answers it.
-	lendShares
+	kindLeaseResponse
 	// askBack asks an entry to give back what the life before the sender's had lent it.
-	askBack
+	kindReturnRequest
 	// gaveBack answers it.
-	gaveBack
+	kindReturnResponse
 )
 
 // serverLoad is what runs and waits at a backend server.
@@ -88,8 +88,8 @@
 	Down    bool // it was found not to be there any more
 }
 
-func newDatagrams(key string, log *slog.Logger, taken func(message)) *datagrams {
-	return &datagrams{key: []byte(key), log: log, taken: taken}
+func newDatagrams(key string, log *slog.Logger, handle func(message)) *datagrams {
+	return &datagrams{key: []byte(key), log: log, handle: handle}
 }
 
 // open takes the socket at addr.
@@ -108,7 +108,7 @@
 func (d *datagrams) run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.conn.Close() }) // nothing is lost with it
 	defer stop()
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := d.conn.ReadFromUDPAddrPort(buf)
 		switch {
@@ -120,7 +120,7 @@
 			continue // one of ours was turned away: that entry has gone
 		}
 		if m, ok := d.unseal(buf[:n]); ok {
-			d.taken(m)
+			d.handle(m)
 		}
 	}
 }
@@ -154,50 +154,50 @@
 		return nil, trace.Wrap(err, "step=encode message")
 	}
 	body := buf.Bytes()
-	if len(body)+sealBytes > maxDatagram {
+	if len(body)+macBytes > maxDatagramBytes {
 		return nil, trace.LimitExceeded("a message of %d bytes is longer than a datagram", len(body))
 	}
-	return append(d.code(body), body...), nil
+	return append(d.mac(body), body...), nil
 }
 
 // unseal reads a datagram. One that is not from this system, or can't be read, says
 // nothing: otherwise whoever reaches the port could have all requests sent to one
 // server.
 func (d *datagrams) unseal(datagram []byte) (message, bool) {
-	if len(datagram) <= sealBytes {
+	if len(datagram) <= macBytes {
 		return message{}, false
 	}
-	body := datagram[sealBytes:]
-	if !hmac.Equal(datagram[:sealBytes], d.code(body)) {
+	body := datagram[macBytes:]
+	if !hmac.Equal(datagram[:macBytes], d.mac(body)) {
 		return message{}, false
 	}
 	var m message
-	if msgpack.Unmarshal(body, &m) != nil || m.From == "" || !m.sane() {
+	if msgpack.Unmarshal(body, &m) != nil || m.From == "" || !m.valid() {
 		return message{}, false
 	}
 	return m, true
 }
 
 // mostLoad bounds the counts of a message: more than any server has.
-const mostLoad = 1 << 30
+const maxLoad = 1 << 30
 
 // sane reports whether the counts are such as a server can have.
-func (m *message) sane() bool {
+func (m *message) valid() bool {
 	for _, l := range m.Loads {
-		if l.Server == "" || l.Running < 0 || l.Prefill < 0 || l.Running > mostLoad || l.Prefill > mostLoad {
+		if l.Server == "" || l.Running < 0 || l.Prefill < 0 || l.Running > maxLoad || l.Prefill > maxLoad {
 			return false
 		}
 	}
 	switch m.Kind {
-	case askLimit, noteRefund:
-		return m.Limit != nil && m.Limit.sane()
-	case askShares:
-		return m.Shares != nil && m.Shares.sane()
-	case lendShares:
-		return m.Shares != nil && m.Shares.sane() && len(m.Shares.Saved) == len(m.Shares.Pools)
-	case tellLimit:
+	case kindLimitRequest, kindRefund:
+		return m.Limit != nil && m.Limit.valid()
+	case kindLeaseRequest:
+		return m.Shares != nil && m.Shares.valid()
+	case kindLeaseResponse:
+		return m.Shares != nil && m.Shares.valid() && len(m.Shares.Saved) == len(m.Shares.Pools)
+	case kindLimitResponse:
 		return m.Answer != nil && m.Answer.Wait >= 0
-	case gaveBack:
+	case kindReturnResponse:
 		return m.Up >= 0
 	default:
 		return true
@@ -205,22 +205,22 @@
 }
 
 // sane reports whether the question is one that an entry asks.
-func (q *limitQuestion) sane() bool {
-	return q.Workspace != "" && q.Cost >= 0 && q.Cost <= mostLoad // not for NaN either
+func (r *limitRequest) valid() bool {
+	return r.Workspace != "" && r.Cost >= 0 && r.Cost <= maxLoad // not for NaN either
 }
 
 // sane reports whether shares are such as an entry has.
-func (s *sharesMessage) sane() bool {
+func (s *sharesMessage) valid() bool {
 	for _, n := range s.Saved {
-		if !(n >= 0 && n <= mostLoad) { // not for NaN either
+		if !(n >= 0 && n <= maxLoad) { // not for NaN either
 			return false
 		}
 	}
 	return s.For > 0 && s.Part >= 0 && s.Part <= 1
 }
 
-func (d *datagrams) code(body []byte) []byte {
+func (d *datagrams) mac(body []byte) []byte {
 	mac := hmac.New(sha256.New, d.key)
 	_, _ = mac.Write(body) // a hash takes everything
-	return mac.Sum(nil)[:sealBytes]
+	return mac.Sum(nil)[:macBytes]
 }
--- a/gateway/datagram_test.go
+++ b/gateway/datagram_test.go
@@ -21,9 +21,9 @@
 // otherwise all requests could be sent to one server, or a workspace shut out.
 //
 // It breaks without the code before each message.
-func TestDatagramsOfOthersSayNothing(t *testing.T) {
+func TestForgedOrTruncatedDatagramIsDropped(t *testing.T) {
 	ours := testDatagrams("k")
-	sealed, err := ours.seal(&message{From: "a", Kind: noteLoads, Loads: []serverLoad{{Server: "s", Running: 1}}})
+	sealed, err := ours.seal(&message{From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Server: "s", Running: 1}}})
 	require.NoError(t, err)
 	m, ok := ours.unseal(sealed)
 	require.True(t, ok)
@@ -38,29 +38,29 @@
 
 // An entry with a fault tells of loads and uses that can't be. They would be added to
 // what is right, and stay there for seconds.
-func TestAbsurdMessagesSayNothing(t *testing.T) {
+func TestInvalidMessageIsDropped(t *testing.T) {
 	d := testDatagrams("k")
 	for name, m := range map[string]message{
-		"no sender":          {Kind: askLoads},
-		"no server":          {From: "a", Kind: noteLoads, Loads: []serverLoad{{Running: 1}}},
-		"negative load":      {From: "a", Kind: noteLoads, Loads: []serverLoad{{Server: "s", Running: -1}}},
-		"negative prompts":   {From: "a", Kind: tellLoads, Loads: []serverLoad{{Server: "s", Prefill: -5}}},
-		"absurd load":        {From: "a", Kind: noteLoads, Loads: []serverLoad{{Server: "s", Prefill: math.MaxInt}}},
-		"no question":        {From: "a", Kind: askLimit},
-		"no workspace":       {From: "a", Kind: askLimit, Limit: &limitQuestion{Cost: 1}},
-		"negative cost":      {From: "a", Kind: askLimit, Limit: &limitQuestion{Workspace: "w", Cost: -1}},
-		"cost is no number":  {From: "a", Kind: noteRefund, Limit: &limitQuestion{Workspace: "w", Cost: math.NaN()}},
-		"cost without bound": {From: "a", Kind: noteRefund, Limit: &limitQuestion{Workspace: "w", Cost: math.Inf(1)}},
-		"negative refund":    {From: "a", Kind: noteRefund, Limit: &limitQuestion{Workspace: "w", Cost: -1}},
-		"no shares":          {From: "a", Kind: askShares},
-		"lease without time": {From: "a", Kind: askShares, Shares: &sharesMessage{}},
-		"more than all":      {From: "a", Kind: lendShares, Shares: &sharesMessage{For: 1, Part: 1.5}},
-		"share is no number": {From: "a", Kind: lendShares, Shares: &sharesMessage{For: 1, Part: math.NaN()}},
-		"negative saving":    {From: "a", Kind: lendShares, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 1), Saved: []float64{-1}}},
-		"saving is absurd":   {From: "a", Kind: lendShares, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 1), Saved: []float64{math.NaN()}}},
-		"saving is missing":  {From: "a", Kind: lendShares, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 2), Saved: []float64{1}}},
-		"no answer":          {From: "a", Kind: tellLimit},
-		"wait below zero":    {From: "a", Kind: tellLimit, Answer: &limitAnswer{Wait: -1}},
+		"no sender":          {Kind: kindLoadsRequest},
+		"no server":          {From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Running: 1}}},
+		"negative load":      {From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Server: "s", Running: -1}}},
+		"negative prompts":   {From: "a", Kind: kindLoadsResponse, Loads: []serverLoad{{Server: "s", Prefill: -5}}},
+		"absurd load":        {From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Server: "s", Prefill: math.MaxInt}}},
+		"no question":        {From: "a", Kind: kindLimitRequest},
+		"no workspace":       {From: "a", Kind: kindLimitRequest, Limit: &limitRequest{Cost: 1}},
+		"negative cost":      {From: "a", Kind: kindLimitRequest, Limit: &limitRequest{Workspace: "w", Cost: -1}},
+		"cost is no number":  {From: "a", Kind: kindRefund, Limit: &limitRequest{Workspace: "w", Cost: math.NaN()}},
+		"cost without bound": {From: "a", Kind: kindRefund, Limit: &limitRequest{Workspace: "w", Cost: math.Inf(1)}},
+		"negative refund":    {From: "a", Kind: kindRefund, Limit: &limitRequest{Workspace: "w", Cost: -1}},
+		"no shares":          {From: "a", Kind: kindLeaseRequest},
+		"lease without time": {From: "a", Kind: kindLeaseRequest, Shares: &sharesMessage{}},
+		"more than all":      {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Part: 1.5}},
+		"share is no number": {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Part: math.NaN()}},
+		"negative saving":    {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 1), Saved: []float64{-1}}},
+		"saving is absurd":   {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 1), Saved: []float64{math.NaN()}}},
+		"saving is missing":  {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 2), Saved: []float64{1}}},
+		"no answer":          {From: "a", Kind: kindLimitResponse},
+		"wait below zero":    {From: "a", Kind: kindLimitResponse, Answer: &limitResponse{Wait: -1}},
 	} {
 		sealed, err := d.seal(&m)
 		require.NoError(t, err)
@@ -70,36 +70,36 @@
 }
 
 // A message that does not fit a datagram would be cut on its way; it is not sent.
-func TestLongMessageIsNotSent(t *testing.T) {
-	loads := make([]serverLoad, loadsInMessage)
+func TestOversizedMessageIsNotSent(t *testing.T) {
+	loads := make([]serverLoad, maxLoadsPerMessage)
 	for i := range loads {
-		loads[i] = serverLoad{Server: strings.Repeat("s", 40), Running: mostLoad, Prefill: mostLoad}
+		loads[i] = serverLoad{Server: strings.Repeat("s", 40), Running: maxLoad, Prefill: maxLoad}
 	}
 	d := testDatagrams("k")
-	_, err := d.seal(&message{From: strings.Repeat("e", 60), Kind: noteLoads, Loads: loads})
+	_, err := d.seal(&message{From: strings.Repeat("e", 60), Kind: kindLoadsReport, Loads: loads})
 	require.NoError(t, err, "an entry's own fit")
-	_, err = d.seal(&message{From: "a", Kind: noteLoads, Loads: append(loads, loads...)})
+	_, err = d.seal(&message{From: "a", Kind: kindLoadsReport, Loads: append(loads, loads...)})
 	require.Error(t, err)
 
-	for _, part := range chunks(slices.Repeat([]limit.Key{{Workspace: strings.Repeat("w", 50), Number: 1}}, 100)) {
-		shares := &sharesMessage{Pools: part, For: lendLong, Part: 1.0 / 3, Saved: slices.Repeat([]float64{1.0 / 3}, len(part))}
-		_, err := d.seal(&message{From: strings.Repeat("e", 60), Kind: lendShares, Shares: shares})
-		require.NoError(t, err, "%d pools", len(part))
+	for _, chunk := range splitPools(slices.Repeat([]limit.Key{{Workspace: strings.Repeat("w", 50), Number: 1}}, 100)) {
+		shares := &sharesMessage{Pools: chunk, For: longLease, Part: 1.0 / 3, Saved: slices.Repeat([]float64{1.0 / 3}, len(chunk))}
+		_, err := d.seal(&message{From: strings.Repeat("e", 60), Kind: kindLeaseResponse, Shares: shares})
+		require.NoError(t, err, "%d pools", len(chunk))
 	}
 }
 
 // lendLong is a long lease.
-const lendLong = time.Minute
+const longLease = time.Minute
 
 func FuzzDatagrams(f *testing.F) {
 	d := testDatagrams("k")
-	sealed, err := d.seal(&message{From: "a", Kind: askLimit, Limit: &limitQuestion{Workspace: "w", Cost: 5}})
+	sealed, err := d.seal(&message{From: "a", Kind: kindLimitRequest, Limit: &limitRequest{Workspace: "w", Cost: 5}})
 	require.NoError(f, err)
-	f.Add(sealed[sealBytes:])
+	f.Add(sealed[macBytes:])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if m, ok := d.unseal(append(d.code(body), body...)); ok {
+		if m, ok := d.unseal(append(d.mac(body), body...)); ok {
 			require.NotEmpty(t, m.From)
-			require.True(t, m.sane())
+			require.True(t, m.valid())
 		}
 	})
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -12,9 +12,9 @@
 )
 
 // self is this entry's record of itself.
-func (g *Gateway) self() directory.Entry {
+func (g *Gateway) selfRecord() directory.Entry {
 	e := directory.Entry{
-		Name: g.cfg.Node.Name, Incarnation: g.life, Sequence: g.sequence.Load(), State: instance.StateServing,
+		Name: g.cfg.Node.Name, Incarnation: g.incarnation, Sequence: g.recordSequence.Load(), State: instance.StateServing,
 		Address: g.cfg.Node.Listen.Callers, Zone: g.cfg.Node.Zone, Region: g.cfg.Node.Region,
 	}
 	if g.leaving.Load() {
@@ -29,12 +29,12 @@
 	if t := g.table.Load(); t != nil {
 		req.HasCatalogue, req.Revision = true, t.Catalogue().Revision
 		// Callers are sent here only once they can be answered.
-		self := g.self()
+		self := g.selfRecord()
 		req.Entry = &self
 		req.Loads = g.loads()
-		req.ShareDivisor = g.shares.inUse()
-		req.Work = g.work()
-		req.LiveDigest = g.peers.known()
+		req.ShareDivisor = g.shares.divisorInUse()
+		req.Work = g.prefillWork()
+		req.LiveDigest = g.peers.currentDigest()
 	}
 	return req
 }
@@ -45,13 +45,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if starting {
-		return min(max(time.Duration(g.shares.inUse())*startWatchEach, startWatchMin), watchMin)
+		return min(max(time.Duration(g.shares.divisorInUse())*startWatchWaitPerEntry, minStartWatchWait), minWatchWait)
 	}
-	return min(max(time.Duration(g.entries)*watchEach, watchMin), watchMax)
+	return min(max(time.Duration(g.entryCount)*watchWaitPerEntry, minWatchWait), maxWatchWait)
 }
 
 // take merges what a control replica told.
-func (g *Gateway) take(addr string, r api.WatchReply) {
+func (g *Gateway) applyReply(addr string, r api.WatchReply) {
 	g.clock.Observe(addr, r.Clock)
 	hadNone := g.table.Load() == nil
 	g.adopt(r.Revision, r.Document, addr)
@@ -59,21 +59,21 @@
 		g.follower.SendNow()
 	}
 	g.directory.Merge(directory.Origin{Replica: addr, Incarnation: r.Incarnation}, r.Servers, r.Entries, g.now())
-	g.countEntries(addr, r.LiveEntries)
-	if g.peers.take(r.LiveDigest, r.LiveNames, g.now()) {
-		g.books.relist()
+	g.updateEntryCount(addr, r.LiveEntries)
+	if g.peers.update(r.LiveDigest, r.LiveNames, g.now()) {
+		g.exchange.invalidateOwners()
 	}
 	g.applyDirectory()
 	if r.HasLoads {
-		g.noteOthers(r.Loads)
+		g.applyReportedLoads(r.Loads)
 	}
-	g.noteRates(r.Work)
-	g.shares.take(addr, r.ShareVote, len(r.Replicas), r.Asked)
-	g.limits.takePart()
+	g.applyPrefillRates(r.Work)
+	g.shares.recordVote(addr, r.ShareVote, len(r.Replicas), r.Asked)
+	g.limits.updateShare()
 }
 
 // replicaLost takes the word that a control replica no longer answers.
-func (g *Gateway) replicaLost(addr string) {
+func (g *Gateway) onReplicaUnreachable(addr string) {
 	if g.directory.MarkUnreachable(addr) {
 		g.applyDirectory()
 	}
@@ -85,25 +85,25 @@
 	defer g.mu.Unlock()
 	var list []api.ServerLoad
 	for _, s := range g.services {
-		list = s.loads(list)
+		list = s.appendLoads(list)
 	}
 	return list
 }
 
 // noteRates takes how fast the servers read that other entries have learnt.
-func (g *Gateway) noteRates(work []api.ServiceWork) {
+func (g *Gateway) applyPrefillRates(work []api.ServiceWork) {
 	for _, w := range work {
-		g.service(w.Service).suggestRate(w.Rate)
+		g.service(w.Service).suggestPrefillRate(w.Rate)
 	}
 }
 
 // work returns what this entry has given the servers to read, by service.
-func (g *Gateway) work() []api.ServiceWork {
+func (g *Gateway) prefillWork() []api.ServiceWork {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var list []api.ServiceWork
 	for _, s := range g.services {
-		if w := s.workDone(); w.Tokens > 0 {
+		if w := s.prefillWork(); w.Tokens > 0 {
 			list = append(list, w)
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 // noteOthers passes on what other entries have running.
-func (g *Gateway) noteOthers(loads []api.ServerLoad) {
+func (g *Gateway) applyReportedLoads(loads []api.ServerLoad) {
 	others := make(map[string]api.ServerLoad, len(loads))
 	for _, l := range loads {
 		others[l.Server] = l
@@ -120,7 +120,7 @@
 	defer g.mu.Unlock()
 	now := g.now()
 	for _, s := range g.services {
-		s.noteOthers(others, now)
+		s.applyReportedLoads(others, now)
 	}
 }
 
@@ -131,33 +131,33 @@
 }
 
 // liveFor is how long a replica's count stands.
-const liveFor = 5 * time.Second
+const liveCountTTL = 5 * time.Second
 
 // countEntries takes a replica's count of live entries. The highest one counts:
 // a replica that has just started knows few, and an entry that believed it would
 // allow itself more than its part of every limit.
-func (g *Gateway) countEntries(addr string, n int) {
+func (g *Gateway) updateEntryCount(addr string, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	g.live[addr] = liveCount{n: n, at: now}
-	most := 1
-	for from, c := range g.live {
-		if now.Sub(c.at) > liveFor {
-			delete(g.live, from)
+	g.liveCounts[addr] = liveCount{n: n, at: now}
+	highest := 1
+	for replica, c := range g.liveCounts {
+		if now.Sub(c.at) > liveCountTTL {
+			delete(g.liveCounts, replica)
 			continue
 		}
-		most = max(most, c.n)
+		highest = max(highest, c.n)
 	}
-	if most == g.entries {
+	if highest == g.entryCount {
 		return
 	}
-	g.entries = most
+	g.entryCount = highest
 	g.retryMu.Lock()
-	g.retries.SetMinBudget(retryBudget(g.cfg.Node.Bounds, most))
+	g.retries.SetMinBudget(retryBudget(g.cfg.Node.Bounds, highest))
 	g.retryMu.Unlock()
 	for _, s := range g.services {
-		s.setEntries(most)
+		s.setEntries(highest)
 	}
 }
 
@@ -166,8 +166,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	changes := g.directory.Since(g.applied, false, now)
-	g.applied = changes.Seq
+	changes := g.directory.Since(g.appliedChange, false, now)
+	g.appliedChange = changes.Seq
 	for i := range changes.Servers {
 		g.applyServer(&changes.Servers[i], now)
 	}
--- a/gateway/limitshares.go
+++ b/gateway/limitshares.go
@@ -10,17 +10,17 @@
 
 const (
 	// askEvery is how often a keeper asks some of the entries for their shares.
-	askEvery = 50 * time.Millisecond
+	renewInterval = 50 * time.Millisecond
 	// startFor is how long after its start a keeper asks each entry every startAskPeriod:
 	// where all have started at once, each of them has a share at another moment.
-	startFor       = 2 * time.Second
-	startAskPeriod = 100 * time.Millisecond
+	fastRenewWindow = 2 * time.Second
+	fastRenewPeriod = 100 * time.Millisecond
 	// clockPart is the part of a lease that the keeper counts on: clocks may differ by so
 	// much in their rates.
-	clockPart = 0.95
+	leaseClockFraction = 0.95
 	// poolsInMessage and nameBytesInMessage bound the pools of a datagram.
-	poolsInMessage     = 30
-	nameBytesInMessage = 900
+	maxPoolsPerMessage     = 30
+	maxNameBytesPerMessage = 900
 )
 
 // sharesMessage asks for an entry's shares of pools, or lends them.
@@ -32,106 +32,106 @@
 }
 
 // asking is which entries a keeper has asked for their shares.
-type asking struct {
-	next int     // among the entries by name
-	due  float64 // entries whose turn it is
-	keys []limit.Key
+type leaseRenewal struct {
+	nextEntry  int     // among the entries by name
+	dueEntries float64 // entries whose turn it is
+	ownedPools []limit.Key
 	// listed is when the list of entries was taken that keys was made from.
-	listed time.Time
-	open   map[uint64]askedShares // by sequence
+	ownersListedAt time.Time
+	pending        map[uint64]pendingLease // by sequence
 }
 
 // askedShares is a question that was sent.
-type askedShares struct {
-	entry string
-	at    time.Time
-	long  time.Duration
+type pendingLease struct {
+	entry    string
+	sentAt   time.Time
+	duration time.Duration
 }
 
 // askShares asks the entries whose turn it is for their shares of the pools that this
 // entry should keep. It is called every askEvery.
-func (l *limits) askShares() {
-	names := l.books.peers()
+func (l *limits) renewLeases() {
+	names := l.exchange.peerNames()
 	l.mu.Lock()
 	now := l.now()
-	if listed := l.books.listedAt(); listed != l.asking.listed {
-		l.asking.keys, l.asking.listed = l.ownKeys(), listed
-		l.noteKept(now)
-	}
-	keys := l.asking.keys
-	for sequence, asked := range l.asking.open {
-		if now.Sub(asked.at) > asked.long {
-			delete(l.asking.open, sequence)
+	if listedAt := l.exchange.ownersListedAt(); listedAt != l.renewal.ownersListedAt {
+		l.renewal.ownedPools, l.renewal.ownersListedAt = l.ownedPools(), listedAt
+		l.logOwnedLimits(now)
+	}
+	owned := l.renewal.ownedPools
+	for sequence, lease := range l.renewal.pending {
+		if now.Sub(lease.sentAt) > lease.duration {
+			delete(l.renewal.pending, sequence)
 		}
 	}
-	if len(names) == 0 || len(keys) == 0 {
+	if len(names) == 0 || len(owned) == 0 {
 		l.mu.Unlock()
 		return
 	}
 	period := limit.RenewPeriod(len(names) + 1)
-	if now.Sub(l.start) < startFor {
-		period = min(period, startAskPeriod)
+	if now.Sub(l.start) < fastRenewWindow {
+		period = min(period, fastRenewPeriod)
 	}
-	l.asking.due = min(l.asking.due+float64(len(names))*float64(askEvery)/float64(period), float64(len(names)))
-	long := limit.LeaseDuration(len(names) + 1)
-	var asked []string
-	for ; l.asking.due >= 1; l.asking.due-- {
-		l.asking.next = (l.asking.next + 1) % len(names)
-		asked = append(asked, names[l.asking.next])
+	l.renewal.dueEntries = min(l.renewal.dueEntries+float64(len(names))*float64(renewInterval)/float64(period), float64(len(names)))
+	duration := limit.LeaseDuration(len(names) + 1)
+	var due []string
+	for ; l.renewal.dueEntries >= 1; l.renewal.dueEntries-- {
+		l.renewal.nextEntry = (l.renewal.nextEntry + 1) % len(names)
+		due = append(due, names[l.renewal.nextEntry])
 	}
 	l.mu.Unlock()
-	for _, entry := range asked {
-		for _, part := range chunks(keys) {
-			l.ask(entry, part, long)
+	for _, entry := range due {
+		for _, chunk := range splitPools(owned) {
+			l.requestLease(entry, chunk, duration)
 		}
 	}
 }
 
-func (l *limits) ask(entry string, keys []limit.Key, long time.Duration) {
-	sequence := l.books.nextSequence()
+func (l *limits) requestLease(entry string, keys []limit.Key, duration time.Duration) {
+	sequence := l.exchange.nextSequence()
 	l.mu.Lock()
-	l.asking.open[sequence] = askedShares{entry: entry, at: l.now(), long: long}
+	l.renewal.pending[sequence] = pendingLease{entry: entry, sentAt: l.now(), duration: duration}
 	l.mu.Unlock()
-	l.books.sendTo(entry, &message{Sequence: sequence, Kind: askShares, Shares: &sharesMessage{Pools: keys, For: long}})
+	l.exchange.sendTo(entry, &message{Sequence: sequence, Kind: kindLeaseRequest, Shares: &sharesMessage{Pools: keys, For: duration}})
 }
 
 // ownKeys returns the pools that this entry should keep, in order. l.mu is held.
-func (l *limits) ownKeys() []limit.Key {
-	var keys []limit.Key
+func (l *limits) ownedPools() []limit.Key {
+	var owned []limit.Key
 	for workspace := range l.workspaces {
 		for n := range limitPools {
-			if key := (limit.Key{Workspace: workspace, Number: n}); l.books.ownerOf(key) == l.books.self.Name {
-				keys = append(keys, key)
+			if key := (limit.Key{Workspace: workspace, Number: n}); l.exchange.poolOwner(key) == l.exchange.self.Name {
+				owned = append(owned, key)
 			}
 		}
 	}
-	slices.SortFunc(keys, func(a, b limit.Key) int {
+	slices.SortFunc(owned, func(a, b limit.Key) int {
 		return cmp.Or(cmp.Compare(a.Workspace, b.Workspace), cmp.Compare(a.Number, b.Number))
 	})
-	return keys
+	return owned
 }
 
 // noteKept logs whose limits this entry has begun to keep, or no longer does. l.mu is
 // held.
-func (l *limits) noteKept(now time.Time) {
+func (l *limits) logOwnedLimits(now time.Time) {
 	for workspace := range l.workspaces {
-		of, _ := l.limitOf(workspace)
-		parts := 0.0
+		poolLimit, _ := l.poolLimit(workspace)
+		shareSum := 0.0
 		for n := range limitPools {
-			parts = max(parts, l.keeper.Pool(limit.Key{Workspace: workspace, Number: n}, of, now).ShareSum(now))
+			shareSum = max(shareSum, l.pools.Pool(limit.Key{Workspace: workspace, Number: n}, poolLimit, now).ShareSum(now))
 		}
-		l.logKept(workspace, parts)
+		l.logOwnership(workspace, shareSum)
 	}
 }
 
 // chunks cuts pools into parts that fit a datagram each.
-func chunks(keys []limit.Key) [][]limit.Key {
+func splitPools(keys []limit.Key) [][]limit.Key {
 	var out [][]limit.Key
 	bytes := 0
 	for _, key := range keys {
 		bytes += len(key.Workspace)
 		last := len(out) - 1
-		if last < 0 || len(out[last]) == poolsInMessage || bytes > nameBytesInMessage {
+		if last < 0 || len(out[last]) == maxPoolsPerMessage || bytes > maxNameBytesPerMessage {
 			out = append(out, nil)
 			last++
 			bytes = len(key.Workspace)
@@ -143,59 +143,59 @@
 
 // lend answers a keeper that asks for this entry's shares.
 func (l *limits) lend(m *message) {
-	if _, known := l.books.addressOf(m.From); !known {
+	if _, known := l.exchange.peerAddress(m.From); !known {
 		return // it would not get the answer
 	}
 	l.mu.Lock()
 	now := l.now()
-	told := sharesMessage{For: min(m.Shares.For, limit.LeaseDuration(limit.EntriesForShare(l.keeper.Share())))}
+	response := sharesMessage{For: min(m.Shares.For, limit.LeaseDuration(limit.EntriesForShare(l.pools.Share())))}
 	for _, key := range m.Shares.Pools {
 		if _, limited := l.workspaces[key.Workspace]; !limited || key.Number < 0 || key.Number >= limitPools {
 			continue
 		}
-		if part, saved, ok := l.keeper.Lend(key, m.From, l.books.ownerOf(key), told.For, now); ok {
-			told.Pools, told.Part = append(told.Pools, key), part
-			told.Saved = append(told.Saved, saved)
+		if share, saved, ok := l.pools.Lend(key, m.From, l.exchange.poolOwner(key), response.For, now); ok {
+			response.Pools, response.Part = append(response.Pools, key), share
+			response.Saved = append(response.Saved, saved)
 		}
 	}
 	l.mu.Unlock()
-	if len(told.Pools) > 0 {
-		l.books.sendTo(m.From, &message{Sequence: m.Sequence, Kind: lendShares, Shares: &told})
+	if len(response.Pools) > 0 {
+		l.exchange.sendTo(m.From, &message{Sequence: m.Sequence, Kind: kindLeaseResponse, Shares: &response})
 	}
 }
 
 // borrowed takes an entry's shares. They count from the question on, not from the answer:
 // the entry uses them again at a time that it counts from between the two.
-func (l *limits) borrowed(m *message) {
+func (l *limits) borrow(m *message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	asked, known := l.asking.open[m.Sequence]
-	if !known || asked.entry != m.From || m.Life < l.lives[m.From].life {
+	lease, known := l.renewal.pending[m.Sequence]
+	if !known || lease.entry != m.From || m.Life < l.lenders[m.From].incarnation {
 		return
 	}
-	delete(l.asking.open, m.Sequence)
+	delete(l.renewal.pending, m.Sequence)
 	now := l.now()
-	until := asked.at.Add(time.Duration(clockPart * float64(min(asked.long, m.Shares.For))))
+	until := lease.sentAt.Add(time.Duration(leaseClockFraction * float64(min(lease.duration, m.Shares.For))))
 	if !now.Before(until) {
 		return
 	}
 	for i, key := range m.Shares.Pools {
 		saved := 0.0
-		if now.Sub(asked.at) <= limit.MaxSavedAge {
+		if now.Sub(lease.sentAt) <= limit.MaxSavedAge {
 			saved = m.Shares.Saved[i]
 		}
-		if of, limited := l.limitOf(key.Workspace); limited {
-			l.keeper.Pool(key, of, now)
-			l.keeper.Borrow(key, m.From, m.Shares.Part, saved, until, now)
+		if poolLimit, limited := l.poolLimit(key.Workspace); limited {
+			l.pools.Pool(key, poolLimit, now)
+			l.pools.Borrow(key, m.From, m.Shares.Part, saved, until, now)
 		}
 	}
 }
 
 // lenderLife is a life of an entry that has asked for what the one before had lent, and
 // whether there was anything.
-type lenderLife struct {
-	life uint64
-	held bool
+type lenderIncarnation struct {
+	incarnation uint64
+	held        bool
 }
 
 // starting reports whether this entry has just started and does not know yet of all others
@@ -205,40 +205,40 @@
 	if !l.shares.settled(now) {
 		return true
 	}
-	return now.Sub(l.start) < startFor && len(l.books.peers())+1 < l.shares.inUse()
+	return now.Sub(l.start) < fastRenewWindow && len(l.exchange.peerNames())+1 < l.shares.divisorInUse()
 }
 
 // askSharesBack asks all other entries for what the life before this one may have lent
 // them. Until they have answered, or such a lease must have run out, this entry uses no
 // share.
-func (l *limits) askSharesBack() {
+func (l *limits) requestReturns() {
 	if l.shares.settled(l.now()) {
 		return
 	}
-	for _, e := range l.books.known() {
-		if e.Name != l.books.self.Name && !l.shares.hasReturned(e.Name) {
-			l.books.sendKnown(&e, &message{Kind: askBack})
+	for _, e := range l.exchange.knownEntries() {
+		if e.Name != l.exchange.self.Name && !l.shares.hasReturned(e.Name) {
+			l.exchange.sendToKnown(&e, &message{Kind: kindReturnRequest})
 		}
 	}
 }
 
 // tookBack takes that an entry has given back what the life before this one had lent it.
-func (l *limits) tookBack(m *message) {
-	l.shares.returned(m.From, m.Held, m.Up, l.now())
-	l.takePart()
+func (l *limits) recordReturn(m *message) {
+	l.shares.recordReturn(m.From, m.Held, m.Up, l.now())
+	l.updateShare()
 }
 
 // giveBack drops what an entry that has started anew had lent.
-func (l *limits) giveBack(m *message) {
+func (l *limits) returnShares(m *message) {
 	l.mu.Lock()
-	if m.Life > l.lives[m.From].life {
-		l.lives[m.From] = lenderLife{life: m.Life, held: l.keeper.ReturnShares(m.From, l.now())}
+	if m.Life > l.lenders[m.From].incarnation {
+		l.lenders[m.From] = lenderIncarnation{incarnation: m.Life, held: l.pools.ReturnShares(m.From, l.now())}
 	}
-	held := l.lives[m.From].held
+	held := l.lenders[m.From].held
 	l.mu.Unlock()
-	for _, e := range l.books.known() {
+	for _, e := range l.exchange.knownEntries() {
 		if e.Name == m.From {
-			l.books.sendKnown(&e, &message{Kind: gaveBack, Held: held, Up: l.now().Sub(l.start)})
+			l.exchange.sendToKnown(&e, &message{Kind: kindReturnResponse, Held: held, Up: l.now().Sub(l.start)})
 		}
 	}
 }
--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -21,7 +21,7 @@
 )
 
 // learnEvery is how often the server looks whether a catalogue has come.
-const learnEvery = 20 * time.Millisecond
+const catalogueCheckInterval = 20 * time.Millisecond
 
 // ServeCallers adds the callers' server to the group and returns how it stops
 // taking connections while it goes on with those that are at work.
@@ -52,7 +52,7 @@
 }
 
 func (g *Gateway) awaitCatalogue(ctx context.Context) error {
-	tick := time.NewTicker(learnEvery)
+	tick := time.NewTicker(catalogueCheckInterval)
 	defer tick.Stop()
 	for g.table.Load() == nil {
 		select {
--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -47,26 +47,26 @@
 	return newRigWithLog(t, slog.New(slog.NewJSONHandler(b, nil))), b
 }
 
-func (r *rig) askAs(id, path string) {
+func (r *rig) serveWithID(id, path string) {
 	_ = r.Serve(r.t.Context(), &Request{ID: id, Method: "POST", Target: path, Path: path, Host: "a.example", Key: "k", Header: http.Header{}}, &recorder{})
 }
 
 // A workspace complains that a request was refused while servers stood free. The
 // log tells from its id that the workspace's limit was used up, and when the caller
 // was told to come back.
-func TestLogOfARefusedRequest(t *testing.T) {
+func TestLogExplainsRefusal(t *testing.T) {
 	r, log := newLoggedRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
-	r.server("web", say("ok"))
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
+	r.server("web", respond("ok"))
 	c := *r.table.Load().Catalogue()
 	c.Workspaces = []routes.Workspace{{Name: "w", Keys: []string{"k"}, PerSecond: 0.1, Burst: 1}}
 	r.limits.setWorkspaces(c.Workspaces)
-	r.haveWholeLimits()
+	r.grantWholeLimits()
 	r.table.Store(routes.NewTable(&c))
 	for range 50 { // the site's slack too
-		r.askAs("before", "/x")
+		r.serveWithID("before", "/x")
 	}
-	r.askAs("complaint", "/x")
+	r.serveWithID("complaint", "/x")
 	lines := log.lines(t, "complaint")
 	require.Len(t, lines, 1)
 	require.Equal(t, event.RequestRefused.String(), lines[0]["msg"])
@@ -79,14 +79,14 @@
 
 // A caller complains of a late answer. The log tells which server took how long,
 // what was known of its load then, and how old that was.
-func TestLogOfALateAnswer(t *testing.T) {
+func TestLogExplainsLateAnswer(t *testing.T) {
 	r, log := newLoggedRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.Idempotent, Objective: 10 * time.Millisecond})
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent, Objective: 10 * time.Millisecond})
 	r.server("web", func(w http.ResponseWriter, _ *http.Request) {
-		r.skip.Add(int64(50 * time.Millisecond))
+		r.clockOffset.Add(int64(50 * time.Millisecond))
 		_, _ = w.Write([]byte("late"))
 	})
-	r.askAs("complaint", "/x")
+	r.serveWithID("complaint", "/x")
 	lines := log.lines(t, "complaint")
 	require.Len(t, lines, 2)
 	chosen, ended := lines[0], lines[1]
@@ -101,11 +101,11 @@
 
 // A caller got an error and does not know whether its request ran. The log tells
 // that it was sent once and to which server, and at which step that one failed.
-func TestLogOfAnUnknownOutcome(t *testing.T) {
+func TestLogExplainsUnknownOutcome(t *testing.T) {
 	r, log := newLoggedRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
-	s := r.server("web", cut)
-	r.askAs("complaint", "/x")
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
+	s := r.server("web", abort)
+	r.serveWithID("complaint", "/x")
 	lines := log.lines(t, "complaint")
 	ended := lines[len(lines)-1]
 	require.Equal(t, "broken", ended["outcome"])
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -39,7 +39,7 @@
 // from, and how old the word on the others' load is.
 func (j *job) logChoice(c *choice) {
 	v := &c.verdict
-	j.gateway.ordinary.Log(context.Background(), event.RouteChosen, slog.String("request", j.ID),
+	j.gateway.sampler.Log(context.Background(), event.RouteChosen, slog.String("request", j.ID),
 		slog.String("service", j.service.name), slog.String("server", v.Server), slog.String("address", v.Address),
 		slog.String("reason", v.Reason.String()), slog.Duration("score", v.Score), slog.Int("cached", v.CachedTokens),
 		slog.Int("prompt", j.PromptTokens), slog.Int("load", v.Load), slog.Int("ahead", v.QueuedTokens), slog.Duration("loadAge", c.loadAge),
@@ -52,9 +52,9 @@
 	g := j.gateway
 	attrs := []slog.Attr{
 		slog.String("request", j.ID), slog.String("workspace", j.workspaceName()), slog.String("path", j.Path),
-		slog.String("server", j.lastSent), slog.Int("sends", j.sends), slog.Int("runs", j.runs),
+		slog.String("server", j.lastServer), slog.Int("sends", j.sends), slog.Int("runs", j.runs),
 		slog.Duration("took", j.age(g.now())), slog.Duration("firstByte", j.firstByte),
-		slog.Bool("cameBack", j.late), slog.Float64("cost", j.cost),
+		slog.Bool("cameBack", j.objectivePassed), slog.Float64("cost", j.cost),
 	}
 	if j.route != nil {
 		attrs = append(attrs, slog.String("route", j.route.Name), slog.Duration("objective", j.route.Objective))
@@ -63,7 +63,7 @@
 		attrs = append(attrs, slog.Uint64("revision", t.Catalogue().Revision))
 	}
 	if refusal == nil {
-		g.ordinary.Log(context.Background(), event.RequestEnded, append(attrs, slog.String("outcome", "answered"), slog.Int("status", j.status))...)
+		g.sampler.Log(context.Background(), event.RequestEnded, append(attrs, slog.String("outcome", "answered"), slog.Int("status", j.status))...)
 		return
 	}
 	kind := event.RequestEnded
--- a/gateway/parts_test.go
+++ b/gateway/parts_test.go
@@ -13,16 +13,16 @@
 
 // A stream arrives in pieces cut anywhere. Whole events come out, all of them, in
 // order, and the last id is that of the last whole event.
-func TestEventsAreCutWhole(t *testing.T) {
+func TestStreamIsSplitIntoWholeEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "events")
 		text := eventsText(n) + rapid.SampledFrom([]string{"", "id: 99\nda"}).Draw(t, "rest")
-		var cut events
+		var splitter eventSplitter
 		var out strings.Builder
 		last := ""
 		for rest := text; rest != ""; {
 			size := rapid.IntRange(1, len(rest)).Draw(t, "piece")
-			whole, id := cut.take([]byte(rest[:size]))
+			whole, id := splitter.add([]byte(rest[:size]))
 			out.Write(whole)
 			if id != "" {
 				last = id
@@ -31,19 +31,19 @@
 		}
 		require.Equal(t, eventsText(n), out.String())
 		require.Equal(t, string(rune('0'+n)), last)
-		require.Equal(t, text == eventsText(n), cut.ended())
+		require.Equal(t, text == eventsText(n), splitter.atBoundary())
 	})
 }
 
-func TestUsageIsCountedByWindow(t *testing.T) {
-	steady := time.Duration(0)
+func TestUsageIsCountedPerWindow(t *testing.T) {
+	elapsed := time.Duration(0)
 	wall := time.Unix(1_700_000_001, 0)
-	u := newUsage(wallclock.New(func() time.Time { return wall.Add(steady) }, func() time.Duration { return steady }), 5*time.Second, 6)
-	u.began("w")
-	u.began("")
-	steady = 5 * time.Second
-	u.began("w")
-	u.began("v")
+	u := newUsage(wallclock.New(func() time.Time { return wall.Add(elapsed) }, func() time.Duration { return elapsed }), 5*time.Second, 6)
+	u.recordStart("w")
+	u.recordStart("")
+	elapsed = 5 * time.Second
+	u.recordStart("w")
+	u.recordStart("v")
 	report, open := u.report()
 	require.Len(t, report, 2)
 	require.Equal(t, report[1].Window, open)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -11,19 +11,19 @@
 type peers struct {
 	directory *directory.Store
 
-	mu     sync.Mutex
-	names  []string
-	digest uint64    // of names, as the replica makes it; 0: nothing was told yet
-	at     time.Time // of the last word
+	mu          sync.Mutex
+	names       []string
+	digest      uint64    // of names, as the replica makes it; 0: nothing was told yet
+	confirmedAt time.Time // of the last word
 }
 
 // peersFor is how long a list of the entries stands without a new word. Without one no
 // entry keeps books or limits for the others, so it outlasts most losses of the control
 // replicas.
-const peersFor = 10 * time.Second
+const peersTTL = 10 * time.Second
 
 // known returns the digest of the list that is held.
-func (p *peers) known() uint64 {
+func (p *peers) currentDigest() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.digest
@@ -35,15 +35,15 @@
 // that one is frozen, before another one is asked for it.
 //
 // It reports whether the list is another one than before.
-func (p *peers) take(digest uint64, names []string, now time.Time) (changed bool) {
+func (p *peers) update(digest uint64, names []string, now time.Time) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case len(names) > 0:
 		changed = digest != p.digest
-		p.digest, p.names, p.at = digest, names, now
+		p.digest, p.names, p.confirmedAt = digest, names, now
 	case digest == p.digest:
-		p.at = now
+		p.confirmedAt = now
 	}
 	return changed
 }
@@ -53,7 +53,7 @@
 func (p *peers) entries(now time.Time) []directory.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.at.IsZero() || now.Sub(p.at) > peersFor {
+	if p.confirmedAt.IsZero() || now.Sub(p.confirmedAt) > peersTTL {
 		return nil
 	}
 	return p.directory.Refresh(p.names, now)
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -13,7 +13,7 @@
 // An entry is told once which entries there are, and afterwards only of changes. Those
 // that are up stay known for as long as the replicas hear them, and not when this entry
 // hears of nobody any more.
-func TestPeersStayKnown(t *testing.T) {
+func TestPeersRemainWhileDigestIsConfirmed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	store := directory.NewStore(directory.Config{ForgetAfter: time.Minute})
 	for _, name := range []string{"a", "b", "c"} {
@@ -21,15 +21,15 @@
 	}
 	p := &peers{directory: store}
 	require.Empty(t, p.entries(now), "nothing was told yet")
-	p.take(7, nil, now)
+	p.update(7, nil, now)
 	require.Empty(t, p.entries(now), "nor now")
-	p.take(7, []string{"a", "b"}, now)
+	p.update(7, []string{"a", "b"}, now)
 	for range 100 {
 		now = now.Add(time.Second)
-		p.take(7, nil, now)
+		p.update(7, nil, now)
 		require.Len(t, p.entries(now), 2)
 		store.Sweep(now, false)
 	}
-	p.take(8, nil, now.Add(2*peersFor)) // of a replica that has another list
-	require.Empty(t, p.entries(now.Add(2*peersFor)))
+	p.update(8, nil, now.Add(2*peersTTL)) // of a replica that has another list
+	require.Empty(t, p.entries(now.Add(2*peersTTL)))
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -106,7 +106,7 @@
 // Dialect puts requests to servers and reads their answers.
 type Dialect interface {
 	// RequestHeader returns the header with which a run is sent.
-	RequestHeader(r *Request, run Attempt) http.Header
+	RequestHeader(r *Request, attempt Attempt) http.Header
 	// Matches reports whether an answer with this header answers the request.
 	Matches(r *Request, h http.Header) bool
 	// Classify says what an answer's head proves.
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -15,27 +15,27 @@
 func (j *job) runAt(ctx context.Context, c *choice) result {
 	g := j.gateway
 	server := c.verdict.Server
-	j.lastSent = server
-	run := Attempt{
-		Server: server, Workspace: j.workspaceName(), Remaining: j.deadline.Sub(g.now()), Rank: c.rank, ResumeAfter: j.lastID,
+	j.lastServer = server
+	attempt := Attempt{
+		Server: server, Workspace: j.workspaceName(), Remaining: j.deadline.Sub(g.now()), Rank: c.rank, ResumeAfter: j.lastEventID,
 	}
 	sentAt := g.now()
 	answer, err := g.pool.Do(ctx, c.verdict.Address, &backend.Call{
-		Method: j.Method, Target: j.Target, Host: j.Host, Header: g.deps.Dialect.RequestHeader(j.Request, run), Body: j.Body,
+		Method: j.Method, Target: j.Target, Host: j.Host, Header: g.deps.Dialect.RequestHeader(j.Request, attempt), Body: j.Body,
 		Belongs: func(h http.Header) bool { return g.deps.Dialect.Matches(j.Request, h) },
 	})
 	if err != nil {
 		return j.sendFailed(ctx, c, sentAt, err)
 	}
 	defer answer.Close()
-	j.noteSent(sentAt)
-	return j.answered(ctx, c, answer)
+	j.recordSend(sentAt)
+	return j.handleAnswer(ctx, c, answer)
 }
 
 // noteSent counts that a server has got the request.
-func (j *job) noteSent(at time.Time) {
+func (j *job) recordSend(at time.Time) {
 	if j.workspace != nil {
-		j.gateway.uses.noteSent(j.workspace.Name, j.cost, j.sends > 0, at.Sub(j.letIn))
+		j.gateway.limitUsage.recordSend(j.workspace.Name, j.cost, j.sends > 0, at.Sub(j.admittedAt))
 	}
 	j.sends++
 }
@@ -45,47 +45,47 @@
 	var e *backend.Error
 	sent := errors.As(err, &e) && e.Sent
 	if sent {
-		j.noteSent(sentAt)
+		j.recordSend(sentAt)
 		j.runs++
 	}
 	if ctx.Err() != nil {
 		how := endedByCaller
 		if sent && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			how = endedBadly
+			how = endedFailed
 		}
 		j.service.end(c, how, j.gateway.now())
-		return result{refusal: j.outOfTime(ctx)}
+		return result{refusal: j.contextRefusal(ctx)}
 	}
-	how := endedBadly
+	how := endedFailed
 	if !sent {
-		how = endedGone
+		how = endedServerGone
 	}
 	j.service.end(c, how, j.gateway.now())
-	r := result{again: true, notRun: !sent, arrived: sent, after: c.verdict.Server}
-	r.refusal = j.failure(err.Error())
+	r := result{retryable: true, notRun: !sent, reachedServer: sent, server: c.verdict.Server}
+	r.refusal = j.failureRefusal(err.Error())
 	return r
 }
 
 // failure is how the request ends if nothing more is tried.
-func (j *job) failure(detail string) *Refusal {
+func (j *job) failureRefusal(detail string) *Refusal {
 	switch {
-	case j.begun:
+	case j.answerStarted:
 		return &Refusal{Reason: Truncated, Detail: detail}
 	case j.runs > 0:
 		return &Refusal{Reason: ServerFailed, Detail: detail}
 	default:
-		return &Refusal{Reason: NoServer, RetryAfter: serverRetry, Detail: detail}
+		return &Refusal{Reason: NoServer, RetryAfter: serverRetryAfter, Detail: detail}
 	}
 }
 
 // answered judges an answer's head and hands the answer on if it is of use.
-func (j *job) answered(ctx context.Context, c *choice, answer *backend.Answer) result {
+func (j *job) handleAnswer(ctx context.Context, c *choice, answer *backend.Answer) result {
 	g := j.gateway
 	switch g.deps.Dialect.Classify(answer.Status, answer.Header) {
 	case NotRun:
 		return j.notRun(c, answer, Overloaded, endedByCaller)
 	case WrongServer:
-		return j.notRun(c, answer, NoServer, endedGone)
+		return j.notRun(c, answer, NoServer, endedServerGone)
 	case Unusable:
 		j.runs++
 		return j.unusable(c, "unusable answer")
@@ -106,27 +106,27 @@
 	switch {
 	case j.route.Kind == routes.Stream && success:
 		return j.relayStream(ctx, c, answer)
-	case j.begun:
+	case j.answerStarted:
 		return j.unusable(c, "a stream cannot go on with an answer of another kind")
 	default:
-		return j.relayWhole(ctx, c, answer, endedWell)
+		return j.relayWhole(ctx, c, answer, endedOK)
 	}
 }
 
 // unusable handles an answer that can't be passed on.
 func (j *job) unusable(c *choice, detail string) result {
-	j.service.end(c, endedBadly, j.gateway.now())
-	return result{again: true, arrived: true, after: c.verdict.Server, refusal: j.failure(detail)}
+	j.service.end(c, endedFailed, j.gateway.now())
+	return result{retryable: true, reachedServer: true, server: c.verdict.Server, refusal: j.failureRefusal(detail)}
 }
 
 // notRun handles a server's word that it did not run the request.
 func (j *job) notRun(c *choice, answer *backend.Answer, reason Reason, how ending) result {
 	_, _ = io.Copy(io.Discard, answer) // to keep the connection; a failure only closes it
 	j.service.end(c, how, j.gateway.now())
-	r := result{again: true, notRun: true, arrived: true, after: c.verdict.Server}
-	r.refusal = j.failure("server did not run it")
-	if !j.begun && j.runs == 0 {
-		r.refusal = &Refusal{Reason: reason, RetryAfter: fullRetry, Detail: "server did not run it"}
+	r := result{retryable: true, notRun: true, reachedServer: true, server: c.verdict.Server}
+	r.refusal = j.failureRefusal("server did not run it")
+	if !j.answerStarted && j.runs == 0 {
+		r.refusal = &Refusal{Reason: reason, RetryAfter: fullServerRetryAfter, Detail: "server did not run it"}
 	}
 	return r
 }
@@ -135,48 +135,48 @@
 // server may try: an error that one server gave in a moment is not the caller's
 // last word while there is time.
 func (j *job) serverFailed(ctx context.Context, c *choice, answer *backend.Answer) result {
-	r := result{again: true, arrived: true, after: c.verdict.Server, refusal: j.failure("server failed")}
-	if j.begun {
+	r := result{retryable: true, reachedServer: true, server: c.verdict.Server, refusal: j.failureRefusal("server failed")}
+	if j.answerStarted {
 		return j.unusable(c, "server failed")
 	}
-	if !j.mayRepeat(ctx, &r) {
-		return j.relayWhole(ctx, c, answer, endedBadly)
+	if !j.mayRetry(ctx, &r) {
+		return j.relayWhole(ctx, c, answer, endedFailed)
 	}
 	_, _ = io.Copy(io.Discard, answer) // to keep the connection; a failure only closes it
-	j.service.end(c, endedBadly, j.gateway.now())
-	r.arrived, r.notRun, r.after = false, true, "" // the repeat has been paid for
+	j.service.end(c, endedFailed, j.gateway.now())
+	r.reachedServer, r.notRun, r.server = false, true, "" // the repeat has been paid for
 	return r
 }
 
 // wholeBytes is how much of an answer is collected before its head goes to the
 // caller. An answer that breaks off before that can still be asked for again, or
 // end as an error instead of half an answer.
-const wholeBytes = 512 << 10
+const maxBufferedAnswerBytes = 512 << 10
 
 // relayWhole hands on an answer that is not a stream of events. how is what it says
 // of the server: a failing one is always free and quick, so an error that counted
 // as an answer would draw most requests to it.
 func (j *job) relayWhole(ctx context.Context, c *choice, answer *backend.Answer, how ending) result {
 	g := j.gateway
-	if how == endedWell {
-		j.service.firstByte(c, g.now())
+	if how == endedOK {
+		j.service.recordFirstByte(c, g.now())
 	}
-	j.countBegun()
-	body, err := io.ReadAll(io.LimitReader(answer, wholeBytes))
+	j.countUsage()
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswerBytes))
 	if err != nil {
 		return j.bodyFailed(ctx, c, err)
 	}
 	header := g.deps.Dialect.AnswerHeader(answer.Header)
-	if len(body) < wholeBytes {
+	if len(body) < maxBufferedAnswerBytes {
 		length := int64(len(body))
 		if j.Method == http.MethodHead {
 			length = answer.Length // of the body that GET would bring
 		}
-		j.begin(answer.Status, header, length)
+		j.beginAnswer(answer.Status, header, length)
 		_, err = j.out.Write(body)
 		return j.finished(c, how, err)
 	}
-	j.begin(answer.Status, header, answer.Length)
+	j.beginAnswer(answer.Status, header, answer.Length)
 	if _, err := j.out.Write(body); err != nil {
 		return j.finished(c, how, err)
 	}
@@ -201,10 +201,10 @@
 func (j *job) bodyFailed(ctx context.Context, c *choice, err error) result {
 	if ctx.Err() != nil {
 		j.service.end(c, endedByCaller, j.gateway.now())
-		return result{refusal: j.outOfTime(ctx)}
+		return result{refusal: j.contextRefusal(ctx)}
 	}
-	j.service.end(c, endedBadly, j.gateway.now())
-	return result{again: !j.begun, arrived: true, after: c.verdict.Server, refusal: j.failure(err.Error())}
+	j.service.end(c, endedFailed, j.gateway.now())
+	return result{retryable: !j.answerStarted, reachedServer: true, server: c.verdict.Server, refusal: j.failureRefusal(err.Error())}
 }
 
 // finished ends a run whose answer was whole; err is that of writing it to the
@@ -217,18 +217,18 @@
 	return result{}
 }
 
-func (j *job) begin(status int, header http.Header, length int64) {
-	j.begun, j.status, j.firstByte = true, status, j.age(j.gateway.now())
+func (j *job) beginAnswer(status int, header http.Header, length int64) {
+	j.answerStarted, j.status, j.firstByte = true, status, j.age(j.gateway.now())
 	j.out.Begin(status, header, length)
 	j.gateway.outcomes.firstByte(j, j.gateway.now())
 }
 
 // countBegun counts the request in its workspace's usage, once.
-func (j *job) countBegun() {
-	if !j.counted {
-		j.counted = true
-		j.gateway.usage.began(j.workspaceName())
+func (j *job) countUsage() {
+	if !j.usageCounted {
+		j.usageCounted = true
+		j.gateway.usage.recordStart(j.workspaceName())
 	}
 }
 
-func (j *job) age(now time.Time) time.Duration { return now.Sub(j.began) }
+func (j *job) age(now time.Time) time.Duration { return now.Sub(j.startedAt) }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -21,12 +21,12 @@
 const (
 	// catalogueRetry: an entry that has just started learns the catalogue within
 	// a few hundred milliseconds.
-	catalogueRetry = 300 * time.Millisecond
+	catalogueRetryAfter = 300 * time.Millisecond
 	// serverRetry: servers that were lost are replaced or heard of again within
 	// a second or two.
-	serverRetry = 500 * time.Millisecond
+	serverRetryAfter = 500 * time.Millisecond
 	// fullRetry: a full server takes a request again when one of its runs ends.
-	fullRetry = 300 * time.Millisecond
+	fullServerRetryAfter = 300 * time.Millisecond
 )
 
 // maxSends bounds how often one request is sent, whatever the reasons: each time
@@ -36,27 +36,27 @@
 // job is a request on its way through the entry.
 type job struct {
 	*Request
-	gateway   *Gateway
-	route     *routes.Route
-	workspace *routes.Workspace // nil on public routes without a key
-	service   *service
-	out       Writer
-	began     time.Time
-	deadline  time.Time
-	cost      float64
-	limited   decision  // on its workspace's limit
-	letIn     time.Time // within its workspace's limit
-	late      bool      // its objective has passed since its caller's first try
-	prefixes  []route.CachedPrefix
+	gateway         *Gateway
+	route           *routes.Route
+	workspace       *routes.Workspace // nil on public routes without a key
+	service         *service
+	out             Writer
+	startedAt       time.Time
+	deadline        time.Time
+	cost            float64
+	limitDecision   decision  // on its workspace's limit
+	admittedAt      time.Time // within its workspace's limit
+	objectivePassed bool      // its objective has passed since its caller's first try
+	prefixes        []route.CachedPrefix
 
-	sends    int      // requests that went out to a server
-	runs     int      // of these, those that may have run
-	tried    []string // servers that are not to be tried again
-	begun    bool     // the caller has the answer's head
-	status   int      // of the answer
-	counted  bool     // in the usage
-	lastID   string   // of the last event that the caller has
-	lastSent string   // server of the last run, for the log
+	sends         int      // requests that went out to a server
+	runs          int      // of these, those that may have run
+	triedServers  []string // servers that are not to be tried again
+	answerStarted bool     // the caller has the answer's head
+	status        int      // of the answer
+	usageCounted  bool     // in the usage
+	lastEventID   string   // of the last event that the caller has
+	lastServer    string   // server of the last run, for the log
 
 	firstByte time.Duration // from the arrival to the answer's head
 }
@@ -66,14 +66,14 @@
 func (g *Gateway) Serve(ctx context.Context, r *Request, w Writer) *Refusal {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	j := &job{Request: r, gateway: g, out: w, began: g.now(), lastID: r.ResumeAfter}
+	j := &job{Request: r, gateway: g, out: w, startedAt: g.now(), lastEventID: r.ResumeAfter}
 	refusal := j.admit(ctx)
 	if refusal == nil {
 		runCtx, cancel := context.WithDeadline(ctx, j.deadline)
 		refusal = j.run(runCtx)
 		cancel()
 		if refusal != nil && refusal.Reason.NotRun() && j.workspace != nil {
-			g.limits.refund(j.workspace.Name, j.cost, &j.limited)
+			g.limits.refund(j.workspace.Name, j.cost, &j.limitDecision)
 		}
 	}
 	j.logEnd(refusal)
@@ -86,7 +86,7 @@
 	g := j.gateway
 	table := g.table.Load()
 	if table == nil {
-		return &Refusal{Reason: NoCatalogue, RetryAfter: catalogueRetry}
+		return &Refusal{Reason: NoCatalogue, RetryAfter: catalogueRetryAfter}
 	}
 	if j.route = table.Route(j.Host, j.Path); j.route == nil {
 		return &Refusal{Reason: NoRoute}
@@ -94,46 +94,46 @@
 	if j.workspace = table.Workspace(j.Key); j.workspace == nil && table.Catalogue().KeysNeeded && !j.route.Public {
 		return &Refusal{Reason: UnknownKey}
 	}
-	j.deadline = j.began.Add(j.route.Timeout)
-	if callerGone := j.began.Add(j.CallerTimeout); j.CallerTimeout > 0 && callerGone.Before(j.deadline) {
-		j.deadline = callerGone
+	j.deadline = j.startedAt.Add(j.route.Timeout)
+	if callerDeadline := j.startedAt.Add(j.CallerTimeout); j.CallerTimeout > 0 && callerDeadline.Before(j.deadline) {
+		j.deadline = callerDeadline
 	}
 	if j.workspace != nil {
 		j.cost = cost(j.workspace, j.Request)
-		j.late = g.late(j.route, j.CallerTimeout)
-		if refusal := j.takeLimit(ctx); refusal != nil {
+		j.objectivePassed = g.objectivePassed(j.route, j.CallerTimeout)
+		if refusal := j.admitWithinLimit(ctx); refusal != nil {
 			return refusal
 		}
 	}
 	j.service = g.service(j.route.Choose(rand.Float64()))
 	j.prefixes = prefixesOf(j.Model, j.PromptSegments)
-	g.noteFirst(j.call())
+	g.recordFirstAttempt(j.call())
 	return nil
 }
 
 // takeLimit uses up the request's cost of its workspace's limit.
-func (j *job) takeLimit(ctx context.Context) *Refusal {
+func (j *job) admitWithinLimit(ctx context.Context) *Refusal {
 	g := j.gateway
-	j.limited = g.limits.take(ctx, j.workspace.Name, j.cost, j.late)
-	j.letIn = g.now()
-	g.uses.noteDecision(j.workspace.Name, j.cost, &j.limited)
-	if !j.limited.ok {
-		return &Refusal{Reason: OverLimit, RetryAfter: j.limited.wait, Detail: string(j.limited.grounds)}
+	j.limitDecision = g.limits.admit(ctx, j.workspace.Name, j.cost, j.objectivePassed)
+	j.admittedAt = g.now()
+	g.limitUsage.recordDecision(j.workspace.Name, j.cost, &j.limitDecision)
+	if !j.limitDecision.ok {
+		return &Refusal{Reason: OverLimit, RetryAfter: j.limitDecision.wait, Detail: string(j.limitDecision.source)}
 	}
 	return nil
 }
 
 // sendWithin is for how long a request that was let in may be sent.
-const sendWithin = time.Second
+const maxAdmissionAge = time.Second
 
 // renewLimit uses up the request's cost once more if it was let in long ago and has not been
 // sent. An entry that stood still would send in one moment what it had let in before, beside
 // what is let in now.
-func (j *job) renewLimit(ctx context.Context) *Refusal {
-	if j.workspace == nil || j.sends > 0 || j.gateway.now().Sub(j.letIn) <= sendWithin {
+func (j *job) renewAdmission(ctx context.Context) *Refusal {
+	if j.workspace == nil || j.sends > 0 || j.gateway.now().Sub(j.admittedAt) <= maxAdmissionAge {
 		return nil
 	}
-	return j.takeLimit(ctx)
+	return j.admitWithinLimit(ctx)
 }
 
 // workspaceName is empty on public routes.
@@ -163,23 +163,23 @@
 // sent any more.
 func (j *job) run(ctx context.Context) *Refusal {
 	for {
-		if refusal := j.outOfTime(ctx); refusal != nil {
+		if refusal := j.contextRefusal(ctx); refusal != nil {
 			return refusal
 		}
 		c, ok := j.choose(ctx)
 		if !ok {
-			return j.noServer(&c)
+			return j.noServerRefusal(&c)
 		}
-		if refusal := j.renewLimit(ctx); refusal != nil {
+		if refusal := j.renewAdmission(ctx); refusal != nil {
 			j.service.end(&c, endedByCaller, j.gateway.now())
 			return refusal
 		}
 		j.logChoice(&c)
 		result := j.runAt(ctx, &c)
-		if result.refusal == nil && !result.again {
+		if result.refusal == nil && !result.retryable {
 			return nil
 		}
-		if again := j.mayRepeat(ctx, &result); !again {
+		if allowed := j.mayRetry(ctx, &result); !allowed {
 			return result.refusal
 		}
 	}
@@ -188,20 +188,20 @@
 // choose asks what runs at the servers that come into question, and picks one.
 func (j *job) choose(ctx context.Context) (choice, bool) {
 	g := j.gateway
-	req := j.routing()
-	loads := g.books.ask(ctx, j.service.candidates(req))
+	req := j.routeRequest()
+	loads := g.exchange.queryLoads(ctx, j.service.candidates(req))
 	req.Now = g.now()
-	j.service.noteAsked(loads, req.Now)
-	req.Exclude = withoutDown(j.tried, loads)
+	j.service.applyOwnerLoads(loads, req.Now)
+	req.Exclude = excludeDown(j.triedServers, loads)
 	c, ok := j.service.choose(req, j.prefixes, req.Now)
-	if !ok && len(req.Exclude) > len(j.tried) {
-		req.Exclude = j.tried // one that was down a moment ago is better than none
+	if !ok && len(req.Exclude) > len(j.triedServers) {
+		req.Exclude = j.triedServers // one that was down a moment ago is better than none
 		c, ok = j.service.choose(req, j.prefixes, req.Now)
 	}
 	c.rank = j.rank()
-	if ok && !j.begun {
+	if ok && !j.answerStarted {
 		c.rank, c.urgency = urgency.Decide(urgency.Request{
-			Rank: c.rank, Objective: j.route.Objective, Waited: j.age(req.Now), Expected: c.verdict.Score, PrefillTime: c.read, Retried: j.late,
+			Rank: c.rank, Objective: j.route.Objective, Waited: j.age(req.Now), Expected: c.verdict.Score, PrefillTime: c.prefillTime, Retried: j.objectivePassed,
 		})
 	}
 	return c, ok
@@ -211,7 +211,7 @@
 // not to be there any more. Each entry would find out by itself otherwise: the control
 // replicas notice only after some heartbeats, and a server whose place is taken looks
 // idle and draws requests until then.
-func withoutDown(tried []string, loads []serverLoad) []string {
+func excludeDown(tried []string, loads []serverLoad) []string {
 	out := slices.Clip(tried)
 	for _, l := range loads {
 		if l.Down {
@@ -222,22 +222,22 @@
 }
 
 // routing is what the choice of a server is made from.
-func (j *job) routing() *route.Request {
+func (j *job) routeRequest() *route.Request {
 	node := &j.gateway.cfg.Node
 	return &route.Request{
 		Now: j.gateway.now(), Seed: rand.Uint64(), Prefixes: hashesOf(j.prefixes), PromptTokens: j.PromptTokens, SharedTokens: sharedTokens(j.prefixes),
-		Zone: node.Zone, Region: node.Region, Exclude: j.tried, NoProbe: !j.route.Repeatable(),
+		Zone: node.Zone, Region: node.Region, Exclude: j.triedServers, NoProbe: !j.route.Repeatable(),
 	}
 }
 
 // outOfTime ends a request whose caller has gone or whose time is over.
-func (j *job) outOfTime(ctx context.Context) *Refusal {
+func (j *job) contextRefusal(ctx context.Context) *Refusal {
 	switch {
 	case ctx.Err() == nil:
 		return nil
 	case errors.Is(ctx.Err(), context.Canceled):
 		return &Refusal{Reason: CallerGone}
-	case j.begun:
+	case j.answerStarted:
 		return &Refusal{Reason: Truncated, Detail: "out of time"}
 	case j.runs > 0:
 		return &Refusal{Reason: TimedOut}
@@ -247,42 +247,42 @@
 }
 
 // noServer refuses a request that no server can take now.
-func (j *job) noServer(c *choice) *Refusal {
+func (j *job) noServerRefusal(c *choice) *Refusal {
 	switch {
-	case j.begun:
+	case j.answerStarted:
 		return &Refusal{Reason: Truncated, Detail: c.verdict.Reason.String()}
 	case j.runs > 0:
 		return &Refusal{Reason: ServerFailed, Detail: c.verdict.Reason.String()}
 	default:
-		return &Refusal{Reason: NoServer, RetryAfter: serverRetry, Detail: c.verdict.Reason.String()}
+		return &Refusal{Reason: NoServer, RetryAfter: serverRetryAfter, Detail: c.verdict.Reason.String()}
 	}
 }
 
 // result is what became of one run.
 type result struct {
-	refusal *Refusal // how the request ends if it is not sent again
-	again   bool     // it may be sent again, if the rules of its route allow
-	notRun  bool     // this run surely did not happen
-	arrived bool     // it reached a server, so that another one counts as a repeat
-	after   string   // server that was tried
+	refusal       *Refusal // how the request ends if it is not sent again
+	retryable     bool     // it may be sent again, if the rules of its route allow
+	notRun        bool     // this run surely did not happen
+	reachedServer bool     // it reached a server, so that another one counts as a repeat
+	server        string   // server that was tried
 }
 
 // mayRepeat decides whether the request is sent again.
-func (j *job) mayRepeat(ctx context.Context, r *result) bool {
-	if !r.again || ctx.Err() != nil || j.sends >= maxSends {
+func (j *job) mayRetry(ctx context.Context, r *result) bool {
+	if !r.retryable || ctx.Err() != nil || j.sends >= maxSends {
 		return false
 	}
 	if !r.notRun && (!j.route.Repeatable() || j.runs >= j.route.MaxServers) {
 		return false
 	}
-	if r.after != "" {
-		j.tried = append(j.tried, r.after)
+	if r.server != "" {
+		j.triedServers = append(j.triedServers, r.server)
 	}
-	if !r.arrived {
+	if !r.reachedServer {
 		return true // no server has seen it
 	}
-	v := j.gateway.failed(retry.Failure{Call: j.call(), Attempts: max(j.runs, 1), NotRun: r.notRun})
-	event.Log(ctx, j.gateway.log, slog.LevelInfo, event.AttemptFailed, slog.String("request", j.ID), slog.String("server", r.after),
+	v := j.gateway.decideRetry(retry.Failure{Call: j.call(), Attempts: max(j.runs, 1), NotRun: r.notRun})
+	event.Log(ctx, j.gateway.log, slog.LevelInfo, event.AttemptFailed, slog.String("request", j.ID), slog.String("server", r.server),
 		slog.Bool("notRun", r.notRun), slog.Bool("again", v.Go), slog.String("reason", v.Reason.String()), slog.Duration("after", v.After))
 	if !v.Go {
 		return false
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -14,17 +14,17 @@
 	"savoryreel.example/savoryreel/routes"
 )
 
-func cut(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
+func abort(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
 
-func say(text string) http.HandlerFunc {
+func respond(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(text)) }
 }
 
 // An entry that has just started knows no catalogue. A caller whose key is good
 // must not read that nobody holds it.
-func TestBeforeTheFirstCatalogue(t *testing.T) {
+func TestRefusalBeforeFirstCatalogue(t *testing.T) {
 	r := newRig(t)
-	_, refusal := r.ask("/x")
+	_, refusal := r.serve("/x")
 	require.Equal(t, NoCatalogue, refusal.Reason)
 	require.True(t, refusal.Reason.NotRun())
 	require.Positive(t, refusal.RetryAfter)
@@ -33,10 +33,10 @@
 
 func TestRefusals(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/a/", Kind: routes.Idempotent})
-	_, refusal := r.ask("/b")
+	r.setRoutes(routes.Route{Prefix: "/a/", Kind: routes.Idempotent})
+	_, refusal := r.serve("/b")
 	require.Equal(t, NoRoute, refusal.Reason)
-	_, refusal = r.ask("/a/x")
+	_, refusal = r.serve("/a/x")
 	require.Equal(t, NoServer, refusal.Reason)
 	require.Positive(t, refusal.RetryAfter)
 }
@@ -44,11 +44,11 @@
 // A server closes the connection after it has read a request that may run once.
 // It may have run: a second send could credit an account twice, and the word "not
 // run" would make the caller send it again.
-func TestNonIdempotentIsSentOnce(t *testing.T) {
+func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.NonIdempotent, MaxServers: 3})
-	a, b := r.server("web", cut), r.server("web", cut)
-	_, refusal := r.ask("/x")
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent, MaxServers: 3})
+	a, b := r.server("web", abort), r.server("web", abort)
+	_, refusal := r.serve("/x")
 	require.Equal(t, ServerFailed, refusal.Reason)
 	require.False(t, refusal.Reason.NotRun())
 	require.Equal(t, 1, a.count()+b.count())
@@ -56,15 +56,15 @@
 
 // One of two servers loses its connections. An idempotent request is answered by
 // the other one.
-func TestIdempotentIsSentAgain(t *testing.T) {
+func TestIdempotentRequestIsRetried(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.Idempotent, MaxServers: 2})
-	r.server("web", cut)
-	r.server("web", say("ok"))
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent, MaxServers: 2})
+	r.server("web", abort)
+	r.server("web", respond("ok"))
 	r.fillBudget()
 	answered := 0
 	for range 10 {
-		if out, refusal := r.ask("/x"); refusal == nil && string(out.body) == "ok" {
+		if out, refusal := r.serve("/x"); refusal == nil && string(out.body) == "ok" {
 			answered++
 		}
 	}
@@ -77,15 +77,15 @@
 // It breaks without Gateway.failed in mayRepeat.
 func TestRetryBudget(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.Idempotent, MaxServers: 3})
-	a, b := r.server("web", cut), r.server("web", cut)
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent, MaxServers: 3})
+	a, b := r.server("web", abort), r.server("web", abort)
 	const requests = 200
 	for range requests {
-		_, _ = r.ask("/x")
+		_, _ = r.serve("/x")
 	}
-	b1 := r.cfg.Node.Bounds
+	bounds := r.cfg.Node.Bounds
 	repeats := a.count() + b.count() - requests
-	require.LessOrEqual(t, float64(repeats), b1.RetryRatio*requests+b1.RetrySlack/assumedEntries)
+	require.LessOrEqual(t, float64(repeats), bounds.RetryRatio*requests+bounds.RetrySlack/assumedEntries)
 }
 
 // Eighty entries share what may be repeated besides the ratio. With eight's part
@@ -99,18 +99,18 @@
 
 // A server says that it did not run the request, since it is full. Another one
 // takes it, also where it may run only once.
-func TestRefusedByOneServer(t *testing.T) {
+func TestServerRefusalIsRetriedElsewhere(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
 	full := r.server("web", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	r.server("web", say("ok"))
+	r.server("web", respond("ok"))
 	r.fillBudget()
 	before := full.count()
 	for range 10 {
-		out, refusal := r.ask("/x")
+		out, refusal := r.serve("/x")
 		require.Nil(t, refusal)
 		require.Equal(t, "ok", string(out.body))
 	}
@@ -119,15 +119,15 @@
 
 // A server answers with half its body and breaks off. The caller must be able to
 // tell that from a whole answer.
-func TestHalfAnAnswer(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
 	r.server("web", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte("half"))
 		panic(http.ErrAbortHandler)
 	})
-	out, refusal := r.ask("/x")
+	out, refusal := r.serve("/x")
 	require.Equal(t, ServerFailed, refusal.Reason)
 	require.Zero(t, out.status, "nothing has gone to the caller")
 }
@@ -136,10 +136,10 @@
 // that time, which leaves open whether the request ran.
 func TestRouteTimeout(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.NonIdempotent, Timeout: 100 * time.Millisecond})
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent, Timeout: 100 * time.Millisecond})
 	r.server("web", func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() })
 	start := time.Now()
-	_, refusal := r.ask("/x")
+	_, refusal := r.serve("/x")
 	require.Equal(t, TimedOut, refusal.Reason)
 	require.Less(t, time.Since(start), time.Second)
 }
@@ -147,19 +147,19 @@
 // The caller leaves. Its run at the server is cancelled at once.
 func TestCallerGone(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.Idempotent})
-	begun, ended := make(chan struct{}), make(chan struct{})
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent})
+	started, ended := make(chan struct{}), make(chan struct{})
 	r.server("web", func(_ http.ResponseWriter, req *http.Request) {
-		close(begun)
+		close(started)
 		<-req.Context().Done()
 		close(ended)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-begun
+		<-started
 		cancel()
 	}()
-	_, refusal := r.askCtx(ctx, "/x")
+	_, refusal := r.serveContext(ctx, "/x")
 	require.Equal(t, CallerGone, refusal.Reason)
 	select {
 	case <-ended:
@@ -202,27 +202,27 @@
 
 // Both servers break off in the middle of an event, the first time each. The
 // caller sees one stream without a gap, a double or half an event.
-func TestResumedStream(t *testing.T) {
+func TestStreamIsResumedOnAnotherServer(t *testing.T) {
 	for name, from := range map[string]func(*http.Request) int{
 		"from the event after": resumeAt,
 		"from the start":       func(*http.Request) int { return 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.use(routes.Route{Prefix: "/", Kind: routes.Stream, Resumable: true, MaxServers: 3})
-			broken := map[string]bool{}
+			r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Stream, Resumable: true, MaxServers: 3})
+			failed := map[string]bool{}
 			for i := range 2 {
 				r.server("web", func(w http.ResponseWriter, req *http.Request) {
 					id := req.Header.Get("X-Id")
-					if key := id + strconv.Itoa(i); len(broken) == 0 {
-						broken[key] = true
+					if key := id + strconv.Itoa(i); len(failed) == 0 {
+						failed[key] = true
 						stream(from, 3, false)(w, req)
 					}
 					stream(from, 6, true)(w, req)
 				})
 			}
 			r.fillBudget()
-			out, refusal := r.ask("/x")
+			out, refusal := r.serve("/x")
 			require.Nil(t, refusal)
 			require.Equal(t, eventsText(6), string(out.body))
 		})
@@ -231,11 +231,11 @@
 
 // A stream that may not be resumed breaks off. What came goes to the caller, and
 // the end doesn't look like one.
-func TestStreamThatMayNotBeResumed(t *testing.T) {
+func TestNonResumableStreamIsTruncated(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.Stream, MaxServers: 3})
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Stream, MaxServers: 3})
 	a := r.server("web", stream(resumeAt, 2, false))
-	out, refusal := r.ask("/x")
+	out, refusal := r.serve("/x")
 	require.Equal(t, Truncated, refusal.Reason)
 	require.True(t, strings.HasPrefix(string(out.body), eventsText(2)))
 	require.Equal(t, 1, a.count())
@@ -243,10 +243,10 @@
 
 // A server ends a stream in the middle of an event with its connection, which
 // looks like a proper end where the answer has no length.
-func TestStreamEndsInTheMiddleOfAnEvent(t *testing.T) {
+func TestStreamClosedInsideEventIsTruncated(t *testing.T) {
 	for _, resumable := range []bool{false, true} {
 		r := newRig(t)
-		r.use(routes.Route{Prefix: "/", Kind: routes.Stream, Resumable: resumable})
+		r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Stream, Resumable: resumable})
 		r.server("web", func(w http.ResponseWriter, _ *http.Request) {
 			conn, buf, err := w.(http.Hijacker).Hijack()
 			if err != nil {
@@ -257,7 +257,7 @@
 			_ = buf.Flush()
 			_ = conn.Close()
 		})
-		_, refusal := r.ask("/x")
+		_, refusal := r.serve("/x")
 		require.NotNil(t, refusal)
 		require.Equal(t, Truncated, refusal.Reason)
 	}
@@ -267,15 +267,15 @@
 // which has no events, goes to the caller whole.
 //
 // It breaks if it is read as a stream: one that ends in the middle of an event.
-func TestErrorOnAStreamsRoute(t *testing.T) {
+func TestErrorAnswerOnStreamRoute(t *testing.T) {
 	for _, resumable := range []bool{false, true} {
 		r := newRig(t)
-		r.use(routes.Route{Prefix: "/", Kind: routes.Stream, Resumable: resumable})
+		r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Stream, Resumable: resumable})
 		r.server("web", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusNotFound)
 			_, _ = w.Write([]byte("no such model"))
 		})
-		out, refusal := r.ask("/x")
+		out, refusal := r.serve("/x")
 		require.Nil(t, refusal)
 		require.Equal(t, http.StatusNotFound, out.status)
 		require.Equal(t, "no such model", string(out.body))
@@ -288,10 +288,10 @@
 // bring each of them several times the load.
 //
 // It breaks without the case of a begun answer in relay, and in serverFailed.
-func TestStreamThatCannotGoOn(t *testing.T) {
+func TestFailedResumeIsTruncated(t *testing.T) {
 	for _, status := range []int{http.StatusNotFound, http.StatusInternalServerError} {
 		r := newRig(t)
-		r.use(routes.Route{Prefix: "/", Kind: routes.Stream, Resumable: true, MaxServers: 9})
+		r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Stream, Resumable: true, MaxServers: 9})
 		var all []*standIn
 		for range 4 {
 			all = append(all, r.server("web", func(w http.ResponseWriter, req *http.Request) {
@@ -303,7 +303,7 @@
 			}))
 		}
 		r.fillBudgetFor(1)
-		out, refusal := r.ask("/x")
+		out, refusal := r.serve("/x")
 		require.Equal(t, Truncated, refusal.Reason)
 		require.Equal(t, eventsText(2), string(out.body))
 		total := 0
@@ -318,9 +318,9 @@
 // length all the same.
 //
 // It breaks if the length told is that of the body that came.
-func TestHeadTellsTheDocumentsLength(t *testing.T) {
+func TestHeadAnswerKeepsContentLength(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.Idempotent})
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent})
 	r.server("web", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "4711")
 	})
@@ -338,18 +338,18 @@
 // The server is always free, so it looks best, and would get most requests.
 //
 // It breaks if an error that is passed on counts as a good end of the run.
-func TestServerThatFailsGetsLess(t *testing.T) {
+func TestFailingServerGetsFewerRequests(t *testing.T) {
 	r := newRig(t)
-	r.use(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
+	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
 	failing := r.server("web", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	for range 3 {
-		r.server("web", say("ok"))
+		r.server("web", respond("ok"))
 	}
 	const requests = 200
 	for range requests {
-		_, refusal := r.ask("/x")
+		_, refusal := r.serve("/x")
 		require.Nil(t, refusal)
-		r.skip.Add(int64(20 * time.Millisecond))
+		r.clockOffset.Add(int64(20 * time.Millisecond))
 	}
 	t.Logf("%d of %d requests went to the failing server", failing.count(), requests)
 	require.Less(t, failing.count(), requests/10)
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -16,62 +16,62 @@
 // trust is the part of a shared beginning that the first server in the rendezvous
 // order is taken to cache. Most of them come every few seconds and stay cached for
 // as long; one that does not costs a prefill where the order sent it anyway.
-const trust = 0.8
+const cachedPrefixTrust = 0.8
 
 // loadFactor is how many times the mean a server may be loaded before a request
 // whose shared beginning it caches goes elsewhere. Engines here run one or two
 // requests each, so that a second one is twice the mean already: with a bound near it
 // most requests would go to servers that have to read their prompts again.
-const loadFactor = 5.0
+const maxLoadFactor = 5.0
 
 // askedFor is how long what an owner has told of a server stands against reports of what
 // all entries have running there, which are up to so old when they arrive.
-const askedFor = time.Second
+const ownerReportTTL = time.Second
 
 // firstRate is how many tokens a second a server is taken to read until one has been
 // seen. Engines of today read some ten to a hundred thousand; with too low a figure the
 // requests that share a beginning are kept together on servers that queue.
-const firstRate = 30_000
+const initialPrefillRate = 30_000
 
 // busyCost is the delay of a first token on a server whose slots are all taken but which
 // has nothing to read: requests that are being answered hardly delay it. With a higher
 // cost a request leaves the server that caches its beginning for one that has fewer
 // answers to write, and its prompt is read again.
-const busyCost = 10 * time.Millisecond
+const busyServerDelay = 10 * time.Millisecond
 
 // service is what this entry knows of the servers of one service.
 type service struct {
 	name string
 
-	mu      sync.Mutex
-	router  *route.Router
-	servers map[string]directory.Server
-	seq     map[string]uint64    // of the cache events that this entry makes of its own runs, by server
-	told    uint64               // announcements given to the router
-	running map[string]int       // this entry's requests, by server
-	work    uint64               // prompt tokens sent to be read
-	heard   time.Time            // when others' load was last told
-	asked   map[string]time.Time // when owners last told of servers
-	changed func(serverLoad)     // told of what this entry has running at a server, at each change
+	mu              sync.Mutex
+	router          *route.Router
+	servers         map[string]directory.Server
+	cacheSequence   map[string]uint64    // of the cache events that this entry makes of its own runs, by server
+	announced       uint64               // announcements given to the router
+	running         map[string]int       // this entry's requests, by server
+	prefillTokens   uint64               // prompt tokens sent to be read
+	reportedAt      time.Time            // when others' load was last told
+	ownerReportedAt map[string]time.Time // when owners last told of servers
+	onLoadChange    func(serverLoad)     // told of what this entry has running at a server, at each change
 }
 
-func newService(name string, entries int, changed func(serverLoad)) *service {
+func newService(name string, entries int, onLoadChange func(serverLoad)) *service {
 	cfg := route.DefaultConfig()
 	cfg.Entries = max(entries, 1)
 	cfg.SlowStart = 0 // a new server is not sent more than the others: its book is kept
 	cfg.LearnPrefill = true
-	cfg.PrefillRate = firstRate
-	cfg.Trust = trust
-	cfg.LoadFactor = loadFactor
+	cfg.PrefillRate = initialPrefillRate
+	cfg.Trust = cachedPrefixTrust
+	cfg.LoadFactor = maxLoadFactor
 	cfg.CountSenders = true
-	cfg.BusyCost = busyCost
+	cfg.BusyCost = busyServerDelay
 	router, err := route.New(cfg)
 	if err != nil {
 		panic(err) // the defaults are valid, as a test of package route checks
 	}
 	return &service{
-		name: name, router: router, servers: make(map[string]directory.Server), seq: make(map[string]uint64), running: make(map[string]int),
-		asked: make(map[string]time.Time), changed: changed,
+		name: name, router: router, servers: make(map[string]directory.Server), cacheSequence: make(map[string]uint64), running: make(map[string]int),
+		ownerReportedAt: make(map[string]time.Time), onLoadChange: onLoadChange,
 	}
 }
 
@@ -84,8 +84,8 @@
 	}
 	s.router.Remove(id)
 	delete(s.servers, id)
-	delete(s.seq, id)
-	delete(s.asked, id)
+	delete(s.cacheSequence, id)
+	delete(s.ownerReportedAt, id)
 }
 
 // update takes a server's record. A server that has fallen silent gets no work
@@ -94,22 +94,22 @@
 func (s *service) update(rec directory.Server, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held, known := s.servers[rec.ID]; known && held.Incarnation != rec.Incarnation {
-		s.seq[rec.ID] = 0
+	if old, known := s.servers[rec.ID]; known && old.Incarnation != rec.Incarnation {
+		s.cacheSequence[rec.ID] = 0
 	}
 	switch {
 	case rec.State == instance.StateGone:
 		s.router.Remove(rec.ID)
 		delete(s.servers, rec.ID)
-		delete(s.seq, rec.ID)
-		delete(s.asked, rec.ID)
+		delete(s.cacheSequence, rec.ID)
+		delete(s.ownerReportedAt, rec.ID)
 	case rec.State == instance.StateLeaving:
 		s.servers[rec.ID] = rec
 		s.router.MarkLeaving(rec.ID, rec.Incarnation)
 	case rec.Unreachable:
 		s.servers[rec.ID] = rec
 		s.router.Remove(rec.ID)
-		s.seq[rec.ID] = 0
+		s.cacheSequence[rec.ID] = 0
 	default:
 		s.servers[rec.ID] = rec
 		s.announce(rec, s.running[rec.ID], 0, now)
@@ -120,23 +120,23 @@
 // running there, and what other entries' requests wait for. Records come in the
 // directory's order, so they are numbered here.
 func (s *service) announce(rec directory.Server, running, prefill int, now time.Time) {
-	s.told++
+	s.announced++
 	a := rec.Announcement
-	a.Sequence = s.told
+	a.Sequence = s.announced
 	a.Load.Running, a.Load.Prefill = running, prefill
 	s.router.Announce(&a, now, now)
 }
 
 // choice is a server that was chosen for a run.
 type choice struct {
-	verdict  route.Verdict
-	attempt  route.Attempt
-	prefixes []route.CachedPrefix
-	answered bool // its first byte has come
-	loadAge  time.Duration
-	read     time.Duration // what the server is expected to take for the prompt
-	rank     int           // that the server is told
-	urgency  urgency.Reason
+	verdict     route.Verdict
+	attempt     route.Attempt
+	prefixes    []route.CachedPrefix
+	answered    bool // its first byte has come
+	loadAge     time.Duration
+	prefillTime time.Duration // what the server is expected to take for the prompt
+	rank        int           // that the server is told
+	urgency     urgency.Reason
 }
 
 // choose picks a server and counts the run there until end.
@@ -148,12 +148,12 @@
 		return choice{verdict: v}, false
 	}
 	s.running[v.Server]++
-	s.work += uint64(max(v.UncachedTokens(), 0))
+	s.prefillTokens += uint64(max(v.UncachedTokens(), 0))
 	c := choice{verdict: v, attempt: s.router.Started(&v, now), prefixes: prefixes, loadAge: s.loadAge(v.Server, now)}
-	c.read = time.Duration(float64(v.UncachedTokens()) / s.router.PrefillRate() * float64(time.Second))
+	c.prefillTime = time.Duration(float64(v.UncachedTokens()) / s.router.PrefillRate() * float64(time.Second))
 	own := s.ownLoad(v.Server)
 	s.mu.Unlock()
-	s.changed(own)
+	s.onLoadChange(own)
 	return c, true
 }
 
@@ -181,11 +181,11 @@
 }
 
 // noteAsked takes what others have running at servers now, as was asked for.
-func (s *service) noteAsked(loads []serverLoad, now time.Time) {
+func (s *service) applyOwnerLoads(loads []serverLoad, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range loads {
-		s.asked[l.Server] = now
+		s.ownerReportedAt[l.Server] = now
 		s.router.UpdateLoad(l.Server, l.Running, l.Prefill, now)
 	}
 }
@@ -198,7 +198,7 @@
 }
 
 // rate is how many prompt tokens a server is taken to read in a second.
-func (s *service) rate() float64 {
+func (s *service) prefillRate() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.PrefillRate()
@@ -207,9 +207,9 @@
 // loadAge is how old the word on what others have running at a server is; 0 before the
 // first.
 func (s *service) loadAge(server string, now time.Time) time.Duration {
-	last := s.heard
-	if asked := s.asked[server]; asked.After(last) {
-		last = asked
+	last := s.reportedAt
+	if reportedAt := s.ownerReportedAt[server]; reportedAt.After(last) {
+		last = reportedAt
 	}
 	if last.IsZero() {
 		return 0
@@ -218,7 +218,7 @@
 }
 
 // loads appends what this entry has running at the servers.
-func (s *service) loads(list []api.ServerLoad) []api.ServerLoad {
+func (s *service) appendLoads(list []api.ServerLoad) []api.ServerLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, n := range s.running {
@@ -228,26 +228,26 @@
 }
 
 // suggestRate takes how fast the servers read, as other entries have learnt.
-func (s *service) suggestRate(rate float64) {
+func (s *service) suggestPrefillRate(rate float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.router.SuggestPrefillRate(rate)
 }
 
 // workDone returns what this entry has given the servers to read.
-func (s *service) workDone() api.ServiceWork {
+func (s *service) prefillWork() api.ServiceWork {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return api.ServiceWork{Service: s.name, Tokens: s.work, Rate: s.router.LearnedPrefillRate()}
+	return api.ServiceWork{Service: s.name, Tokens: s.prefillTokens, Rate: s.router.LearnedPrefillRate()}
 }
 
 // noteOthers takes what other entries have running at the servers now.
-func (s *service) noteOthers(others map[string]api.ServerLoad, now time.Time) {
+func (s *service) applyReportedLoads(others map[string]api.ServerLoad, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = now
+	s.reportedAt = now
 	for id, rec := range s.servers {
-		if now.Sub(s.asked[id]) < askedFor {
+		if now.Sub(s.ownerReportedAt[id]) < ownerReportTTL {
 			continue // the report is older
 		}
 		if rec.State == instance.StateServing && !rec.Unreachable {
@@ -258,29 +258,29 @@
 
 // firstByte notes that a server has begun to answer, and that it caches the parts
 // of the prompt from now on.
-func (s *service) firstByte(c *choice, now time.Time) {
+func (s *service) recordFirstByte(c *choice, now time.Time) {
 	if c.answered {
 		return
 	}
 	c.answered = true
 	s.mu.Lock()
 	s.router.FirstToken(&c.attempt, now)
-	s.noteCached(c)
+	s.recordCached(c)
 	own := s.ownLoad(c.verdict.Server)
 	s.mu.Unlock()
-	s.changed(own)
+	s.onLoadChange(own)
 }
 
 // noteCached notes that a server caches what it has read. s.mu is held.
-func (s *service) noteCached(c *choice) {
+func (s *service) recordCached(c *choice) {
 	id := c.verdict.Server
 	if _, known := s.servers[id]; !known {
 		return
 	}
 	for _, p := range c.prefixes {
-		s.seq[id]++
+		s.cacheSequence[id]++
 		s.router.Prefixes().Apply(id, c.verdict.Incarnation,
-			instance.CacheEvent{Sequence: s.seq[id], Prefix: p.Prefix, Stored: true, Tokens: p.Tokens})
+			instance.CacheEvent{Sequence: s.cacheSequence[id], Prefix: p.Prefix, Stored: true, Tokens: p.Tokens})
 	}
 }
 
@@ -288,12 +288,12 @@
 type ending uint8
 
 const (
-	endedWell ending = iota
-	endedBadly
+	endedOK ending = iota
+	endedFailed
 	endedByCaller
 	// endedGone: the server is not there any more. Another process has its address, or
 	// none.
-	endedGone
+	endedServerGone
 )
 
 func (s *service) end(c *choice, how ending, now time.Time) {
@@ -301,8 +301,8 @@
 	s.finish(c, how, now)
 	own := s.ownLoad(c.verdict.Server)
 	s.mu.Unlock()
-	own.Down = how == endedGone
-	s.changed(own)
+	own.Down = how == endedServerGone
+	s.onLoadChange(own)
 }
 
 // finish counts the end of a run. s.mu is held.
@@ -313,9 +313,9 @@
 		delete(s.running, id)
 	}
 	switch how {
-	case endedWell:
+	case endedOK:
 		s.router.Finished(&c.attempt, now)
-	case endedBadly, endedGone:
+	case endedFailed, endedServerGone:
 		s.router.Failed(&c.attempt, now)
 	default:
 		s.router.Cancelled(&c.attempt, now)
@@ -332,12 +332,12 @@
 // beginning is known by all parts up to its end, since a part counts as cached
 // only with all parts before it. The last part is the request's own or its
 // session's.
-func prefixesOf(model string, parts []PromptSegment) []route.CachedPrefix {
-	out := make([]route.CachedPrefix, 0, len(parts))
+func prefixesOf(model string, segments []PromptSegment) []route.CachedPrefix {
+	out := make([]route.CachedPrefix, 0, len(segments))
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model) // a digest never fails
 	tokens := 0
-	for _, p := range parts {
+	for _, p := range segments {
 		_, _ = digest.WriteString("/" + p.ID)
 		tokens += p.Tokens
 		out = append(out, route.CachedPrefix{Prefix: digest.Sum64(), Tokens: tokens})
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -67,9 +67,9 @@
 // rig is a gateway with stand-ins behind it, and no control replicas.
 type rig struct {
 	*Gateway
-	t    *testing.T
-	next uint64
-	skip atomic.Int64 // nanoseconds that the gateway's clock is ahead
+	t           *testing.T
+	serverCount uint64
+	clockOffset atomic.Int64 // nanoseconds that the gateway's clock is ahead
 }
 
 func newRig(t *testing.T) *rig { return newRigWithLog(t, slog.New(slog.DiscardHandler)) }
@@ -77,7 +77,7 @@
 func newRigWithLog(t *testing.T, log *slog.Logger) *rig {
 	r := &rig{t: t}
 	g, err := New(Config{Node: testNode(), ClusterKey: "k"}, Deps{
-		Log: log, Now: func() time.Time { return time.Now().Add(time.Duration(r.skip.Load())) },
+		Log: log, Now: func() time.Time { return time.Now().Add(time.Duration(r.clockOffset.Load())) },
 		Seeds: func() []string { return nil }, Dialect: plainDialect{},
 	})
 	require.NoError(t, err)
@@ -100,10 +100,10 @@
 }
 
 // haveWholeLimits has a control replica say that the gateway is the only entry, for long.
-func (r *rig) haveWholeLimits() {
-	r.skip.Add(int64(time.Minute))
-	r.shares.take("c1", limit.ShareVote{Entries: 1, Allowed: true}, 1, r.now())
-	r.Gateway.limits.takePart()
+func (r *rig) grantWholeLimits() {
+	r.clockOffset.Add(int64(time.Minute))
+	r.shares.recordVote("c1", limit.ShareVote{Entries: 1, Allowed: true}, 1, r.now())
+	r.Gateway.limits.updateShare()
 }
 
 // server adds a stand-in to a service.
@@ -118,9 +118,9 @@
 		handle(w, req)
 	}))
 	r.t.Cleanup(s.CloseClientConnections)
-	r.next++
+	r.serverCount++
 	r.directory.Announce(instance.Announcement{
-		ID: fmt.Sprintf("s%d", r.next), Incarnation: 1, Sequence: 1, State: instance.StateServing,
+		ID: fmt.Sprintf("s%d", r.serverCount), Incarnation: 1, Sequence: 1, State: instance.StateServing,
 		Address: s.Listener.Addr().String(), Zone: "z", Slots: 8, Services: []string{service},
 	}, time.Now())
 	r.applyDirectory()
@@ -128,7 +128,7 @@
 }
 
 // use puts routes in force.
-func (r *rig) use(list ...routes.Route) {
+func (r *rig) setRoutes(list ...routes.Route) {
 	c := &routes.Catalogue{Revision: 1, Routes: list, Services: []routes.Service{{Name: "web"}}}
 	for i := range c.Routes {
 		x := &c.Routes[i]
@@ -161,11 +161,11 @@
 
 func (r *recorder) Flush() error { return nil }
 
-func (r *rig) ask(path string) (*recorder, *Refusal) {
-	return r.askCtx(r.t.Context(), path)
+func (r *rig) serve(path string) (*recorder, *Refusal) {
+	return r.serveContext(r.t.Context(), path)
 }
 
-func (r *rig) askCtx(ctx context.Context, path string) (*recorder, *Refusal) {
+func (r *rig) serveContext(ctx context.Context, path string) (*recorder, *Refusal) {
 	out := &recorder{}
 	refusal := r.Serve(ctx, &Request{
 		ID: fmt.Sprint(time.Now().UnixNano()), Method: "POST", Target: path, Path: path, Host: "a.example", Header: http.Header{},
@@ -179,6 +179,6 @@
 // fillBudgetFor lets it fill for so many repeats, at the site's ratio of a fifth.
 func (r *rig) fillBudgetFor(repeats int) {
 	for range repeats * 15 / 2 {
-		r.noteFirst(retry.Call{Service: "web", Class: contract.ClassInteractive, Idempotent: true})
+		r.recordFirstAttempt(retry.Call{Service: "web", Class: contract.ClassInteractive, Idempotent: true})
 	}
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -13,13 +13,13 @@
 )
 
 // events cuts a stream of server-sent events into whole events.
-type events struct {
-	rest []byte // of an event that has not ended
-	tail []byte // the newest bytes of a stream that is passed on uncut
+type eventSplitter struct {
+	partial []byte // of an event that has not ended
+	tail    []byte // the newest bytes of a stream that is passed on uncut
 }
 
 // pass notes bytes that are passed on uncut.
-func (e *events) pass(p []byte) {
+func (e *eventSplitter) observe(p []byte) {
 	e.tail = append(e.tail, p...)
 	if extra := len(e.tail) - len(eventEnd); extra > 0 {
 		e.tail = append(e.tail[:0], e.tail[extra:]...)
@@ -28,8 +28,8 @@
 
 // ended reports whether the stream stands between two events. One that ends with
 // its connection and without a length looks whole wherever it is cut off.
-func (e *events) ended() bool {
-	return len(e.rest) == 0 && (len(e.tail) == 0 || bytes.Equal(e.tail, eventEnd))
+func (e *eventSplitter) atBoundary() bool {
+	return len(e.partial) == 0 && (len(e.tail) == 0 || bytes.Equal(e.tail, eventEnd))
 }
 
 // eventEnd ends an event: an empty line.
@@ -37,15 +37,15 @@
 
 // take adds bytes of the stream and returns those that make up whole events, with
 // the id of the last one that has an id.
-func (e *events) take(p []byte) (whole []byte, lastID string) {
-	e.rest = append(e.rest, p...)
-	end := bytes.LastIndex(e.rest, eventEnd)
+func (e *eventSplitter) add(p []byte) (whole []byte, lastID string) {
+	e.partial = append(e.partial, p...)
+	end := bytes.LastIndex(e.partial, eventEnd)
 	if end < 0 {
 		return nil, ""
 	}
 	end += len(eventEnd)
-	whole = e.rest[:end:end]
-	e.rest = append([]byte(nil), e.rest[end:]...)
+	whole = e.partial[:end:end]
+	e.partial = append([]byte(nil), e.partial[end:]...)
 	return whole, lastEventID(whole)
 }
 
@@ -69,7 +69,7 @@
 // withoutSeen drops the events up to the one with id seen, where ids are numbers.
 // A server that goes on with a stream may begin too early, and a caller that gets
 // an event twice takes it for a new one.
-func withoutSeen(whole []byte, seen string) []byte {
+func dropSeen(whole []byte, seen string) []byte {
 	last, err := strconv.ParseUint(seen, 10, 64)
 	if err != nil {
 		return whole
@@ -89,7 +89,7 @@
 const unknownLength = -1
 
 // streamBuffer is how much of a stream is read at a time: several events.
-const streamBuffer = 4 << 10
+const streamBufferBytes = 4 << 10
 
 // relayStream hands a stream's events on as they come. The answer's head goes to
 // the caller with the first event: until then another server can still take
@@ -100,50 +100,50 @@
 // one: without the cut the caller would read half an event and another one joined
 // to it.
 func (j *job) relayStream(ctx context.Context, c *choice, answer *backend.Answer) result {
-	var cut events
-	buf := make([]byte, streamBuffer)
-	resumed := j.begun
+	var splitter eventSplitter
+	buf := make([]byte, streamBufferBytes)
+	resumed := j.answerStarted
 	for {
 		n, err := answer.Read(buf)
 		if n > 0 {
-			if werr := j.passOn(c, answer, &cut, buf[:n], resumed); werr != nil {
+			if werr := j.relayChunk(c, answer, &splitter, buf[:n], resumed); werr != nil {
 				j.service.end(c, endedByCaller, j.gateway.now())
 				return result{refusal: &Refusal{Reason: CallerGone, Detail: werr.Error()}}
 			}
 		}
 		switch {
-		case errors.Is(err, io.EOF) && cut.ended():
+		case errors.Is(err, io.EOF) && splitter.atBoundary():
 			return j.streamEnded(c, answer)
 		case errors.Is(err, io.EOF):
-			return j.streamBroke(ctx, c, errors.New("ended in the middle of an event"))
+			return j.streamFailed(ctx, c, errors.New("ended in the middle of an event"))
 		case err != nil:
-			return j.streamBroke(ctx, c, err)
+			return j.streamFailed(ctx, c, err)
 		}
 	}
 }
 
 // passOn writes what has come of a stream.
-func (j *job) passOn(c *choice, answer *backend.Answer, cut *events, p []byte, resumed bool) error {
+func (j *job) relayChunk(c *choice, answer *backend.Answer, splitter *eventSplitter, p []byte, resumed bool) error {
 	if j.route.Resumable {
-		whole, lastID := cut.take(p)
+		whole, lastID := splitter.add(p)
 		if resumed {
-			whole = withoutSeen(whole, j.lastID)
+			whole = dropSeen(whole, j.lastEventID)
 		}
 		if len(whole) == 0 {
 			return nil
 		}
 		if lastID != "" {
-			j.lastID = lastID
+			j.lastEventID = lastID
 		}
 		p = whole
 	} else {
-		cut.pass(p)
+		splitter.observe(p)
 	}
-	if !j.begun {
-		j.begin(answer.Status, j.gateway.deps.Dialect.AnswerHeader(answer.Header), unknownLength)
+	if !j.answerStarted {
+		j.beginAnswer(answer.Status, j.gateway.deps.Dialect.AnswerHeader(answer.Header), unknownLength)
 	}
-	j.service.firstByte(c, j.gateway.now())
-	j.countBegun()
+	j.service.recordFirstByte(c, j.gateway.now())
+	j.countUsage()
 	if _, err := j.out.Write(p); err != nil {
 		return err
 	}
@@ -152,23 +152,23 @@
 
 // streamEnded ends a stream that came whole, also one without an event.
 func (j *job) streamEnded(c *choice, answer *backend.Answer) result {
-	if !j.begun {
-		j.begin(answer.Status, j.gateway.deps.Dialect.AnswerHeader(answer.Header), 0)
+	if !j.answerStarted {
+		j.beginAnswer(answer.Status, j.gateway.deps.Dialect.AnswerHeader(answer.Header), 0)
 	}
-	return j.finished(c, endedWell, nil)
+	return j.finished(c, endedOK, nil)
 }
 
 // streamBroke decides what becomes of a stream that broke off.
-func (j *job) streamBroke(ctx context.Context, c *choice, err error) result {
+func (j *job) streamFailed(ctx context.Context, c *choice, err error) result {
 	if ctx.Err() != nil {
 		j.service.end(c, endedByCaller, j.gateway.now())
-		return result{refusal: j.outOfTime(ctx)}
+		return result{refusal: j.contextRefusal(ctx)}
 	}
-	j.service.end(c, endedBadly, j.gateway.now())
-	again := j.route.Resumable && (!j.begun || j.lastID != "")
-	if again && j.begun {
+	j.service.end(c, endedFailed, j.gateway.now())
+	retryable := j.route.Resumable && (!j.answerStarted || j.lastEventID != "")
+	if retryable && j.answerStarted {
 		event.Log(ctx, j.gateway.log, slog.LevelInfo, event.StreamResumed, slog.String("request", j.ID),
-			slog.String("server", c.verdict.Server), slog.String("after", j.lastID), slog.String("error", err.Error()))
+			slog.String("server", c.verdict.Server), slog.String("after", j.lastEventID), slog.String("error", err.Error()))
 	}
-	return result{again: again, arrived: true, after: c.verdict.Server, refusal: j.failure(err.Error())}
+	return result{retryable: retryable, reachedServer: true, server: c.verdict.Server, refusal: j.failureRefusal(err.Error())}
 }
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -13,20 +13,20 @@
 // usage counts what began to run here, by window of the time of day and by
 // workspace.
 type usage struct {
-	clock  *wallclock.Clock
-	window time.Duration
-	kept   int64 // windows that this entry goes on telling: as long as a leader may decide one
+	clock           *wallclock.Clock
+	window          time.Duration
+	retainedWindows int64 // windows that this entry goes on telling: as long as a leader may decide one
 
 	mu     sync.Mutex
 	counts map[int64]map[string]int64
 }
 
-func newUsage(clock *wallclock.Clock, window time.Duration, kept int64) *usage {
-	return &usage{clock: clock, window: window, kept: kept, counts: make(map[int64]map[string]int64)}
+func newUsage(clock *wallclock.Clock, window time.Duration, retainedWindows int64) *usage {
+	return &usage{clock: clock, window: window, retainedWindows: retainedWindows, counts: make(map[int64]map[string]int64)}
 }
 
 // began counts a request of a workspace that a server has begun just now.
-func (u *usage) began(workspace string) {
+func (u *usage) recordStart(workspace string) {
 	if workspace == "" {
 		return
 	}
@@ -35,7 +35,7 @@
 	w := u.openWindow()
 	if u.counts[w] == nil {
 		u.counts[w] = make(map[string]int64)
-		u.forget(w)
+		u.expire(w)
 	}
 	u.counts[w][workspace]++
 }
@@ -44,9 +44,9 @@
 // gets no more counts.
 func (u *usage) openWindow() int64 { return u.clock.Now().UnixNano() / int64(u.window) }
 
-func (u *usage) forget(newest int64) {
+func (u *usage) expire(newest int64) {
 	for w := range u.counts {
-		if w <= newest-u.kept {
+		if w <= newest-u.retainedWindows {
 			delete(u.counts, w)
 		}
 	}
