--- a/gateway/bookkeeper.go
+++ b/gateway/bookkeeper.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// askWait is how long a choice waits for what the owners of the candidates say: some
-	// three round trips between zones with a busy processor on both ends.
+	// responseTimeout is how long a choice of a server waits for the load from the
+	// candidates' owners: about three round trips between zones while both ends are busy.
 	responseTimeout = 12 * time.Millisecond
-	// ownersFor is how long a list of the entries is used. Two entries that count other
-	// entries among the owners each keep a part of some books meanwhile.
+	// ownersTTL is how long a list of entries is used. Entries with different lists choose
+	// different owners meanwhile, each with a fraction of the reports.
 	ownersTTL = 500 * time.Millisecond
-	// loadsInMessage is how many servers' loads fit a datagram.
+	// maxLoadsPerMessage keeps a message within a datagram.
 	maxLoadsPerMessage = 20
-	// renewEvery is how often an entry tells the owners again what it has running.
+	// reportInterval is how often an entry repeats its reports to the owners.
 	reportInterval = time.Second
 )
 
-// bookkeeper keeps the books of the servers that this entry owns, and asks the owners
-// of others. See package booking.
+// peerExchange exchanges messages with other entries. It holds the load table of the servers
+// that this entry owns and queries the owners of other servers (see package booking), and
+// carries the messages about limits. Its methods are safe for concurrent use.
 type peerExchange struct {
 	self            booking.Reporter
 	now             func() time.Time
-	liveEntries     func() []directory.Entry    // that are up
-	knownEntries    func() []directory.Entry    // also those that may be gone
-	datagramAddress func(host string) string    // address of an entry's datagrams
-	prefillRate     func(server string) float64 // prompt tokens that a server reads in a second
+	liveEntries     func() []directory.Entry
+	knownEntries    func() []directory.Entry    // also those that may have left
+	datagramAddress func(host string) string    // of the entry on a host
+	prefillRate     func(server string) float64 // prompt tokens per second of a server
 	transport       transport
 	limits          *limits
 
@@ -43,25 +44,25 @@
 	loads     *booking.LoadTable
 	owners    *booking.Owners
 	addresses map[string]netip.AddrPort // by entry
-	listedAt  time.Time                 // when owners was made
+	listedAt  time.Time                 // when owners and addresses were computed
 	pending   map[uint64]*pendingCall   // by sequence
 }
 
-// wire carries messages to other entries.
+// transport sends messages to other entries without waiting for their receipt.
 type transport interface {
 	send(to netip.AddrPort, m *message)
 }
 
-// question is one that waits for answers.
+// pendingCall collects the responses to a request.
 type pendingCall struct {
-	outstanding int // owners that have not answered
+	outstanding int // owners that have not responded
 	loads       []serverLoad
 	limit       *limitResponse
-	done        chan struct{} // closed when all have
+	done        chan struct{} // closed once all have responded
 }
 
-// wait returns once all have answered, or it would take too long. It reports whether all
-// have.
+// wait blocks until all owners have responded, responseTimeout has passed or ctx ends, and
+// reports whether all have.
 func (c *pendingCall) wait(ctx context.Context) bool {
 	timeout := time.NewTimer(responseTimeout)
 	defer timeout.Stop()
@@ -78,8 +79,8 @@
 	return &peerExchange{self: self, now: now, loads: booking.NewLoadTable(), owners: booking.NewOwners(nil), pending: make(map[uint64]*pendingCall)}
 }
 
-// ask returns what others have running at the servers now, as far as their owners
-// answer in time. own says how much of it is this entry's.
+// queryLoads returns the load that other entries have placed on the servers, as far as the
+// servers' owners respond within responseTimeout.
 func (x *peerExchange) queryLoads(ctx context.Context, servers []string) []serverLoad {
 	local, remote := x.splitByOwner(servers)
 	if len(remote) == 0 {
@@ -93,7 +94,8 @@
 	return append(local, x.endCall(sequence).loads...)
 }
 
-// split answers for the servers that this entry owns, and sorts the others by owner.
+// splitByOwner returns the load of the servers that this entry owns, and groups the others
+// by the address of their owner.
 func (x *peerExchange) splitByOwner(servers []string) (local []serverLoad, remote map[netip.AddrPort][]serverLoad) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -118,7 +120,7 @@
 	return serverLoad{Server: server, Running: l.Running, Prefill: l.Prefill, Down: l.Down}
 }
 
-// list brings the owners up to date. k.mu is held.
+// refreshOwners recomputes the owners and addresses every ownersTTL. x.mu is held.
 func (x *peerExchange) refreshOwners(now time.Time) {
 	if now.Sub(x.listedAt) < ownersTTL {
 		return
@@ -139,7 +141,8 @@
 	x.owners = booking.NewOwners(names)
 }
 
-// datagramsOf returns where an entry takes datagrams. ok is false if it can't be asked.
+// entryAddress returns an entry's address for datagrams; ok is false if its record has no
+// valid one.
 func (x *peerExchange) entryAddress(e *directory.Entry) (addr netip.AddrPort, ok bool) {
 	host, _, err := net.SplitHostPort(e.Address)
 	if err != nil {
@@ -158,7 +161,7 @@
 	return call, x.sequence
 }
 
-// close ends a question and returns what was answered.
+// endCall ends a call and returns the responses received so far.
 func (x *peerExchange) endCall(sequence uint64) *pendingCall {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -167,7 +170,7 @@
 	return call
 }
 
-// take handles another entry's message.
+// handle processes a message from another entry.
 func (x *peerExchange) handle(m message) {
 	switch m.Kind {
 	case kindLoadsRequest:
@@ -199,7 +202,8 @@
 	x.loads.Record(from, sequence, l.Server, booking.Load{Running: l.Running, Prefill: l.Prefill, Down: l.Down}, x.now())
 }
 
-// answer tells an entry what others have running at the servers that it asks of.
+// handleLoadsRequest responds with the load that other entries than the requester have
+// placed on its servers.
 func (x *peerExchange) handleLoadsRequest(m *message) {
 	x.mu.Lock()
 	now := x.now()
@@ -220,7 +224,7 @@
 	defer x.mu.Unlock()
 	call := x.pending[m.Sequence]
 	if call == nil || call.outstanding == 0 {
-		return // it came too late
+		return // the call has ended
 	}
 	call.loads = append(call.loads, m.Loads...)
 	if m.Answer != nil {
@@ -231,7 +235,7 @@
 	}
 }
 
-// tell tells the owners what this entry has running at servers.
+// reportLoads reports this entry's load on servers to their owners.
 func (x *peerExchange) reportLoads(loads ...serverLoad) {
 	x.mu.Lock()
 	now := x.now()
@@ -253,14 +257,14 @@
 	}
 }
 
-// sweep drops what is no longer told.
+// sweep removes expired reports.
 func (x *peerExchange) sweep() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.loads.Sweep(x.now())
 }
 
-// newBooks sets up the books of this entry.
+// newExchange returns this entry's exchange and sets up its datagrams.
 func (g *Gateway) newExchange() *peerExchange {
 	x := newPeerExchange(booking.Reporter{Name: g.cfg.Node.Name, Incarnation: g.incarnation}, g.now)
 	x.liveEntries = func() []directory.Entry { return g.peers.entries(g.now()) }
@@ -272,7 +276,7 @@
 	return x
 }
 
-// serverRate is how many prompt tokens a server reads in a second.
+// prefillRateOf returns the prompt tokens per second that a server is assumed to process.
 func (g *Gateway) prefillRateOf(server string) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -284,7 +288,7 @@
 	return initialPrefillRate
 }
 
-// renewBooks tells the owners again what this entry has running.
+// reportAllLoads reports this entry's whole load to the owners and removes expired reports.
 func (g *Gateway) reportAllLoads() {
 	g.mu.Lock()
 	services := slices.Collect(maps.Values(g.services))
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,12 +1,12 @@
-// Package gateway is an entry for requests that are passed on as they are: it
-// finds the route and the workspace of a request, chooses a backend server, runs
-// the request there and hands the answer to the caller as it comes.
+// Package gateway routes callers' requests to backend servers. It finds the route and the
+// workspace of a request, holds it to the workspace's limit, chooses a server, sends the
+// request there and relays the answer to the caller.
 //
-// It knows nothing of how callers and servers speak: an HTTP handler reads callers'
-// requests and writes answers, a Dialect puts requests to servers and judges what
-// their answers prove.
+// It is independent of the callers' and servers' protocols: an HTTP handler reads callers'
+// requests and writes answers; a Dialect builds the requests to servers and classifies their
+// answers.
 //
-// Each request ends in one of three ways: with a server's answer, refused as not
-// run, or with an error that leaves open whether it ran. It is called not run only
-// where no byte of it was sent to a server, or where the server itself says so.
+// Each request ends with a server's answer, with a refusal that says that it has not run, or
+// with an error that leaves open whether it ran. It is reported as not run only if no byte
+// of it was sent to a server, or if the server itself reports so.
 package gateway
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -26,18 +26,17 @@
 	"savoryreel.example/savoryreel/wallclock"
 )
 
-// Config is the settings of a Gateway.
+// Config holds the settings of a Gateway.
 type Config struct {
 	Node       site.Node
 	ClusterKey string
 }
 
-// Deps is what a Gateway works with.
+// Deps holds the dependencies of a Gateway.
 type Deps struct {
 	Log *slog.Logger
 	Now func() time.Time // must carry a monotonic reading
-	// Seeds returns the link addresses of the control replicas that the settings
-	// name now.
+	// Seeds returns the link addresses of the control replicas in the current settings.
 	Seeds   func() []string
 	Decode  func(document []byte) (*routes.Catalogue, error)
 	Dialect Dialect
@@ -52,7 +51,7 @@
 	now         func() time.Time
 	metrics     *metrics.Set
 
-	adoptMu    sync.Mutex // held while a catalogue is put in force
+	adoptMu    sync.Mutex // serializes adopt
 	table      atomic.Pointer[routes.Table]
 	directory  *directory.Store
 	clock      *wallclock.Clock
@@ -72,13 +71,13 @@
 
 	inFlight       atomic.Int64
 	leaving        atomic.Bool
-	recordSequence atomic.Uint64 // of this entry's record
+	recordSequence atomic.Uint64 // sequence number of this entry's directory record
 
 	mu            sync.Mutex
 	services      map[string]*service
-	appliedChange uint64 // change of the directory up to which services know it
-	entryCount    int
-	liveCounts    map[string]liveCount // entries as each replica counted them last
+	appliedChange uint64               // last change of the directory that was applied to services
+	entryCount    int                  // live entries, 1 until a replica has reported
+	liveCounts    map[string]liveCount // by control replica
 
 	retryMu sync.Mutex
 	retries *retry.Policy
@@ -87,11 +86,11 @@
 	callerWaits   *patience.Estimator
 }
 
-// retryPart is the part of the site's retry budget that the entries spend. What
-// is left covers requests that several entries count in different windows.
+// retryBudgetFraction is the fraction of the site's retry budget that entries spend. The
+// rest covers differences between the windows in which entries count.
 const retryBudgetFraction = 0.7
 
-// New builds an entry.
+// New returns an entry that is not running yet.
 func New(cfg Config, deps Deps) (*Gateway, error) {
 	if err := cfg.Node.Validate(); err != nil {
 		return nil, trace.Wrap(err, "step=check settings")
@@ -124,46 +123,45 @@
 }
 
 const (
-	// assumedEntries is how many entries share what may be repeated besides the ratio
-	// until their number is known.
+	// assumedEntries is how many entries share the site's retry slack until their number is
+	// known.
 	assumedEntries = 8
-	// leastRetryRatio and leastRetryBudget keep the policy's settings valid where a
-	// site allows no repeats to speak of.
+	// minRetryRatio and minRetryBudget keep the retry policy's settings valid on a site that
+	// allows next to no retries.
 	minRetryRatio  = 0.01
 	minRetryBudget = 0.5
-	// firstRepeat is what each entry may repeat of a workspace's or a service's requests
-	// before it has seen many of them.
+	// initialRetries is the retry budget of a workspace or a service before its requests
+	// have added to it.
 	initialRetries = 1
-	// retryBackoff is the longest wait before a repeat: callers' objectives are a
-	// few hundred milliseconds.
+	// maxRetryBackoff is short because callers' objectives are a few hundred milliseconds.
 	maxRetryBackoff = 50 * time.Millisecond
-	// watchMin and watchMax bound how often an entry tells what it has running, and
-	// learns what others have; watchEach is added for each entry, so that a replica
-	// is called some fifty times a second at most while the bound allows.
+	// minWatchWait and maxWatchWait bound the time between two calls to a control replica,
+	// which exchange what entries have running. watchWaitPerEntry limits a replica to about
+	// fifty calls a second until maxWatchWait is reached.
 	minWatchWait      = 400 * time.Millisecond
 	maxWatchWait      = time.Second
 	watchWaitPerEntry = 20 * time.Millisecond
-	// startWatchMin and startWatchEach are the same for an entry that has just started and
-	// waits to hear of the others before it may use its share of the limits.
+	// minStartWatchWait and startWatchWaitPerEntry apply to an entry that has just started
+	// and has no usable share of the limits yet.
 	minStartWatchWait      = 30 * time.Millisecond
 	startWatchWaitPerEntry = time.Millisecond
 )
 
-// retryConfig returns the retry policy for a site's budget. Callers' objectives are
-// too short for the usual waits.
+// retryConfig returns the retry policy for a site's budget. Its backoff is shorter than the
+// default because callers' objectives are short.
 func retryConfig(b site.Bounds) retry.Config {
 	cfg := retry.DefaultConfig()
 	cfg.Ratio = max(b.RetryRatio*retryBudgetFraction, minRetryRatio)
 	cfg.Window = b.RetryWindow
-	cfg.MinBudget = max(retryBudget(b, assumedEntries), initialRetries) // a site may allow nothing besides the ratio
+	cfg.MinBudget = max(retryBudget(b, assumedEntries), initialRetries) // the site may allow no slack
 	cfg.Start = initialRetries
 	cfg.Backoff = maxRetryBackoff
 	cfg.WaveSpread = maxRetryBackoff
 	return cfg
 }
 
-// retryBudget is what one of so many entries may save up in repeats. All of them
-// together may spend it in the same seconds, when servers are lost.
+// retryBudget returns the retries that one of the given number of entries may accumulate.
+// All entries may spend theirs at once when servers are lost.
 func retryBudget(b site.Bounds, entries int) float64 {
 	return max(b.RetrySlack*retryBudgetFraction/float64(max(entries, 1)), minRetryBudget)
 }
@@ -172,7 +170,8 @@
 	return link.PeerInfo{ID: g.cfg.Node.Name, Incarnation: g.incarnation, Role: api.RoleEntry}
 }
 
-// service returns the service of a name, also one of which no server is known.
+// service returns the named service and creates it if needed, also if no server of it is
+// known.
 func (g *Gateway) service(name string) *service {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -200,18 +199,19 @@
 	return g.retries.Failed(g.now(), f, rand.Float64())
 }
 
-// late reports whether a request's objective has passed since its caller first tried.
+// objectivePassed reports whether the request's objective has passed since its caller's
+// first attempt. remaining is the time that the caller waits.
 func (g *Gateway) objectivePassed(r *routes.Route, remaining time.Duration) bool {
 	g.callerWaitsMu.Lock()
 	defer g.callerWaitsMu.Unlock()
 	return g.callerWaits.ObjectivePassed(r.Name, remaining, r.Objective)
 }
 
-// sweepEvery is how often idle connections and old records are looked through.
+// sweepInterval is how often idle connections and expired records are removed.
 const sweepInterval = time.Second
 
-// Run serves until ctx ends, a signal comes or a component fails. public adds the
-// actors that serve the outside, and returns how they stop taking connections.
+// Run serves until ctx ends, a signal arrives or a component fails. public adds the actors
+// that serve callers and returns a function that stops accepting connections.
 func (g *Gateway) Run(ctx context.Context, public func(g *run.Group) (stopAccepting func(), err error)) error {
 	defer g.links.Close()
 	defer g.pool.Close()
--- a/gateway/limitquestions.go
+++ b/gateway/limitquestions.go
@@ -14,22 +14,23 @@
 	"savoryreel.example/savoryreel/policy/limit"
 )
 
-// limitTries is how often the keeper of a pool is asked before it counts as silent. A
-// datagram may be lost, or its reader be busy for a moment.
+// maxLimitAttempts is how often a request is sent to the owner of a pool before the owner
+// counts as unreachable: a datagram may be lost or the owner busy.
 const maxLimitAttempts = 3
 
-// limitGroups is in how many groups the workspaces' limits are kept together. With one keeper
-// for each pool, entries would be asked for their shares by ever more keepers.
+// limitGroups is the number of groups of workspaces whose pools have the same owners. With
+// an owner for each pool, the lease requests to each entry would grow with the workspaces.
 const limitGroups = 16
 
-// limitKey names the group of a workspace's limit, apart from any server. The pools of a group
-// go to the entries that come first, one each, so that the loss of one leaves the others.
+// limitGroupName returns the name by which the owners of a workspace's pools are chosen. Its
+// prefix keeps it apart from servers' names. Pool n goes to the n-th entry in the order of
+// that name, so that the pools of a limit have distinct owners.
 func limitGroupName(key limit.Key) string {
 	return "limits/" + strconv.FormatUint(xxhash.Sum64String(key.Workspace)%limitGroups, 10)
 }
 
-// ownerOf returns the entry that should keep a pool, by the list that is held here; empty
-// where there is none.
+// poolOwner returns the entry that should own a pool, by the current list of entries; empty
+// if the list has none.
 func (x *peerExchange) poolOwner(key limit.Key) string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -37,7 +38,7 @@
 	return x.owners.OwnerAt(limitGroupName(key), key.Number)
 }
 
-// peers returns the names of the other entries that can be reached, in order.
+// peerNames returns the names of the other live entries, sorted.
 func (x *peerExchange) peerNames() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -45,14 +46,14 @@
 	return slices.Sorted(maps.Keys(x.addresses))
 }
 
-// relist has the list of the entries taken anew when it is used next: it has changed.
+// invalidateOwners makes the next use reload the list of entries.
 func (x *peerExchange) invalidateOwners() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.listedAt = time.Time{}
 }
 
-// listedAt returns when the list of the entries was taken.
+// ownersListedAt returns when the list of entries was loaded.
 func (x *peerExchange) ownersListedAt() time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -60,7 +61,8 @@
 	return x.listedAt
 }
 
-// addressOf returns where an entry takes datagrams, if it is known to be up.
+// peerAddress returns the address for datagrams to an entry; the second result is false if
+// the entry is not live.
 func (x *peerExchange) peerAddress(entry string) (netip.AddrPort, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -69,7 +71,7 @@
 	return addr, known
 }
 
-// sendKnown sends a message to an entry that is known, whether or not it is up.
+// sendToKnown sends a message to an entry by its record, whether or not it is live.
 func (x *peerExchange) sendToKnown(e *directory.Entry, m *message) {
 	if addr, ok := x.entryAddress(e); ok {
 		m.From, m.Life = x.self.Name, x.self.Incarnation
@@ -84,7 +86,7 @@
 	return x.sequence
 }
 
-// sendTo sends a message to an entry, if it is known.
+// sendTo sends a message to a live entry and does nothing if the entry is not live.
 func (x *peerExchange) sendTo(entry string, m *message) {
 	if addr, known := x.peerAddress(entry); known {
 		m.From, m.Life = x.self.Name, x.self.Incarnation
@@ -92,8 +94,8 @@
 	}
 }
 
-// askLimit asks the keeper of a pool to let a request in. asked is false where it has not
-// answered in time, or is not known.
+// requestAdmission asks the owner of a pool to admit a request. answered is false if the
+// owner is not live or did not respond within maxLimitAttempts.
 func (x *peerExchange) requestAdmission(ctx context.Context, owner string, request limitRequest) (response limitResponse, answered bool) {
 	if _, known := x.peerAddress(owner); !known {
 		return limitResponse{}, false
@@ -111,14 +113,14 @@
 	return limitResponse{}, false
 }
 
-// answerLimit decides for another entry.
+// handleLimitRequest responds to another entry's limitRequest.
 func (x *peerExchange) handleLimitRequest(m *message) {
 	if response, known := x.limits.decide(m.Limit); known {
 		x.sendTo(m.From, &message{Sequence: m.Sequence, Kind: kindLimitResponse, Answer: &response})
 	}
 }
 
-// tellRefund gives a pool's keeper back what a request that did not run had taken.
+// sendRefund sends the cost of a request that did not run back to its pool's owner.
 func (x *peerExchange) sendRefund(owner string, r limitRequest) {
 	x.sendTo(owner, &message{Kind: kindRefund, Limit: &r})
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -13,8 +13,8 @@
 	"savoryreel.example/savoryreel/site"
 )
 
-// limitQuestion asks the entry that keeps a pool of a workspace's limit to let a request
-// in, or gives back what one that did not run had taken.
+// limitRequest asks the owner of a pool to admit a request within a workspace's limit, or to
+// refund the cost of a request that did not run. It is encoded by its field names.
 type limitRequest struct {
 	Workspace string
 	Pool      int
@@ -24,45 +24,44 @@
 
 func (r *limitRequest) key() limit.Key { return limit.Key{Workspace: r.Workspace, Number: r.Pool} }
 
-// limitAnswer is the keeper's word.
+// limitResponse is the owner's decision.
 type limitResponse struct {
 	OK   bool
-	Wait time.Duration // until there will be enough
+	Wait time.Duration // until the pool will have enough tokens
 }
 
 const (
-	// limitPools is how many pools a limit is divided into, each kept by another entry.
-	// While one of these is lost, the rest of the limit is served.
+	// limitPools is the number of pools of a limit, each owned by another entry. If an owner
+	// is lost, the other pools still admit requests.
 	limitPools = 2
-	// slackPart is the part of what the site's users allow beyond a limit and its burst
-	// that may be used at once besides. The rest covers requests that are larger than a
-	// pool, and what is sent a moment after it was let in.
+	// toleranceFraction is the fraction of the site's tolerance, that is, of what it allows
+	// beyond a limit and its burst, that is added to the burst. The rest covers requests
+	// larger than a pool and requests that are sent some time after they were admitted.
 	toleranceFraction = 0.6
-	// lateLeaves is the part of a pool that requests whose objective has passed leave to
-	// those that can still be in time. They are let in once the workspace sends less than
-	// its limit, which fills the pool within seconds.
+	// lateReserveFraction is the fraction of a pool that requests whose objective has passed
+	// leave for those that can still meet theirs.
 	lateReserveFraction = 0.25
-	// silentFor is for how long an entry that did not answer is not asked again.
+	// unreachableRetryDelay is how long no requests go to an owner that did not respond.
 	unreachableRetryDelay = 300 * time.Millisecond
-	// noAnswerRetry is what callers are told while no keeper answers: another entry takes
-	// the pool over, or the lease runs out, in about that time.
+	// noOwnerRetryAfter is returned to callers while no owner responds. It is about the time
+	// until another entry takes the pool over or the lease expires.
 	noOwnerRetryAfter = 500 * time.Millisecond
-	// firstPartWait is how long after its start an entry holds requests back until it has a
-	// share of the limits, and firstPartHold for how long at most.
+	// startupWindow is how long after its start an entry holds requests until it has a share
+	// of the limits. maxStartupWait bounds the wait of one request.
 	startupWindow  = 1500 * time.Millisecond
 	maxStartupWait = 500 * time.Millisecond
-	// firstLending is how long the first shares take to reach the keepers of the pools. One
+	// firstLeaseDelay is how long the first shares take to reach the pools' owners. One
 	// entry's share alone is too small for many requests.
 	firstLeaseDelay = 100 * time.Millisecond
-	// closedPart is the part of the wait that a keeper has told for which a refusal is
-	// repeated here: a workspace at many times its limit would have its keepers asked for
-	// each of its requests.
+	// backoffFraction is the fraction of the wait in an owner's refusal during which this
+	// entry repeats the refusal without asking, at most maxBackoff. It limits the messages
+	// to owners from a workspace that sends many times its limit.
 	backoffFraction = 0.25
 	maxBackoff      = 100 * time.Millisecond
 )
 
-// limits holds each workspace to its limit, which is over all entries together. See
-// package limit.
+// limits enforces the workspaces' limits, which apply to all entries together. See package
+// limit.
 type limits struct {
 	exchange *peerExchange
 	bounds   site.Bounds
@@ -70,22 +69,22 @@
 	now      func() time.Time
 
 	mu               sync.Mutex
-	workspaces       map[string]routes.Workspace // those with a limit
+	workspaces       map[string]routes.Workspace // by name, only those with a limit
 	pools            *limit.PoolSet
 	backoffs         map[limit.Key]backoff
-	unreachableUntil map[string]time.Time // entries that did not answer, until when they aren't asked
+	unreachableUntil map[string]time.Time // by entry; no requests go to it until then
 	shares           *shares
 	start            time.Time
-	hadShare         bool                         // a share, since the start
-	shareReady       chan struct{}                // closed then
-	lenders          map[string]lenderIncarnation // of the entries that have asked for their shares back
+	hadShare         bool                         // this entry has had a share since its start
+	shareReady       chan struct{}                // closed firstLeaseDelay after the first share
+	lenders          map[string]lenderIncarnation // by entry
 	renewal          leaseRenewal
-	ownedWorkspaces  map[string]bool // workspaces of whose limits others' shares are here
+	ownedWorkspaces  map[string]bool // workspaces of whose pools this entry has others' shares
 }
 
-// closure is a keeper's refusal that is repeated here for a moment.
+// backoff is a pool owner's refusal that this entry repeats until a time.
 type backoff struct {
-	cost  float64 // of the request that was refused
+	cost  float64 // of the refused request; cheaper ones still go to the owner
 	until time.Time
 }
 
@@ -99,16 +98,15 @@
 	return l
 }
 
-// decision is whether a request was let in within its workspace's limit, and on what
-// grounds.
+// decision is whether a request was admitted within its workspace's limit, and its source.
 type decision struct {
 	ok     bool
-	wait   time.Duration // until it may be, if it was not
+	wait   time.Duration // until the request may be admitted, if refused
 	source decisionSource
-	pool   int // that let it in, or refused it last
+	pool   int // that admitted it, or was the last to refuse it
 }
 
-// grounds is what a decision on a limit was made from.
+// decisionSource is what a decision was based on, as logs and metrics show it.
 type decisionSource string
 
 const (
@@ -119,7 +117,7 @@
 	fromNoOwner    decisionSource = "no keeper answered"
 )
 
-// setWorkspaces takes the limits of a catalogue.
+// setWorkspaces replaces the limits by those of a catalogue.
 func (l *limits) setWorkspaces(list []routes.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +131,8 @@
 	l.renewal.ownersListedAt = time.Time{}
 }
 
-// takePart takes this entry's share of each limit as the control replicas say it.
+// updateShare applies this entry's current share, by the control replicas' votes, to its
+// pools.
 func (l *limits) updateShare() {
 	now := l.now()
 	share := l.shares.share(now)
@@ -151,15 +150,15 @@
 	l.pools.SetShare(share, since, now)
 }
 
-// limitOf returns what each pool of a workspace's limit may have. l.mu is held.
+// poolLimit returns the limit of each pool of a workspace. l.mu is held.
 func (l *limits) poolLimit(workspace string) (limit.Limit, bool) {
 	w, limited := l.workspaces[workspace]
 	tolerance := l.bounds.QuotaOverrun*(w.PerSecond*l.bounds.QuotaWindow.Seconds()+w.Burst) + l.bounds.QuotaSlack
 	return limit.Limit{Burst: (w.Burst + toleranceFraction*tolerance) / limitPools, Rate: w.PerSecond / limitPools, LateReserve: lateReserveFraction}, limited
 }
 
-// take uses up cost of the workspace's limit, or says when there will be enough. late
-// says that the request's objective has passed.
+// admit takes cost from the workspace's limit, or returns a decision with the time until it
+// may succeed. objectivePassed applies to the request.
 func (l *limits) admit(ctx context.Context, workspace string, cost float64, objectivePassed bool) decision {
 	if !l.hasLimit(workspace) {
 		return decision{ok: true, source: noLimit}
@@ -196,8 +195,8 @@
 	return limited
 }
 
-// waitForPart returns once this entry has a share, if it has just started: it has one
-// within a few hundred milliseconds, and a caller that is refused comes back later than that.
+// waitForShare blocks until a newly started entry has a share. The share arrives within a
+// few hundred milliseconds, sooner than a refused caller would retry.
 func (l *limits) waitForShare(ctx context.Context) {
 	remaining := startupWindow - l.now().Sub(l.start)
 	if remaining <= 0 {
@@ -212,8 +211,8 @@
 	}
 }
 
-// or returns the refusal that a caller is told: the one that ends first. That nobody
-// answered counts only if nobody did.
+// or returns the refusal with the shorter wait. A missing response counts only if no owner
+// responded.
 func (d decision) or(next decision) decision {
 	switch {
 	case d.source == "", d.source == fromNoOwner:
@@ -225,20 +224,20 @@
 	}
 }
 
-// remotePool is a pool that another entry keeps.
+// remotePool is a pool that another entry owns, and the request to it.
 type remotePool struct {
 	owner   string
 	request limitRequest
 }
 
-// takeHere takes from the pools that are kept here, and returns those of others that may
-// be asked if they have not enough.
+// admitLocally takes cost from the pools on this entry. It also returns the pools of other
+// reachable owners, to try if the local ones have too few tokens.
 func (l *limits) admitLocally(workspace string, cost float64, objectivePassed bool) (decision, []remotePool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	poolLimit, limited := l.poolLimit(workspace)
 	if !limited {
-		return decision{ok: true, source: noLimit}, nil // since this moment
+		return decision{ok: true, source: noLimit}, nil // the limit was removed meanwhile
 	}
 	now := l.now()
 	var local []*limit.Pool
@@ -263,13 +262,13 @@
 	}
 	ok, wait := limit.Allow(local, cost, objectivePassed, now)
 	if wait <= 0 {
-		wait = noOwnerRetryAfter // nothing is here
+		wait = noOwnerRetryAfter // the local pools have no share
 	}
 	return decision{ok: ok, wait: wait, source: fromLocalPools, pool: firstPool}, remote
 }
 
-// decide answers another entry for a pool that is kept here. A limit that is not known
-// here yet goes without an answer.
+// decide answers another entry's request to a pool on this entry. known is false, and no
+// response is sent, if this entry has no such limit.
 func (l *limits) decide(r *limitRequest) (response limitResponse, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -282,7 +281,7 @@
 	return limitResponse{OK: ok, Wait: wait}, true
 }
 
-// refund gives back what a request that did not run had used up.
+// refund returns the cost of a request that did not run to the pool of its decision.
 func (l *limits) refund(workspace string, cost float64, d *decision) {
 	r := limitRequest{Workspace: workspace, Pool: d.pool, Cost: cost}
 	l.mu.Lock()
@@ -295,7 +294,7 @@
 	l.exchange.sendRefund(owner, r)
 }
 
-// putBack takes what is given back of a pool that is kept here.
+// refundLocal adds a refund to a pool on this entry.
 func (l *limits) refundLocal(r *limitRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -304,6 +303,8 @@
 	}
 }
 
+// inBackoff reports whether a request of this cost is refused by a pool's backoff, and the
+// wait to return.
 func (l *limits) inBackoff(key limit.Key, cost float64) (wait time.Duration, refused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -328,8 +329,8 @@
 	l.unreachableUntil[entry] = l.now().Add(unreachableRetryDelay)
 }
 
-// logKept writes that this entry has begun to keep pools of a limit for others, or no
-// longer does. l.mu is held.
+// logOwnership logs that this entry has started or stopped to hold the shares of others for
+// pools of a workspace. l.mu is held.
 func (l *limits) logOwnership(workspace string, shareSum float64) {
 	owned := shareSum > l.pools.Share()
 	if owned == l.ownedWorkspaces[workspace] {
@@ -344,7 +345,7 @@
 		slog.String("workspace", workspace), slog.Bool("owned", owned), slog.Float64("parts", shareSum), slog.Float64("ownPart", l.pools.Share()))
 }
 
-// cost is what a request counts against its workspace's limit.
+// cost returns what a request counts against its workspace's limit.
 func cost(w *routes.Workspace, r *Request) float64 {
 	switch {
 	case w.Unit == routes.Requests:
--- a/gateway/limitshares.go
+++ b/gateway/limitshares.go
@@ -9,47 +9,49 @@
 )
 
 const (
-	// askEvery is how often a keeper asks some of the entries for their shares.
+	// renewInterval is how often an owner sends lease requests to the entries that are due.
 	renewInterval = 50 * time.Millisecond
-	// startFor is how long after its start a keeper asks each entry every startAskPeriod:
-	// where all have started at once, each of them has a share at another moment.
+	// fastRenewWindow is how long after its start an owner asks each entry every
+	// fastRenewPeriod: if all entries restart at once, each gets its share at another
+	// moment.
 	fastRenewWindow = 2 * time.Second
 	fastRenewPeriod = 100 * time.Millisecond
-	// clockPart is the part of a lease that the keeper counts on: clocks may differ by so
-	// much in their rates.
+	// leaseClockFraction is the fraction of a lease that the borrower relies on, which
+	// allows for clocks that run at different rates.
 	leaseClockFraction = 0.95
-	// poolsInMessage and nameBytesInMessage bound the pools of a datagram.
+	// maxPoolsPerMessage and maxNameBytesPerMessage keep a message within a datagram.
 	maxPoolsPerMessage     = 30
 	maxNameBytesPerMessage = 900
 )
 
-// sharesMessage asks for an entry's shares of pools, or lends them.
+// sharesMessage requests the lease of an entry's shares of pools, or grants it. It is
+// encoded by its field names.
 type sharesMessage struct {
 	Pools []limit.Key
-	For   time.Duration // for how long
-	Part  float64       // in the answer: of each pool
-	Saved []float64     // in the answer: what is left of each, in the limit's unit
+	For   time.Duration // duration of the lease
+	Part  float64       // in a response: the lender's share of each pool
+	Saved []float64     // in a response: unused tokens of each share, in the limit's unit
 }
 
-// asking is which entries a keeper has asked for their shares.
+// leaseRenewal is the state of the lease requests that this entry sends as an owner.
 type leaseRenewal struct {
-	nextEntry  int     // among the entries by name
-	dueEntries float64 // entries whose turn it is
+	nextEntry  int     // index of the entry last asked, in order of names
+	dueEntries float64 // entries that are due, with a fraction carried over
 	ownedPools []limit.Key
-	// listed is when the list of entries was taken that keys was made from.
+	// ownersListedAt is the time of the list of entries that ownedPools was computed from.
 	ownersListedAt time.Time
 	pending        map[uint64]pendingLease // by sequence
 }
 
-// askedShares is a question that was sent.
+// pendingLease is a lease request without a response.
 type pendingLease struct {
 	entry    string
 	sentAt   time.Time
 	duration time.Duration
 }
 
-// askShares asks the entries whose turn it is for their shares of the pools that this
-// entry should keep. It is called every askEvery.
+// renewLeases asks the entries that are due to lend their shares of the pools that this
+// entry should own. It is called every renewInterval.
 func (l *limits) renewLeases() {
 	names := l.exchange.peerNames()
 	l.mu.Lock()
@@ -95,7 +97,7 @@
 	l.exchange.sendTo(entry, &message{Sequence: sequence, Kind: kindLeaseRequest, Shares: &sharesMessage{Pools: keys, For: duration}})
 }
 
-// ownKeys returns the pools that this entry should keep, in order. l.mu is held.
+// ownedPools returns the pools that this entry should own, sorted. l.mu is held.
 func (l *limits) ownedPools() []limit.Key {
 	var owned []limit.Key
 	for workspace := range l.workspaces {
@@ -111,8 +113,7 @@
 	return owned
 }
 
-// noteKept logs whose limits this entry has begun to keep, or no longer does. l.mu is
-// held.
+// logOwnedLimits logs changes of the limits of which this entry owns pools. l.mu is held.
 func (l *limits) logOwnedLimits(now time.Time) {
 	for workspace := range l.workspaces {
 		poolLimit, _ := l.poolLimit(workspace)
@@ -124,7 +125,7 @@
 	}
 }
 
-// chunks cuts pools into parts that fit a datagram each.
+// splitPools splits pools into chunks that fit a datagram each.
 func splitPools(keys []limit.Key) [][]limit.Key {
 	var out [][]limit.Key
 	bytes := 0
@@ -141,10 +142,10 @@
 	return out
 }
 
-// lend answers a keeper that asks for this entry's shares.
+// lend responds to an owner's lease request.
 func (l *limits) lend(m *message) {
 	if _, known := l.exchange.peerAddress(m.From); !known {
-		return // it would not get the answer
+		return // it has no address to respond to
 	}
 	l.mu.Lock()
 	now := l.now()
@@ -164,8 +165,9 @@
 	}
 }
 
-// borrowed takes an entry's shares. They count from the question on, not from the answer:
-// the entry uses them again at a time that it counts from between the two.
+// borrow adds the shares of a lease response to this entry's pools. The lease counts from
+// the time of the request: the lender counts from its receipt, which is later, so the
+// borrower stops using the shares before the lender uses them again.
 func (l *limits) borrow(m *message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,15 +193,16 @@
 	}
 }
 
-// lenderLife is a life of an entry that has asked for what the one before had lent, and
-// whether there was anything.
+// lenderIncarnation is an incarnation of an entry that has requested the return of its
+// shares. held is whether this entry had any.
 type lenderIncarnation struct {
 	incarnation uint64
 	held        bool
 }
 
-// starting reports whether this entry has just started and does not know yet of all others
-// that share the limits: it uses no share, or can't lend it to the keepers.
+// starting reports whether this entry has just started and either uses no share yet or does
+// not know all entries that share the limits, so that it can't lend its share to the pools'
+// owners.
 func (l *limits) starting() bool {
 	now := l.now()
 	if !l.shares.settled(now) {
@@ -208,9 +211,9 @@
 	return now.Sub(l.start) < fastRenewWindow && len(l.exchange.peerNames())+1 < l.shares.divisorInUse()
 }
 
-// askSharesBack asks all other entries for what the life before this one may have lent
-// them. Until they have answered, or such a lease must have run out, this entry uses no
-// share.
+// requestReturns asks all other entries to return the shares that the previous incarnation
+// of this entry may have lent them. This entry uses no share until all have responded or
+// every such lease has expired.
 func (l *limits) requestReturns() {
 	if l.shares.settled(l.now()) {
 		return
@@ -222,13 +225,14 @@
 	}
 }
 
-// tookBack takes that an entry has given back what the life before this one had lent it.
+// recordReturn records that an entry has returned the shares of the previous incarnation of
+// this entry.
 func (l *limits) recordReturn(m *message) {
 	l.shares.recordReturn(m.From, m.Held, m.Up, l.now())
 	l.updateShare()
 }
 
-// giveBack drops what an entry that has started anew had lent.
+// returnShares drops the shares that an earlier incarnation of the sender had lent.
 func (l *limits) returnShares(m *message) {
 	l.mu.Lock()
 	if m.Life > l.lenders[m.From].incarnation {
--- a/gateway/limituse.go
+++ b/gateway/limituse.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// useLineEvery is how often a workspace's use is written to the log.
+	// usageLogInterval is how often a workspace's usage is logged.
 	usageLogInterval = time.Second
-	// useLinesFor is for how long after its last refusal here a workspace's use is
-	// written. Only then does it matter who let in what, and the lines stay few.
+	// usageLogWindow is how long after its last refusal on this entry a workspace's usage is
+	// logged.
 	usageLogWindow = 10 * time.Second
 )
 
-// limitUses counts, by workspace, what this entry lets in and sends, and on what grounds.
+// limitUsage counts, by workspace, what this entry admits and sends, and the source of each
+// decision.
 //
-// A limit is over all entries. When it is passed no single entry's decision shows why:
-// the sums over all entries' lines of a second do.
+// A limit applies to all entries together. If it is exceeded, no single decision shows the
+// cause; the sums over the lines of all entries do.
 type limitUsage struct {
 	log *slog.Logger
 	set *metrics.Set
@@ -33,22 +34,22 @@
 	workspaces map[string]*workspaceUsage
 }
 
-// limitUse is what came of one workspace's requests since the last line, in the unit of
-// its limit.
+// workspaceUsage holds the counts of a workspace since its last line, in the unit of its
+// limit.
 type workspaceUsage struct {
-	admitted     map[string]float64 // by the grounds of the decision
-	sent         float64            // first sends of requests to servers
-	resent       float64            // further sends
-	maxSendDelay time.Duration      // longest time from being let in to a send
+	admitted     map[string]float64 // by source of the decision
+	sent         float64            // first sends to servers
+	resent       float64            // repeated sends
+	maxSendDelay time.Duration      // from admission to a send
 	refused      int                // requests
-	lastRefusal  time.Time          // the last one
+	lastRefusal  time.Time
 }
 
 func newLimitUsage(log *slog.Logger, set *metrics.Set, now func() time.Time) *limitUsage {
 	return &limitUsage{log: log, set: set, now: now, workspaces: make(map[string]*workspaceUsage)}
 }
 
-// of returns a workspace's counts. u.mu is held.
+// usageOf returns a workspace's counts and creates them if needed. u.mu is held.
 func (u *limitUsage) usageOf(workspace string) *workspaceUsage {
 	use := u.workspaces[workspace]
 	if use == nil {
@@ -58,7 +59,7 @@
 	return use
 }
 
-// noteDecision counts a decision.
+// recordDecision counts a decision.
 func (u *limitUsage) recordDecision(workspace string, cost float64, d *decision) {
 	source := string(d.source)
 	verdict := "refused"
@@ -77,7 +78,7 @@
 	use.lastRefusal = u.now()
 }
 
-// noteSent counts a send of a request, age after it was let in.
+// recordSend counts a send of a request, delay after its admission.
 func (u *limitUsage) recordSend(workspace string, cost float64, resend bool, delay time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// write writes a line for each workspace that was refused of late, and begins anew.
+// logUsage logs the usage of each recently refused workspace and resets its counts.
 func (u *limitUsage) logUsage() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -6,62 +6,63 @@
 	"time"
 )
 
-// Request is a caller's request as the HTTP handler read it.
+// Request is a caller's request as read by the HTTP handler.
 type Request struct {
-	ID     string // of this attempt of the caller
+	ID     string // unique for each attempt of the caller
 	Method string
-	Target string // path and query, as they were sent
-	Path   string // of Target
-	Host   string // as routes name it
-	Key    string // the caller's key; empty: none
+	Target string // path and query as received
+	Path   string // path of Target
+	Host   string // host name as routes spell it
+	Key    string // the caller's key; empty if there is none
 
-	Header http.Header // what goes on to the server unchanged
+	Header http.Header // forwarded to the server unchanged
 	Body   []byte
 
-	CallerTimeout time.Duration // how long the caller waits; 0: not said
+	CallerTimeout time.Duration // how long the caller waits; 0 if unknown
 
 	Model          string
-	HasSize        bool // the request says how large it is
+	HasSize        bool // PromptTokens and AnswerTokens are set
 	PromptTokens   int
-	AnswerTokens   int // at most
+	AnswerTokens   int // upper bound
 	PromptSegments []PromptSegment
-	ResumeAfter    string // id of the last event that the caller has; empty: none
+	ResumeAfter    string // id of the last event that the caller received; empty if none
 }
 
-// PromptSegment is a piece of a prompt that other requests may share.
+// PromptSegment is a segment of a prompt that other requests may share.
 type PromptSegment struct {
 	ID     string
 	Tokens int
 }
 
-// Writer takes an answer. Begin comes first and once; then Write, and after a
-// stream's events Flush. Without a Begin the caller still can be told a refusal.
+// Writer writes an answer to the caller. Begin is called once and first, then Write, and
+// Flush after each event of a stream. Until Begin is called the caller can still be sent a
+// refusal.
 type Writer interface {
-	// Begin starts the answer; length is that of the body, -1 if not known.
+	// Begin writes the header; length is that of the body, -1 if unknown.
 	Begin(status int, header http.Header, length int64)
 	Write(p []byte) (int, error)
 	Flush() error
 }
 
-// Reason says why a request gets no server's answer.
+// Reason is why a request gets no server's answer.
 type Reason uint8
 
-// The reasons. The first group are the caller's, the second say that the request
-// has not run and never will, the third leave that open.
+// The reasons of a refusal. The first group are the caller's errors; the second group say
+// that the request has not run and will not run; the third group leave that open.
 const (
 	NoRoute Reason = iota + 1
 	UnknownKey
 
-	NoCatalogue   // nothing is known yet of routes and workspaces
-	OverLimit     // the workspace's limit is used up
-	NoServer      // no server could take it
-	Overloaded    // it would not be answered in time
-	ExpiredUnsent // its time ran out before it was sent
+	NoCatalogue   // no catalogue has been received yet
+	OverLimit     // the workspace's limit is exhausted
+	NoServer      // no server is available
+	Overloaded    // servers are too busy to answer within the deadline
+	ExpiredUnsent // the deadline passed before it was sent
 
-	ServerFailed // the server failed, or its answer was of no use
-	TimedOut     // its time ran out while a server was at work on it
-	Truncated    // the answer broke off after it had begun
-	CallerGone   // the caller has gone
+	ServerFailed // the server failed, or its answer is unusable
+	TimedOut     // the deadline passed while a server was processing it
+	Truncated    // the answer ended early after its header was sent
+	CallerGone   // the caller disconnected
 )
 
 var reasonNames = map[Reason]string{
@@ -69,53 +70,53 @@
 	Overloaded: "overloaded", ExpiredUnsent: "out_of_time", ServerFailed: "broken", TimedOut: "timed_out", Truncated: "broke_off", CallerGone: "caller_left",
 }
 
-// String returns the reason for logs and metrics.
+// String returns the reason's name in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
 // NotRun reports whether the reason says that the request has not run.
 func (r Reason) NotRun() bool { return r <= ExpiredUnsent }
 
-// Refusal ends a request without a server's answer.
+// Refusal is the end of a request without a server's answer.
 type Refusal struct {
 	Reason     Reason
-	RetryAfter time.Duration // when to come back; 0: not said
+	RetryAfter time.Duration // when the caller should retry; 0 if unspecified
 	Detail     string        // for the log
 }
 
-// Attempt is one run of a request at a server, as far as the server is told of it.
+// Attempt describes one attempt to run a request on a server, as the Dialect sends it.
 type Attempt struct {
-	Server      string // id; any other server is to turn the request away
-	Workspace   string // empty on public routes
-	Remaining   time.Duration
-	Rank        int    // 0 is the most urgent
-	ResumeAfter string // id of the event after which the stream goes on; empty: from the start
+	Server      string        // id; a server with another id must reject the request
+	Workspace   string        // empty on public routes
+	Remaining   time.Duration // until the deadline
+	Rank        int           // 0 is the most urgent
+	ResumeAfter string        // id of the event after which the stream resumes; empty for the start
 }
 
-// AnswerClass is what the head of a server's answer proves.
+// AnswerClass classifies a server's answer by its status and header.
 type AnswerClass uint8
 
-// The proofs.
+// The classes of answers.
 const (
-	Answered    AnswerClass = iota + 1 // the server's answer, to be passed on
-	Failed                             // the server ran it and failed; may be passed on
-	NotRun                             // the server says that it did not run it
-	WrongServer                        // another server than the one meant; it did not run it
-	Unusable                           // it may have run, and the answer can't be passed on
+	Answered    AnswerClass = iota + 1 // the server's answer, to be relayed
+	Failed                             // the server ran it and failed; may be relayed
+	NotRun                             // the server reports that it did not run it
+	WrongServer                        // answered by a server with another id, which did not run it
+	Unusable                           // it may have run, and the answer can't be relayed
 )
 
-// Dialect puts requests to servers and reads their answers.
+// Dialect builds requests to servers and reads their answers.
 type Dialect interface {
-	// RequestHeader returns the header with which a run is sent.
+	// RequestHeader returns the header of an attempt.
 	RequestHeader(r *Request, attempt Attempt) http.Header
-	// Matches reports whether an answer with this header answers the request.
+	// Matches reports whether an answer with header h belongs to the request.
 	Matches(r *Request, h http.Header) bool
-	// Classify says what an answer's head proves.
+	// Classify returns the class of an answer.
 	Classify(status int, h http.Header) AnswerClass
-	// AnswerHeader returns the part of an answer's header that goes to the caller.
+	// AnswerHeader returns the header that is relayed to the caller.
 	AnswerHeader(h http.Header) http.Header
 }
 
-// Handler serves requests; Gateway is one.
+// Handler serves requests; Gateway implements it.
 type Handler interface {
 	Serve(ctx context.Context, r *Request, w Writer) *Refusal
 }
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -7,7 +7,7 @@
 	"savoryreel.example/savoryreel/policy/limit"
 )
 
-// shares is this entry's share of the workspaces' limits, as the control replicas say.
+// shares is this entry's share of the workspaces' limits, by the control replicas' votes.
 type shares struct {
 	mu    sync.Mutex
 	votes *limit.ShareVotes
@@ -15,58 +15,58 @@
 
 func newShares(start time.Time) *shares { return &shares{votes: limit.NewShareVotes(start)} }
 
-// take takes a replica's answer to a call that was made at a time. replicas is how many it
-// knows, itself among them.
+// recordVote records a replica's vote from the response to a call that was sent at sentAt.
+// replicas is the number of replicas that it knows, including itself.
 func (s *shares) recordVote(replica string, vote limit.ShareVote, replicas int, sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.votes.Record(replica, vote, replicas, sentAt)
 }
 
-// part returns this entry's share of every limit.
+// share returns this entry's share of every limit.
 func (s *shares) share(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.votes.Share(now)
 }
 
-// inUse returns the number of which the largest share that may be in use is a part.
+// divisorInUse returns the smallest divisor that may still be in use.
 func (s *shares) divisorInUse() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.votes.DivisorInUse()
 }
 
-// settled reports whether what the life before this one had lent is back.
+// settled reports whether all shares that the previous incarnation lent are back or expired.
 func (s *shares) settled(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.votes.Settled(now)
 }
 
-// returned takes that an entry, which started so long ago, has given back what the life
-// before this one had lent it, if it held anything.
+// recordReturn records that an entry, which started up ago, has returned the previous
+// incarnation's shares, if it held any.
 func (s *shares) recordReturn(entry string, held bool, up time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.votes.RecordReturn(entry, held, up, now)
 }
 
-// hasReturned reports whether an entry has given back what the life before this one had lent.
+// hasReturned reports whether an entry has returned the previous incarnation's shares.
 func (s *shares) hasReturned(entry string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.votes.HasReturned(entry)
 }
 
-// freeSince is since when nobody has used this entry's share, when it gets one first.
+// unusedSince returns since when no entry has used this entry's first share.
 func (s *shares) unusedSince() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.votes.UnusedSince()
 }
 
-// String tells for the log what the share is taken from.
+// String describes for the log what the share is based on.
 func (s *shares) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
