--- a/gateway/catalogue.go
+++ b/gateway/catalogue.go
@@ -8,9 +8,8 @@
 	"savoryreel.example/savoryreel/routes"
 )
 
-// adopt puts a catalogue in force here if its revision is higher than the one in
-// force. A process never goes back: callers would see a key that was taken away
-// work again.
+// adopt puts a catalogue in force if its revision is higher than the current one. It never
+// returns to a lower revision, which would make revoked keys valid again.
 func (g *Gateway) adopt(revision uint64, document []byte, replica string) {
 	if document == nil {
 		return
@@ -34,8 +33,8 @@
 		slog.Int("workspaces", len(catalogue.Workspaces)))
 }
 
-// Limits returns what callers may send, as the catalogue in force has it; zero
-// before the first one.
+// Limits returns the bounds on requests of callers in the current catalogue; zero before the
+// first catalogue.
 func (g *Gateway) Limits() routes.Limits {
 	if t := g.table.Load(); t != nil {
 		return t.Catalogue().Limits
@@ -43,7 +42,7 @@
 	return routes.Limits{}
 }
 
-// keepRoutes forgets what was learnt of routes that a catalogue no longer has.
+// retainRoutes drops the estimated waits of routes that are not in the catalogue.
 func (g *Gateway) retainRoutes(c *routes.Catalogue) {
 	names := make(map[string]bool, len(c.Routes))
 	for i := range c.Routes {
--- a/gateway/datagram.go
+++ b/gateway/datagram.go
@@ -19,15 +19,16 @@
 )
 
 const (
-	// maxDatagram is the longest datagram, in bytes: it fits a packet of any network.
+	// maxDatagramBytes keeps a datagram within the MTU of common networks, so that it is not
+	// fragmented.
 	maxDatagramBytes = 1400
-	// sealBytes is the length of the code that shows that a datagram comes from this
-	// system.
+	// macBytes is the length of the message authentication code (truncated HMAC-SHA-256)
+	// that precedes the message.
 	macBytes = 16
 )
 
-// datagrams sends messages to other entries and takes theirs. One that is lost costs
-// what it cost without it, so nobody waits for the receipt.
+// datagrams sends and receives messages between entries over UDP. Messages may be lost; the
+// protocol tolerates it, so no receipt is confirmed.
 type datagrams struct {
 	key    []byte
 	log    *slog.Logger
@@ -38,61 +39,62 @@
 	failing bool
 }
 
-// message is what one entry tells or asks another.
+// message is a message between entries. It is encoded by the order of its fields.
 type message struct {
-	From string // the entry's name
-	Life uint64 // of that entry
-	// Sequence numbers the messages of a life. An answer bears that of its question.
+	From string // the sender's name
+	Life uint64 // the sender's incarnation
+	// Sequence numbers the messages of an incarnation. A response has that of its request.
 	Sequence uint64
 	Kind     messageKind
 	Loads    []serverLoad
 	Limit    *limitRequest
 	Answer   *limitResponse
 	Shares   *sharesMessage
-	Held     bool          // shares that are given back
-	Up       time.Duration // since the sender's start
+	Held     bool          // in kindReturnResponse: the sender had shares to return
+	Up       time.Duration // in kindReturnResponse: time since the sender's start
 }
 
-// messageKind says what a message is.
+// messageKind is the type of a message.
 type messageKind uint8
 
 const (
-	// askLoads asks what others have running at the servers of Loads, whose figures
-	// don't count.
+	// kindLoadsRequest queries the load of others on the servers in Loads, of which only the
+	// names count.
 	kindLoadsRequest messageKind = iota + 1
-	// tellLoads answers it.
+	// kindLoadsResponse is the response to kindLoadsRequest.
 	kindLoadsResponse
-	// noteLoads tells a server's owner what the sender has running there now.
+	// kindLoadsReport reports the sender's load on servers to their owner.
 	kindLoadsReport
-	// askLimit asks the keeper of a pool of a workspace's limit to let a request in.
+	// kindLimitRequest asks the owner of a pool to admit a request.
 	kindLimitRequest
-	// tellLimit answers it.
+	// kindLimitResponse is the response to kindLimitRequest.
 	kindLimitResponse
-	// noteRefund gives back what a request that did not run had taken.
+	// kindRefund returns the cost of a request that did not run.
 	kindRefund
-	// askShares asks an entry for its shares of pools.
+	// kindLeaseRequest asks an entry to lend its shares of pools.
 	kindLeaseRequest
-	// lendShares answers it.
+	// kindLeaseResponse is the response to kindLeaseRequest.
 	kindLeaseResponse
-	// askBack asks an entry to give back what the life before the sender's had lent it.
+	// kindReturnRequest asks an entry to return the shares lent by the sender's previous
+	// incarnation.
 	kindReturnRequest
-	// gaveBack answers it.
+	// kindReturnResponse is the response to kindReturnRequest.
 	kindReturnResponse
 )
 
-// serverLoad is what runs and waits at a backend server.
+// serverLoad is the load on a backend server. It is encoded by the order of its fields.
 type serverLoad struct {
 	Server  string
 	Running int
-	Prefill int  // prompt tokens of those that have no answer yet
-	Down    bool // it was found not to be there any more
+	Prefill int  // prompt tokens of requests without an answer yet
+	Down    bool // found to be gone
 }
 
 func newDatagrams(key string, log *slog.Logger, handle func(message)) *datagrams {
 	return &datagrams{key: []byte(key), log: log, handle: handle}
 }
 
-// open takes the socket at addr.
+// open opens the socket at addr.
 func (d *datagrams) open(ctx context.Context, addr string) error {
 	var cfg net.ListenConfig
 	conn, err := cfg.ListenPacket(ctx, "udp4", addr)
@@ -100,13 +102,13 @@
 		return trace.Wrap(err, "step=open datagram socket address=%s", addr)
 	}
 	event.Log(ctx, d.log, slog.LevelInfo, event.ListenerOpen, slog.String("purpose", "datagrams"), slog.String("address", addr))
-	d.conn = conn.(*net.UDPConn) // what the network udp4 gives
+	d.conn = conn.(*net.UDPConn) // the type for network udp4
 	return nil
 }
 
-// run takes messages until ctx ends.
+// run receives messages until ctx ends.
 func (d *datagrams) run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = d.conn.Close() }) // nothing is lost with it
+	stop := context.AfterFunc(ctx, func() { _ = d.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagramBytes)
 	for {
@@ -115,9 +117,9 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case errors.Is(err, net.ErrClosed):
-			return trace.Wrap(err, "step=take datagrams")
+			return trace.Wrap(err, "step=receive datagrams")
 		case err != nil:
-			continue // one of ours was turned away: that entry has gone
+			continue // an ICMP error for a datagram to an entry that has left
 		}
 		if m, ok := d.unseal(buf[:n]); ok {
 			d.handle(m)
@@ -125,8 +127,8 @@
 	}
 }
 
-// send sends a message to an entry. It logs when sending begins to fail, and when it
-// works again.
+// send sends a message to an entry. It logs when sending starts to fail and when it works
+// again.
 func (d *datagrams) send(to netip.AddrPort, m *message) {
 	if d.conn == nil {
 		return
@@ -145,24 +147,23 @@
 	}
 }
 
-// seal puts a message into a datagram: the code, then the message.
+// seal encodes a message into a datagram: the authentication code, then the message.
 func (d *datagrams) seal(m *message) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
-	enc.UseArrayEncodedStructs(true) // names would take most of a datagram
+	enc.UseArrayEncodedStructs(true) // field names would take most of a datagram
 	if err := enc.Encode(m); err != nil {
 		return nil, trace.Wrap(err, "step=encode message")
 	}
 	body := buf.Bytes()
 	if len(body)+macBytes > maxDatagramBytes {
-		return nil, trace.LimitExceeded("a message of %d bytes is longer than a datagram", len(body))
+		return nil, trace.LimitExceeded("message of %d bytes exceeds the size of a datagram", len(body))
 	}
 	return append(d.mac(body), body...), nil
 }
 
-// unseal reads a datagram. One that is not from this system, or can't be read, says
-// nothing: otherwise whoever reaches the port could have all requests sent to one
-// server.
+// unseal authenticates and decodes a datagram. Without authentication anyone who reaches the
+// port could direct all requests to one server.
 func (d *datagrams) unseal(datagram []byte) (message, bool) {
 	if len(datagram) <= macBytes {
 		return message{}, false
@@ -178,10 +179,10 @@
 	return m, true
 }
 
-// mostLoad bounds the counts of a message: more than any server has.
+// maxLoad bounds the counts of a message, above what any server has.
 const maxLoad = 1 << 30
 
-// sane reports whether the counts are such as a server can have.
+// valid reports whether the message has the fields of its kind, within their ranges.
 func (m *message) valid() bool {
 	for _, l := range m.Loads {
 		if l.Server == "" || l.Running < 0 || l.Prefill < 0 || l.Running > maxLoad || l.Prefill > maxLoad {
@@ -204,23 +205,24 @@
 	}
 }
 
-// sane reports whether the question is one that an entry asks.
+// valid reports whether the fields are within their ranges.
 func (r *limitRequest) valid() bool {
-	return r.Workspace != "" && r.Cost >= 0 && r.Cost <= maxLoad // not for NaN either
+	return r.Workspace != "" && r.Cost >= 0 && r.Cost <= maxLoad // false for NaN
 }
 
-// sane reports whether shares are such as an entry has.
+// valid reports whether the fields are within their ranges.
 func (s *sharesMessage) valid() bool {
 	for _, n := range s.Saved {
-		if !(n >= 0 && n <= maxLoad) { // not for NaN either
+		if !(n >= 0 && n <= maxLoad) { // true for NaN
 			return false
 		}
 	}
 	return s.For > 0 && s.Part >= 0 && s.Part <= 1
 }
 
+// mac returns the authentication code of an encoded message.
 func (d *datagrams) mac(body []byte) []byte {
 	mac := hmac.New(sha256.New, d.key)
-	_, _ = mac.Write(body) // a hash takes everything
+	_, _ = mac.Write(body) // never fails
 	return mac.Sum(nil)[:macBytes]
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -11,7 +11,7 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// self is this entry's record of itself.
+// selfRecord returns this entry's record for the directory.
 func (g *Gateway) selfRecord() directory.Entry {
 	e := directory.Entry{
 		Name: g.cfg.Node.Name, Incarnation: g.incarnation, Sequence: g.recordSequence.Load(), State: instance.StateServing,
@@ -28,7 +28,8 @@
 	req.Usage, req.OpenWindow = g.usage.report()
 	if t := g.table.Load(); t != nil {
 		req.HasCatalogue, req.Revision = true, t.Catalogue().Revision
-		// Callers are sent here only once they can be answered.
+		// Without a record the entry gets no callers: it can answer none before it has a
+		// catalogue.
 		self := g.selfRecord()
 		req.Entry = &self
 		req.Loads = g.loads()
@@ -39,7 +40,7 @@
 	return req
 }
 
-// watchWait is how long a replica is to keep a call waiting.
+// watchWait returns how long a control replica may hold a call before it replies.
 func (g *Gateway) watchWait() time.Duration {
 	starting := g.table.Load() != nil && g.limits.starting()
 	g.mu.Lock()
@@ -50,7 +51,7 @@
 	return min(max(time.Duration(g.entryCount)*watchWaitPerEntry, minWatchWait), maxWatchWait)
 }
 
-// take merges what a control replica told.
+// applyReply applies the reply of a control replica.
 func (g *Gateway) applyReply(addr string, r api.WatchReply) {
 	g.clock.Observe(addr, r.Clock)
 	hadNone := g.table.Load() == nil
@@ -72,14 +73,14 @@
 	g.limits.updateShare()
 }
 
-// replicaLost takes the word that a control replica no longer answers.
+// onReplicaUnreachable is called when a control replica no longer replies.
 func (g *Gateway) onReplicaUnreachable(addr string) {
 	if g.directory.MarkUnreachable(addr) {
 		g.applyDirectory()
 	}
 }
 
-// loads returns what this entry has running at all servers.
+// loads returns this entry's load on all servers.
 func (g *Gateway) loads() []api.ServerLoad {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -90,14 +91,14 @@
 	return list
 }
 
-// noteRates takes how fast the servers read that other entries have learnt.
+// applyPrefillRates applies the prefill rates that other entries have learned.
 func (g *Gateway) applyPrefillRates(work []api.ServiceWork) {
 	for _, w := range work {
 		g.service(w.Service).suggestPrefillRate(w.Rate)
 	}
 }
 
-// work returns what this entry has given the servers to read, by service.
+// prefillWork returns the prompt tokens that this entry has sent to servers, by service.
 func (g *Gateway) prefillWork() []api.ServiceWork {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -110,7 +111,7 @@
 	return list
 }
 
-// noteOthers passes on what other entries have running.
+// applyReportedLoads applies the load of other entries as a control replica reports it.
 func (g *Gateway) applyReportedLoads(loads []api.ServerLoad) {
 	others := make(map[string]api.ServerLoad, len(loads))
 	for _, l := range loads {
@@ -124,18 +125,18 @@
 	}
 }
 
-// liveCount is how many entries a control replica knows to take callers.
+// liveCount is the number of live entries that a control replica has reported.
 type liveCount struct {
 	n  int
 	at time.Time
 }
 
-// liveFor is how long a replica's count stands.
+// liveCountTTL is how long a replica's count is used.
 const liveCountTTL = 5 * time.Second
 
-// countEntries takes a replica's count of live entries. The highest one counts:
-// a replica that has just started knows few, and an entry that believed it would
-// allow itself more than its part of every limit.
+// updateEntryCount applies a replica's count of live entries. The highest count is used: a
+// replica that has just started knows few entries, and with its count each entry would take
+// too large a fraction of the site's retry budget.
 func (g *Gateway) updateEntryCount(addr string, n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -161,7 +162,7 @@
 	}
 }
 
-// applyDirectory passes on what is new in the directory to the services.
+// applyDirectory applies the changes of the directory to the services.
 func (g *Gateway) applyDirectory() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -173,7 +174,7 @@
 	}
 }
 
-// applyServer tells the services of a server. g.mu is held.
+// applyServer applies a record of a server. g.mu is held.
 func (g *Gateway) applyServer(rec *directory.Server, now time.Time) {
 	g.logServer(rec)
 	for name, s := range g.services {
--- a/gateway/leave.go
+++ b/gateway/leave.go
@@ -11,35 +11,35 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// Leaving reports whether this entry has begun to stop.
+// Leaving reports whether Leave has been called.
 func (g *Gateway) Leaving() bool { return g.leaving.Load() }
 
-// Ready returns why callers should not come here, or nil.
+// Ready returns nil if this entry can serve callers, and otherwise the reason why not.
 func (g *Gateway) Ready() error {
 	switch {
 	case g.leaving.Load():
 		return trace.ConnectionProblem(nil, "leaving")
 	case g.table.Load() == nil:
-		return trace.ConnectionProblem(nil, "no catalogue is known yet")
+		return trace.ConnectionProblem(nil, "no catalogue received yet")
 	default:
 		return nil
 	}
 }
 
 const (
-	// acceptPart is the part of the grace for a stop in which an entry that leaves
-	// still takes callers. Their lists name it for a while, and what comes later
-	// would not be done by the end of the grace.
+	// acceptFraction is the fraction of the stop grace in which a leaving entry still
+	// accepts connections. Callers use its address for a while; requests that arrive later
+	// might not end within the grace.
 	acceptFraction = 0.35
-	// stopMargin is left of the grace for the process to end by itself.
+	// stopMargin is the end of the grace reserved for the exit of the process.
 	stopMargin = 400 * time.Millisecond
-	// idleCheck is how often a leaving entry looks whether it has nothing left to do.
+	// idleCheckInterval is how often a leaving entry checks whether all requests have ended.
 	idleCheckInterval = 50 * time.Millisecond
 )
 
-// Leave ends this entry's service without cutting off a request: it is no longer
-// named to callers, stops taking connections a little later by stopAccepting, and
-// ends when the last request is done or the grace is over.
+// Leave stops this entry gracefully. Its record is marked as leaving, so that callers stop
+// using it; stopAccepting is called after acceptFraction of the grace. Leave returns when
+// the last request has ended or the grace is over.
 func (g *Gateway) Leave(ctx context.Context, stopAccepting func()) {
 	start := g.now()
 	g.leaving.Store(true)
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -14,7 +14,7 @@
 )
 
 // limitRequest asks the owner of a pool to admit a request within a workspace's limit, or to
-// refund the cost of a request that did not run. It is encoded by its field names.
+// refund the cost of a request that did not run. It is encoded by the order of its fields.
 type limitRequest struct {
 	Workspace string
 	Pool      int
@@ -24,7 +24,7 @@
 
 func (r *limitRequest) key() limit.Key { return limit.Key{Workspace: r.Workspace, Number: r.Pool} }
 
-// limitResponse is the owner's decision.
+// limitResponse is the owner's decision. It is encoded by the order of its fields.
 type limitResponse struct {
 	OK   bool
 	Wait time.Duration // until the pool will have enough tokens
--- a/gateway/limitshares.go
+++ b/gateway/limitshares.go
@@ -25,7 +25,7 @@
 )
 
 // sharesMessage requests the lease of an entry's shares of pools, or grants it. It is
-// encoded by its field names.
+// encoded by the order of its fields.
 type sharesMessage struct {
 	Pools []limit.Key
 	For   time.Duration // duration of the lease
--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -13,26 +13,26 @@
 	"savoryreel.example/savoryreel/daemon"
 )
 
-// Bounds on callers where the catalogue states none.
+// Bounds on requests of callers if the catalogue has none.
 const (
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = time.Minute
 	defaultHeaderBytes   = 64 << 10
 )
 
-// learnEvery is how often the server looks whether a catalogue has come.
+// catalogueCheckInterval is how often ServeCallers checks for the first catalogue.
 const catalogueCheckInterval = 20 * time.Millisecond
 
-// ServeCallers adds the callers' server to the group and returns how it stops
-// taking connections while it goes on with those that are at work.
+// ServeCallers adds the HTTP server for callers to the group. It returns a function that
+// stops accepting connections while requests in progress continue.
 //
-// Connections wait in the listener's queue until the first catalogue is known.
-// What callers may send, and how long they may take, stands in it.
+// Connections wait in the listener's queue until the first catalogue has arrived, since it
+// contains the bounds on requests.
 func (g *Gateway) ServeCallers(group *run.Group, l net.Listener, h http.Handler) (stopAccepting func()) {
 	srv := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(g.log.Handler(), slog.LevelDebug)}
 	daemon.Actor(group, func(ctx context.Context) error {
 		defer srv.Close()
-		stop := context.AfterFunc(ctx, func() { _ = srv.Close() }) // its errors are those of closed connections
+		stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 		defer stop()
 		if err := g.awaitCatalogue(ctx); err != nil {
 			return errors.Join(err, l.Close())
@@ -43,12 +43,12 @@
 		srv.MaxHeaderBytes = orDefault(limits.MaxHeaderBytes, defaultHeaderBytes)
 		err := srv.Serve(l)
 		if errors.Is(err, http.ErrServerClosed) {
-			<-ctx.Done() // the requests at work go on
+			<-ctx.Done() // requests in progress continue
 			return nil
 		}
 		return err
 	})
-	return func() { go func() { _ = srv.Shutdown(context.Background()) }() } // it waits for all requests; Leave counts them itself
+	return func() { go func() { _ = srv.Shutdown(context.Background()) }() } // Shutdown waits for all requests; Leave counts them itself
 }
 
 func (g *Gateway) awaitCatalogue(ctx context.Context) error {
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -11,7 +11,7 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// outcomes counts how requests end, and how long they took.
+// outcomes counts the outcomes and durations of requests.
 type outcomes struct {
 	set *metrics.Set
 }
@@ -35,8 +35,8 @@
 	o.set.GetOrCreateHistogram(fmt.Sprintf(`savoryreel_first_byte_seconds{kind=%q}`, j.route.Kind)).Update(j.age(now).Seconds())
 }
 
-// logChoice writes which server a request goes to, and why: what the choice was made
-// from, and how old the word on the others' load is.
+// logChoice logs the chosen server with what the choice was based on, including the age of
+// the report on its load.
 func (j *job) logChoice(c *choice) {
 	v := &c.verdict
 	j.gateway.sampler.Log(context.Background(), event.RouteChosen, slog.String("request", j.ID),
@@ -47,7 +47,7 @@
 		slog.Int("runnersUp", len(v.RunnersUp())), slog.Int("send", j.sends+1))
 }
 
-// logEnd writes how a request ended.
+// logEnd logs a request's outcome.
 func (j *job) logEnd(refusal *Refusal) {
 	g := j.gateway
 	attrs := []slog.Attr{
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -7,34 +7,33 @@
 	"savoryreel.example/savoryreel/directory"
 )
 
-// peers is the entries that a control replica hears, as it told last.
+// peers is the list of live entries that control replicas have reported last.
 type peers struct {
 	directory *directory.Store
 
 	mu          sync.Mutex
 	names       []string
-	digest      uint64    // of names, as the replica makes it; 0: nothing was told yet
-	confirmedAt time.Time // of the last word
+	digest      uint64    // of names, computed by the replica; 0: no list yet
+	confirmedAt time.Time // last report with this digest
 }
 
-// peersFor is how long a list of the entries stands without a new word. Without one no
-// entry keeps books or limits for the others, so it outlasts most losses of the control
-// replicas.
+// peersTTL is how long a list is used without confirmation. It outlasts most losses of the
+// control replicas; without a list no entry owns servers or pools for others.
 const peersTTL = 10 * time.Second
 
-// known returns the digest of the list that is held.
+// currentDigest returns the digest of the current list.
 func (p *peers) currentDigest() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.digest
 }
 
-// take takes a replica's word: the digest of its list, and the names from the replica
-// that sends them, if the digest is not that of the list that is held. Any replica of the
-// same list confirms it; if only the one that sends names did, the list would lapse when
-// that one is frozen, before another one is asked for it.
+// update applies a replica's report: the digest of its list, and the names if the digest
+// differs from the current one and the replica is the one that sends names. Every replica
+// with the same list confirms it, so that the list does not expire when the one that sends
+// names is frozen.
 //
-// It reports whether the list is another one than before.
+// It reports whether the list has changed.
 func (p *peers) update(digest uint64, names []string, now time.Time) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,8 +47,8 @@
 	return changed
 }
 
-// entries returns the records of the entries that are up, this one among them if it is
-// heard; none where no replica has told of late.
+// entries returns the records of the live entries, including this one if replicas receive
+// its heartbeats; none if the list has expired.
 func (p *peers) entries(now time.Time) []directory.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -11,7 +11,7 @@
 	"savoryreel.example/savoryreel/routes"
 )
 
-// runAt runs the request once at the chosen server and hands the answer on.
+// runAt sends the request once to the chosen server and relays the answer.
 func (j *job) runAt(ctx context.Context, c *choice) result {
 	g := j.gateway
 	server := c.verdict.Server
@@ -32,7 +32,7 @@
 	return j.handleAnswer(ctx, c, answer)
 }
 
-// noteSent counts that a server has got the request.
+// recordSend counts a send of the request to a server.
 func (j *job) recordSend(at time.Time) {
 	if j.workspace != nil {
 		j.gateway.limitUsage.recordSend(j.workspace.Name, j.cost, j.sends > 0, at.Sub(j.admittedAt))
@@ -40,7 +40,7 @@
 	j.sends++
 }
 
-// sendFailed says what an exchange that ended without an answer means.
+// sendFailed returns the result of an exchange that ended without an answer.
 func (j *job) sendFailed(ctx context.Context, c *choice, sentAt time.Time, err error) result {
 	var e *backend.Error
 	sent := errors.As(err, &e) && e.Sent
@@ -66,7 +66,7 @@
 	return r
 }
 
-// failure is how the request ends if nothing more is tried.
+// failureRefusal returns the refusal if no further attempt follows.
 func (j *job) failureRefusal(detail string) *Refusal {
 	switch {
 	case j.answerStarted:
@@ -78,7 +78,7 @@
 	}
 }
 
-// answered judges an answer's head and hands the answer on if it is of use.
+// handleAnswer classifies an answer by its header and relays it if it is usable.
 func (j *job) handleAnswer(ctx context.Context, c *choice, answer *backend.Answer) result {
 	g := j.gateway
 	switch g.deps.Dialect.Classify(answer.Status, answer.Header) {
@@ -98,42 +98,40 @@
 	}
 }
 
-// relay hands an answer on. Only a success on a stream's route is a stream: an error
-// has no events, and behind those of a stream that is being resumed it would be read
-// as one.
+// relay relays an answer. On a route of streams only a successful answer is a stream: an
+// error has no events, and after the events of a resumed stream it would be read as part of
+// one.
 func (j *job) relay(ctx context.Context, c *choice, answer *backend.Answer) result {
 	success := answer.Status/100 == http.StatusOK/100
 	switch {
 	case j.route.Kind == routes.Stream && success:
 		return j.relayStream(ctx, c, answer)
 	case j.answerStarted:
-		return j.unusable(c, "a stream cannot go on with an answer of another kind")
+		return j.unusable(c, "resumed stream got an answer that is not a stream")
 	default:
 		return j.relayWhole(ctx, c, answer, endedOK)
 	}
 }
 
-// unusable handles an answer that can't be passed on.
+// unusable returns the result of an answer that can't be relayed.
 func (j *job) unusable(c *choice, detail string) result {
 	j.service.end(c, endedFailed, j.gateway.now())
 	return result{retryable: true, reachedServer: true, server: c.verdict.Server, refusal: j.failureRefusal(detail)}
 }
 
-// notRun handles a server's word that it did not run the request.
+// notRun handles a report of the server that it did not run the request.
 func (j *job) notRun(c *choice, answer *backend.Answer, reason Reason, how ending) result {
-	_, _ = io.Copy(io.Discard, answer) // to keep the connection; a failure only closes it
+	_, _ = io.Copy(io.Discard, answer) // lets the connection be reused; an error only closes it
 	j.service.end(c, how, j.gateway.now())
 	r := result{retryable: true, notRun: true, reachedServer: true, server: c.verdict.Server}
-	r.refusal = j.failureRefusal("server did not run it")
+	r.refusal = j.failureRefusal("server did not run the request")
 	if !j.answerStarted && j.runs == 0 {
-		r.refusal = &Refusal{Reason: reason, RetryAfter: fullServerRetryAfter, Detail: "server did not run it"}
+		r.refusal = &Refusal{Reason: reason, RetryAfter: fullServerRetryAfter, Detail: "server did not run the request"}
 	}
 	return r
 }
 
-// serverFailed handles a server's own failure. It is passed on unless another
-// server may try: an error that one server gave in a moment is not the caller's
-// last word while there is time.
+// serverFailed handles a server's own error. It is relayed only if no other server may try.
 func (j *job) serverFailed(ctx context.Context, c *choice, answer *backend.Answer) result {
 	r := result{retryable: true, reachedServer: true, server: c.verdict.Server, refusal: j.failureRefusal("server failed")}
 	if j.answerStarted {
@@ -142,20 +140,20 @@
 	if !j.mayRetry(ctx, &r) {
 		return j.relayWhole(ctx, c, answer, endedFailed)
 	}
-	_, _ = io.Copy(io.Discard, answer) // to keep the connection; a failure only closes it
+	_, _ = io.Copy(io.Discard, answer) // lets the connection be reused; an error only closes it
 	j.service.end(c, endedFailed, j.gateway.now())
-	r.reachedServer, r.notRun, r.server = false, true, "" // the repeat has been paid for
+	r.reachedServer, r.notRun, r.server = false, true, "" // mayRetry has charged the budget already
 	return r
 }
 
-// wholeBytes is how much of an answer is collected before its head goes to the
-// caller. An answer that breaks off before that can still be asked for again, or
-// end as an error instead of half an answer.
+// maxBufferedAnswerBytes is how much of an answer is read before its header goes to the
+// caller. If the answer is truncated before that, the request can still be retried or end
+// with an error.
 const maxBufferedAnswerBytes = 512 << 10
 
-// relayWhole hands on an answer that is not a stream of events. how is what it says
-// of the server: a failing one is always free and quick, so an error that counted
-// as an answer would draw most requests to it.
+// relayWhole relays an answer that is not a stream of events. how is its effect on the
+// server's health: a failing server is always idle and fast, so if its errors counted as
+// successes it would draw most requests.
 func (j *job) relayWhole(ctx context.Context, c *choice, answer *backend.Answer, how ending) result {
 	g := j.gateway
 	if how == endedOK {
@@ -170,7 +168,7 @@
 	if len(body) < maxBufferedAnswerBytes {
 		length := int64(len(body))
 		if j.Method == http.MethodHead {
-			length = answer.Length // of the body that GET would bring
+			length = answer.Length // of the body that GET would return
 		}
 		j.beginAnswer(answer.Status, header, length)
 		_, err = j.out.Write(body)
@@ -197,7 +195,7 @@
 	}
 }
 
-// bodyFailed handles an answer that broke off.
+// bodyFailed returns the result of an answer that was truncated.
 func (j *job) bodyFailed(ctx context.Context, c *choice, err error) result {
 	if ctx.Err() != nil {
 		j.service.end(c, endedByCaller, j.gateway.now())
@@ -207,8 +205,7 @@
 	return result{retryable: !j.answerStarted, reachedServer: true, server: c.verdict.Server, refusal: j.failureRefusal(err.Error())}
 }
 
-// finished ends a run whose answer was whole; err is that of writing it to the
-// caller.
+// finished ends an attempt with a complete answer; err is that of writing it to the caller.
 func (j *job) finished(c *choice, how ending, err error) result {
 	j.service.end(c, how, j.gateway.now())
 	if err != nil {
@@ -217,13 +214,14 @@
 	return result{}
 }
 
+// beginAnswer sends the answer's header to the caller.
 func (j *job) beginAnswer(status int, header http.Header, length int64) {
 	j.answerStarted, j.status, j.firstByte = true, status, j.age(j.gateway.now())
 	j.out.Begin(status, header, length)
 	j.gateway.outcomes.firstByte(j, j.gateway.now())
 }
 
-// countBegun counts the request in its workspace's usage, once.
+// countUsage counts the request once in its workspace's usage.
 func (j *job) countUsage() {
 	if !j.usageCounted {
 		j.usageCounted = true
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -17,23 +17,24 @@
 	"savoryreel.example/savoryreel/routes"
 )
 
-// Pauses that refused callers are told, by what is likely to have changed then.
+// Retry-After values of refusals, by when the cause is likely to be gone.
 const (
-	// catalogueRetry: an entry that has just started learns the catalogue within
-	// a few hundred milliseconds.
+	// catalogueRetryAfter: a new entry receives the catalogue within a few hundred
+	// milliseconds.
 	catalogueRetryAfter = 300 * time.Millisecond
-	// serverRetry: servers that were lost are replaced or heard of again within
-	// a second or two.
+	// serverRetryAfter: lost servers are replaced or reachable again within one or two
+	// seconds.
 	serverRetryAfter = 500 * time.Millisecond
-	// fullRetry: a full server takes a request again when one of its runs ends.
+	// fullServerRetryAfter: a full server accepts requests again when one of its requests
+	// ends.
 	fullServerRetryAfter = 300 * time.Millisecond
 )
 
-// maxSends bounds how often one request is sent, whatever the reasons: each time
-// costs a server something.
+// maxSends bounds the sends of one request, for whatever reasons, since each costs a server
+// something.
 const maxSends = 5
 
-// job is a request on its way through the entry.
+// job is the state of one request.
 type job struct {
 	*Request
 	gateway         *Gateway
@@ -44,25 +45,25 @@
 	startedAt       time.Time
 	deadline        time.Time
 	cost            float64
-	limitDecision   decision  // on its workspace's limit
-	admittedAt      time.Time // within its workspace's limit
-	objectivePassed bool      // its objective has passed since its caller's first try
+	limitDecision   decision  // by its workspace's limit
+	admittedAt      time.Time // when limitDecision was made
+	objectivePassed bool      // since the caller's first attempt
 	prefixes        []route.CachedPrefix
 
-	sends         int      // requests that went out to a server
-	runs          int      // of these, those that may have run
-	triedServers  []string // servers that are not to be tried again
-	answerStarted bool     // the caller has the answer's head
+	sends         int      // how often it was sent to a server
+	runs          int      // sends that may have run
+	triedServers  []string // excluded from further attempts
+	answerStarted bool     // the answer's header was sent to the caller
 	status        int      // of the answer
-	usageCounted  bool     // in the usage
-	lastEventID   string   // of the last event that the caller has
-	lastServer    string   // server of the last run, for the log
+	usageCounted  bool
+	lastEventID   string // last event sent to the caller
+	lastServer    string // of the last attempt, for the log
 
-	firstByte time.Duration // from the arrival to the answer's head
+	firstByte time.Duration // from the request's arrival to the answer's header
 }
 
-// Serve answers a request, or returns why it is not answered. It returns once
-// the answer has been written.
+// Serve answers a request and returns nil, or returns why it was not answered. It returns
+// once the answer has been written.
 func (g *Gateway) Serve(ctx context.Context, r *Request, w Writer) *Refusal {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -81,7 +82,7 @@
 	return refusal
 }
 
-// admit finds the request's route and workspace and holds it to the limits.
+// admit finds the request's route and workspace and applies the workspace's limit.
 func (j *job) admit(ctx context.Context) *Refusal {
 	g := j.gateway
 	table := g.table.Load()
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// takeLimit uses up the request's cost of its workspace's limit.
+// admitWithinLimit takes the request's cost from its workspace's limit.
 func (j *job) admitWithinLimit(ctx context.Context) *Refusal {
 	g := j.gateway
 	j.limitDecision = g.limits.admit(ctx, j.workspace.Name, j.cost, j.objectivePassed)
@@ -123,12 +124,12 @@
 	return nil
 }
 
-// sendWithin is for how long a request that was let in may be sent.
+// maxAdmissionAge is how long after its admission a request may be sent.
 const maxAdmissionAge = time.Second
 
-// renewLimit uses up the request's cost once more if it was let in long ago and has not been
-// sent. An entry that stood still would send in one moment what it had let in before, beside
-// what is let in now.
+// renewAdmission takes the request's cost again if it was admitted more than maxAdmissionAge
+// ago and not sent. Otherwise an entry that was paused would send all requests admitted
+// before in addition to those admitted now, and exceed the limit.
 func (j *job) renewAdmission(ctx context.Context) *Refusal {
 	if j.workspace == nil || j.sends > 0 || j.gateway.now().Sub(j.admittedAt) <= maxAdmissionAge {
 		return nil
@@ -136,7 +137,7 @@
 	return j.admitWithinLimit(ctx)
 }
 
-// workspaceName is empty on public routes.
+// workspaceName returns the workspace's name; empty if there is none.
 func (j *job) workspaceName() string {
 	if j.workspace == nil {
 		return ""
@@ -151,7 +152,7 @@
 	return j.route.Rank
 }
 
-// call is the request as the retry policy sees it.
+// call returns the request as the retry policy sees it.
 func (j *job) call() retry.Call {
 	return retry.Call{
 		Workspace: j.workspaceName(), Service: j.service.name, Class: contract.ClassInteractive,
@@ -159,8 +160,7 @@
 	}
 }
 
-// run sends the request to servers until one has answered it, or it can't be
-// sent any more.
+// run sends the request to servers until one answers it or no further attempt is allowed.
 func (j *job) run(ctx context.Context) *Refusal {
 	for {
 		if refusal := j.contextRefusal(ctx); refusal != nil {
@@ -185,7 +185,7 @@
 	}
 }
 
-// choose asks what runs at the servers that come into question, and picks one.
+// choose queries the load of the candidates and picks one.
 func (j *job) choose(ctx context.Context) (choice, bool) {
 	g := j.gateway
 	req := j.routeRequest()
@@ -195,7 +195,7 @@
 	req.Exclude = excludeDown(j.triedServers, loads)
 	c, ok := j.service.choose(req, j.prefixes, req.Now)
 	if !ok && len(req.Exclude) > len(j.triedServers) {
-		req.Exclude = j.triedServers // one that was down a moment ago is better than none
+		req.Exclude = j.triedServers // a server that was down a moment ago is better than none
 		c, ok = j.service.choose(req, j.prefixes, req.Now)
 	}
 	c.rank = j.rank()
@@ -207,10 +207,9 @@
 	return c, ok
 }
 
-// withoutDown adds the servers to those not to be used that another entry has just found
-// not to be there any more. Each entry would find out by itself otherwise: the control
-// replicas notice only after some heartbeats, and a server whose place is taken looks
-// idle and draws requests until then.
+// excludeDown returns tried and the servers that another entry has just found gone. Control
+// replicas notice only after missing heartbeats; until then such a server looks idle and
+// draws requests from every entry.
 func excludeDown(tried []string, loads []serverLoad) []string {
 	out := slices.Clip(tried)
 	for _, l := range loads {
@@ -221,7 +220,7 @@
 	return out
 }
 
-// routing is what the choice of a server is made from.
+// routeRequest returns the input for the choice of a server.
 func (j *job) routeRequest() *route.Request {
 	node := &j.gateway.cfg.Node
 	return &route.Request{
@@ -230,7 +229,8 @@
 	}
 }
 
-// outOfTime ends a request whose caller has gone or whose time is over.
+// contextRefusal returns the refusal of a request whose caller has disconnected or whose
+// deadline has passed; otherwise nil.
 func (j *job) contextRefusal(ctx context.Context) *Refusal {
 	switch {
 	case ctx.Err() == nil:
@@ -246,7 +246,7 @@
 	}
 }
 
-// noServer refuses a request that no server can take now.
+// noServerRefusal returns the refusal of a request that no server can take.
 func (j *job) noServerRefusal(c *choice) *Refusal {
 	switch {
 	case j.answerStarted:
@@ -258,16 +258,17 @@
 	}
 }
 
-// result is what became of one run.
+// result is the outcome of one attempt.
 type result struct {
-	refusal       *Refusal // how the request ends if it is not sent again
-	retryable     bool     // it may be sent again, if the rules of its route allow
-	notRun        bool     // this run surely did not happen
-	reachedServer bool     // it reached a server, so that another one counts as a repeat
-	server        string   // server that was tried
+	refusal       *Refusal // returned if the request is not sent again
+	retryable     bool     // it may be sent again if its route's rules allow
+	notRun        bool     // this attempt certainly has not run
+	reachedServer bool     // another attempt counts as a retry
+	server        string   // excluded from further attempts; empty: none
 }
 
-// mayRepeat decides whether the request is sent again.
+// mayRetry reports whether the request is to be sent again, after the backoff, which it
+// waits for.
 func (j *job) mayRetry(ctx context.Context, r *result) bool {
 	if !r.retryable || ctx.Err() != nil || j.sends >= maxSends {
 		return false
@@ -279,7 +280,7 @@
 		j.triedServers = append(j.triedServers, r.server)
 	}
 	if !r.reachedServer {
-		return true // no server has seen it
+		return true // nothing to charge to the retry budget
 	}
 	v := j.gateway.decideRetry(retry.Failure{Call: j.call(), Attempts: max(j.runs, 1), NotRun: r.notRun})
 	event.Log(ctx, j.gateway.log, slog.LevelInfo, event.AttemptFailed, slog.String("request", j.ID), slog.String("server", r.server),
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -13,52 +13,51 @@
 	"savoryreel.example/savoryreel/policy/urgency"
 )
 
-// trust is the part of a shared beginning that the first server in the rendezvous
-// order is taken to cache. Most of them come every few seconds and stay cached for
-// as long; one that does not costs a prefill where the order sent it anyway.
+// cachedPrefixTrust is the probability that the first server in the rendezvous order of a
+// shared prefix still caches it. Frequently used prefixes stay cached; a miss costs a
+// prefill.
 const cachedPrefixTrust = 0.8
 
-// loadFactor is how many times the mean a server may be loaded before a request
-// whose shared beginning it caches goes elsewhere. Engines here run one or two
-// requests each, so that a second one is twice the mean already: with a bound near it
-// most requests would go to servers that have to read their prompts again.
+// maxLoadFactor is how many times the mean load a server may have before a request whose
+// prefix it caches goes elsewhere. Servers run one or two requests each, so that a second
+// request doubles the load: a bound near 2 would send most requests to servers that have to
+// prefill.
 const maxLoadFactor = 5.0
 
-// askedFor is how long what an owner has told of a server stands against reports of what
-// all entries have running there, which are up to so old when they arrive.
+// ownerReportTTL is how long an owner's report on a server takes precedence over the control
+// replicas' reports, which may be that old when they arrive.
 const ownerReportTTL = time.Second
 
-// firstRate is how many tokens a second a server is taken to read until one has been
-// seen. Engines of today read some ten to a hundred thousand; with too low a figure the
-// requests that share a beginning are kept together on servers that queue.
+// initialPrefillRate is the assumed prompt tokens per second of a server until a rate has
+// been learned. Too low a rate keeps requests with a shared prefix together on servers that
+// queue.
 const initialPrefillRate = 30_000
 
-// busyCost is the delay of a first token on a server whose slots are all taken but which
-// has nothing to read: requests that are being answered hardly delay it. With a higher
-// cost a request leaves the server that caches its beginning for one that has fewer
-// answers to write, and its prompt is read again.
+// busyServerDelay is the assumed delay of the first token on a server whose slots are all
+// taken but which has nothing to prefill. A higher value moves requests away from servers
+// that cache their prefix.
 const busyServerDelay = 10 * time.Millisecond
 
-// service is what this entry knows of the servers of one service.
+// service holds the servers of one service and this entry's requests on them.
 type service struct {
 	name string
 
 	mu              sync.Mutex
 	router          *route.Router
 	servers         map[string]directory.Server
-	cacheSequence   map[string]uint64    // of the cache events that this entry makes of its own runs, by server
-	announced       uint64               // announcements given to the router
+	cacheSequence   map[string]uint64    // by server: last cache event derived from own requests
+	announced       uint64               // announcements passed to the router
 	running         map[string]int       // this entry's requests, by server
-	prefillTokens   uint64               // prompt tokens sent to be read
-	reportedAt      time.Time            // when others' load was last told
-	ownerReportedAt map[string]time.Time // when owners last told of servers
-	onLoadChange    func(serverLoad)     // told of what this entry has running at a server, at each change
+	prefillTokens   uint64               // prompt tokens sent to servers, less the cached ones
+	reportedAt      time.Time            // last report of the control replicas on others' load
+	ownerReportedAt map[string]time.Time // last report of its owner, by server
+	onLoadChange    func(serverLoad)     // called without mu with this entry's load on a server after each change
 }
 
 func newService(name string, entries int, onLoadChange func(serverLoad)) *service {
 	cfg := route.DefaultConfig()
 	cfg.Entries = max(entries, 1)
-	cfg.SlowStart = 0 // a new server is not sent more than the others: its book is kept
+	cfg.SlowStart = 0 // not needed, since owners report other entries' load
 	cfg.LearnPrefill = true
 	cfg.PrefillRate = initialPrefillRate
 	cfg.Trust = cachedPrefixTrust
@@ -67,7 +66,7 @@
 	cfg.BusyCost = busyServerDelay
 	router, err := route.New(cfg)
 	if err != nil {
-		panic(err) // the defaults are valid, as a test of package route checks
+		panic(err) // the configuration is constant and valid
 	}
 	return &service{
 		name: name, router: router, servers: make(map[string]directory.Server), cacheSequence: make(map[string]uint64), running: make(map[string]int),
@@ -75,7 +74,7 @@
 	}
 }
 
-// drop forgets a server that is of another service now.
+// drop removes a server that now belongs to another service.
 func (s *service) drop(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,9 +87,8 @@
 	delete(s.ownerReportedAt, id)
 }
 
-// update takes a server's record. A server that has fallen silent gets no work
-// until it is heard again: each request sent there would wait for its connection
-// in vain.
+// update applies a record of a server. An unreachable server gets no requests until its
+// heartbeats return, since each would wait for a connection in vain.
 func (s *service) update(rec directory.Server, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,9 +114,9 @@
 	}
 }
 
-// announce tells the router of a server that serves, with what all entries have
-// running there, and what other entries' requests wait for. Records come in the
-// directory's order, so they are numbered here.
+// announce passes a serving server to the router, with the requests of all entries that run
+// on it and the prompt tokens that requests of other entries wait for. Announcements are
+// numbered here, in the order of the directory. s.mu is held.
 func (s *service) announce(rec directory.Server, running, prefill int, now time.Time) {
 	s.announced++
 	a := rec.Announcement
@@ -127,19 +125,20 @@
 	s.router.Announce(&a, now, now)
 }
 
-// choice is a server that was chosen for a run.
+// choice is a server chosen for an attempt.
 type choice struct {
 	verdict     route.Verdict
 	attempt     route.Attempt
 	prefixes    []route.CachedPrefix
-	answered    bool // its first byte has come
+	answered    bool // the first byte of its answer has arrived
 	loadAge     time.Duration
-	prefillTime time.Duration // what the server is expected to take for the prompt
-	rank        int           // that the server is told
+	prefillTime time.Duration // expected time for the uncached part of the prompt
+	rank        int           // sent to the server
 	urgency     urgency.Reason
 }
 
-// choose picks a server and counts the run there until end.
+// choose picks a server and counts the request there until end. The second result is false
+// if there is none.
 func (s *service) choose(req *route.Request, prefixes []route.CachedPrefix, now time.Time) (choice, bool) {
 	s.mu.Lock()
 	v := s.router.Choose(req)
@@ -157,12 +156,12 @@
 	return c, true
 }
 
-// ownLoad is what this entry has running at a server. s.mu is held.
+// ownLoad returns this entry's load on a server. s.mu is held.
 func (s *service) ownLoad(id string) serverLoad {
 	return serverLoad{Server: id, Running: s.running[id], Prefill: s.router.PendingPrefillTokens(id)}
 }
 
-// ownLoads returns what this entry has running, by server.
+// ownLoads returns this entry's load on all servers.
 func (s *service) ownLoads() []serverLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,14 +172,14 @@
 	return list
 }
 
-// candidates returns the servers of which one would be chosen.
+// candidates returns the servers among which choose would pick.
 func (s *service) candidates(req *route.Request) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.Candidates(req, nil)
 }
 
-// noteAsked takes what others have running at servers now, as was asked for.
+// applyOwnerLoads applies the load of other entries as the servers' owners report it.
 func (s *service) applyOwnerLoads(loads []serverLoad, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,15 +196,15 @@
 	return known
 }
 
-// rate is how many prompt tokens a server is taken to read in a second.
+// prefillRate returns the prompt tokens per second that a server is assumed to process.
 func (s *service) prefillRate() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.PrefillRate()
 }
 
-// loadAge is how old the word on what others have running at a server is; 0 before the
-// first.
+// loadAge returns the age of the last report of others' load on a server; 0 before the
+// first. s.mu is held.
 func (s *service) loadAge(server string, now time.Time) time.Duration {
 	last := s.reportedAt
 	if reportedAt := s.ownerReportedAt[server]; reportedAt.After(last) {
@@ -217,7 +216,7 @@
 	return now.Sub(last)
 }
 
-// loads appends what this entry has running at the servers.
+// appendLoads appends this entry's load on the service's servers to list.
 func (s *service) appendLoads(list []api.ServerLoad) []api.ServerLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,28 +226,29 @@
 	return list
 }
 
-// suggestRate takes how fast the servers read, as other entries have learnt.
+// suggestPrefillRate passes the prefill rate that other entries have learned to the router.
 func (s *service) suggestPrefillRate(rate float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.router.SuggestPrefillRate(rate)
 }
 
-// workDone returns what this entry has given the servers to read.
+// prefillWork returns the prompt tokens that this entry has sent to the service's servers,
+// and the prefill rate that it has learned.
 func (s *service) prefillWork() api.ServiceWork {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return api.ServiceWork{Service: s.name, Tokens: s.prefillTokens, Rate: s.router.LearnedPrefillRate()}
 }
 
-// noteOthers takes what other entries have running at the servers now.
+// applyReportedLoads applies the load of other entries as a control replica reports it.
 func (s *service) applyReportedLoads(others map[string]api.ServerLoad, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reportedAt = now
 	for id, rec := range s.servers {
 		if now.Sub(s.ownerReportedAt[id]) < ownerReportTTL {
-			continue // the report is older
+			continue // the owner's report is newer
 		}
 		if rec.State == instance.StateServing && !rec.Unreachable {
 			s.announce(rec, others[id].Running+s.running[id], others[id].Prefill, now)
@@ -256,8 +256,8 @@
 	}
 }
 
-// firstByte notes that a server has begun to answer, and that it caches the parts
-// of the prompt from now on.
+// recordFirstByte records that the server has started to answer and therefore caches the
+// prompt.
 func (s *service) recordFirstByte(c *choice, now time.Time) {
 	if c.answered {
 		return
@@ -271,7 +271,7 @@
 	s.onLoadChange(own)
 }
 
-// noteCached notes that a server caches what it has read. s.mu is held.
+// recordCached adds the prompt's prefixes to those that the server caches. s.mu is held.
 func (s *service) recordCached(c *choice) {
 	id := c.verdict.Server
 	if _, known := s.servers[id]; !known {
@@ -284,18 +284,18 @@
 	}
 }
 
-// ending says how a run ended.
+// ending is how an attempt ended.
 type ending uint8
 
 const (
 	endedOK ending = iota
 	endedFailed
 	endedByCaller
-	// endedGone: the server is not there any more. Another process has its address, or
-	// none.
+	// endedServerGone: no process listens at its address, or another server does.
 	endedServerGone
 )
 
+// end counts the end of an attempt and reports the changed load.
 func (s *service) end(c *choice, how ending, now time.Time) {
 	s.mu.Lock()
 	s.finish(c, how, now)
@@ -305,7 +305,7 @@
 	s.onLoadChange(own)
 }
 
-// finish counts the end of a run. s.mu is held.
+// finish counts the end of an attempt. s.mu is held.
 func (s *service) finish(c *choice, how ending, now time.Time) {
 	if id := c.verdict.Server; s.running[id] > 1 {
 		s.running[id]--
@@ -328,10 +328,9 @@
 	s.router.SetEntries(n)
 }
 
-// prefixesOf returns the shared beginnings of a prompt, shortest first. A
-// beginning is known by all parts up to its end, since a part counts as cached
-// only with all parts before it. The last part is the request's own or its
-// session's.
+// prefixesOf returns the prefixes of a prompt, shortest first. A prefix is identified by all
+// its segments, since a segment counts as cached only together with those before it. The
+// last segment belongs to the request or its session.
 func prefixesOf(model string, segments []PromptSegment) []route.CachedPrefix {
 	out := make([]route.CachedPrefix, 0, len(segments))
 	digest := xxhash.New()
@@ -345,8 +344,8 @@
 	return out
 }
 
-// sharedTokens is the length of the beginning that other requests share: all parts
-// but the last.
+// sharedTokens returns the length of the prefix that other requests share: all segments but
+// the last.
 func sharedTokens(prefixes []route.CachedPrefix) int {
 	if n := len(prefixes); n > 1 {
 		return prefixes[n-2].Tokens
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -12,13 +12,14 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// events cuts a stream of server-sent events into whole events.
+// eventSplitter splits a stream of server-sent events into whole events (add), or tracks
+// whether a stream relayed as it is ends between two events (observe).
 type eventSplitter struct {
-	partial []byte // of an event that has not ended
-	tail    []byte // the newest bytes of a stream that is passed on uncut
+	partial []byte // bytes of an incomplete event
+	tail    []byte // last bytes passed to observe
 }
 
-// pass notes bytes that are passed on uncut.
+// observe tracks bytes that are relayed unsplit.
 func (e *eventSplitter) observe(p []byte) {
 	e.tail = append(e.tail, p...)
 	if extra := len(e.tail) - len(eventEnd); extra > 0 {
@@ -26,17 +27,17 @@
 	}
 }
 
-// ended reports whether the stream stands between two events. One that ends with
-// its connection and without a length looks whole wherever it is cut off.
+// atBoundary reports whether the stream is between two events. Without a length, a stream
+// that ends with its connection looks complete wherever it is cut off.
 func (e *eventSplitter) atBoundary() bool {
 	return len(e.partial) == 0 && (len(e.tail) == 0 || bytes.Equal(e.tail, eventEnd))
 }
 
-// eventEnd ends an event: an empty line.
+// eventEnd, an empty line, ends an event.
 var eventEnd = []byte("\n\n")
 
-// take adds bytes of the stream and returns those that make up whole events, with
-// the id of the last one that has an id.
+// add appends bytes of the stream. It returns the events that are now complete, and the id
+// of the last one that has an id.
 func (e *eventSplitter) add(p []byte) (whole []byte, lastID string) {
 	e.partial = append(e.partial, p...)
 	end := bytes.LastIndex(e.partial, eventEnd)
@@ -49,7 +50,7 @@
 	return whole, lastEventID(whole)
 }
 
-// idField begins the line of an event that holds its id.
+// idField starts the line with an event's id.
 var idField = []byte("id:")
 
 func lastEventID(whole []byte) string {
@@ -66,9 +67,8 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// withoutSeen drops the events up to the one with id seen, where ids are numbers.
-// A server that goes on with a stream may begin too early, and a caller that gets
-// an event twice takes it for a new one.
+// dropSeen drops the events up to the one with id seen, if ids are numbers. A server may
+// resume a stream too early, and the caller would take repeated events for new ones.
 func dropSeen(whole []byte, seen string) []byte {
 	last, err := strconv.ParseUint(seen, 10, 64)
 	if err != nil {
@@ -85,20 +85,19 @@
 	return whole
 }
 
-// unknownLength is the length of an answer that ends when its server says so.
+// unknownLength is the length of an answer whose end is not known in advance.
 const unknownLength = -1
 
-// streamBuffer is how much of a stream is read at a time: several events.
+// streamBufferBytes holds several events.
 const streamBufferBytes = 4 << 10
 
-// relayStream hands a stream's events on as they come. The answer's head goes to
-// the caller with the first event: until then another server can still take
-// over, or the caller can be told that nothing came of it.
+// relayStream relays the events of a stream as they arrive. The answer's header goes to the
+// caller with the first event: until then another server can take over, or the caller can
+// get an error.
 //
-// A stream that may be resumed is cut into whole events. The server may break off
-// in the middle of one, and what a second server sends then begins with a whole
-// one: without the cut the caller would read half an event and another one joined
-// to it.
+// A resumable stream is split into whole events. If the server fails within an event, the
+// next server starts with a whole one; unsplit, the caller would read half an event joined
+// to another one.
 func (j *job) relayStream(ctx context.Context, c *choice, answer *backend.Answer) result {
 	var splitter eventSplitter
 	buf := make([]byte, streamBufferBytes)
@@ -122,7 +121,7 @@
 	}
 }
 
-// passOn writes what has come of a stream.
+// relayChunk relays a chunk of a stream.
 func (j *job) relayChunk(c *choice, answer *backend.Answer, splitter *eventSplitter, p []byte, resumed bool) error {
 	if j.route.Resumable {
 		whole, lastID := splitter.add(p)
@@ -150,7 +149,7 @@
 	return j.out.Flush()
 }
 
-// streamEnded ends a stream that came whole, also one without an event.
+// streamEnded ends a complete stream, which may have no event.
 func (j *job) streamEnded(c *choice, answer *backend.Answer) result {
 	if !j.answerStarted {
 		j.beginAnswer(answer.Status, j.gateway.deps.Dialect.AnswerHeader(answer.Header), 0)
@@ -158,7 +157,7 @@
 	return j.finished(c, endedOK, nil)
 }
 
-// streamBroke decides what becomes of a stream that broke off.
+// streamFailed returns the result of a stream that was cut off.
 func (j *job) streamFailed(ctx context.Context, c *choice, err error) result {
 	if ctx.Err() != nil {
 		j.service.end(c, endedByCaller, j.gateway.now())
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -10,12 +10,12 @@
 	"savoryreel.example/savoryreel/wallclock"
 )
 
-// usage counts what began to run here, by window of the time of day and by
-// workspace.
+// usage counts the requests that servers have started to answer, by window of wall time and
+// by workspace.
 type usage struct {
 	clock           *wallclock.Clock
 	window          time.Duration
-	retainedWindows int64 // windows that this entry goes on telling: as long as a leader may decide one
+	retainedWindows int64 // reported until a leader can no longer decide on them
 
 	mu     sync.Mutex
 	counts map[int64]map[string]int64
@@ -25,7 +25,7 @@
 	return &usage{clock: clock, window: window, retainedWindows: retainedWindows, counts: make(map[int64]map[string]int64)}
 }
 
-// began counts a request of a workspace that a server has begun just now.
+// recordStart counts a request of a workspace in the current window.
 func (u *usage) recordStart(workspace string) {
 	if workspace == "" {
 		return
@@ -40,10 +40,11 @@
 	u.counts[w][workspace]++
 }
 
-// openWindow is the window of now. u.mu is held, so that what was reported as over
-// gets no more counts.
+// openWindow returns the current window. u.mu is held, so that a window that was reported as
+// closed gets no more counts.
 func (u *usage) openWindow() int64 { return u.clock.Now().UnixNano() / int64(u.window) }
 
+// expire removes windows that are no longer reported. u.mu is held.
 func (u *usage) expire(newest int64) {
 	for w := range u.counts {
 		if w <= newest-u.retainedWindows {
