--- a/gateway/bookkeeper_test.go
+++ b/gateway/bookkeeper_test.go
@@ -17,20 +17,20 @@
 	"savoryreel.example/savoryreel/site"
 )
 
-// booked is some entries on the loopback network that keep each other's books.
+// exchangeCluster is a set of entries that exchange datagrams over the loopback network.
 type exchangeCluster struct {
 	exchanges         map[string]*peerExchange
 	entries           []directory.Entry
 	limits            []*limits // by entry
 	sockets           []*datagrams
-	datagramAddresses map[string]string // datagram address by the host that callers are told
+	datagramAddresses map[string]string // by the host of the address for callers
 }
 
 func newExchangeCluster(t *testing.T, n int) *exchangeCluster {
 	s := &exchangeCluster{exchanges: make(map[string]*peerExchange), datagramAddresses: make(map[string]string)}
 	for i := range n {
 		name := fmt.Sprintf("entry-%d", i)
-		host := fmt.Sprintf("10.0.0.%d", i+1) // stands for its datagram port
+		host := fmt.Sprintf("10.0.0.%d", i+1) // maps to its datagram socket
 		x := newPeerExchange(booking.Reporter{Name: name, Incarnation: 1}, time.Now)
 		x.liveEntries = func() []directory.Entry { return s.entries }
 		x.knownEntries = x.liveEntries
@@ -51,15 +51,16 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			_ = d.run(ctx) // it ends with ctx
+			_ = d.run(ctx) // returns when ctx ends
 		}()
 		t.Cleanup(func() { cancel(); <-done })
 	}
 	return s
 }
 
-// An entry has sent work to servers. Whichever other entry asks next hears of it, and
-// the one that sent it is not told of its own.
+// An entry places load on servers that others own. Without the owners' responses other
+// entries would overload these servers; an entry that got its own load back would count it
+// twice.
 func TestOwnersReportLoadOfOthers(t *testing.T) {
 	s := newExchangeCluster(t, 4)
 	var servers []string
@@ -82,9 +83,8 @@
 	}
 }
 
-// share has a control replica give all entries a share of a limit of 100 tokens, which
-// brings too few in the course of a test to matter, and waits until the pools' keepers have
-// all shares.
+// distributeShares gives all entries a share of a limit of 100 tokens, whose rate is
+// negligible during a test, and waits until the pools' owners have all shares.
 func (s *exchangeCluster) distributeShares(t *testing.T) {
 	for _, l := range s.limits {
 		l.start = time.Now().Add(-time.Minute)
@@ -100,7 +100,7 @@
 	}, 5*time.Second, 10*time.Millisecond)
 }
 
-// parts returns what the keeper of a pool has of its shares.
+// shareSum returns the largest sum of shares that an entry has for a pool.
 func (s *exchangeCluster) shareSum(pool int) float64 {
 	highest := 0.0
 	for _, l := range s.limits {
@@ -112,7 +112,7 @@
 	return highest
 }
 
-// fill has what the limit's pools hold be a hundred tokens in all.
+// fill fills the pools of the limit, which hold 100 tokens in all.
 func (s *exchangeCluster) fill() {
 	for _, l := range s.limits {
 		for pool := range limitPools {
@@ -121,8 +121,8 @@
 	}
 }
 
-// A workspace's requests come in at all entries. They are let in as by one bucket,
-// whichever entry they reach.
+// A workspace's requests reach all entries. Together the entries must admit what one token
+// bucket would.
 func TestPoolOwnersAdmitForAllEntries(t *testing.T) {
 	s := newExchangeCluster(t, 4)
 	s.distributeShares(t)
@@ -139,8 +139,8 @@
 	require.Equal(t, 10, admitted, "the limit is 100")
 }
 
-// The keepers of a limit are frozen or have just died. Requests are not held up by them for
-// long, and callers are told to come back when others have taken the pools over.
+// The owners of a limit's pools are frozen or have crashed. Requests must not wait long for
+// them, and refused callers must get a Retry-After.
 func TestUnreachablePoolOwners(t *testing.T) {
 	s := newExchangeCluster(t, 3)
 	s.distributeShares(t)
@@ -156,11 +156,11 @@
 		}
 	}
 	require.Less(t, time.Since(start), 20*(maxLimitAttempts*limitPools*responseTimeout+time.Second/20))
-	require.Empty(t, l.exchange.pending, "no question is kept")
+	require.Empty(t, l.exchange.pending, "no call is pending")
 }
 
-// An entry of which no replica says that it has a share must not take itself for the only
-// one: each of seventy would let in the whole limit.
+// An entry for which no replica has voted admits nothing. Otherwise each such entry would
+// admit the whole limit.
 func TestEntryWithoutShareAdmitsNothing(t *testing.T) {
 	s := newExchangeCluster(t, 2)
 	s.entries = nil
@@ -174,8 +174,8 @@
 	}
 }
 
-// Entries disagree for a moment about who keeps a pool. One that is asked and is not the
-// keeper has lent its share, and lets in nothing beside the keeper.
+// Entries disagree for a moment about the owner of a pool. An entry that is asked but isn't
+// the owner has lent its share, and must not admit requests in addition to the owner.
 func TestOnlyPoolOwnerAdmits(t *testing.T) {
 	s := newExchangeCluster(t, 3)
 	s.distributeShares(t)
@@ -193,7 +193,8 @@
 	}
 }
 
-// What a request that did not run had used up is given back, also from another entry.
+// Requests that did not run are refunded by another entry than the pools' owners. Without
+// the refund the workspace would be refused below its limit.
 func TestRefundFromAnotherEntry(t *testing.T) {
 	s := newExchangeCluster(t, 3)
 	s.distributeShares(t)
--- a/gateway/datagram_test.go
+++ b/gateway/datagram_test.go
@@ -17,10 +17,8 @@
 	return newDatagrams(key, slog.New(slog.DiscardHandler), nil)
 }
 
-// Whoever reaches the port without the system's key, or a torn datagram, says nothing:
-// otherwise all requests could be sent to one server, or a workspace shut out.
-//
-// It breaks without the code before each message.
+// A datagram without the cluster's key, or a truncated one, is dropped. Otherwise anyone who
+// reaches the port could direct all requests to one server or block a workspace.
 func TestForgedOrTruncatedDatagramIsDropped(t *testing.T) {
 	ours := testDatagrams("k")
 	sealed, err := ours.seal(&message{From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Server: "s", Running: 1}}})
@@ -36,31 +34,30 @@
 	}
 }
 
-// An entry with a fault tells of loads and uses that can't be. They would be added to
-// what is right, and stay there for seconds.
+// A faulty entry sends values out of range. They would distort load and limits for seconds.
 func TestInvalidMessageIsDropped(t *testing.T) {
 	d := testDatagrams("k")
 	for name, m := range map[string]message{
-		"no sender":          {Kind: kindLoadsRequest},
-		"no server":          {From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Running: 1}}},
-		"negative load":      {From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Server: "s", Running: -1}}},
-		"negative prompts":   {From: "a", Kind: kindLoadsResponse, Loads: []serverLoad{{Server: "s", Prefill: -5}}},
-		"absurd load":        {From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Server: "s", Prefill: math.MaxInt}}},
-		"no question":        {From: "a", Kind: kindLimitRequest},
-		"no workspace":       {From: "a", Kind: kindLimitRequest, Limit: &limitRequest{Cost: 1}},
-		"negative cost":      {From: "a", Kind: kindLimitRequest, Limit: &limitRequest{Workspace: "w", Cost: -1}},
-		"cost is no number":  {From: "a", Kind: kindRefund, Limit: &limitRequest{Workspace: "w", Cost: math.NaN()}},
-		"cost without bound": {From: "a", Kind: kindRefund, Limit: &limitRequest{Workspace: "w", Cost: math.Inf(1)}},
-		"negative refund":    {From: "a", Kind: kindRefund, Limit: &limitRequest{Workspace: "w", Cost: -1}},
-		"no shares":          {From: "a", Kind: kindLeaseRequest},
-		"lease without time": {From: "a", Kind: kindLeaseRequest, Shares: &sharesMessage{}},
-		"more than all":      {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Part: 1.5}},
-		"share is no number": {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Part: math.NaN()}},
-		"negative saving":    {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 1), Saved: []float64{-1}}},
-		"saving is absurd":   {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 1), Saved: []float64{math.NaN()}}},
-		"saving is missing":  {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 2), Saved: []float64{1}}},
-		"no answer":          {From: "a", Kind: kindLimitResponse},
-		"wait below zero":    {From: "a", Kind: kindLimitResponse, Answer: &limitResponse{Wait: -1}},
+		"no sender":         {Kind: kindLoadsRequest},
+		"no server":         {From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Running: 1}}},
+		"negative load":     {From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Server: "s", Running: -1}}},
+		"negative prompts":  {From: "a", Kind: kindLoadsResponse, Loads: []serverLoad{{Server: "s", Prefill: -5}}},
+		"load too high":     {From: "a", Kind: kindLoadsReport, Loads: []serverLoad{{Server: "s", Prefill: math.MaxInt}}},
+		"no request":        {From: "a", Kind: kindLimitRequest},
+		"no workspace":      {From: "a", Kind: kindLimitRequest, Limit: &limitRequest{Cost: 1}},
+		"negative cost":     {From: "a", Kind: kindLimitRequest, Limit: &limitRequest{Workspace: "w", Cost: -1}},
+		"cost is NaN":       {From: "a", Kind: kindRefund, Limit: &limitRequest{Workspace: "w", Cost: math.NaN()}},
+		"cost is infinite":  {From: "a", Kind: kindRefund, Limit: &limitRequest{Workspace: "w", Cost: math.Inf(1)}},
+		"negative refund":   {From: "a", Kind: kindRefund, Limit: &limitRequest{Workspace: "w", Cost: -1}},
+		"no shares":         {From: "a", Kind: kindLeaseRequest},
+		"no lease duration": {From: "a", Kind: kindLeaseRequest, Shares: &sharesMessage{}},
+		"share above one":   {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Part: 1.5}},
+		"share is NaN":      {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Part: math.NaN()}},
+		"negative saved":    {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 1), Saved: []float64{-1}}},
+		"saved is NaN":      {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 1), Saved: []float64{math.NaN()}}},
+		"saved is missing":  {From: "a", Kind: kindLeaseResponse, Shares: &sharesMessage{For: 1, Pools: make([]limit.Key, 2), Saved: []float64{1}}},
+		"no response":       {From: "a", Kind: kindLimitResponse},
+		"negative wait":     {From: "a", Kind: kindLimitResponse, Answer: &limitResponse{Wait: -1}},
 	} {
 		sealed, err := d.seal(&m)
 		require.NoError(t, err)
@@ -69,7 +66,7 @@
 	}
 }
 
-// A message that does not fit a datagram would be cut on its way; it is not sent.
+// A message that does not fit a datagram would arrive truncated; it is an error to send it.
 func TestOversizedMessageIsNotSent(t *testing.T) {
 	loads := make([]serverLoad, maxLoadsPerMessage)
 	for i := range loads {
@@ -77,7 +74,7 @@
 	}
 	d := testDatagrams("k")
 	_, err := d.seal(&message{From: strings.Repeat("e", 60), Kind: kindLoadsReport, Loads: loads})
-	require.NoError(t, err, "an entry's own fit")
+	require.NoError(t, err, "the loads of one message fit")
 	_, err = d.seal(&message{From: "a", Kind: kindLoadsReport, Loads: append(loads, loads...)})
 	require.Error(t, err)
 
@@ -88,7 +85,6 @@
 	}
 }
 
-// lendLong is a long lease.
 const longLease = time.Minute
 
 func FuzzDatagrams(f *testing.F) {
--- a/gateway/limitsite_test.go
+++ b/gateway/limitsite_test.go
@@ -26,8 +26,8 @@
 	"savoryreel.example/savoryreel/site"
 )
 
-// limitSite is the entries of a site that hold one workspace to its limit, in virtual
-// time, with a network that can be cut and one control replica that tells of all.
+// limitSite simulates in virtual time the entries of a site that enforce the limit of one
+// workspace, with a network that can be cut and one control replica.
 type limitSite struct {
 	t         *testing.T
 	workspace routes.Workspace
@@ -35,18 +35,18 @@
 	rng       *rand.Rand
 	start     time.Time
 	entries   []*limitEntry
-	targets   []*limitEntry   // those that callers use
+	targets   []*limitEntry   // entries that callers use
 	registry  *limit.Registry // of the control replica
 
-	registryMu sync.Mutex // the control replica hears one at a time
+	registryMu sync.Mutex // serializes heartbeats
 
 	mu       sync.Mutex
 	admitted []admittedRequest
 }
 
-// letIn is a request that was let in.
+// admittedRequest is an admitted request.
 type admittedRequest struct {
-	at   time.Duration
+	at   time.Duration // since the start
 	cost float64
 }
 
@@ -56,12 +56,12 @@
 	index         int
 	name          string
 	addr          netip.AddrPort
-	isolated      atomic.Bool // from all others and from the control replica
-	lastHeartbeat time.Time   // by the control replica; telling is held
+	isolated      atomic.Bool // cut off from the other entries and the control replica
+	lastHeartbeat time.Time   // at the control replica; registryMu is held
 	process       atomic.Pointer[entryProcess]
 }
 
-// limitLife is one life of an entry.
+// entryProcess is one run of an entry.
 type entryProcess struct {
 	limits   *limits
 	exchange *peerExchange
@@ -69,7 +69,7 @@
 }
 
 const (
-	networkDelay      = time.Millisecond       // of a message, one way
+	networkDelay      = time.Millisecond       // one way
 	heartbeatInterval = 400 * time.Millisecond // between an entry's calls to the control replica
 )
 
@@ -88,7 +88,7 @@
 	return s
 }
 
-// start begins a new life of the entry.
+// start starts or restarts the entry.
 func (e *limitEntry) start() {
 	s := e.site
 	dir := directory.NewStore(directory.Config{ForgetAfter: time.Minute})
@@ -111,7 +111,7 @@
 	return directory.Entry{Name: e.name, Incarnation: 1, State: "serving", Address: net.JoinHostPort(e.addr.String(), "80")}
 }
 
-// siteWire is an entry's way to the others.
+// siteTransport delivers the messages of an entry.
 type siteTransport struct{ from *limitEntry }
 
 func (w siteTransport) send(to netip.AddrPort, m *message) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// tell has the control replica hear the entry, and the entry all others.
+// heartbeat calls the control replica and applies its reply.
 func (e *limitEntry) heartbeat() {
 	if e.isolated.Load() {
 		return
@@ -145,10 +145,10 @@
 	process.limits.shares.recordVote("c1", e.site.registry.Vote(e.name, now), 1, now)
 }
 
-// digestOf stands for a list of names.
+// digestOf returns a digest of a list of names.
 func digestOf(names []string) uint64 { return xxhash.Sum64String(strings.Join(names, ",")) }
 
-// shareOut is what an entry does every askEvery.
+// renewShares does what an entry does every renewInterval.
 func (e *limitEntry) renewShares() {
 	l := e.process.Load().limits
 	l.updateShare()
@@ -156,7 +156,8 @@
 	l.renewLeases()
 }
 
-// play sends tokens a second, in requests of some thousand, for so long.
+// sendLoad sends perSecond tokens a second, in requests of 800 to 7,200, for the duration.
+// It returns the tokens offered and those admitted.
 func (s *limitSite) sendLoad(perSecond float64, duration time.Duration) (offered, admitted float64) {
 	const mean = 4000.0
 	for until := time.Now().Add(duration); time.Now().Before(until); {
@@ -180,7 +181,7 @@
 	return offered, admitted
 }
 
-// run has the control replica told until the test ends.
+// run runs the entries until stop is called.
 func (s *limitSite) run() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
@@ -201,8 +202,8 @@
 	return func() { cancel(); work.Wait(); time.Sleep(time.Second) }
 }
 
-// highest returns the most that was let in within a window of the site, as a part of
-// what is allowed.
+// highestUsage returns the most tokens admitted within a window of the site, as a ratio of
+// the allowed ones.
 func (s *limitSite) highestUsage() float64 {
 	slices.SortFunc(s.admitted, func(a, b admittedRequest) int { return int(a.at - b.at) })
 	highest, sum, first := 0.0, 0.0, 0
@@ -217,9 +218,8 @@
 	return highest / ((s.workspace.PerSecond*s.bounds.QuotaWindow.Seconds()+s.workspace.Burst)*(1+s.bounds.QuotaOverrun) + s.bounds.QuotaSlack)
 }
 
-// Half of the entries are cut off from all others while a workspace sends many times its
-// limit. Those that are cut off must not let in their part beside an owner that gives out
-// the whole limit.
+// Half of the entries are isolated while a workspace sends several times its limit. If they
+// used their shares while an owner still does, the workspace would exceed its limit.
 func TestLimitWhileHalfOfEntriesAreIsolated(t *testing.T) {
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
@@ -241,16 +241,16 @@
 	}
 }
 
-// requireWithin checks each window of the site.
+// requireWithinLimit checks each window of the site.
 func (s *limitSite) requireWithinLimit(t *testing.T) {
 	t.Helper()
 	usage := s.highestUsage()
-	t.Logf("highest window: %.3f of what is allowed", usage)
+	t.Logf("highest window: %.3f of the allowed tokens", usage)
 	require.LessOrEqual(t, usage, 1.0)
 }
 
-// A workspace sends four times its limit at all entries, after it was quiet. It gets what it
-// is owed, and no more than the limit and what the site's users allow beyond it.
+// A workspace that was quiet sends four times its limit at all entries. It must get its
+// limit, and no more than the limit and the tolerance.
 func TestLimitDuringSurge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 150_000.0
@@ -259,12 +259,12 @@
 		s.sendLoad(perSecond/2, 10*time.Second)
 		_, admitted := s.sendLoad(4*perSecond, 20*time.Second)
 		s.requireWithinLimit(t)
-		require.Greater(t, admitted, 0.9*20*perSecond, "what the workspace is owed is let in")
+		require.Greater(t, admitted, 0.9*20*perSecond, "the workspace gets its limit")
 	})
 }
 
-// All callers of a workspace use one of six entries. They are within their limit and are not
-// refused, though that entry's share is a sixth.
+// All callers of a workspace use one of six entries, within the limit. They must not be
+// refused, although the entry's own share is a sixth.
 func TestLimitWithCallersOnOneEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 150_000.0
@@ -277,8 +277,8 @@
 	})
 }
 
-// A workspace far below its limit sends one long prompt, and then a short question to the
-// same entry. The question is not refused.
+// A workspace far below its limit sends a long prompt and then a short one to the same
+// entry. The short one must not be refused.
 func TestLimitAfterOneLargeRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newLimitSite(t, 8, 100_000, 110_000, 1)
@@ -291,8 +291,8 @@
 	})
 }
 
-// The entries hear nothing of each other, and no control replica. Together they let in what
-// one of them might, and a fifth of the limit at least.
+// All entries are isolated from each other and the control replica. Together they must admit
+// the limit from their own shares, and no more.
 func TestLimitWhileAllEntriesAreIsolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 150_000.0
@@ -304,12 +304,13 @@
 		}
 		_, admitted := s.sendLoad(4*perSecond, 20*time.Second)
 		s.requireWithinLimit(t)
-		require.Greater(t, admitted, 0.9*20*perSecond, "their shares make up the whole")
+		require.Greater(t, admitted, 0.9*20*perSecond, "the shares sum to the limit")
 	})
 }
 
-// A workspace is at its limit while entries start again in turn, each a second after the one
-// before. One that has just started knows of no use, and must not begin with a full bucket.
+// A workspace is above its limit while entries restart in turn, one each second. A restarted
+// entry has no record of past use; if it started with a full bucket, the workspace would
+// exceed its limit.
 func TestLimitWhileEntriesRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond = 150_000.0
@@ -327,9 +328,8 @@
 	})
 }
 
-// A workspace sends a few large requests a second, at six tenths of its limit, which reach
-// hundreds of entries one by one. One entry's share is a fraction of such a request; hardly
-// any is refused all the same.
+// A workspace sends a few large requests a second at 60% of its limit to many entries. An
+// entry's own share is a fraction of such a request; hardly any may be refused.
 func TestLimitWithManyEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const entries, perSecond = 190, 30_000.0
@@ -337,13 +337,13 @@
 		defer s.run()()
 		s.sendLoad(0.6*perSecond, 10*time.Second) // the pools fill
 		offered, admitted := s.sendLoad(0.6*perSecond, 60*time.Second)
-		t.Logf("%.5f of what is asked for is refused", 1-admitted/offered)
+		t.Logf("%.5f of the offered tokens were refused", 1-admitted/offered)
 		require.LessOrEqual(t, offered-admitted, 4*offered/360)
 	})
 }
 
-// The entry that keeps a pool of a limit is lost. The rest of the limit is served meanwhile,
-// and all of it once another entry keeps the pool.
+// The owner of a pool is lost. Meanwhile the other pool must still admit requests, and all
+// of the limit must be available once another entry owns the pool.
 func TestLimitWhilePoolOwnerIsLost(t *testing.T) {
 	for _, entries := range []int{8, 190} {
 		synctest.Test(t, func(t *testing.T) {
@@ -357,7 +357,7 @@
 				e.isolated.Store(e.name == owner)
 			}
 			offered, admitted := s.sendLoad(0.6*perSecond, 8*time.Second)
-			t.Logf("%d entries: %.3f of what is asked for is refused in 8 s", entries, 1-admitted/offered)
+			t.Logf("%d entries: %.3f of the offered tokens were refused in 8 s", entries, 1-admitted/offered)
 			require.Greater(t, admitted, 0.5*offered)
 			offered, admitted = s.sendLoad(0.6*perSecond, 10*time.Second)
 			require.Greater(t, admitted, 0.98*offered)
--- a/gateway/limituse_test.go
+++ b/gateway/limituse_test.go
@@ -12,8 +12,8 @@
 	"savoryreel.example/savoryreel/routes"
 )
 
-// A workspace has passed its limit over all entries. The lines of each entry say what it
-// let in, on whose word, and what it sent late or again.
+// A workspace has exceeded its limit over all entries. The log must show what each entry
+// admitted, on which basis, and what it sent late or again.
 func TestUsageLogOfWorkspaceOverItsLimit(t *testing.T) {
 	log := &logBuffer{}
 	now := time.Unix(0, 0)
@@ -42,8 +42,8 @@
 	require.Empty(t, u.workspaces)
 }
 
-// An entry stands still after it has let a request in. When it goes on, what it let in
-// before is let in anew: sent beside what others let in now, it would pass the limit.
+// An entry is paused after it has admitted a request. If it sent the request without a new
+// admission when it resumes, the workspace would exceed its limit.
 func TestStaleAdmissionIsRenewed(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
@@ -55,9 +55,9 @@
 	r.grantWholeLimits()
 	j := &job{Request: &Request{ID: "1", Key: "k", Path: "/x", Host: "a.example"}, gateway: r.Gateway, startedAt: r.now()}
 	require.Nil(t, j.admit(t.Context()))
-	require.Nil(t, j.renewAdmission(t.Context()), "it was let in just now")
+	require.Nil(t, j.renewAdmission(t.Context()), "it was admitted just now")
 
-	for j.limitDecision.ok { // the limit is used up
+	for j.limitDecision.ok { // until the limit is exhausted
 		require.Equal(t, j.limitDecision.ok, j.admitWithinLimit(t.Context()) == nil)
 	}
 	r.clockOffset.Add(int64(maxAdmissionAge + time.Millisecond))
@@ -65,6 +65,6 @@
 	require.NotNil(t, refusal)
 	require.Equal(t, OverLimit, refusal.Reason)
 	j.sends = 1
-	require.Nil(t, j.renewAdmission(t.Context()), "it was sent in time")
+	require.Nil(t, j.renewAdmission(t.Context()), "it has been sent")
 	require.Zero(t, server.count())
 }
--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -15,7 +15,7 @@
 	"savoryreel.example/savoryreel/routes"
 )
 
-// logBuffer is a process's log.
+// logBuffer collects log lines.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -27,7 +27,7 @@
 	return b.buf.Write(p)
 }
 
-// lines returns the lines of one request.
+// lines returns the lines of a request.
 func (b *logBuffer) lines(t *testing.T, id string) []map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,9 +51,8 @@
 	_ = r.Serve(r.t.Context(), &Request{ID: id, Method: "POST", Target: path, Path: path, Host: "a.example", Key: "k", Header: http.Header{}}, &recorder{})
 }
 
-// A workspace complains that a request was refused while servers stood free. The
-// log tells from its id that the workspace's limit was used up, and when the caller
-// was told to come back.
+// A workspace asks why a request was refused while servers were free. The log must show by
+// the request's id that its limit was exhausted, and the Retry-After.
 func TestLogExplainsRefusal(t *testing.T) {
 	r, log := newLoggedRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
@@ -63,7 +62,7 @@
 	r.limits.setWorkspaces(c.Workspaces)
 	r.grantWholeLimits()
 	r.table.Store(routes.NewTable(&c))
-	for range 50 { // the site's slack too
+	for range 50 { // exceeds the site's tolerance, too
 		r.serveWithID("before", "/x")
 	}
 	r.serveWithID("complaint", "/x")
@@ -77,8 +76,8 @@
 	require.Contains(t, lines[0], "revision")
 }
 
-// A caller complains of a late answer. The log tells which server took how long,
-// what was known of its load then, and how old that was.
+// A caller asks why an answer was late. The log must show which server took how long, its
+// reported load and the age of that report.
 func TestLogExplainsLateAnswer(t *testing.T) {
 	r, log := newLoggedRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent, Objective: 10 * time.Millisecond})
@@ -99,8 +98,8 @@
 	require.Greater(t, ended["firstByte"], ended["objective"])
 }
 
-// A caller got an error and does not know whether its request ran. The log tells
-// that it was sent once and to which server, and at which step that one failed.
+// A caller got an error and does not know whether its request ran. The log must show that it
+// was sent once, to which server, and the step that failed.
 func TestLogExplainsUnknownOutcome(t *testing.T) {
 	r, log := newLoggedRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
--- a/gateway/parts_test.go
+++ b/gateway/parts_test.go
@@ -11,8 +11,8 @@
 	"savoryreel.example/savoryreel/wallclock"
 )
 
-// A stream arrives in pieces cut anywhere. Whole events come out, all of them, in
-// order, and the last id is that of the last whole event.
+// A stream arrives in arbitrary chunks. A lost, reordered or split event, or a wrong last
+// id, would corrupt a resumed stream.
 func TestStreamIsSplitIntoWholeEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "events")
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -10,9 +10,8 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// An entry is told once which entries there are, and afterwards only of changes. Those
-// that are up stay known for as long as the replicas hear them, and not when this entry
-// hears of nobody any more.
+// An entry gets the names of the live entries only when the list changes. The list must not
+// expire while replicas confirm its digest, and must expire once none does.
 func TestPeersRemainWhileDigestIsConfirmed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	store := directory.NewStore(directory.Config{ForgetAfter: time.Minute})
@@ -20,9 +19,9 @@
 		store.MergeEntry(directory.Entry{Name: name, Incarnation: 1, State: instance.StateServing, Address: "10.0.0.1:80"}, now)
 	}
 	p := &peers{directory: store}
-	require.Empty(t, p.entries(now), "nothing was told yet")
+	require.Empty(t, p.entries(now), "no report yet")
 	p.update(7, nil, now)
-	require.Empty(t, p.entries(now), "nor now")
+	require.Empty(t, p.entries(now), "the digest is unknown")
 	p.update(7, []string{"a", "b"}, now)
 	for range 100 {
 		now = now.Add(time.Second)
@@ -30,6 +29,6 @@
 		require.Len(t, p.entries(now), 2)
 		store.Sweep(now, false)
 	}
-	p.update(8, nil, now.Add(2*peersTTL)) // of a replica that has another list
+	p.update(8, nil, now.Add(2*peersTTL)) // by a replica with another list
 	require.Empty(t, p.entries(now.Add(2*peersTTL)))
 }
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -20,8 +20,8 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(text)) }
 }
 
-// An entry that has just started knows no catalogue. A caller whose key is good
-// must not read that nobody holds it.
+// A new entry has no catalogue. A caller with a valid key must not be refused for an unknown
+// key.
 func TestRefusalBeforeFirstCatalogue(t *testing.T) {
 	r := newRig(t)
 	_, refusal := r.serve("/x")
@@ -41,9 +41,9 @@
 	require.Positive(t, refusal.RetryAfter)
 }
 
-// A server closes the connection after it has read a request that may run once.
-// It may have run: a second send could credit an account twice, and the word "not
-// run" would make the caller send it again.
+// A server closes the connection after it has read a non-idempotent request, which may have
+// run. A second send, or a report of "not run" that makes the caller retry, could run it
+// twice.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent, MaxServers: 3})
@@ -54,8 +54,8 @@
 	require.Equal(t, 1, a.count()+b.count())
 }
 
-// One of two servers loses its connections. An idempotent request is answered by
-// the other one.
+// One of two servers drops its connections. An idempotent request must be answered by the
+// other one.
 func TestIdempotentRequestIsRetried(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent, MaxServers: 2})
@@ -71,10 +71,10 @@
 	require.Equal(t, 10, answered)
 }
 
-// All servers fail each request. The repeats must stay within the site's budget,
-// or the failing servers get twice the load.
+// All servers fail each request. Retries must stay within the site's budget, or the failing
+// servers get several times the load.
 //
-// It breaks without Gateway.failed in mayRepeat.
+// Fails if mayRetry does not call Gateway.decideRetry.
 func TestRetryBudget(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent, MaxServers: 3})
@@ -88,8 +88,8 @@
 	require.LessOrEqual(t, float64(repeats), bounds.RetryRatio*requests+bounds.RetrySlack/assumedEntries)
 }
 
-// Eighty entries share what may be repeated besides the ratio. With eight's part
-// each, servers that fail would get ten times what the site allows.
+// Entries share the site's retry slack. If each of 80 entries used the budget of one of
+// eight, failing servers would get ten times the retries that the site allows.
 func TestRetryBudgetIsSplitAmongAllEntries(t *testing.T) {
 	bounds := testNode().Bounds
 	for _, entries := range []int{1, 6, 80} {
@@ -97,8 +97,8 @@
 	}
 }
 
-// A server says that it did not run the request, since it is full. Another one
-// takes it, also where it may run only once.
+// A full server reports that it did not run a request. Another one must get it, even if it
+// may run only once.
 func TestServerRefusalIsRetriedElsewhere(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
@@ -117,8 +117,7 @@
 	require.LessOrEqual(t, full.count()-before, 10)
 }
 
-// A server answers with half its body and breaks off. The caller must be able to
-// tell that from a whole answer.
+// A server cuts its answer off halfway. The caller must not take it for a complete answer.
 func TestTruncatedAnswerIsAnError(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
@@ -129,11 +128,11 @@
 	})
 	out, refusal := r.serve("/x")
 	require.Equal(t, ServerFailed, refusal.Reason)
-	require.Zero(t, out.status, "nothing has gone to the caller")
+	require.Zero(t, out.status, "nothing was sent to the caller")
 }
 
-// A server takes longer than the route allows. The caller gets its final answer at
-// that time, which leaves open whether the request ran.
+// A server takes longer than the route allows. The caller must get an error at the deadline
+// that leaves open whether the request ran.
 func TestRouteTimeout(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent, Timeout: 100 * time.Millisecond})
@@ -144,7 +143,8 @@
 	require.Less(t, time.Since(start), time.Second)
 }
 
-// The caller leaves. Its run at the server is cancelled at once.
+// The caller disconnects. Its request must be cancelled at the server, which would otherwise
+// work for nothing.
 func TestCallerGone(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent})
@@ -164,12 +164,12 @@
 	select {
 	case <-ended:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the server still works for a caller that has gone")
+		t.Fatal("the server still processes the request of a caller that has disconnected")
 	}
 }
 
-// stream writes events from the one after the given id up to last, and breaks off
-// in the middle of the one after it, unless whole.
+// stream writes events from first to last. Unless whole, it then cuts the connection within
+// the next event.
 func stream(first func(*http.Request) int, last int, whole bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		for id := first(req); id <= last; id++ {
@@ -200,8 +200,8 @@
 	return b.String()
 }
 
-// Both servers break off in the middle of an event, the first time each. The
-// caller sees one stream without a gap, a double or half an event.
+// A server cuts a stream off within an event. The caller must get one stream without
+// missing, repeated or partial events.
 func TestStreamIsResumedOnAnotherServer(t *testing.T) {
 	for name, from := range map[string]func(*http.Request) int{
 		"from the event after": resumeAt,
@@ -229,8 +229,8 @@
 	}
 }
 
-// A stream that may not be resumed breaks off. What came goes to the caller, and
-// the end doesn't look like one.
+// A stream that may not be resumed is cut off. The caller must get the events so far, and
+// not take their end for the end of the stream.
 func TestNonResumableStreamIsTruncated(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Stream, MaxServers: 3})
@@ -241,8 +241,8 @@
 	require.Equal(t, 1, a.count())
 }
 
-// A server ends a stream in the middle of an event with its connection, which
-// looks like a proper end where the answer has no length.
+// A server closes the connection within an event. Without a length that looks like the end
+// of the answer, and the caller would take the stream for complete.
 func TestStreamClosedInsideEventIsTruncated(t *testing.T) {
 	for _, resumable := range []bool{false, true} {
 		r := newRig(t)
@@ -263,10 +263,8 @@
 	}
 }
 
-// A stream's route is asked for something that isn't there. The server's own answer,
-// which has no events, goes to the caller whole.
-//
-// It breaks if it is read as a stream: one that ends in the middle of an event.
+// A server answers a request on a stream's route with an error. Read as a stream, the answer
+// would count as cut off within an event; it must be relayed whole.
 func TestErrorAnswerOnStreamRoute(t *testing.T) {
 	for _, resumable := range []bool{false, true} {
 		r := newRig(t)
@@ -282,12 +280,11 @@
 	}
 }
 
-// A stream breaks off, and the servers that it is to go on at fail or answer with an
-// error. Neither may be joined to the events that the caller has, and each attempt
-// draws on the retry budget: with all servers failing, callers of streams would else
-// bring each of them several times the load.
+// A stream is cut off, and the servers that could resume it fail or answer with an error.
+// The error must not be joined to the events that the caller has, and each attempt must be
+// charged to the retry budget, or callers of streams multiply the load on failing servers.
 //
-// It breaks without the case of a begun answer in relay, and in serverFailed.
+// Fails without the case for answerStarted in relay, and in serverFailed.
 func TestFailedResumeIsTruncated(t *testing.T) {
 	for _, status := range []int{http.StatusNotFound, http.StatusInternalServerError} {
 		r := newRig(t)
@@ -310,14 +307,12 @@
 		for _, s := range all {
 			total += s.count()
 		}
-		require.LessOrEqual(t, total, 3, "the first run and what the budget allows")
+		require.LessOrEqual(t, total, 3, "the first attempt and the budget")
 	}
 }
 
-// A caller asks with HEAD how long a document is. The answer has no body, and a
-// length all the same.
-//
-// It breaks if the length told is that of the body that came.
+// A caller requests the length of a document with HEAD. The answer has no body; its length
+// must not be reported as 0.
 func TestHeadAnswerKeepsContentLength(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.Idempotent})
@@ -333,11 +328,9 @@
 	require.Equal(t, int64(4711), out.length)
 }
 
-// A server answers each request at once with an error of its own, on a route whose
-// requests may run only once. Callers get the errors, as nothing may be repeated.
-// The server is always free, so it looks best, and would get most requests.
-//
-// It breaks if an error that is passed on counts as a good end of the run.
+// A server answers each request at once with an error, on a route without retries. It is
+// always idle, so it would get most requests if errors that are relayed counted as
+// successes.
 func TestFailingServerGetsFewerRequests(t *testing.T) {
 	r := newRig(t)
 	r.setRoutes(routes.Route{Prefix: "/", Kind: routes.NonIdempotent})
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -66,7 +66,7 @@
 	cfg.BusyCost = busyServerDelay
 	router, err := route.New(cfg)
 	if err != nil {
-		panic(err) // the configuration is constant and valid
+		panic(err) // the configuration is valid for every number of entries
 	}
 	return &service{
 		name: name, router: router, servers: make(map[string]directory.Server), cacheSequence: make(map[string]uint64), running: make(map[string]int),
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -21,7 +21,7 @@
 	"savoryreel.example/savoryreel/site"
 )
 
-// plainDialect marks answers with a few headers of its own.
+// plainDialect marks requests and answers with a few headers of its own.
 type plainDialect struct{}
 
 func (plainDialect) RequestHeader(r *Request, run Attempt) http.Header {
@@ -50,8 +50,7 @@
 
 func (plainDialect) AnswerHeader(h http.Header) http.Header { return h.Clone() }
 
-// standIn is a backend server that does what its handler says, and notes what it
-// was asked.
+// standIn is a backend server with a given handler that records its requests.
 type standIn struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -64,12 +63,12 @@
 	return len(s.requests)
 }
 
-// rig is a gateway with stand-ins behind it, and no control replicas.
+// rig is a gateway with stand-in servers and no control replicas.
 type rig struct {
 	*Gateway
 	t           *testing.T
 	serverCount uint64
-	clockOffset atomic.Int64 // nanoseconds that the gateway's clock is ahead
+	clockOffset atomic.Int64 // nanoseconds by which the gateway's clock is ahead
 }
 
 func newRig(t *testing.T) *rig { return newRigWithLog(t, slog.New(slog.DiscardHandler)) }
@@ -99,14 +98,15 @@
 	}
 }
 
-// haveWholeLimits has a control replica say that the gateway is the only entry, for long.
+// grantWholeLimits advances the clock past the startup wait and records the vote of a
+// control replica that the gateway is the only entry.
 func (r *rig) grantWholeLimits() {
 	r.clockOffset.Add(int64(time.Minute))
 	r.shares.recordVote("c1", limit.ShareVote{Entries: 1, Allowed: true}, 1, r.now())
 	r.Gateway.limits.updateShare()
 }
 
-// server adds a stand-in to a service.
+// server adds a stand-in server to a service.
 func (r *rig) server(service string, handle http.HandlerFunc) *standIn {
 	s := &standIn{}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -127,7 +127,7 @@
 	return s
 }
 
-// use puts routes in force.
+// setRoutes puts routes in force.
 func (r *rig) setRoutes(list ...routes.Route) {
 	c := &routes.Catalogue{Revision: 1, Routes: list, Services: []routes.Service{{Name: "web"}}}
 	for i := range c.Routes {
@@ -143,7 +143,7 @@
 	r.table.Store(routes.NewTable(c))
 }
 
-// recorder takes an answer.
+// recorder is a Writer that records an answer.
 type recorder struct {
 	status int
 	length int64
@@ -173,10 +173,10 @@
 	return out, refusal
 }
 
-// fillBudget lets the retry budget fill, as ordinary traffic does.
+// fillBudget adds to the retry budget as ordinary traffic does.
 func (r *rig) fillBudget() { r.fillBudgetFor(20) }
 
-// fillBudgetFor lets it fill for so many repeats, at the site's ratio of a fifth.
+// fillBudgetFor adds enough for the given number of retries at the site's ratio of 0.2.
 func (r *rig) fillBudgetFor(repeats int) {
 	for range repeats * 15 / 2 {
 		r.recordFirstAttempt(retry.Call{Service: "web", Class: contract.ClassInteractive, Idempotent: true})
