--- a/gateway/catalogue.go
+++ b/gateway/catalogue.go
@@ -8,34 +8,33 @@
 	"savoryreel.example/savoryreel/routes"
 )
 
-// adopt puts a catalogue in force here if its revision is higher than the one in
-// force. A process never goes back: callers would see a key that was taken away
-// work again.
-func (g *Gateway) adopt(revision uint64, document []byte, from string) {
+// adopt puts a catalogue in force if its revision is higher than the current one. It never
+// returns to a lower revision, which would make revoked keys valid again.
+func (g *Gateway) adopt(revision uint64, document []byte, replica string) {
 	if document == nil {
 		return
 	}
-	g.adopting.Lock()
-	defer g.adopting.Unlock()
+	g.adoptMu.Lock()
+	defer g.adoptMu.Unlock()
 	if t := g.table.Load(); t != nil && revision <= t.Catalogue().Revision {
 		return
 	}
 	catalogue, err := g.deps.Decode(document)
 	if err != nil {
 		event.Log(context.Background(), g.log, slog.LevelError, event.RevisionRefused,
-			slog.Uint64("revision", revision), slog.String("peer", from), slog.String("error", err.Error()))
+			slog.Uint64("revision", revision), slog.String("peer", replica), slog.String("error", err.Error()))
 		return
 	}
 	g.limits.setWorkspaces(catalogue.Workspaces)
-	g.keepRoutes(catalogue)
+	g.retainRoutes(catalogue)
 	g.table.Store(routes.NewTable(catalogue))
 	event.Log(context.Background(), g.log, slog.LevelInfo, event.RevisionTaken,
-		slog.Uint64("revision", revision), slog.String("peer", from), slog.Int("routes", len(catalogue.Routes)),
+		slog.Uint64("revision", revision), slog.String("peer", replica), slog.Int("routes", len(catalogue.Routes)),
 		slog.Int("workspaces", len(catalogue.Workspaces)))
 }
 
-// Limits returns what callers may send, as the catalogue in force has it; zero
-// before the first one.
+// Limits returns the bounds on requests of callers in the current catalogue; zero before the
+// first catalogue.
 func (g *Gateway) Limits() routes.Limits {
 	if t := g.table.Load(); t != nil {
 		return t.Catalogue().Limits
@@ -43,13 +42,13 @@
 	return routes.Limits{}
 }
 
-// keepRoutes forgets what was learnt of routes that a catalogue no longer has.
-func (g *Gateway) keepRoutes(c *routes.Catalogue) {
+// retainRoutes drops the estimated waits of routes that are not in the catalogue.
+func (g *Gateway) retainRoutes(c *routes.Catalogue) {
 	names := make(map[string]bool, len(c.Routes))
 	for i := range c.Routes {
 		names[c.Routes[i].Name] = true
 	}
-	g.callersMu.Lock()
-	defer g.callersMu.Unlock()
-	g.callers.Retain(names)
+	g.callerWaitsMu.Lock()
+	defer g.callerWaitsMu.Unlock()
+	g.callerWaits.Retain(names)
 }
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -11,7 +11,7 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// outcomes counts how requests end, and how long they took.
+// outcomes counts the outcomes and durations of requests.
 type outcomes struct {
 	set *metrics.Set
 }
@@ -35,11 +35,11 @@
 	o.set.GetOrCreateHistogram(fmt.Sprintf(`savoryreel_first_byte_seconds{kind=%q}`, j.route.Kind)).Update(j.age(now).Seconds())
 }
 
-// logChoice writes which server a request goes to, and why: what the choice was made
-// from, and how old the word on the others' load is.
+// logChoice logs the chosen server with what the choice was based on, including the age of
+// the report on its load.
 func (j *job) logChoice(c *choice) {
 	v := &c.verdict
-	j.gateway.ordinary.Log(context.Background(), event.RouteChosen, slog.String("request", j.ID),
+	j.gateway.sampler.Log(context.Background(), event.RouteChosen, slog.String("request", j.ID),
 		slog.String("service", j.service.name), slog.String("server", v.Server), slog.String("address", v.Address),
 		slog.String("reason", v.Reason.String()), slog.Duration("score", v.Score), slog.Int("cached", v.CachedTokens),
 		slog.Int("prompt", j.PromptTokens), slog.Int("load", v.Load), slog.Int("ahead", v.QueuedTokens), slog.Duration("loadAge", c.loadAge),
@@ -47,14 +47,14 @@
 		slog.Int("runnersUp", len(v.RunnersUp())), slog.Int("send", j.sends+1))
 }
 
-// logEnd writes how a request ended.
+// logEnd logs a request's outcome.
 func (j *job) logEnd(refusal *Refusal) {
 	g := j.gateway
 	attrs := []slog.Attr{
 		slog.String("request", j.ID), slog.String("workspace", j.workspaceName()), slog.String("path", j.Path),
-		slog.String("server", j.lastSent), slog.Int("sends", j.sends), slog.Int("runs", j.runs),
+		slog.String("server", j.lastServer), slog.Int("sends", j.sends), slog.Int("runs", j.runs),
 		slog.Duration("took", j.age(g.now())), slog.Duration("firstByte", j.firstByte),
-		slog.Bool("cameBack", j.late), slog.Float64("cost", j.cost),
+		slog.Bool("cameBack", j.objectivePassed), slog.Float64("cost", j.cost),
 	}
 	if j.route != nil {
 		attrs = append(attrs, slog.String("route", j.route.Name), slog.Duration("objective", j.route.Objective))
@@ -63,7 +63,7 @@
 		attrs = append(attrs, slog.Uint64("revision", t.Catalogue().Revision))
 	}
 	if refusal == nil {
-		g.ordinary.Log(context.Background(), event.RequestEnded, append(attrs, slog.String("outcome", "answered"), slog.Int("status", j.status))...)
+		g.sampler.Log(context.Background(), event.RequestEnded, append(attrs, slog.String("outcome", "answered"), slog.Int("status", j.status))...)
 		return
 	}
 	kind := event.RequestEnded
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -21,7 +21,7 @@
 	"savoryreel.example/savoryreel/site"
 )
 
-// plainDialect marks answers with a few headers of its own.
+// plainDialect marks requests and answers with a few headers of its own.
 type plainDialect struct{}
 
 func (plainDialect) RequestHeader(r *Request, run Attempt) http.Header {
@@ -50,8 +50,7 @@
 
 func (plainDialect) AnswerHeader(h http.Header) http.Header { return h.Clone() }
 
-// standIn is a backend server that does what its handler says, and notes what it
-// was asked.
+// standIn is a backend server with a given handler that records its requests.
 type standIn struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -64,12 +63,12 @@
 	return len(s.requests)
 }
 
-// rig is a gateway with stand-ins behind it, and no control replicas.
+// rig is a gateway with stand-in servers and no control replicas.
 type rig struct {
 	*Gateway
-	t    *testing.T
-	next uint64
-	skip atomic.Int64 // nanoseconds that the gateway's clock is ahead
+	t           *testing.T
+	serverCount uint64
+	clockOffset atomic.Int64 // nanoseconds by which the gateway's clock is ahead
 }
 
 func newRig(t *testing.T) *rig { return newRigWithLog(t, slog.New(slog.DiscardHandler)) }
@@ -77,7 +76,7 @@
 func newRigWithLog(t *testing.T, log *slog.Logger) *rig {
 	r := &rig{t: t}
 	g, err := New(Config{Node: testNode(), ClusterKey: "k"}, Deps{
-		Log: log, Now: func() time.Time { return time.Now().Add(time.Duration(r.skip.Load())) },
+		Log: log, Now: func() time.Time { return time.Now().Add(time.Duration(r.clockOffset.Load())) },
 		Seeds: func() []string { return nil }, Dialect: plainDialect{},
 	})
 	require.NoError(t, err)
@@ -99,14 +98,15 @@
 	}
 }
 
-// haveWholeLimits has a control replica say that the gateway is the only entry, for long.
-func (r *rig) haveWholeLimits() {
-	r.skip.Add(int64(time.Minute))
-	r.shares.take("c1", limit.ShareVote{Entries: 1, Allowed: true}, 1, r.now())
-	r.Gateway.limits.takePart()
+// grantWholeLimits advances the clock past the startup wait and records the vote of a
+// control replica that the gateway is the only entry.
+func (r *rig) grantWholeLimits() {
+	r.clockOffset.Add(int64(time.Minute))
+	r.shares.recordVote("c1", limit.ShareVote{Entries: 1, Allowed: true}, 1, r.now())
+	r.Gateway.limits.updateShare()
 }
 
-// server adds a stand-in to a service.
+// server adds a stand-in server to a service.
 func (r *rig) server(service string, handle http.HandlerFunc) *standIn {
 	s := &standIn{}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -118,17 +118,17 @@
 		handle(w, req)
 	}))
 	r.t.Cleanup(s.CloseClientConnections)
-	r.next++
+	r.serverCount++
 	r.directory.Announce(instance.Announcement{
-		ID: fmt.Sprintf("s%d", r.next), Incarnation: 1, Sequence: 1, State: instance.StateServing,
+		ID: fmt.Sprintf("s%d", r.serverCount), Incarnation: 1, Sequence: 1, State: instance.StateServing,
 		Address: s.Listener.Addr().String(), Zone: "z", Slots: 8, Services: []string{service},
 	}, time.Now())
 	r.applyDirectory()
 	return s
 }
 
-// use puts routes in force.
-func (r *rig) use(list ...routes.Route) {
+// setRoutes puts routes in force.
+func (r *rig) setRoutes(list ...routes.Route) {
 	c := &routes.Catalogue{Revision: 1, Routes: list, Services: []routes.Service{{Name: "web"}}}
 	for i := range c.Routes {
 		x := &c.Routes[i]
@@ -143,7 +143,7 @@
 	r.table.Store(routes.NewTable(c))
 }
 
-// recorder takes an answer.
+// recorder is a Writer that records an answer.
 type recorder struct {
 	status int
 	length int64
@@ -161,11 +161,11 @@
 
 func (r *recorder) Flush() error { return nil }
 
-func (r *rig) ask(path string) (*recorder, *Refusal) {
-	return r.askCtx(r.t.Context(), path)
+func (r *rig) serve(path string) (*recorder, *Refusal) {
+	return r.serveContext(r.t.Context(), path)
 }
 
-func (r *rig) askCtx(ctx context.Context, path string) (*recorder, *Refusal) {
+func (r *rig) serveContext(ctx context.Context, path string) (*recorder, *Refusal) {
 	out := &recorder{}
 	refusal := r.Serve(ctx, &Request{
 		ID: fmt.Sprint(time.Now().UnixNano()), Method: "POST", Target: path, Path: path, Host: "a.example", Header: http.Header{},
@@ -173,12 +173,12 @@
 	return out, refusal
 }
 
-// fillBudget lets the retry budget fill, as ordinary traffic does.
+// fillBudget adds to the retry budget as ordinary traffic does.
 func (r *rig) fillBudget() { r.fillBudgetFor(20) }
 
-// fillBudgetFor lets it fill for so many repeats, at the site's ratio of a fifth.
+// fillBudgetFor adds enough for the given number of retries at the site's ratio of 0.2.
 func (r *rig) fillBudgetFor(repeats int) {
 	for range repeats * 15 / 2 {
-		r.noteFirst(retry.Call{Service: "web", Class: contract.ClassInteractive, Idempotent: true})
+		r.recordFirstAttempt(retry.Call{Service: "web", Class: contract.ClassInteractive, Idempotent: true})
 	}
 }
