--- a/link/frame.go
+++ b/link/frame.go
@@ -8,21 +8,22 @@
 	"io"
 )
 
-// ProtocolVersion is the version of the wire format. It stands in every frame
-// header, so that a process of another version is recognised by its first frame.
+// ProtocolVersion is the version of the wire format. Every frame header carries
+// it, so that the first frame of a peer already reveals an incompatible version.
 const ProtocolVersion = 1
 
-// DefaultMaxFrame bounds the payload of a frame where no bound is set: 4 MiB.
+// DefaultMaxFrame is the default limit on the payload of a frame, in bytes.
 const DefaultMaxFrame = 4 << 20
 
 const (
-	magic0     = 'S'
-	magic1     = 'r'
-	headerSize = 8 // magic (2), version, kind, payload length (4, big endian)
-	maxMethod  = 255
-	readChunk  = 64 << 10 // bytes allocated ahead of the data of a large frame
+	magic0            = 'S'
+	magic1            = 'r'
+	headerBytes       = 8 // magic (2), version, kind, payload length (4, big endian)
+	maxMethodBytes    = 255
+	payloadChunkBytes = 64 << 10 // allocated at most ahead of the payload bytes received
 )
 
+// kind is the type of a frame.
 type kind byte
 
 const (
@@ -38,25 +39,25 @@
 	kindCancel
 )
 
-// frame is one message on the wire. Its payload is call id and timeout as
-// uvarints, the method with a one-byte length, and the body. A frame whose
-// fields are all zero has an empty payload: a heartbeat is the header alone.
+// frame is one message on the wire: a header, then a payload of the call ID and
+// the timeout as uvarints, the method with a one-byte length, and the body. If all
+// these fields are zero, as in a heartbeat, the payload is empty.
 type frame struct {
-	kind    kind
-	id      uint64
-	timeout uint64 // milliseconds left for a request; 0: no deadline
-	method  string
-	body    []byte
+	kind          kind
+	id            uint64
+	timeoutMillis uint64 // until the deadline of a request; 0: no deadline
+	method        string
+	body          []byte
 }
 
-// Errors of the frame decoder.
+// Errors of encoding and decoding frames.
 var (
 	ErrBadMagic      = errors.New("not a frame of this protocol")
 	ErrFrameTooLarge = errors.New("frame exceeds the size bound")
 	ErrMalformed     = errors.New("malformed frame")
 )
 
-// VersionError says that the other side speaks another protocol version.
+// VersionError reports that the other end uses another protocol version.
 type VersionError struct {
 	Got, Want byte
 }
@@ -65,35 +66,36 @@
 	return fmt.Sprintf("protocol version %d, this side speaks %d", e.Got, e.Want)
 }
 
-// appendFrame appends the wire form of f to dst. It fails on a method that is
-// too long and on a payload over limit bytes.
-func appendFrame(dst []byte, f frame, limit int) ([]byte, error) {
-	if len(f.method) > maxMethod {
+// appendFrame appends the encoded f to dst. It returns ErrMalformed if the method
+// exceeds maxMethodBytes and ErrFrameTooLarge if the payload exceeds maxPayload
+// bytes.
+func appendFrame(dst []byte, f frame, maxPayload int) ([]byte, error) {
+	if len(f.method) > maxMethodBytes {
 		return dst, fmt.Errorf("method name of %d bytes: %w", len(f.method), ErrMalformed)
 	}
 	start := len(dst)
 	dst = append(dst, magic0, magic1, ProtocolVersion, byte(f.kind), 0, 0, 0, 0)
-	if f.id == 0 && f.timeout == 0 && f.method == "" && len(f.body) == 0 {
+	if f.id == 0 && f.timeoutMillis == 0 && f.method == "" && len(f.body) == 0 {
 		return dst, nil
 	}
 	dst = binary.AppendUvarint(dst, f.id)
-	dst = binary.AppendUvarint(dst, f.timeout)
+	dst = binary.AppendUvarint(dst, f.timeoutMillis)
 	dst = append(dst, byte(len(f.method)))
 	dst = append(dst, f.method...)
 	dst = append(dst, f.body...)
-	size := len(dst) - start - headerSize
-	if size > limit {
-		return dst[:start], fmt.Errorf("%d bytes, bound %d: %w", size, limit, ErrFrameTooLarge)
+	size := len(dst) - start - headerBytes
+	if size > maxPayload {
+		return dst[:start], fmt.Errorf("%d bytes, bound %d: %w", size, maxPayload, ErrFrameTooLarge)
 	}
 	binary.BigEndian.PutUint32(dst[start+4:], uint32(size))
 	return dst, nil
 }
 
-// readFrame reads one frame with a payload of at most limit bytes and returns
-// it with its size on the wire. io.EOF means that the stream ended between two
-// frames, io.ErrUnexpectedEOF that it ended inside one.
-func readFrame(r *bufio.Reader, limit int) (frame, int, error) {
-	var header [headerSize]byte
+// readFrame reads one frame with a payload of at most maxPayload bytes and returns
+// it with its size on the wire in bytes. It returns io.EOF if the stream ends
+// between two frames and io.ErrUnexpectedEOF if it ends within one.
+func readFrame(r *bufio.Reader, maxPayload int) (frame, int, error) {
+	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return frame{}, 0, err
 	}
@@ -104,23 +106,23 @@
 		return frame{}, 0, &VersionError{Got: header[2], Want: ProtocolVersion}
 	}
 	size := binary.BigEndian.Uint32(header[4:])
-	if uint64(size) > uint64(limit) {
-		return frame{}, 0, fmt.Errorf("%d bytes, bound %d: %w", size, limit, ErrFrameTooLarge)
+	if uint64(size) > uint64(maxPayload) {
+		return frame{}, 0, fmt.Errorf("%d bytes, bound %d: %w", size, maxPayload, ErrFrameTooLarge)
 	}
 	payload, err := readPayload(r, int(size))
 	if err != nil {
 		return frame{}, 0, err
 	}
 	f, err := parsePayload(kind(header[3]), payload)
-	return f, headerSize + int(size), err
+	return f, headerBytes + int(size), err
 }
 
-// readPayload reads size bytes. It grows the buffer as data arrives: a peer
-// that names a large length and sends nothing costs one chunk of memory only.
+// readPayload reads size bytes. It grows the buffer as data arrives, so that a
+// header with a large length and no data after it costs one chunk of memory only.
 func readPayload(r io.Reader, size int) ([]byte, error) {
-	buf := make([]byte, 0, min(size, readChunk))
+	buf := make([]byte, 0, min(size, payloadChunkBytes))
 	for len(buf) < size {
-		n := min(size-len(buf), readChunk)
+		n := min(size-len(buf), payloadChunkBytes)
 		start := len(buf)
 		buf = append(buf, make([]byte, n)...)
 		if _, err := io.ReadFull(r, buf[start:]); err != nil {
@@ -142,7 +144,7 @@
 		return f, nil
 	}
 	rest := payload
-	for _, field := range []*uint64{&f.id, &f.timeout} {
+	for _, field := range []*uint64{&f.id, &f.timeoutMillis} {
 		v, n := binary.Uvarint(rest)
 		if n <= 0 {
 			return f, fmt.Errorf("call id or timeout: %w", ErrMalformed)
--- a/link/frame_test.go
+++ b/link/frame_test.go
@@ -11,18 +11,20 @@
 	"pgregory.net/rapid"
 )
 
+// decode reads one frame from data.
 func decode(data []byte, limit int) (frame, int, error) {
 	return readFrame(bufio.NewReader(bytes.NewReader(data)), limit)
 }
 
+// Every encoded frame must decode to the same fields and size.
 func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := frame{
-			kind:    kind(rapid.IntRange(int(kindHello), int(kindCancel)).Draw(rt, "kind")),
-			id:      rapid.Uint64().Draw(rt, "id"),
-			timeout: rapid.Uint64().Draw(rt, "timeout"),
-			method:  string(rapid.SliceOfN(rapid.Byte(), 0, maxMethod).Draw(rt, "method")),
-			body:    rapid.SliceOfN(rapid.Byte(), 0, 3*readChunk/2).Draw(rt, "body"),
+			kind:          kind(rapid.IntRange(int(kindHello), int(kindCancel)).Draw(rt, "kind")),
+			id:            rapid.Uint64().Draw(rt, "id"),
+			timeoutMillis: rapid.Uint64().Draw(rt, "timeout"),
+			method:        string(rapid.SliceOfN(rapid.Byte(), 0, maxMethodBytes).Draw(rt, "method")),
+			body:          rapid.SliceOfN(rapid.Byte(), 0, 3*payloadChunkBytes/2).Draw(rt, "body"),
 		}
 		wire, err := appendFrame(nil, in, DefaultMaxFrame)
 		require.NoError(rt, err)
@@ -35,9 +37,8 @@
 	})
 }
 
-// A connection breaks while a frame is on its way, so the receiver holds the
-// front part only. Taken for a whole frame it would run a call with half its
-// body; each cut must be an error of its own kind.
+// A connection breaks within a frame. A truncated frame decoded as a whole one would
+// run a call with part of its body; every cut must return an error.
 func TestFrameTruncated(t *testing.T) {
 	wire, err := appendFrame(nil, frame{kind: kindRequest, id: 300, method: "m", body: []byte("body")}, DefaultMaxFrame)
 	require.NoError(t, err)
@@ -51,9 +52,8 @@
 	}
 }
 
-// A stray or hostile peer names a length of gigabytes. If the receiver made room
-// for it, one frame would take the process's memory; it must refuse by the
-// header alone. Broken by removing the comparison of size and limit in readFrame.
+// A header claims gigabytes. If the receiver allocated them, one frame would exhaust
+// its memory; it must reject the frame by its header alone.
 func TestFrameOversized(t *testing.T) {
 	header := []byte{magic0, magic1, ProtocolVersion, byte(kindRequest), 0, 0, 0, 0}
 	binary.BigEndian.PutUint32(header[4:], 1<<31)
@@ -63,6 +63,7 @@
 	require.ErrorIs(t, err, ErrFrameTooLarge)
 }
 
+// A peer of another version or protocol must get an error that names the cause.
 func TestFrameWrongVersionAndMagic(t *testing.T) {
 	_, _, err := decode([]byte{magic0, magic1, ProtocolVersion + 1, byte(kindHello), 0, 0, 0, 0}, DefaultMaxFrame)
 	var version *VersionError
@@ -72,10 +73,11 @@
 	require.ErrorIs(t, err, ErrBadMagic)
 }
 
+// Any input must give an error or a frame that encodes and decodes to itself.
 func FuzzReadFrame(f *testing.F) {
 	for _, seed := range []frame{
 		{kind: kindHeartbeat},
-		{kind: kindRequest, id: 1, timeout: 1000, method: "membership.gossip", body: []byte{0x80}},
+		{kind: kindRequest, id: 1, timeoutMillis: 1000, method: "membership.gossip", body: []byte{0x80}},
 		{kind: kindError, id: 1 << 60, body: []byte("x")},
 	} {
 		wire, err := appendFrame(nil, seed, DefaultMaxFrame)
@@ -92,11 +94,11 @@
 		}
 		wire, err := appendFrame(nil, fr, limit)
 		require.NoError(t, err)
-		again, _, err := decode(wire, limit)
+		reread, _, err := decode(wire, limit)
 		require.NoError(t, err)
 		require.LessOrEqual(t, n, len(data))
-		require.Equal(t, fr.method, again.method)
-		require.True(t, bytes.Equal(fr.body, again.body))
-		require.Equal(t, [3]uint64{fr.id, fr.timeout, uint64(fr.kind)}, [3]uint64{again.id, again.timeout, uint64(again.kind)})
+		require.Equal(t, fr.method, reread.method)
+		require.True(t, bytes.Equal(fr.body, reread.body))
+		require.Equal(t, [3]uint64{fr.id, fr.timeoutMillis, uint64(fr.kind)}, [3]uint64{reread.id, reread.timeoutMillis, uint64(reread.kind)})
 	})
 }
--- a/policy/admit/standing.go
+++ b/policy/admit/standing.go
@@ -6,66 +6,72 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// standing tells a burst from a load above capacity, as controlled delay
-// (Nichols and Jacobson, 2012) does for packets: after a burst the wait falls
-// within a short time, and stays low for as long.
-type standing struct {
-	above time.Time // since when requests would have waited; zero: they do not
-	last  time.Time // when the last one would have
+// standingQueue distinguishes a short burst from sustained load above
+// capacity, as CoDel does for packets (Nichols and Jacobson, "Controlling
+// Queue Delay", 2012): after a burst, the wait soon falls and stays low.
+type standingQueue struct {
+	aboveSince time.Time // start of the current run of long waits; zero if there is none
+	lastAbove  time.Time // time of the last long wait
 }
 
-// standingPart is the part of the target, as a divisor, that a wait has to
-// exceed to count.
-const standingPart = 8
+// standingTargetDivisor sets which waits count as long: those above the
+// first-token target divided by it.
+const standingTargetDivisor = 8
 
-func (s *standing) observe(now time.Time, r Request, interval time.Duration) {
-	if r.Class != contract.ClassInteractive || r.Target <= 0 {
+// observe records the estimated wait of an interactive request with a
+// first-token target. The run of long waits ends once none has been observed
+// for interval.
+func (s *standingQueue) observe(now time.Time, r Request, interval time.Duration) {
+	if r.Class != contract.ClassInteractive || r.FirstTokenTarget <= 0 {
 		return
 	}
-	// One request that finds a free slot does not end it: while the queue is
-	// held short, some always do.
-	if now.Sub(s.last) >= interval {
-		s.above = time.Time{}
+	// A single request that finds a free slot does not end the run: with a
+	// short queue, some always find one.
+	if now.Sub(s.lastAbove) >= interval {
+		s.aboveSince = time.Time{}
 	}
-	if r.Estimate.Wait <= r.Target/standingPart {
+	if r.Estimate.Wait <= r.FirstTokenTarget/standingTargetDivisor {
 		return
 	}
-	s.last = now
-	if s.above.IsZero() {
-		s.above = now
+	s.lastAbove = now
+	if s.aboveSince.IsZero() {
+		s.aboveSince = now
 	}
 }
 
-func (s *standing) since(now time.Time) time.Duration {
-	if s.above.IsZero() {
+// duration returns how long the current run of long waits has lasted, or 0.
+func (s *standingQueue) duration(now time.Time) time.Duration {
+	if s.aboveSince.IsZero() {
 		return 0
 	}
-	return now.Sub(s.above)
+	return now.Sub(s.aboveSince)
 }
 
-// invited is the work of those who were refused and told to come back. Without
-// it all who are refused in one second of a surge come back in the same later
-// second, which is a surge again: callers are refused twice or more and see
-// the queue swing between empty and full.
-type invited struct {
-	tokens float64
-	last   time.Time
-	rate   float64
+// retryBacklog estimates the work of refused callers that have not retried
+// yet. Without it, all callers refused in the same second would retry in the
+// same second, and the queue would swing between empty and full.
+type retryBacklog struct {
+	tokens  float64 // work not yet drained, as of updated
+	updated time.Time
+	rate    float64 // last rate passed to drainTime
 }
 
-// ahead returns how long the queue needs for the work of those told before.
-func (i *invited) ahead(now time.Time, rate float64) time.Duration {
-	if elapsed := now.Sub(i.last); elapsed > 0 {
-		i.tokens = max(0, i.tokens-rate*elapsed.Seconds())
-		i.last = now
+// drainTime returns how long the queue needs to do the work of the callers
+// refused earlier, at rate tokens per second.
+func (b *retryBacklog) drainTime(now time.Time, rate float64) time.Duration {
+	if elapsed := now.Sub(b.updated); elapsed > 0 {
+		b.tokens = max(0, b.tokens-rate*elapsed.Seconds())
+		b.updated = now
 	}
-	i.rate = rate
+	b.rate = rate
 	if rate <= 0 {
 		return 0
 	}
-	return seconds(i.tokens / rate)
+	return secondsToDuration(b.tokens / rate)
 }
 
-func (i *invited) add(cost int64, longest time.Duration) {
-	i.tokens = min(i.tokens+float64(cost), i.rate*longest.Seconds())
+// add adds the cost of a refused request, in tokens. The backlog never exceeds
+// maxDrainTime at the last rate.
+func (b *retryBacklog) add(cost int64, maxDrainTime time.Duration) {
+	b.tokens = min(b.tokens+float64(cost), b.rate*maxDrainTime.Seconds())
 }
--- a/policy/route/index_test.go
+++ b/policy/route/index_test.go
@@ -9,22 +9,21 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// The events of a server's cache reach an entry late, doubled and not all of
-// them, and the listing that repairs a gap was taken before some of them. The
-// user of a conversation notices a wrong index as a slow first token at each
-// turn. Whatever the losses, an index that calls itself complete must hold what
-// the server holds. Breaks without the replay of held events in Replace.
-func TestIndexIsRightOnceComplete(t *testing.T) {
+// Cache events arrive late, duplicated or not at all, and a listing may be older than the
+// last events. An index that reports itself complete must match the server's cache;
+// otherwise each turn of a conversation has a late first token. Fails without the replay of
+// buffered events in Replace.
+func TestCompleteIndexMatchesServerCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := NewPrefixIndex()
-		truth := map[uint64]bool{}
+		cached := map[uint64]bool{}
 		listings := []Listing{{Incarnation: 1}}
 		var sent []instance.CacheEvent
 		for sequence := uint64(1); sequence <= 80; sequence++ {
 			e := instance.CacheEvent{Sequence: sequence, Prefix: rapid.Uint64Range(0, 9).Draw(t, "prefix"), Stored: rapid.Bool().Draw(t, "stored"), Tokens: 5}
-			truth[e.Prefix] = e.Stored
+			cached[e.Prefix] = e.Stored
 			sent = append(sent, e)
-			listings = append(listings, listingOf(truth, sequence))
+			listings = append(listings, listingOf(cached, sequence))
 			if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 				continue
 			}
@@ -36,20 +35,20 @@
 				x.Apply("s", 1, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")])
 			}
 			if x.Complete("s") && x.servers[0].sequence == sequence {
-				for prefix, stored := range truth {
+				for prefix, stored := range cached {
 					_, ok := x.servers[0].prefixes[prefix]
 					require.Equal(t, stored, ok, "prefix %d after event %d", prefix, sequence)
 				}
 			}
 		}
-		x.Forget("s")
+		x.Remove("s")
 		require.Zero(t, x.Len())
 	})
 }
 
-func listingOf(truth map[uint64]bool, sequence uint64) Listing {
+func listingOf(cached map[uint64]bool, sequence uint64) Listing {
 	l := Listing{Incarnation: 1, Sequence: sequence}
-	for prefix, stored := range truth {
+	for prefix, stored := range cached {
 		if stored {
 			l.Prefixes = append(l.Prefixes, CachedPrefix{prefix, 5})
 		}
@@ -57,10 +56,9 @@
 	return l
 }
 
-// A server holds more prefixes than the index keeps. Those of the conversations
-// that go on now are the newest, and must be the ones kept. Breaks without
-// dropOldest.
-func TestIndexKeepsTheNewest(t *testing.T) {
+// A server caches more prefixes than the index holds. The index must retain the newest, which
+// are those of current conversations. Fails without dropOldest.
+func TestIndexDropsOldestPrefixes(t *testing.T) {
 	x := NewPrefixIndex()
 	const stored = 5 * maxServerPrefixes
 	for i := range uint64(stored) {
@@ -69,12 +67,12 @@
 		x.Apply("s", 1, evicted)
 	}
 	require.LessOrEqual(t, x.Len(), maxServerPrefixes)
-	require.LessOrEqual(t, len(x.servers[0].order), 2*maxServerPrefixes)
-	require.Contains(t, x.entries, uint64(stored-1))
+	require.LessOrEqual(t, len(x.servers[0].storeOrder), 2*maxServerPrefixes)
+	require.Contains(t, x.prefixes, uint64(stored-1))
 }
 
-// A server restarts under its old id. What its old process had cached is gone;
-// late events of that process must not bring it back.
+// A server restarts under its old id with an empty cache. Late events of the old process must
+// not add its prefixes again.
 func TestNewIncarnationStartsEmpty(t *testing.T) {
 	x := NewPrefixIndex()
 	require.Equal(t, Applied, x.Apply("s", 1, instance.CacheEvent{Sequence: 1, Prefix: 7, Stored: true, Tokens: 9}))
--- a/policy/route/occupancy.go
+++ b/policy/route/occupancy.go
@@ -7,49 +7,47 @@
 	"time"
 )
 
-// Occupancy is what an entry knows of one server's slots.
+// Occupancy is the use of one server's slots, as this entry estimates it.
 type Occupancy struct {
-	Slots    int // as far as it gets its share of the work
-	Reported int // requests running and waiting there, as last reported
-	Own      int // of these, this entry's starts less its ends since the report
+	Slots          int // scaled by the weight of the server
+	Reported       int // requests running and waiting, as last reported
+	OwnSinceReport int // requests of this entry that the report does not include
 }
 
-// Occupancies appends the occupancy of each server that takes work to dst, in
-// the order of their ids, which is the same at all entries. A server that gets
-// less than its full share, because it is slow or new, counts with that part of
-// its slots. What goes wrong otherwise: its free slots look like room, Choose
-// sends the work to the others, the room is never used up, and a whole queue
-// drains into servers that are full.
+// Occupancies appends to dst the occupancy of each serving server, in the order of the
+// server ids, which is the same at all entries. The slots of a slow or new server are scaled
+// by its weight. Otherwise its free slots would look available while Choose sends the requests
+// to other servers, and the queue would drain into servers that are full.
 func (r *Router) Occupancies(dst []Occupancy, now time.Time) []Occupancy {
-	if r.order == nil {
+	if r.slotsByID == nil {
 		r.sortServers()
 	}
-	top := 0.0
-	for _, slot := range r.order {
+	maxWeight := 0.0
+	for _, slot := range r.slotsByID {
 		if s := &r.servers[slot]; s.serving {
-			top = max(top, s.health.share*s.ramp(&r.cfg, now))
+			maxWeight = max(maxWeight, s.health.weight*s.slowStartFraction(&r.cfg, now))
 		}
 	}
-	for _, slot := range r.order {
+	for _, slot := range r.slotsByID {
 		s := &r.servers[slot]
 		if !s.serving {
 			continue
 		}
-		part := s.health.share * s.ramp(&r.cfg, now) / top
+		relativeWeight := s.health.weight * s.slowStartFraction(&r.cfg, now) / maxWeight
 		dst = append(dst, Occupancy{
-			Slots: int(math.Round(s.slots * part)), Reported: s.reported, Own: max(s.net, s.own-s.reported),
+			Slots: int(math.Round(s.slots * relativeWeight)), Reported: s.reportedLoad, OwnSinceReport: max(s.netStarts, s.ownRequests-s.reportedLoad),
 		})
 	}
 	return dst
 }
 
-// sortServers notes the servers in the order of their ids.
+// sortServers fills slotsByID.
 func (r *Router) sortServers() {
-	r.order = make([]int, 0, len(r.servers))
+	r.slotsByID = make([]int, 0, len(r.servers))
 	for slot := range r.servers {
 		if r.servers[slot].id != "" {
-			r.order = append(r.order, slot)
+			r.slotsByID = append(r.slotsByID, slot)
 		}
 	}
-	slices.SortFunc(r.order, func(a, b int) int { return cmp.Compare(r.servers[a].id, r.servers[b].id) })
+	slices.SortFunc(r.slotsByID, func(a, b int) int { return cmp.Compare(r.servers[a].id, r.servers[b].id) })
 }
--- a/policy/scale/place.go
+++ b/policy/scale/place.go
@@ -5,79 +5,77 @@
 	"slices"
 )
 
-// Artifact is something to load from the weight store: a model, or an adapter
-// for one.
+// Artifact is a model, or an adapter for a model, in the weight store.
 type Artifact struct {
 	Model   string
 	Version string
-	Adapter string // empty: the model itself
+	Adapter string // empty for the model itself
 	Bytes   int64
 }
 
-func (a Artifact) is(b Artifact) bool {
+func (a Artifact) sameAs(b Artifact) bool {
 	return a.Model == b.Model && a.Version == b.Version && a.Adapter == b.Adapter
 }
 
-// Need says on how many servers an artifact should be loaded.
+// Need is the number of servers that should load an artifact.
 type Need struct {
 	Artifact Artifact
 	Servers  int
-	Demand   float64 // work per second that needs it
+	Demand   float64 // work per second that requires the artifact
 }
 
 // Host is a backend server that can load artifacts.
 type Host struct {
-	ID         string
-	DataCentre string
-	Leaving    bool
-	Load       float64    // part of its capacity in use, 0..1
-	Loaded     []Artifact // or being loaded
-	Room       int64      // bytes left for more
+	ID          string
+	DataCentre  string
+	Leaving     bool
+	Utilization float64    // ratio of capacity in use, 0..1
+	Loaded      []Artifact // includes artifacts being loaded
+	FreeBytes   int64      // for further artifacts
 }
 
-// PlaceInput is what Place looks at.
+// PlaceInput is the input of Place.
 type PlaceInput struct {
-	Hosts    []Host
-	Needs    []Need
-	Rate     float64 // of the weight store, bytes per second
-	Loading  int     // loads under way
-	LoadRate float64 // the least rate at which one load is worth starting, bytes per second
+	Hosts           []Host
+	Needs           []Need
+	StoreRate       float64 // throughput of the weight store, bytes per second
+	LoadsInProgress int
+	MinLoadRate     float64 // minimum throughput per load, bytes per second
 }
 
-// Load is an order to load an artifact.
+// Load is an order to a host to load an artifact.
 type Load struct {
 	Host     string
 	Artifact Artifact
 }
 
-// Placement is the verdict of Place.
+// Placement is the result of Place.
 type Placement struct {
 	Loads []Load
-	// Paced counts loads put off because the weight store is busy, and NoRoom
-	// those for which no server has room.
-	Paced  int
-	NoRoom int
+	// Deferred counts the loads postponed because the weight store is busy, NoSpace those
+	// that no server has space for.
+	Deferred int
+	NoSpace  int
 }
 
-// Place decides which artifacts to load where. The artifact with the most
-// demand per copy it has goes first, to the data centre with the fewest copies
-// of it, on the least loaded server there.
+// Place decides which artifacts to load on which hosts. The artifact with the most
+// demand per copy goes first, to the data centre with the fewest copies of it, on
+// the least utilized host there.
 //
-// Load pattern answered: a wave or a surge after which many servers need weights
-// at once from a store with a fixed rate. Without pacing all loads share the
-// rate and all end at the very end: n loads begun together are served at 1/n of
-// the rate each, so the first server is ready after the time of all n. At most
-// Rate/LoadRate run at a time, and the first is ready after that part of it.
+// Load pattern: after a wave or a surge many servers load weights from a store with
+// a fixed throughput. Without a limit n concurrent loads each get 1/n of it, and the
+// first server is ready only when all of them are. Place limits concurrent loads to
+// StoreRate/MinLoadRate.
 func Place(in PlaceInput) Placement {
 	hosts := slices.Clone(in.Hosts)
 	for i := range hosts {
 		hosts[i].Loaded = slices.Clone(hosts[i].Loaded)
 	}
 	var result Placement
-	parallel := max(int(in.Rate/max(in.LoadRate, 1)), 1)
+	maxLoads := max(int(in.StoreRate/max(in.MinLoadRate, 1)), 1)
 	needs := slices.Clone(in.Needs)
 	for {
-		i := neediest(needs, hosts)
+		i := mostUrgent(needs, hosts)
 		if i < 0 {
 			return result
 		}
@@ -85,30 +83,30 @@
 		host := bestHost(hosts, need.Artifact)
 		switch {
 		case host == nil:
-			result.NoRoom += need.Servers - copies(hosts, need.Artifact)
+			result.NoSpace += need.Servers - copies(hosts, need.Artifact)
 			need.Servers = 0
-		case in.Loading+len(result.Loads) >= parallel:
-			result.Paced += need.Servers - copies(hosts, need.Artifact)
+		case in.LoadsInProgress+len(result.Loads) >= maxLoads:
+			result.Deferred += need.Servers - copies(hosts, need.Artifact)
 			need.Servers = 0
 		default:
 			host.Loaded = append(host.Loaded, need.Artifact)
-			host.Room -= need.Artifact.Bytes
+			host.FreeBytes -= need.Artifact.Bytes
 			result.Loads = append(result.Loads, Load{host.ID, need.Artifact})
 		}
 	}
 }
 
-// neediest returns the need with the most demand per copy among those that lack
-// copies, -1 if none does.
-func neediest(needs []Need, hosts []Host) int {
-	best, most := -1, 0.0
+// mostUrgent returns the index of the need with the most demand per copy among those
+// that lack copies, or -1.
+func mostUrgent(needs []Need, hosts []Host) int {
+	best, highest := -1, 0.0
 	for i, need := range needs {
-		have := copies(hosts, need.Artifact)
-		if have >= need.Servers {
+		loaded := copies(hosts, need.Artifact)
+		if loaded >= need.Servers {
 			continue
 		}
-		if urgency := need.Demand / (float64(have) + 0.1); best < 0 || urgency > most {
-			best, most = i, urgency
+		if urgency := need.Demand / (float64(loaded) + 0.1); best < 0 || urgency > highest {
+			best, highest = i, urgency
 		}
 	}
 	return best
@@ -125,20 +123,22 @@
 }
 
 func (h *Host) holds(a Artifact) bool {
-	return !h.Leaving && slices.ContainsFunc(h.Loaded, a.is)
+	return !h.Leaving && slices.ContainsFunc(h.Loaded, a.sameAs)
 }
 
-// fits reports whether the host can load the artifact: an adapter goes where its
-// model is.
+// fits reports whether the host can load the artifact. An adapter requires its model on
+// the same host.
 func (h *Host) fits(a Artifact) bool {
-	if h.Leaving || h.Room < a.Bytes || h.holds(a) {
+	if h.Leaving || h.FreeBytes < a.Bytes || h.holds(a) {
 		return false
 	}
 	return a.Adapter == "" || h.holds(Artifact{Model: a.Model, Version: a.Version})
 }
 
+// bestHost returns the host that fits and has the fewest copies in its data centre, then
+// the lowest utilization and ID. It returns nil if no host fits.
 func bestHost(hosts []Host, a Artifact) *Host {
-	near := func(h *Host) int {
+	copiesInCentre := func(h *Host) int {
 		n := 0
 		for i := range hosts {
 			if hosts[i].DataCentre == h.DataCentre && hosts[i].holds(a) {
@@ -153,7 +153,7 @@
 		if !h.fits(a) {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(near(h), near(best)), cmp.Compare(h.Load, best.Load), cmp.Compare(h.ID, best.ID)) < 0 {
+		if best == nil || cmp.Or(cmp.Compare(copiesInCentre(h), copiesInCentre(best)), cmp.Compare(h.Utilization, best.Utilization), cmp.Compare(h.ID, best.ID)) < 0 {
 			best = h
 		}
 	}
--- a/policy/supply/need.go
+++ b/policy/supply/need.go
@@ -5,113 +5,109 @@
 	"time"
 )
 
-// Use is what the load makes of a service's servers at a moment.
-type Use struct {
-	Tokens  float64 // prompt tokens a second that arrive to be read
-	Running float64 // requests that run
-	Slots   int     // requests that a server runs at once
+// Usage is a sample of the load on the servers of a service.
+type Usage struct {
+	Tokens  float64 // prompt tokens that arrive per second
+	Running float64 // running requests
+	Slots   int     // requests that one server runs concurrently
 }
 
 const (
-	// targetUse is the part of its time that a server should be reading prompts, by what
-	// the entries count: they also count parts that a server caches unknown to them. A
-	// prompt that finds another one in front waits for all of it, and the longest take
-	// as long as a whole objective. On played days with waves, servers for a use of 0.57
-	// answered as many in time as half as many again did, and those for 0.8 a sixth fewer.
-	targetUse = 0.57
-	// fullUse is the use at which a server still serves, with many answers late. Beyond
-	// what a service began with, servers are only added for this.
-	fullUse = 0.7
-	// fullSlots is the part of their slots that servers may use: answers slow down as
-	// slots fill up, and a surge takes the rest.
-	fullSlots = 0.5
-	// leastPart is the part of the servers that a service began with that is kept
-	// whatever the load: the operators sized it for more than has been seen.
-	leastPart = 0.5
+	// targetUtilization is the fraction of time that a server reads prompts at which answers
+	// meet their latency objective. It is low because a prompt waits for the whole prompt
+	// ahead of it. The load includes prompt tokens that the server has cached.
+	targetUtilization = 0.57
+	// maxUtilization is the utilization at which a server still serves, with many late
+	// answers. It is the target beyond the initial number of servers.
+	maxUtilization = 0.7
+	// targetSlotFraction leaves slots free for surges; answers slow down as slots fill up.
+	targetSlotFraction = 0.5
+	// minSizeFraction is the fraction of the initial servers that is kept at any load.
+	minSizeFraction = 0.5
 
-	// followTime is the time constant with which the load is followed: longer than a
-	// single burst of arrivals, shorter than a server takes to boot.
-	followTime = 2 * time.Second
-	// holdTime is the time constant with which a past peak is forgotten. Loads swing
-	// within tens of seconds, and servers that are given up lose their caches.
-	holdTime = 20 * time.Second
-	// warmTime is for how long a load is watched before it is believed.
-	warmTime = 8 * time.Second
-	// lowerBy is by how many servers the need must lie below the one in force before
-	// that is lowered. Without it servers would come and go with each breath of load.
-	lowerBy = 0.5
+	// smoothingTime is the time constant of the moving average of the load: longer than a
+	// burst of arrivals, shorter than a server takes to boot.
+	smoothingTime = 2 * time.Second
+	// peakDecayTime is the time constant with which a past peak decays. It prevents servers
+	// from being stopped, and their caches lost, in a short dip.
+	peakDecayTime = 20 * time.Second
+	// warmUpTime is how long the load is observed before it replaces the initial size.
+	warmUpTime = 8 * time.Second
+	// lowerHysteresisServers is by how many servers, beyond rounding, the need must fall
+	// before the result is lowered.
+	lowerHysteresisServers = 0.5
 )
 
-// Demand learns from the load how many servers a service needs.
+// Demand estimates from the load how many servers a service needs.
 //
-// Load pattern answered: a load well below, or above, the one that the operators
-// sized the service for, which swings and surges.
+// Load pattern: a load far below or above the one that the service was sized for, with
+// surges.
 //
-// Without it as many servers are paid as the service began with, at all loads.
+// Without it the service keeps its initial number of servers at any load.
 type Demand struct {
-	since, at time.Time // when the load was known first, and last
-	reading   level     // prompt tokens a second
-	running   level     // servers whose slots are all in use
-	need      int       // in force
+	firstSample, lastSample time.Time // times of the first sample with load and of the last sample
+	promptTokens            loadLevel // per second
+	occupiedServers         loadLevel // running requests, in servers with all slots in use
+	lastNeed                int       // last result of ServersNeeded
 }
 
-// level is a figure of the load.
-type level struct {
-	now  float64 // smoothed
-	peak float64 // the most of late
+// loadLevel is a smoothed load and its recent peak.
+type loadLevel struct {
+	current float64 // moving average
+	peak    float64 // decaying maximum of current
 }
 
-func (l *level) follow(x float64, elapsed time.Duration) {
-	l.now += (x - l.now) * (1 - math.Exp(-elapsed.Seconds()/followTime.Seconds()))
-	l.peak = max(l.now, l.now+(l.peak-l.now)*math.Exp(-elapsed.Seconds()/holdTime.Seconds()))
+func (l *loadLevel) update(x float64, elapsed time.Duration) {
+	l.current += (x - l.current) * (1 - math.Exp(-elapsed.Seconds()/smoothingTime.Seconds()))
+	l.peak = max(l.current, l.current+(l.peak-l.current)*math.Exp(-elapsed.Seconds()/peakDecayTime.Seconds()))
 }
 
-// Note takes the load of a moment.
-func (d *Demand) Note(u Use, now time.Time) {
-	full := u.Running / float64(max(u.Slots, 1))
-	if d.since.IsZero() {
+// Observe records a sample of the load.
+func (d *Demand) Observe(u Usage, now time.Time) {
+	occupied := u.Running / float64(max(u.Slots, 1))
+	if d.firstSample.IsZero() {
 		if u.Tokens == 0 && u.Running == 0 {
-			return // nobody calls yet
+			return // no load yet
 		}
-		d.since = now
-		d.reading = level{u.Tokens, u.Tokens}
-		d.running = level{full, full}
+		d.firstSample = now
+		d.promptTokens = loadLevel{u.Tokens, u.Tokens}
+		d.occupiedServers = loadLevel{occupied, occupied}
 	}
-	d.reading.follow(u.Tokens, now.Sub(d.at))
-	d.running.follow(full, now.Sub(d.at))
-	d.at = now
+	d.promptTokens.update(u.Tokens, now.Sub(d.lastSample))
+	d.occupiedServers.update(occupied, now.Sub(d.lastSample))
+	d.lastSample = now
 }
 
-// Need returns how many servers serve the load in time. began is how many the service
-// began with, and rate how many tokens a server reads in a second; 0: it is not known.
-// Until the load is known the service needs what it began with.
-func (d *Demand) Need(began int, rate float64) int {
-	if d.since.IsZero() || d.at.Sub(d.since) < warmTime || d.reading.peak > 0 && rate <= 0 {
-		return began
+// ServersNeeded returns how many servers the recent peak load needs. initialServers is the
+// number that the service started with, tokensPerSecond the prompt tokens that one server
+// reads per second, 0 if unknown. It returns initialServers while the load or the rate is
+// unknown.
+func (d *Demand) ServersNeeded(initialServers int, tokensPerSecond float64) int {
+	if d.firstSample.IsZero() || d.lastSample.Sub(d.firstSample) < warmUpTime || d.promptTokens.peak > 0 && tokensPerSecond <= 0 {
+		return initialServers
 	}
-	use := d.reading.servers(rate).peak
-	inTime := min(use/targetUse, float64(began))
-	want := max(inTime, use/fullUse, d.running.peak/fullSlots, leastPart*float64(began))
-	if want > float64(d.need) || want < float64(d.need)-1-lowerBy {
-		d.need = int(math.Ceil(want))
+	busyServers := d.promptTokens.servers(tokensPerSecond).peak
+	withinObjective := min(busyServers/targetUtilization, float64(initialServers))
+	want := max(withinObjective, busyServers/maxUtilization, d.occupiedServers.peak/targetSlotFraction, minSizeFraction*float64(initialServers))
+	if want > float64(d.lastNeed) || want < float64(d.lastNeed)-1-lowerHysteresisServers {
+		d.lastNeed = int(math.Ceil(want))
 	}
-	return d.need
+	return d.lastNeed
 }
 
-// Load returns how many servers serve the load of the moment, 0 where it is not known.
-// It lies below Need, which goes by the peak of late. A smaller number, with which most
-// answers are late, cost more on days with three waves than it saved on those with two.
-func (d *Demand) Load(rate float64) int {
-	if d.reading.now > 0 && rate <= 0 {
+// ServersForCurrentLoad returns how many servers the current load needs within its latency
+// objective, 0 if unknown. Unlike ServersNeeded it ignores the recent peak.
+func (d *Demand) ServersForCurrentLoad(tokensPerSecond float64) int {
+	if d.promptTokens.current > 0 && tokensPerSecond <= 0 {
 		return 0
 	}
-	return int(math.Ceil(max(d.reading.servers(rate).now/targetUse, d.running.now/fullSlots)))
+	return int(math.Ceil(max(d.promptTokens.servers(tokensPerSecond).current/targetUtilization, d.occupiedServers.current/targetSlotFraction)))
 }
 
-// servers returns how many servers are busy with reading so many tokens a second.
-func (l level) servers(rate float64) level {
-	if rate <= 0 {
-		return level{}
+// servers converts a load in tokens per second into busy servers.
+func (l loadLevel) servers(tokensPerSecond float64) loadLevel {
+	if tokensPerSecond <= 0 {
+		return loadLevel{}
 	}
-	return level{l.now / rate, l.peak / rate}
+	return loadLevel{l.current / tokensPerSecond, l.peak / tokensPerSecond}
 }
--- a/policy/supply/supply_test.go
+++ b/policy/supply/supply_test.go
@@ -13,7 +13,7 @@
 
 func threeZones() Input {
 	return Input{
-		Zones: []Zone{{"a", 0.85}, {"b", 1.2}, {"c", 1}}, Min: 1, Max: 8, SpotPrice: 0.3, Need: 8, Serving: map[Kind]int{},
+		Zones: []Zone{{"a", 0.85}, {"b", 1.2}, {"c", 1}}, Min: 1, Max: 8, SpotPrice: 0.3, Need: 8, Serving: map[CapacityPool]int{},
 	}
 }
 
@@ -28,95 +28,88 @@
 	return spot, onDemand
 }
 
-// The day begins with on-demand servers. They stay until reclaimable ones serve,
-// and the zone's bound holds for both together meanwhile.
-func TestOnDemandServersStayUntilOthersServe(t *testing.T) {
+// Guards against stopping on-demand servers before reclaimable ones serve, and against
+// exceeding a zone's bound meanwhile.
+func TestOnDemandServersStayUntilReclaimableOnesServe(t *testing.T) {
 	in := threeZones()
 	in.Need = 12
 	for _, z := range in.Zones {
-		in.Serving[Kind{z.Name, false}] = 4
+		in.Serving[CapacityPool{z.Name, false}] = 4
 	}
 	in.Present = in.Serving
 	spot, onDemand := counts(Plan(in))
 	require.Equal(t, 12, spot)
 	require.Equal(t, 12, onDemand)
 	for _, z := range in.Zones {
-		in.Serving[Kind{z.Name, true}] = 4
+		in.Serving[CapacityPool{z.Name, true}] = 4
 	}
 	spot, onDemand = counts(Plan(in))
 	require.Equal(t, 12, spot)
-	require.Equal(t, 4, onDemand, "for the loss of a zone")
+	require.Equal(t, 4, onDemand, "replace the loss of one zone")
 	in.Present = nil
 	spot, _ = counts(Plan(in))
-	require.Equal(t, 18, spot, "when the others have gone there is room")
+	require.Equal(t, 18, spot, "the on-demand servers have left")
 }
 
-// A wave takes all reclaimable servers of one zone. The others serve the load; what
-// a second wave would leave short is ordered on demand before it comes.
-//
-// It breaks without Input.surviving: with the second wave the load would be left
-// with half of the servers it needs for as long as a boot takes.
-func TestWaves(t *testing.T) {
+// Guards against a shortage after a second wave: on-demand servers for it must be ordered
+// after the first one, as they take seconds to boot.
+func TestOnDemandServersReplaceAReclaimedZone(t *testing.T) {
 	in := threeZones()
-	in.Serving = map[Kind]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
+	in.Serving = map[CapacityPool]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
 	_, onDemand := counts(Plan(in))
 	require.Zero(t, onDemand)
 
-	in.Serving = map[Kind]int{{"a", true}: 4, {"b", true}: 4}
-	in.Closed = map[Kind]bool{{"c", true}: true}
+	in.Serving = map[CapacityPool]int{{"a", true}: 4, {"b", true}: 4}
+	in.Unavailable = map[CapacityPool]bool{{"c", true}: true}
 	orders := Plan(in)
 	_, onDemand = counts(orders)
 	require.Equal(t, 4, onDemand)
 
-	in.Ordered = map[Kind]int{}
+	in.Ordered = map[CapacityPool]int{}
 	for _, o := range orders {
-		in.Ordered[o.Kind] = o.Count
+		in.Ordered[o.CapacityPool] = o.Count
 	}
-	in.Serving = map[Kind]int{{"b", true}: 4}
-	in.Closed[Kind{"a", true}] = true
+	in.Serving = map[CapacityPool]int{{"b", true}: 4}
+	in.Unavailable[CapacityPool{"a", true}] = true
 	again := Plan(in)
 	for _, o := range again {
 		if !o.Reclaimable {
-			require.GreaterOrEqual(t, o.Count, in.Ordered[o.Kind], "servers that boot are not given up")
+			require.GreaterOrEqual(t, o.Count, in.Ordered[o.CapacityPool], "booting servers stay ordered")
 		}
 	}
 	_, onDemand = counts(again)
-	require.Equal(t, 4, onDemand, "four and four serve the load")
+	require.Equal(t, 4, onDemand, "four reclaimable and four on-demand servers serve the load")
 }
 
-// Waves have taken two zones, and a third one follows. On-demand servers that serve the
-// load of the moment are there before it: after it nothing else is left for as long as
-// a boot takes. A load that needs no more than is there costs nothing.
-//
-// It breaks if all reclaimable servers of the last zone are counted on.
-func TestThirdWave(t *testing.T) {
+// Guards against relying on the reclaimable servers of the last zone after two waves:
+// on-demand servers for the current load must be ordered before a third wave.
+func TestLastZoneIsBackedByOnDemandServers(t *testing.T) {
 	in := threeZones()
-	in.Serving = map[Kind]int{{"a", true}: 4, {"b", false}: 4}
-	in.Closed = map[Kind]bool{{"b", true}: true, {"c", true}: true}
+	in.Serving = map[CapacityPool]int{{"a", true}: 4, {"b", false}: 4}
+	in.Unavailable = map[CapacityPool]bool{{"b", true}: true, {"c", true}: true}
 	for load, want := range map[int]int{0: 4, 3: 4, 6: 6, 8: 8, 100: 8} {
 		in.Load = load
 		_, onDemand := counts(Plan(in))
 		require.Equal(t, want, onDemand, "load %d", load)
 	}
-	in.Serving = map[Kind]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
-	in.Closed, in.Load = nil, 100
+	in.Serving = map[CapacityPool]int{{"a", true}: 4, {"b", true}: 4, {"c", true}: 4}
+	in.Unavailable, in.Load = nil, 100
 	_, onDemand := counts(Plan(in))
-	require.Zero(t, onDemand, "a wave leaves two zones")
+	require.Zero(t, onDemand, "a wave would leave two zones")
 }
 
-// Waves have taken the reclaimable servers of all zones, and none are to be had. A
-// load that needs all the room that the zones have is served on demand meanwhile.
-//
-// It breaks without Input.Closed.
-func TestWavesInAllZones(t *testing.T) {
+// Guards against reserving zone capacity for reclaimable servers that are unavailable in
+// all zones: the load is then served on demand.
+func TestUnavailableServersAreOrderedOnDemand(t *testing.T) {
 	in := threeZones()
 	in.Need = 20
-	in.Closed = map[Kind]bool{{"a", true}: true, {"b", true}: true, {"c", true}: true}
+	in.Unavailable = map[CapacityPool]bool{{"a", true}: true, {"b", true}: true, {"c", true}: true}
 	_, onDemand := counts(Plan(in))
 	require.Equal(t, 20, onDemand)
 }
 
-func TestNoReclaimableServersAreSold(t *testing.T) {
+// Guards against ordering reclaimable servers where none are offered.
+func TestOnlyOnDemandServersWithoutASpotPrice(t *testing.T) {
 	in := threeZones()
 	in.SpotPrice = 0
 	spot, onDemand := counts(Plan(in))
@@ -124,9 +117,9 @@
 	require.Equal(t, 8, onDemand)
 }
 
-// Whatever is served now, each zone stays within its bounds, and what is wanted
-// covers the need if the bounds allow.
-func TestPlanKeepsItsBounds(t *testing.T) {
+// Guards against orders outside the zones' bounds, and against a shortage that the bounds do
+// not require.
+func TestPlanStaysWithinZoneBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := threeZones()
 		in.Zones = in.Zones[:rapid.IntRange(1, 3).Draw(t, "zones")]
@@ -135,8 +128,8 @@
 		in.Need = rapid.IntRange(0, 30).Draw(t, "need")
 		in.SpotPrice = rapid.SampledFrom([]float64{0, 0.2, 0.3, 0.9}).Draw(t, "price")
 		for _, z := range in.Zones {
-			in.Serving[Kind{z.Name, true}] = rapid.IntRange(0, 8).Draw(t, "spot")
-			in.Serving[Kind{z.Name, false}] = rapid.IntRange(0, 8).Draw(t, "on demand")
+			in.Serving[CapacityPool{z.Name, true}] = rapid.IntRange(0, 8).Draw(t, "spot")
+			in.Serving[CapacityPool{z.Name, false}] = rapid.IntRange(0, 8).Draw(t, "on demand")
 		}
 		perZone := map[string]int{}
 		total := 0
@@ -154,34 +147,28 @@
 	})
 }
 
-// Reclaimable servers cost a fifth of on-demand ones. Two waves take two zones within
-// seconds. The third zone still serves the load, and nobody boots on-demand servers at
-// five times the price in between.
-//
-// It breaks if only one zone is spared whatever the price.
-func TestCheapServersSpareTwoZones(t *testing.T) {
+// Guards against ordering expensive on-demand servers after two waves when reclaimable ones
+// are cheap enough for two spare zones.
+func TestCheapReclaimableServersCoverTheLossOfTwoZones(t *testing.T) {
 	in := threeZones()
 	in.SpotPrice, in.Min = 0.2, 0
 	spot, _ := counts(Plan(in))
 	require.Equal(t, 24, spot)
-	in.Serving = map[Kind]int{{"a", true}: 8, {"b", true}: 8, {"c", true}: 8}
+	in.Serving = map[CapacityPool]int{{"a", true}: 8, {"b", true}: 8, {"c", true}: 8}
 	for _, lost := range []string{"c", "b"} {
-		delete(in.Serving, Kind{lost, true})
-		in.Closed = map[Kind]bool{{lost, true}: true}
+		delete(in.Serving, CapacityPool{lost, true})
+		in.Unavailable = map[CapacityPool]bool{{lost, true}: true}
 		_, onDemand := counts(Plan(in))
 		require.Zero(t, onDemand, "after the loss of %s", lost)
 	}
 }
 
-// A workspace surges, and the load takes half as many servers again as the service began
-// with. Cheap ones are ordered for it; on-demand ones would boot for seconds and be paid
-// for long after it.
-//
-// It breaks without Input.Began.
-func TestSurgeIsLeftToReclaimableServers(t *testing.T) {
+// Guards against ordering on-demand servers for a surge above the initial number of servers,
+// which is too short for them to pay off.
+func TestSurgeAddsNoOnDemandServers(t *testing.T) {
 	in := threeZones()
-	in.Need, in.Began = 18, 12
-	in.Serving = map[Kind]int{{"a", true}: 6, {"b", true}: 6, {"c", true}: 6}
+	in.Need, in.InitialServers = 18, 12
+	in.Serving = map[CapacityPool]int{{"a", true}: 6, {"b", true}: 6, {"c", true}: 6}
 	spot, onDemand := counts(Plan(in))
 	require.Equal(t, 24, spot)
 	require.Zero(t, onDemand)
--- a/replica/progress.go
+++ b/replica/progress.go
@@ -2,46 +2,47 @@
 
 import "time"
 
-// progress is what a leader knows of one other replica.
+// progress is the leader's view of another replica.
 type progress struct {
-	match      uint64 // highest index it has acknowledged as synced
-	matchRound uint64 // the latest append sent when match last rose
-	next       uint64 // next index to send
+	match      uint64 // highest index acknowledged as synced
+	matchRound uint64 // lastAppendRound of the leader when match last rose
+	next       uint64 // index of the next entry to send
 
-	// probing: the point where the logs part is not known; one message at a time.
-	probing bool
-	waiting bool
+	// probing is set while the last matching entry is unknown. Only one append is
+	// sent at a time then; probeSent is set while it is unanswered.
+	probing   bool
+	probeSent bool
 
-	inflight   []uint64 // last index of each unacknowledged append, ascending
-	nudge      bool     // send an append even if it is empty
-	sentCommit uint64
+	inflight        []uint64 // last index of each unacknowledged append, ascending
+	appendRequested bool     // send an append even if it is empty
+	sentCommit      uint64   // commit index in the latest append
 
-	sending *outgoingSnapshot
+	outgoing *outgoingSnapshot // nil unless a snapshot is being sent
 
-	acked    bool          // has answered a heartbeat of this term
-	ackSent  time.Duration // when the latest heartbeat it has answered was sent
-	ackRound uint64
+	heartbeatAcked      bool          // whether it has acknowledged a heartbeat of this term
+	ackedHeartbeatSent  time.Duration // when the latest heartbeat that it has acknowledged was sent
+	ackedHeartbeatRound uint64        // round of that heartbeat
 
-	// lost: it has forgotten entries that it had acknowledged.
-	lost bool
+	// lostLog is set once the replica lacks entries that it had acknowledged.
+	lostLog bool
 }
 
-// ready reports whether another append may be sent.
-func (p *progress) ready(maxInflight int) bool {
-	if p.lost || p.sending != nil {
+// canSend reports whether another append may be sent.
+func (p *progress) canSend(maxInflight int) bool {
+	if p.lostLog || p.outgoing != nil {
 		return false
 	}
 	if p.probing {
-		return !p.waiting
+		return !p.probeSent
 	}
 	return len(p.inflight) < maxInflight
 }
 
-// sent records an append that ends in index last.
-func (p *progress) sent(last uint64, entries int) {
-	p.nudge = false
+// recordSent records an append of so many entries, the last one at index last.
+func (p *progress) recordSent(last uint64, entries int) {
+	p.appendRequested = false
 	if p.probing {
-		p.waiting = true
+		p.probeSent = true
 		return
 	}
 	if entries > 0 {
@@ -50,25 +51,25 @@
 	}
 }
 
-// acknowledge records that everything up to index is synced there. Appends are
-// numbered, round is the latest one sent.
+// acknowledge records that the replica has synced everything up to index. round is
+// the number of the latest append sent.
 func (p *progress) acknowledge(index, round uint64) {
 	if index > p.match {
 		p.match = index
 		p.matchRound = round
 	}
 	p.next = max(p.next, p.match+1)
-	p.waiting = false
+	p.probeSent = false
 	p.probing = false
 	for len(p.inflight) > 0 && p.inflight[0] <= index {
 		p.inflight = p.inflight[1:]
 	}
 }
 
-// probe starts again to look for the point where the logs part.
-func (p *progress) probe(next uint64) {
+// startProbe searches for the last matching entry again, from next-1 down.
+func (p *progress) startProbe(next uint64) {
 	p.next = max(next, p.match+1)
 	p.probing = true
-	p.waiting = false
+	p.probeSent = false
 	p.inflight = nil
 }
--- a/replica/ready.go
+++ b/replica/ready.go
@@ -1,77 +1,82 @@
 package replica
 
-// Ready is the work that a Core asks for. The order is binding:
+// Ready is the work that a Core requests. The caller must, in this order:
 //
-//  1. send Early, 2. install Snapshot, 3. sync HardState and Entries if MustSync,
-//  4. send Messages, 5. restore Snapshot and apply Committed, 6. call Advance.
+//  1. send Early,
+//  2. install Snapshot,
+//  3. sync HardState and Entries if MustSync,
+//  4. send Messages,
+//  5. restore Snapshot into the state machine and apply Committed,
+//  6. call Advance.
 //
-// A message sent before the sync that it depends on would acknowledge an entry
-// or a vote that a crash then takes back: acknowledged entries would be lost.
+// A message that is sent before the sync it depends on would acknowledge an entry
+// or a vote that a crash can still undo: acknowledged entries could be lost.
 type Ready struct {
-	Early     []Message // a leader's appends and heartbeats, which its own disk need not have yet
+	Early     []Message // a leader's appends and heartbeats, which need not wait for its own sync
 	Snapshot  *Snapshot // replaces the log and the state machine's state
 	HardState HardState
-	Entries   []Entry // to be written; the first one replaces all held from its index on
+	Entries   []Entry // to be written; they replace all existing entries from the first one's index on
 	MustSync  bool
 	Messages  []Message
 	Committed []Entry
-	Reads     []ReadState // answered once Committed is applied
+	Reads     []ReadState // can be served once Committed is applied
 }
 
-// ReadState answers ReadIndex: once the entry at Index is applied, the state
-// machine holds everything acknowledged before the read was asked for. That entry
-// is in Committed or was applied before.
+// ReadState is the result of ReadIndex: once the entry at Index is applied, the
+// state machine includes everything acknowledged before the read was requested.
+// That entry is in Committed or was applied earlier.
 type ReadState struct {
 	ID    uint64
 	Index uint64
 }
 
-// Ready returns the next work; ok is false if there is none. Advance must follow
-// before the next call.
+// Ready returns the next work; ok is false if there is none. The caller must call
+// Advance before it calls Ready again.
 func (c *Core) Ready() (rd Ready, ok bool) {
 	if c.role == Leader {
 		c.flushHeartbeat()
 		c.flushAppends()
-		c.releaseReads()
+		c.completeReads()
 	}
 	rd = Ready{
-		Snapshot:  c.installing,
-		HardState: HardState{Term: c.hard.Term, Vote: c.hard.Vote, Commit: c.log.commit},
-		Entries:   c.log.after(c.log.stable),
-		Committed: c.log.between(c.log.applied, c.log.commit),
+		Snapshot:  c.pendingSnapshot,
+		HardState: HardState{Term: c.hardState.Term, Vote: c.hardState.Vote, Commit: c.log.commit},
+		Entries:   c.log.entriesAfter(c.log.stable),
+		Committed: c.log.entriesBetween(c.log.applied, c.log.commit),
 		Reads:     c.readStates,
 	}
-	voted := c.hard.Term != c.saved.Term || c.hard.Vote != c.saved.Vote
-	rd.MustSync = voted || len(rd.Entries) > 0
-	rd.Early, rd.Messages = c.splitMessages(voted)
+	termOrVoteChanged := c.hardState.Term != c.syncedHardState.Term || c.hardState.Vote != c.syncedHardState.Vote
+	rd.MustSync = termOrVoteChanged || len(rd.Entries) > 0
+	rd.Early, rd.Messages = c.splitMessages(termOrVoteChanged)
 	c.messages = nil
 	c.readStates = nil
 	ok = rd.MustSync || rd.Snapshot != nil || len(rd.Early)+len(rd.Messages)+len(rd.Committed)+len(rd.Reads) > 0
 	return rd, ok
 }
 
-// splitMessages sets apart what may go out before the sync. The leader's own
-// acknowledgement counts only after Advance, so its entries may travel while its
-// disk still writes; a term that is not synced yet may not.
-func (c *Core) splitMessages(voted bool) (early, late []Message) {
-	if voted {
+// splitMessages separates the messages that may be sent before the sync. A
+// leader's appends may be sent while its own disk writes, because its own
+// acknowledgement counts only after Advance. After a change of term or vote all
+// messages wait for the sync.
+func (c *Core) splitMessages(termOrVoteChanged bool) (beforeSync, afterSync []Message) {
+	if termOrVoteChanged {
 		return nil, c.messages
 	}
 	for _, m := range c.messages {
 		if m.Type == MsgAppend || m.Type == MsgHeartbeat {
-			early = append(early, m)
+			beforeSync = append(beforeSync, m)
 			continue
 		}
-		late = append(late, m)
+		afterSync = append(afterSync, m)
 	}
-	return early, late
+	return beforeSync, afterSync
 }
 
-// Advance says that the work of rd is done.
+// Advance confirms that the work of rd is done.
 func (c *Core) Advance(rd Ready) {
-	c.installing = nil
+	c.pendingSnapshot = nil
 	if rd.MustSync {
-		c.saved = rd.HardState
+		c.syncedHardState = rd.HardState
 	}
 	if n := len(rd.Entries); n > 0 {
 		c.log.stable = rd.Entries[n-1].Index
