--- a/control/replicas.go
+++ b/control/replicas.go
@@ -119,7 +119,7 @@
 		code = api.CodeBehind
 	case errors.Is(err, replica.ErrBadChange):
 		code = api.CodeInvalid
-	case errors.Is(err, host.ErrUnknown):
+	case errors.Is(err, host.ErrOutcomeUnknown):
 		code = api.CodeUnknown
 	case errors.Is(err, host.ErrBusy) || errors.Is(err, replica.ErrChangePending):
 		code = api.CodeBusy
--- a/control/service.go
+++ b/control/service.go
@@ -110,7 +110,7 @@
 	switch {
 	case errors.Is(err, host.ErrBusy):
 		return api.CodeBusy
-	case errors.Is(err, host.ErrUnknown):
+	case errors.Is(err, host.ErrOutcomeUnknown):
 		return api.CodeUnknown
 	default:
 		return api.CodeNoLeader
--- a/fleet/orders_test.go
+++ b/fleet/orders_test.go
@@ -31,7 +31,7 @@
 func (volatile) State() replica.State                          { return replica.State{} }
 func (volatile) Save(replica.HardState, []replica.Entry) error { return nil }
 func (volatile) SaveSnapshot(replica.Snapshot) error           { return nil }
-func (volatile) Install(replica.HardState, replica.Snapshot) error {
+func (volatile) InstallSnapshot(replica.HardState, replica.Snapshot) error {
 	return nil
 }
 
--- a/replica/host/bench_test.go
+++ b/replica/host/bench_test.go
@@ -34,15 +34,15 @@
 	require.NoError(b, err)
 	leader := c.leader()
 	latencies := make([]*hdrhistogram.Histogram, callers)
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	var group sync.WaitGroup
 	b.ResetTimer()
-	start, used := time.Now(), cpuTime(b)
+	start, cpuUsed := time.Now(), cpuTime(b)
 	for i := range callers {
 		latencies[i] = hdrhistogram.New(1, int64(time.Minute), 3)
 		group.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				begin := time.Now()
 				if _, err := leader.Propose(context.Background(), kindPut, data); err != nil {
 					b.Error(err)
@@ -54,7 +54,7 @@
 	}
 	group.Wait()
 	elapsed := time.Since(start)
-	used = cpuTime(b) - used
+	cpuUsed = cpuTime(b) - cpuUsed
 	b.StopTimer()
 	all := latencies[0]
 	for _, h := range latencies[1:] {
@@ -63,7 +63,7 @@
 	b.ReportMetric(float64(b.N)/elapsed.Seconds(), "commits/s")
 	b.ReportMetric(float64(all.ValueAtQuantile(50))/1e6, "p50-ms")
 	b.ReportMetric(float64(all.ValueAtQuantile(99))/1e6, "p99-ms")
-	b.ReportMetric(float64(used.Microseconds())/float64(b.N)/float64(replicas), "cpu-µs/commit/replica")
+	b.ReportMetric(float64(cpuUsed.Microseconds())/float64(b.N)/float64(replicas), "cpu-µs/commit/replica")
 	b.ReportMetric(0, "ns/op")
 }
 
@@ -90,12 +90,12 @@
 	var total time.Duration
 	for range b.N {
 		leader := c.leader()
-		away := 1 + leader.Status().ID%3
-		require.NoError(b, c.stop(away))
+		stoppedID := 1 + leader.Status().ID%3
+		require.NoError(b, c.stop(stoppedID))
 		c.putMany(leader, missed)
 		last := leader.Status().Last
 		begin := time.Now()
-		n := c.start(away, 1, 2, 3)
+		n := c.start(stoppedID, 1, 2, 3)
 		c.eventually("caught up", func() bool { return n.Status().Applied >= last })
 		total += time.Since(begin)
 	}
@@ -150,13 +150,13 @@
 	const replicas = 7
 	c := newCluster(b, host.Config{}, ids(replicas)...)
 	leader := c.leader().Status().ID
-	c.net.record(leader)
-	begin, used := time.Now(), cpuTime(b)
+	c.net.startRecording(leader)
+	begin, cpuUsed := time.Now(), cpuTime(b)
 	<-time.After(time.Duration(b.N) * 100 * time.Millisecond)
 	elapsed := time.Since(begin)
-	used = cpuTime(b) - used
-	b.ReportMetric(100*used.Seconds()/elapsed.Seconds()/replicas, "%core/replica")
-	b.ReportMetric(float64(c.net.recorded())/elapsed.Seconds(), "leader-bytes/s")
+	cpuUsed = cpuTime(b) - cpuUsed
+	b.ReportMetric(100*cpuUsed.Seconds()/elapsed.Seconds()/replicas, "%core/replica")
+	b.ReportMetric(float64(c.net.recordedBytes())/elapsed.Seconds(), "leader-bytes/s")
 	b.ReportMetric(0, "ns/op")
 }
 
--- a/replica/host/cluster_test.go
+++ b/replica/host/cluster_test.go
@@ -24,8 +24,8 @@
 	kindPut  = replica.KindApplication
 	kindMark = replica.KindApplication + 1
 
-	waitBound = 20 * time.Second
-	waitStep  = time.Millisecond
+	waitTimeout  = 20 * time.Second
+	pollInterval = time.Millisecond
 )
 
 // put sets one key; it is the only operation of the machine in these tests.
@@ -83,21 +83,21 @@
 // network carries messages between hosts in memory. A cut replica neither sends
 // nor receives.
 type network struct {
-	mu    sync.Mutex
-	nodes map[uint64]*host.Host
-	cut   map[uint64]bool
+	mu          sync.Mutex
+	nodes       map[uint64]*host.Host
+	partitioned map[uint64]bool
 
-	recordOf uint64 // messages from and to this replica are kept; 0: none
-	kept     []replica.Message
+	recordedID       uint64 // messages from and to this replica are kept; 0: none
+	recordedMessages []replica.Message
 }
 
 func (n *network) Send(m replica.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.recordOf != 0 && (m.From == n.recordOf || m.To == n.recordOf) {
-		n.kept = append(n.kept, m)
+	if n.recordedID != 0 && (m.From == n.recordedID || m.To == n.recordedID) {
+		n.recordedMessages = append(n.recordedMessages, m)
 	}
-	if h := n.nodes[m.To]; h != nil && !n.cut[m.To] && !n.cut[m.From] {
+	if h := n.nodes[m.To]; h != nil && !n.partitioned[m.To] && !n.partitioned[m.From] {
 		h.Step(m)
 	}
 }
@@ -108,24 +108,24 @@
 	n.nodes[id] = h
 }
 
-func (n *network) setCut(id uint64, cut bool) {
+func (n *network) setPartitioned(id uint64, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[id] = cut
+	n.partitioned[id] = partitioned
 }
 
-func (n *network) record(id uint64) {
+func (n *network) startRecording(id uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.recordOf = id
+	n.recordedID = id
 }
 
 // recorded returns the encoded size of the messages kept, in bytes.
-func (n *network) recorded() int {
+func (n *network) recordedBytes() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	size := 0
-	for _, m := range n.kept {
+	for _, m := range n.recordedMessages {
 		b, err := msgpack.Marshal(&m)
 		if err != nil {
 			panic(err)
@@ -141,7 +141,7 @@
 	machine *machine
 	log     *storage.Log
 	cancel  context.CancelFunc
-	ended   chan error
+	runErr  chan error
 }
 
 // cluster is a group of hosts in one process, each with a folder of its own.
@@ -157,7 +157,7 @@
 func newCluster(t testing.TB, config host.Config, ids ...uint64) *cluster {
 	c := &cluster{
 		t: t, dir: t.TempDir(), fs: storage.OS{}, config: config,
-		net:   &network{nodes: map[uint64]*host.Host{}, cut: map[uint64]bool{}},
+		net:   &network{nodes: map[uint64]*host.Host{}, partitioned: map[uint64]bool{}},
 		nodes: map[uint64]*node{},
 	}
 	for _, id := range ids {
@@ -187,10 +187,10 @@
 	})
 	require.NoError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &node{Host: h, machine: m, log: log, cancel: cancel, ended: make(chan error, 1)}
+	n := &node{Host: h, machine: m, log: log, cancel: cancel, runErr: make(chan error, 1)}
 	c.nodes[id] = n
 	c.net.set(id, h)
-	go func() { n.ended <- h.Run(ctx) }()
+	go func() { n.runErr <- h.Run(ctx) }()
 	return n
 }
 
@@ -200,14 +200,14 @@
 	delete(c.nodes, id)
 	c.net.set(id, nil)
 	n.cancel()
-	err := <-n.ended
+	err := <-n.runErr
 	require.NoError(c.t, n.log.Close())
 	return err
 }
 
 func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
-	require.Eventually(c.t, condition, waitBound, waitStep, what)
+	require.Eventually(c.t, condition, waitTimeout, pollInterval, what)
 }
 
 // leader waits for a leader that holds a lease.
@@ -232,12 +232,12 @@
 	c.t.Helper()
 	data, err := msgpack.Marshal(put{Key: key, Value: value})
 	require.NoError(c.t, err)
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for {
 		_, err := c.leader().Propose(ctx, kindPut, data)
 		var notLeader *host.NotLeaderError
-		if !errors.As(err, &notLeader) && !errors.Is(err, host.ErrUnknown) {
+		if !errors.As(err, &notLeader) && !errors.Is(err, host.ErrOutcomeUnknown) {
 			require.NoError(c.t, err)
 			return
 		}
--- a/replica/host/config.go
+++ b/replica/host/config.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (c Config) core(rand func(int64) int64) replica.Config {
+func (c Config) coreConfig(rand func(int64) int64) replica.Config {
 	return replica.Config{
 		ID:                c.ID,
 		ElectionTimeout:   c.TickInterval * time.Duration(c.ElectionTicks),
@@ -117,7 +117,7 @@
 	State() replica.State
 	Save(hs replica.HardState, entries []replica.Entry) error
 	SaveSnapshot(s replica.Snapshot) error
-	Install(hs replica.HardState, s replica.Snapshot) error
+	InstallSnapshot(hs replica.HardState, s replica.Snapshot) error
 }
 
 // Deps is what a Host works with.
--- a/replica/host/errors.go
+++ b/replica/host/errors.go
@@ -9,7 +9,7 @@
 var (
 	// ErrUnknown: the proposal was appended, and it is not known whether it will be
 	// committed: leadership was lost, the context ended or the host stopped.
-	ErrUnknown = errors.New("host: outcome unknown, the proposal may yet be committed")
+	ErrOutcomeUnknown = errors.New("host: outcome unknown, the proposal may yet be committed")
 
 	// ErrStopped: the host has stopped; nothing was appended.
 	ErrStopped = errors.New("host: stopped")
--- a/replica/host/fault_test.go
+++ b/replica/host/fault_test.go
@@ -17,35 +17,35 @@
 
 // slowStorage is an empty storage whose saves wait for a verdict.
 type slowStorage struct {
-	saving   chan struct{}
-	verdicts chan error
+	saving      chan struct{}
+	saveResults chan error
 }
 
 func (s *slowStorage) State() replica.State { return replica.State{} }
 
 func (s *slowStorage) Save(replica.HardState, []replica.Entry) error {
 	s.saving <- struct{}{}
-	return <-s.verdicts
+	return <-s.saveResults
 }
 
 func (s *slowStorage) SaveSnapshot(replica.Snapshot) error { return nil }
 
-func (s *slowStorage) Install(replica.HardState, replica.Snapshot) error { return nil }
+func (s *slowStorage) InstallSnapshot(replica.HardState, replica.Snapshot) error { return nil }
 
 // sending is a message sent and what LastIndexOf(kindMark) said at that moment.
-type sending struct {
-	message replica.Message
-	last    uint64
+type sentMessage struct {
+	message   replica.Message
+	lastIndex uint64
 }
 
 // recorder keeps what a host sends.
 type recorder struct {
 	host *host.Host
-	sent chan sending
+	sent chan sentMessage
 }
 
 func (r *recorder) Send(m replica.Message) {
-	r.sent <- sending{message: m, last: r.host.LastIndexOf(kindMark)}
+	r.sent <- sentMessage{message: m, lastIndex: r.host.LastIndexOf(kindMark)}
 }
 
 // A follower's disk is slow, and then a sync fails. Had it answered the leader
@@ -55,9 +55,9 @@
 //
 // Breaks when work sends rd.Messages before persist, or goes on after its error;
 // and when persist does not call publishLast.
-func TestNothingIsAcknowledgedBeforeTheSync(t *testing.T) {
-	disk := &slowStorage{saving: make(chan struct{}), verdicts: make(chan error)}
-	transport := &recorder{sent: make(chan sending, 100)}
+func TestNoAcknowledgementBeforeSync(t *testing.T) {
+	disk := &slowStorage{saving: make(chan struct{}), saveResults: make(chan error)}
+	transport := &recorder{sent: make(chan sentMessage, 100)}
 	h, err := host.New(host.Config{ID: 1, Voters: []uint64{1, 2, 3}, TickInterval: time.Hour}, host.Deps{
 		Storage: disk, Transport: transport, Machine: newMachine(),
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -65,25 +65,25 @@
 	})
 	require.NoError(t, err)
 	transport.host = h
-	ended := make(chan error, 1)
-	go func() { ended <- h.Run(t.Context()) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- h.Run(t.Context()) }()
 
 	first := replica.Entry{Index: 1, Term: 1, Kind: kindMark}
 	h.Step(replica.Message{Type: replica.MsgAppend, From: 2, To: 1, Term: 1, Entries: []replica.Entry{first}})
 	<-disk.saving
 	require.Empty(t, transport.sent)
 	require.Zero(t, h.LastIndexOf(kindMark))
-	disk.verdicts <- nil
+	disk.saveResults <- nil
 	reply := <-transport.sent
 	require.Equal(t, uint64(1), reply.message.Index)
 	require.Equal(t, replica.MsgAppendReply, reply.message.Type)
-	require.Equal(t, uint64(1), reply.last, "acknowledged and denied at once")
+	require.Equal(t, uint64(1), reply.lastIndex, "acknowledged and denied at once")
 
 	second := replica.Entry{Index: 2, Term: 1, Kind: kindMark}
 	h.Step(replica.Message{Type: replica.MsgAppend, From: 2, To: 1, Term: 1, Index: 1, LogTerm: 1, Entries: []replica.Entry{second}})
 	<-disk.saving
-	disk.verdicts <- storage.ErrFailed
-	require.ErrorIs(t, <-ended, storage.ErrFailed)
+	disk.saveResults <- storage.ErrFailed
+	require.ErrorIs(t, <-runErr, storage.ErrFailed)
 	require.Empty(t, transport.sent)
 	require.Equal(t, uint64(1), h.LastIndexOf(kindMark))
 	_, err = h.Propose(t.Context(), kindPut, nil)
@@ -97,16 +97,16 @@
 // Breaks when input takes one proposal a round.
 func TestWaitingProposalsShareOneSync(t *testing.T) {
 	const callers = 100
-	disk := &slowStorage{saving: make(chan struct{}), verdicts: make(chan error)}
+	disk := &slowStorage{saving: make(chan struct{}), saveResults: make(chan error)}
 	h, err := host.New(host.Config{ID: 1, Voters: []uint64{1}, TickInterval: time.Millisecond, MaxPending: callers}, host.Deps{
 		Storage: disk, Transport: &recorder{}, Machine: newMachine(),
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Now:    time.Now, Rand: rand.New(rand.NewPCG(1, 1)).Int64N,
 	})
 	require.NoError(t, err)
-	ended := make(chan error, 1)
+	runErr := make(chan error, 1)
 	ctx, cancel := context.WithCancel(t.Context())
-	go func() { ended <- h.Run(ctx) }()
+	go func() { runErr <- h.Run(ctx) }()
 	<-disk.saving
 
 	outcomes := make(chan error, callers+1)
@@ -117,13 +117,13 @@
 		}()
 	}
 	require.ErrorIs(t, <-outcomes, host.ErrBusy, "one is beyond the bound")
-	disk.verdicts <- nil
+	disk.saveResults <- nil
 	saves := 0
 	for done := 0; done < callers; {
 		select {
 		case <-disk.saving:
 			saves++
-			disk.verdicts <- nil
+			disk.saveResults <- nil
 		case err := <-outcomes:
 			require.NoError(t, err)
 			done++
@@ -131,5 +131,5 @@
 	}
 	require.LessOrEqual(t, saves, callers/10, "callers that were about to queue up may need another round")
 	cancel()
-	require.NoError(t, <-ended)
+	require.NoError(t, <-runErr)
 }
--- a/replica/host/host.go
+++ b/replica/host/host.go
@@ -15,24 +15,24 @@
 const (
 	inboxSize = 1_024 // messages received and not yet handled; more are dropped
 	// roundLimit bounds the inputs of one round, so that ticks are not starved.
-	roundLimit = 1_024
+	maxInputsPerRound = 1_024
 )
 
 // Host runs one replica. Its methods are safe for concurrent use. Before a planned
 // stop of the leader call TransferLeadership: proposals go on until the hand-over,
 // which takes milliseconds, instead of stopping for an election.
 type Host struct {
-	cfg   Config
-	deps  Deps
-	core  *replica.Core // the loop's, as is loop
-	start time.Time
-	loop  loopState
-
-	inbox   chan replica.Message
-	propose chan *proposal
-	command chan *command
-	pending pending
-	stopped chan struct{}
+	cfg       Config
+	deps      Deps
+	core      *replica.Core // the loop's, as is loop
+	startTime time.Time
+	loop      loopState
+
+	inbox     chan replica.Message
+	proposals chan *proposal
+	commands  chan *command
+	pending   pendingProposals
+	stopped   chan struct{}
 
 	mu   sync.RWMutex // guards view
 	view view
@@ -47,18 +47,18 @@
 		return nil, trace.Wrap(err, "start replica %d", cfg.ID)
 	}
 	h := &Host{
-		cfg: cfg, deps: deps, start: deps.Now(),
-		loop:    newLoopState(),
-		inbox:   make(chan replica.Message, inboxSize),
-		propose: make(chan *proposal, cfg.MaxPending),
-		command: make(chan *command, cfg.MaxPending),
-		stopped: make(chan struct{}),
+		cfg: cfg, deps: deps, startTime: deps.Now(),
+		loop:      newLoopState(),
+		inbox:     make(chan replica.Message, inboxSize),
+		proposals: make(chan *proposal, cfg.MaxPending),
+		commands:  make(chan *command, cfg.MaxPending),
+		stopped:   make(chan struct{}),
 	}
 	if err := h.load(); err != nil {
 		return nil, trace.Wrap(err, "start replica %d", cfg.ID)
 	}
-	h.publishLast()
-	h.publish()
+	h.publishLogState()
+	h.publishStatus()
 	return h, nil
 }
 
@@ -66,7 +66,7 @@
 	state := h.deps.Storage.State()
 	empty := state.HardState.Term == 0 && state.LastIndex() == 0 && len(state.Snapshot.Meta.Members.Voters) == 0
 	if empty {
-		if err := h.found(&state); err != nil {
+		if err := h.bootstrap(&state); err != nil {
 			return err
 		}
 	}
@@ -75,14 +75,14 @@
 			return err
 		}
 	}
-	core, err := replica.NewCore(h.cfg.core(h.deps.Rand), state, 0)
+	core, err := replica.NewCore(h.cfg.coreConfig(h.deps.Rand), state, 0)
 	h.core = core
 	return err
 }
 
 // found writes the first membership as a snapshot before the first entry, so
 // that later changes of the settings cannot alter it.
-func (h *Host) found(state *replica.State) error {
+func (h *Host) bootstrap(state *replica.State) error {
 	if !slices.Contains(h.cfg.Voters, h.cfg.ID) {
 		return nil
 	}
@@ -111,24 +111,24 @@
 	if len(data) > h.cfg.MaxEntryBytes {
 		return nil, trace.Wrap(ErrTooLarge, "propose %d bytes", len(data))
 	}
-	defer h.pending.leave(len(data))
-	if !h.pending.enter(len(data), h.cfg) {
+	defer h.pending.release(len(data))
+	if !h.pending.reserve(len(data), h.cfg) {
 		return nil, ErrBusy
 	}
 	p := &proposal{request: newRequest(), kind: kind, data: data}
 	select {
-	case h.propose <- p:
+	case h.proposals <- p:
 	default:
 		return nil, ErrBusy
 	}
-	return p.wait(ctx, h.stopped, ErrUnknown)
+	return p.wait(ctx, h.stopped, ErrOutcomeUnknown)
 }
 
 // ReadBarrier returns once this replica, the leader, has applied everything that
 // was acknowledged before the call. A read of the state machine after it is
 // linearizable.
 func (h *Host) ReadBarrier(ctx context.Context) error {
-	return h.run(ctx, &command{request: newRequest()}, nil)
+	return h.runCommand(ctx, &command{request: newRequest()}, nil)
 }
 
 // ChangeMembers changes the membership by one replica and waits until the change
@@ -136,7 +136,7 @@
 // ErrNotCaughtUp, ErrBadChange, ErrRemoveLeader.
 func (h *Host) ChangeMembers(ctx context.Context, ch replica.Change) error {
 	c := &command{request: newRequest(), change: &ch}
-	return trace.Wrap(h.run(ctx, c, ErrUnknown), "change members: replica %d", ch.ID)
+	return trace.Wrap(h.runCommand(ctx, c, ErrOutcomeUnknown), "change members: replica %d", ch.ID)
 }
 
 // TransferLeadership hands leadership to another voter, for a planned stop. It
@@ -148,15 +148,15 @@
 		return trace.Wrap(replica.ErrNotVoter, "transfer leadership")
 	}
 	c := &command{request: newRequest(), transfer: to}
-	return trace.Wrap(h.run(ctx, c, nil), "transfer leadership to replica %d", to)
+	return trace.Wrap(h.runCommand(ctx, c, nil), "transfer leadership to replica %d", to)
 }
 
-func (h *Host) run(ctx context.Context, c *command, late error) error {
+func (h *Host) runCommand(ctx context.Context, c *command, errIfClaimed error) error {
 	select {
-	case h.command <- c:
+	case h.commands <- c:
 	default:
 		return ErrBusy
 	}
-	_, err := c.wait(ctx, h.stopped, late)
+	_, err := c.wait(ctx, h.stopped, errIfClaimed)
 	return err
 }
--- a/replica/host/host_test.go
+++ b/replica/host/host_test.go
@@ -17,13 +17,13 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // quick makes elections fast enough for tests and slow enough for a busy machine.
-var quick = host.Config{TickInterval: 5 * time.Millisecond, ElectionTicks: 80, HeartbeatTicks: 8}
+var fastConfig = host.Config{TickInterval: 5 * time.Millisecond, ElectionTicks: 80, HeartbeatTicks: 8}
 
-func TestSingleReplicaKeepsWhatItAcknowledged(t *testing.T) {
-	byEntries := quick
+func TestSingleReplicaRestoresAcknowledgedEntries(t *testing.T) {
+	byEntries := fastConfig
 	byEntries.SnapshotEvery = 30
 	byEntries.KeepEntries = 5
-	byBytes := quick
+	byBytes := fastConfig
 	byBytes.SnapshotBytes = 300
 	byBytes.KeepBytes = 100
 	for name, config := range map[string]host.Config{"by entries": byEntries, "by bytes": byBytes} {
@@ -47,8 +47,8 @@
 	require.Equal(t, uint64(101), n.LastIndexOf(kindPut), "the first entry is the leader's own")
 }
 
-func TestThreeReplicasAgree(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+func TestThreeReplicasApplySameEntries(t *testing.T) {
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	for i := range 50 {
 		c.mustPut("key"+strconv.Itoa(i), "value")
 	}
@@ -63,7 +63,7 @@
 // The instance of the leader dies. Callers see errors until another replica is
 // elected; nothing that was acknowledged may be missing there.
 func TestLeaderLossKeepsAcknowledgedEntries(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.mustPut("key", "kept")
 	old := c.leader().Status().ID
 	require.NoError(t, c.stop(old))
@@ -79,15 +79,15 @@
 // A silent partition cuts off the leader while it takes proposals. Its callers
 // must not be told that the proposal failed, because it may yet be committed, and
 // a read there must not be answered from old state.
-func TestLeaderCutOffAnswersUnknown(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+func TestPartitionedLeaderReturnsOutcomeUnknown(t *testing.T) {
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.mustPut("key", "old")
 	old := c.leader()
 	id := old.Status().ID
-	c.net.setCut(id, true)
+	c.net.setPartitioned(id, true)
 
 	_, err := old.Propose(t.Context(), kindPut, []byte{0x80})
-	require.ErrorIs(t, err, host.ErrUnknown)
+	require.ErrorIs(t, err, host.ErrOutcomeUnknown)
 	_, _, leased := old.HoldsLease()
 	require.False(t, leased)
 	var notLeader *host.NotLeaderError
@@ -96,7 +96,7 @@
 	require.ErrorAs(t, err, &notLeader)
 
 	c.mustPut("key", "new")
-	c.net.setCut(id, false)
+	c.net.setPartitioned(id, false)
 	c.eventually("the cut replica follows", func() bool { return old.machine.get("key") == "new" })
 }
 
@@ -104,7 +104,7 @@
 // a second one is lost as well. What was acknowledged before must still be there
 // and the group must go on.
 func TestReplacementThenSecondLoss(t *testing.T) {
-	config := quick
+	config := fastConfig
 	config.SnapshotEvery = 20
 	config.KeepEntries = 5
 	c := newCluster(t, config, 1, 2, 3)
@@ -134,7 +134,7 @@
 // An operator plans a stop of the leader's instance. Callers should see no gap
 // longer than the hand-over, and the old leader must not think it still leads.
 func TestTransferLeadership(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	old := c.leader().Status().ID
 	to := 1 + old%3
 	c.transfer(to)
@@ -149,12 +149,12 @@
 //
 // Breaks when settleTransfer does not end a transfer under another leader.
 func TestTransferToUnreachableReplicaFails(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.mustPut("key", "before")
 	old := c.leader()
 	to := 1 + old.Status().ID%3
-	c.net.setCut(to, true)
-	ctx, cancel := context.WithTimeout(t.Context(), waitBound)
+	c.net.setPartitioned(to, true)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	require.ErrorIs(t, old.TransferLeadership(ctx, to), host.ErrTransferFailed)
 	c.mustPut("key", "after")
--- a/replica/host/linearizable_test.go
+++ b/replica/host/linearizable_test.go
@@ -20,12 +20,12 @@
 const registerKey = "register"
 
 // access is a write, or with an empty value a read.
-type access struct{ value string }
+type registerOp struct{ value string }
 
 var register = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		if value := input.(access).value; value != "" {
+		if value := input.(registerOp).value; value != "" {
 			return true, value
 		}
 		return output.(string) == state.(string), state
@@ -39,9 +39,9 @@
 	operations []porcupine.Operation
 }
 
-func (h *history) add(client int, input access, call time.Duration, output string, known bool) {
+func (h *history) add(client int, input registerOp, call time.Duration, output string, outcomeKnown bool) {
 	end := int64(time.Since(h.start))
-	if !known {
+	if !outcomeKnown {
 		end = math.MaxInt64
 	}
 	h.mu.Lock()
@@ -70,7 +70,7 @@
 		if i%2 == 0 {
 			name = h.write(ctx, n, name, i, call)
 		} else if n.ReadBarrier(ctx) == nil {
-			h.add(name, access{}, call, n.machine.get(registerKey), true)
+			h.add(name, registerOp{}, call, n.machine.get(registerKey), true)
 		}
 		cancel()
 	}
@@ -85,9 +85,9 @@
 	_, err = n.Propose(ctx, kindPut, data)
 	switch {
 	case err == nil:
-		h.add(name, access{value}, call, "", true)
-	case errors.Is(err, host.ErrUnknown):
-		h.add(name, access{value}, call, "", false)
+		h.add(name, registerOp{value}, call, "", true)
+	case errors.Is(err, host.ErrOutcomeUnknown):
+		h.add(name, registerOp{value}, call, "", false)
 		return name + 100
 	}
 	return name
@@ -101,7 +101,7 @@
 // Breaks when ReadBarrier does not wait in takeRead, or settle reports
 // NotLeaderError for appended proposals.
 func TestHistoryIsLinearizable(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.leader()
 	nodes := []*node{c.nodes[1], c.nodes[2], c.nodes[3]}
 	h := &history{start: time.Now()}
@@ -112,19 +112,19 @@
 	}
 	for range 3 {
 		old := c.leader().Status().ID
-		h.moreThan(c, 100)
-		c.net.setCut(old, true)
+		h.waitForOperations(c, 100)
+		c.net.setPartitioned(old, true)
 		c.eventually("another leader", func() bool {
-			_, _, holds := c.nodes[1+old%3].HoldsLease()
-			_, _, also := c.nodes[1+(old+1)%3].HoldsLease()
-			return holds || also
+			_, _, firstLeads := c.nodes[1+old%3].HoldsLease()
+			_, _, secondLeads := c.nodes[1+(old+1)%3].HoldsLease()
+			return firstLeads || secondLeads
 		})
-		c.net.setCut(old, false)
+		c.net.setPartitioned(old, false)
 	}
-	h.moreThan(c, 100)
+	h.waitForOperations(c, 100)
 	close(done)
 	clients.Wait()
-	operations := h.seen()
+	operations := h.checkedOperations()
 	result := porcupine.CheckOperationsTimeout(register, operations, time.Minute)
 	t.Logf("%d operations: %s", len(operations), result)
 	require.Equal(t, porcupine.Ok, result)
@@ -133,18 +133,18 @@
 // seen leaves out the writes of unknown outcome that no read has seen. A history
 // is linearizable with them if it is without, as they may come last, and the
 // other way, as nobody saw them; the search with them takes far too long.
-func (h *history) seen() []porcupine.Operation {
+func (h *history) checkedOperations() []porcupine.Operation {
 	read := map[string]bool{}
 	for _, o := range h.operations {
 		read[o.Output.(string)] = true
 	}
 	return slices.DeleteFunc(h.operations, func(o porcupine.Operation) bool {
-		return o.Return == math.MaxInt64 && !read[o.Input.(access).value]
+		return o.Return == math.MaxInt64 && !read[o.Input.(registerOp).value]
 	})
 }
 
 // moreThan waits for further operations.
-func (h *history) moreThan(c *cluster, n int) {
+func (h *history) waitForOperations(c *cluster, n int) {
 	count := func() int {
 		h.mu.Lock()
 		defer h.mu.Unlock()
--- a/replica/host/loop.go
+++ b/replica/host/loop.go
@@ -13,32 +13,32 @@
 
 // loopState is what only the loop touches: the requests it has taken on.
 type loopState struct {
-	term     uint64 // in which this replica leads and appended the requests; 0: none
-	appended map[uint64]appended
-	reads    map[uint64]*command // waiting for a majority, by read id
-	transfer *command
-	nextRead uint64
-	finished []finished
-	lost     int // replicas reported as lost
-	grown    int // bytes of data applied since the last snapshot
+	leaderTerm         uint64 // in which this replica leads and appended the requests; 0: none
+	appended           map[uint64]appendedRequest
+	reads              map[uint64]*command // waiting for a majority, by read id
+	transfer           *command
+	lastReadID         uint64
+	finished           []finishedRequest
+	lostReplicas       int // replicas reported as lost
+	bytesSinceSnapshot int // bytes of data applied since the last snapshot
 }
 
 // appended is a request whose entry is in the log.
-type appended struct {
+type appendedRequest struct {
 	request *request
 	term    uint64
 }
 
 // finished is an outcome that is told once the loop's state is published, so
 // that a caller finds its own proposal in Status and LastIndexOf.
-type finished struct {
+type finishedRequest struct {
 	request *request
 	outcome outcome
 }
 
 func newLoopState() loopState {
 	return loopState{
-		appended: make(map[uint64]appended),
+		appended: make(map[uint64]appendedRequest),
 		reads:    make(map[uint64]*command),
 	}
 }
@@ -50,36 +50,36 @@
 	defer ticker.Stop()
 	defer h.stop()
 	for {
-		err := h.input(ctx, ticker.C)
+		err := h.handleInputs(ctx, ticker.C)
 		if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 			return nil
 		}
 		if err != nil {
 			return trace.Wrap(err, "replica %d: take input", h.cfg.ID)
 		}
-		if err := h.work(); err != nil {
+		if err := h.processReady(); err != nil {
 			return trace.Wrap(err, "replica %d: work", h.cfg.ID)
 		}
-		h.settle()
-		h.publish()
-		h.tell()
+		h.failStaleRequests()
+		h.publishStatus()
+		h.deliverOutcomes()
 	}
 }
 
 // input waits for one input and then takes all that have queued up meanwhile.
-func (h *Host) input(ctx context.Context, ticks <-chan time.Time) error {
-	if err := h.wait(ctx, ticks); err != nil {
+func (h *Host) handleInputs(ctx context.Context, ticks <-chan time.Time) error {
+	if err := h.handleNextInput(ctx, ticks); err != nil {
 		return err
 	}
-	for range min(roundLimit, len(h.inbox)+len(h.propose)+len(h.command)) {
-		if err := h.takeQueued(); err != nil {
+	for range min(maxInputsPerRound, len(h.inbox)+len(h.proposals)+len(h.commands)) {
+		if err := h.handleQueuedInput(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *Host) wait(ctx context.Context, ticks <-chan time.Time) error {
+func (h *Host) handleNextInput(ctx context.Context, ticks <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -87,66 +87,66 @@
 		h.core.Tick(h.now())
 	case m := <-h.inbox:
 		return h.core.Step(h.now(), m)
-	case p := <-h.propose:
-		h.takeProposal(p)
-	case c := <-h.command:
-		h.takeCommand(c)
+	case p := <-h.proposals:
+		h.handleProposal(p)
+	case c := <-h.commands:
+		h.handleCommand(c)
 	}
 	return nil
 }
 
-func (h *Host) takeQueued() error {
+func (h *Host) handleQueuedInput() error {
 	select {
 	case m := <-h.inbox:
 		return h.core.Step(h.now(), m)
-	case p := <-h.propose:
-		h.takeProposal(p)
-	case c := <-h.command:
-		h.takeCommand(c)
+	case p := <-h.proposals:
+		h.handleProposal(p)
+	case c := <-h.commands:
+		h.handleCommand(c)
 	default:
 	}
 	return nil
 }
 
-func (h *Host) now() time.Duration { return h.deps.Now().Sub(h.start) }
+func (h *Host) now() time.Duration { return h.deps.Now().Sub(h.startTime) }
 
-func (h *Host) takeProposal(p *proposal) {
-	if !p.take() {
+func (h *Host) handleProposal(p *proposal) {
+	if !p.claim() {
 		return
 	}
-	at, err := h.core.Propose(p.kind, p.data)
-	h.track(&p.request, at, err)
+	pos, err := h.core.Propose(p.kind, p.data)
+	h.trackAppended(&p.request, pos, err)
 }
 
-func (h *Host) takeCommand(c *command) {
-	if !c.take() {
+func (h *Host) handleCommand(c *command) {
+	if !c.claim() {
 		return
 	}
 	switch {
 	case c.change != nil:
-		at, err := h.core.ProposeChange(*c.change)
-		h.track(&c.request, at, err)
+		pos, err := h.core.ProposeChange(*c.change)
+		h.trackAppended(&c.request, pos, err)
 	case c.transfer != 0:
-		h.takeTransfer(c)
+		h.startTransfer(c)
 	default:
-		h.takeRead(c)
+		h.startRead(c)
 	}
 }
 
 // track notes an appended request, or ends one that was refused.
-func (h *Host) track(r *request, at replica.Position, err error) {
+func (h *Host) trackAppended(r *request, pos replica.Position, err error) {
 	if err != nil {
-		h.finish(r, nil, h.refusal(err))
+		h.finish(r, nil, h.callerError(err))
 		return
 	}
-	h.loop.term = at.Term
-	h.loop.appended[at.Index] = appended{request: r, term: at.Term}
+	h.loop.leaderTerm = pos.Term
+	h.loop.appended[pos.Index] = appendedRequest{request: r, term: pos.Term}
 }
 
-func (h *Host) takeTransfer(c *command) {
+func (h *Host) startTransfer(c *command) {
 	err := h.core.Transfer(c.transfer)
 	if errors.Is(err, replica.ErrNotLeader) {
-		err = h.notLeader()
+		err = h.notLeaderError()
 	}
 	if err != nil {
 		h.finish(&c.request, nil, err)
@@ -158,27 +158,27 @@
 	h.loop.transfer = c
 }
 
-func (h *Host) takeRead(c *command) {
-	h.loop.nextRead++
-	if err := h.core.ReadIndex(h.loop.nextRead); err != nil {
-		h.finish(&c.request, nil, h.refusal(err))
+func (h *Host) startRead(c *command) {
+	h.loop.lastReadID++
+	if err := h.core.ReadIndex(h.loop.lastReadID); err != nil {
+		h.finish(&c.request, nil, h.callerError(err))
 		return
 	}
-	h.loop.term = h.core.Term()
-	h.loop.reads[h.loop.nextRead] = c
+	h.loop.leaderTerm = h.core.Term()
+	h.loop.reads[h.loop.lastReadID] = c
 }
 
 // refusal turns the core's error into the caller's.
-func (h *Host) refusal(err error) error {
+func (h *Host) callerError(err error) error {
 	if errors.Is(err, replica.ErrNotLeader) || errors.Is(err, replica.ErrTransferring) {
-		return h.notLeader()
+		return h.notLeaderError()
 	}
 	return err
 }
 
 // notLeader names the leader to turn to, which is not this replica, even while
 // it hands over.
-func (h *Host) notLeader() error {
+func (h *Host) notLeaderError() error {
 	leader := h.core.Leader()
 	if leader == h.cfg.ID {
 		leader = 0
@@ -187,7 +187,7 @@
 }
 
 // work does what the core asks for, in the order that replica.Ready demands.
-func (h *Host) work() error {
+func (h *Host) processReady() error {
 	for {
 		rd, ok := h.core.Ready()
 		if !ok {
@@ -202,8 +202,8 @@
 			return err
 		}
 		h.core.Advance(rd)
-		h.answerReads(rd.Reads)
-		if err := h.snapshot(); err != nil {
+		h.finishReads(rd.Reads)
+		if err := h.snapshotIfDue(); err != nil {
 			return err
 		}
 	}
@@ -218,7 +218,7 @@
 // persist syncs what the messages of rd acknowledge, and then makes it known here.
 func (h *Host) persist(rd replica.Ready) error {
 	if rd.Snapshot != nil {
-		if err := h.deps.Storage.Install(rd.HardState, *rd.Snapshot); err != nil {
+		if err := h.deps.Storage.InstallSnapshot(rd.HardState, *rd.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -228,7 +228,7 @@
 		}
 	}
 	if rd.Snapshot != nil || len(rd.Entries) > 0 {
-		h.publishLast()
+		h.publishLogState()
 	}
 	return nil
 }
@@ -240,14 +240,14 @@
 		}
 	}
 	for _, e := range rd.Committed {
-		h.loop.grown += len(e.Data)
-		result, err := h.applyOne(e)
-		h.applied(e, result, err)
+		h.loop.bytesSinceSnapshot += len(e.Data)
+		result, err := h.applyEntry(e)
+		h.finishApplied(e, result, err)
 	}
 	return nil
 }
 
-func (h *Host) applyOne(e replica.Entry) (any, error) {
+func (h *Host) applyEntry(e replica.Entry) (any, error) {
 	if e.Kind < replica.KindApplication {
 		return nil, nil
 	}
@@ -256,14 +256,14 @@
 
 // applied ends the request whose entry this is. Another term at its index means
 // that a later leader has replaced the entry.
-func (h *Host) applied(e replica.Entry, result any, err error) {
+func (h *Host) finishApplied(e replica.Entry, result any, err error) {
 	a, ok := h.loop.appended[e.Index]
 	if !ok {
 		return
 	}
 	delete(h.loop.appended, e.Index)
 	if a.term != e.Term {
-		h.finish(a.request, nil, ErrUnknown)
+		h.finish(a.request, nil, ErrOutcomeUnknown)
 		return
 	}
 	h.finish(a.request, result, err)
@@ -271,7 +271,7 @@
 
 // answerReads ends the reads that a majority has confirmed. Their index is at
 // most that of the last entry in rd.Committed, which is applied by now.
-func (h *Host) answerReads(reads []replica.ReadState) {
+func (h *Host) finishReads(reads []replica.ReadState) {
 	for _, r := range reads {
 		if c, ok := h.loop.reads[r.ID]; ok {
 			delete(h.loop.reads, r.ID)
@@ -282,13 +282,13 @@
 
 // snapshot keeps the state machine's state now and then, so that the log, and
 // with it a restart and the memory in use, stays small.
-func (h *Host) snapshot() error {
-	entries := h.core.AppliedIndex() - h.core.SnapshotIndex()
-	due := entries >= h.cfg.SnapshotEvery || h.loop.grown >= h.cfg.SnapshotBytes
-	if entries == 0 || !due {
+func (h *Host) snapshotIfDue() error {
+	entryCount := h.core.AppliedIndex() - h.core.SnapshotIndex()
+	due := entryCount >= h.cfg.SnapshotEvery || h.loop.bytesSinceSnapshot >= h.cfg.SnapshotBytes
+	if entryCount == 0 || !due {
 		return nil
 	}
-	h.loop.grown = 0
+	h.loop.bytesSinceSnapshot = 0
 	data, err := h.deps.Machine.Snapshot()
 	if err != nil {
 		return err
@@ -302,31 +302,31 @@
 }
 
 // settle ends requests that can no longer succeed here.
-func (h *Host) settle() {
-	leads := h.core.Role() == replica.Leader
-	if h.loop.term != 0 && (!leads || h.core.Term() != h.loop.term) {
-		h.abandon(h.notLeader())
-		h.loop.term = 0
-	}
-	h.settleTransfer(leads)
-	h.reportLost()
+func (h *Host) failStaleRequests() {
+	isLeader := h.core.Role() == replica.Leader
+	if h.loop.leaderTerm != 0 && (!isLeader || h.core.Term() != h.loop.leaderTerm) {
+		h.failRequests(h.notLeaderError())
+		h.loop.leaderTerm = 0
+	}
+	h.finishTransfer(isLeader)
+	h.logLostReplicas()
 }
 
 // abandon ends all requests that depend on this replica's leadership.
-func (h *Host) abandon(reads error) {
+func (h *Host) failRequests(readErr error) {
 	for _, a := range h.loop.appended {
-		h.finish(a.request, nil, ErrUnknown)
+		h.finish(a.request, nil, ErrOutcomeUnknown)
 	}
 	clear(h.loop.appended)
 	for _, c := range h.loop.reads {
-		h.finish(&c.request, nil, reads)
+		h.finish(&c.request, nil, readErr)
 	}
 	clear(h.loop.reads)
 }
 
-func (h *Host) settleTransfer(leads bool) {
+func (h *Host) finishTransfer(isLeader bool) {
 	t := h.loop.transfer
-	if t == nil || (leads && h.core.Transferring()) {
+	if t == nil || (isLeader && h.core.Transferring()) {
 		return
 	}
 	leader := h.core.Leader()
@@ -342,21 +342,21 @@
 }
 
 // reportLost logs a replica that came back without its data under its old id.
-func (h *Host) reportLost() {
+func (h *Host) logLostReplicas() {
 	lost := h.core.ReplicasWithLostLog()
-	if len(lost) > h.loop.lost {
+	if len(lost) > h.loop.lostReplicas {
 		h.deps.Logger.Error("replica has lost acknowledged entries; remove it and let it come back under a new id",
 			slog.Any("peers", lost), slog.Uint64("replica", h.cfg.ID))
 	}
-	h.loop.lost = len(lost)
+	h.loop.lostReplicas = len(lost)
 }
 
 func (h *Host) finish(r *request, result any, err error) {
-	h.loop.finished = append(h.loop.finished, finished{request: r, outcome: outcome{result: result, err: err}})
+	h.loop.finished = append(h.loop.finished, finishedRequest{request: r, outcome: outcome{result: result, err: err}})
 }
 
 // tell delivers the outcomes of this round.
-func (h *Host) tell() {
+func (h *Host) deliverOutcomes() {
 	for _, f := range h.loop.finished {
 		f.request.done <- f.outcome
 	}
@@ -366,13 +366,13 @@
 // stop ends every request that the loop has taken on. Those still queued end by
 // themselves when they see stopped closed.
 func (h *Host) stop() {
-	h.abandon(ErrStopped)
+	h.failRequests(ErrStopped)
 	if t := h.loop.transfer; t != nil {
 		h.finish(&t.request, nil, ErrStopped)
 	}
-	h.tell()
+	h.deliverOutcomes()
 	h.mu.Lock()
-	h.view.leased = false
+	h.view.hasLease = false
 	h.mu.Unlock()
 	close(h.stopped)
 }
--- a/replica/host/request.go
+++ b/replica/host/request.go
@@ -18,7 +18,7 @@
 // up knows whether its proposal was appended.
 const (
 	requestQueued int32 = iota
-	requestTaken
+	requestClaimed
 	requestAbandoned
 )
 
@@ -31,32 +31,32 @@
 func newRequest() request { return request{done: make(chan outcome, 1)} }
 
 // take claims the request for the loop; false means that the caller has gone.
-func (r *request) take() bool { return r.state.CompareAndSwap(requestQueued, requestTaken) }
+func (r *request) claim() bool { return r.state.CompareAndSwap(requestQueued, requestClaimed) }
 
 func (r *request) abandon() bool { return r.state.CompareAndSwap(requestQueued, requestAbandoned) }
 
 // wait returns the outcome. A caller that leaves before the loop took the
 // request on gets the context's error; one that leaves later gets late, if set.
-func (r *request) wait(ctx context.Context, stopped <-chan struct{}, late error) (any, error) {
+func (r *request) wait(ctx context.Context, stopped <-chan struct{}, errIfClaimed error) (any, error) {
 	select {
 	case o := <-r.done:
 		return o.result, o.err
 	case <-ctx.Done():
-		return nil, r.leave(ctx.Err(), late)
+		return nil, r.giveUp(ctx.Err(), errIfClaimed)
 	case <-stopped:
-		return r.afterStop()
+		return r.outcomeAfterStop()
 	}
 }
 
-func (r *request) leave(reason, late error) error {
-	if r.abandon() || late == nil {
-		return reason
+func (r *request) giveUp(ctxErr, errIfClaimed error) error {
+	if r.abandon() || errIfClaimed == nil {
+		return ctxErr
 	}
-	return late
+	return errIfClaimed
 }
 
 // afterStop runs when the loop has ended, after it finished all that it took on.
-func (r *request) afterStop() (any, error) {
+func (r *request) outcomeAfterStop() (any, error) {
 	if r.abandon() {
 		return nil, ErrStopped
 	}
@@ -65,20 +65,20 @@
 }
 
 // pending counts the proposals queued or appended, and their data.
-type pending struct {
+type pendingProposals struct {
 	count atomic.Int64
 	bytes atomic.Int64
 }
 
 // enter adds a proposal and reports whether it is within the bounds. leave must
 // follow either way.
-func (p *pending) enter(size int, cfg Config) bool {
+func (p *pendingProposals) reserve(size int, cfg Config) bool {
 	count := p.count.Add(1)
 	bytes := p.bytes.Add(int64(size))
 	return count <= int64(cfg.MaxPending) && bytes <= int64(cfg.MaxPendingBytes)
 }
 
-func (p *pending) leave(size int) {
+func (p *pendingProposals) release(size int) {
 	p.count.Add(-1)
 	p.bytes.Add(-int64(size))
 }
--- a/replica/host/status.go
+++ b/replica/host/status.go
@@ -24,12 +24,12 @@
 
 // view is what other goroutines may read of the loop's state.
 type view struct {
-	status Status
-	term   uint64 // of the lease
-	until  time.Time
-	leased bool
-	lastOf [256]uint64
-	voters Voters
+	status          Status
+	leaseTerm       uint64 // of the lease
+	leaseUntil      time.Time
+	hasLease        bool
+	lastIndexByKind [256]uint64
+	voters          Voters
 }
 
 // Voters is the set of voters that a replica's log holds.
@@ -62,8 +62,8 @@
 func (h *Host) HoldsLease() (term uint64, until time.Time, ok bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	ok = h.view.leased && h.deps.Now().Before(h.view.until)
-	return h.view.term, h.view.until, ok
+	ok = h.view.hasLease && h.deps.Now().Before(h.view.leaseUntil)
+	return h.view.leaseTerm, h.view.leaseUntil, ok
 }
 
 // LastIndexOf returns the highest index of an entry of this kind in this
@@ -73,11 +73,11 @@
 func (h *Host) LastIndexOf(kind uint8) uint64 {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	return h.view.lastOf[kind]
+	return h.view.lastIndexByKind[kind]
 }
 
 // publish makes the loop's state visible at the end of a round.
-func (h *Host) publish() {
+func (h *Host) publishStatus() {
 	c := h.core
 	members := c.Members()
 	term, until, leased := c.Lease()
@@ -90,23 +90,23 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.view.status = status
-	h.view.term = term
-	h.view.until = h.start.Add(until)
-	h.view.leased = leased
+	h.view.leaseTerm = term
+	h.view.leaseUntil = h.startTime.Add(until)
+	h.view.hasLease = leased
 }
 
 // publishLast makes LastIndexOf tell of the entries just synced. It must run
 // before they are acknowledged to the leader: otherwise an entry could be
 // committed while a majority still denies that it is there, and whoever asks a
 // majority for the highest index would take an old catalogue for the latest.
-func (h *Host) publishLast() {
+func (h *Host) publishLogState() {
 	voters := Voters{
 		Index: h.core.LastIndexOf(replica.KindMembership), Term: h.core.LastTerm(), IDs: h.core.Members().Voters,
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.view.voters = voters
-	for kind := range h.view.lastOf {
-		h.view.lastOf[kind] = h.core.LastIndexOf(uint8(kind))
+	for kind := range h.view.lastIndexByKind {
+		h.view.lastIndexByKind[kind] = h.core.LastIndexOf(uint8(kind))
 	}
 }
--- a/replica/host/voters_test.go
+++ b/replica/host/voters_test.go
@@ -15,12 +15,12 @@
 )
 
 // witness notes which voters a host names as it sends a message.
-type witness struct {
+type votersRecorder struct {
 	host *host.Host
 	sent chan host.Voters
 }
 
-func (w *witness) Send(replica.Message) { w.sent <- w.host.Voters() }
+func (w *votersRecorder) Send(replica.Message) { w.sent <- w.host.Voters() }
 
 // A replica takes over a change of the voters and acknowledges it. Were it to
 // name the old voters for a moment longer, an entry that asks just then would
@@ -28,10 +28,10 @@
 // catalogue for the latest.
 //
 // Breaks when publishLast does not set the voters.
-func TestVotersAreKnownBeforeTheyAreAcknowledged(t *testing.T) {
-	disk := &slowStorage{saving: make(chan struct{}, 1), verdicts: make(chan error, 1)}
-	disk.verdicts <- nil
-	w := &witness{sent: make(chan host.Voters, 100)}
+func TestVotersPublishedBeforeAcknowledgement(t *testing.T) {
+	disk := &slowStorage{saving: make(chan struct{}, 1), saveResults: make(chan error, 1)}
+	disk.saveResults <- nil
+	w := &votersRecorder{sent: make(chan host.Voters, 100)}
 	h, err := host.New(host.Config{ID: 1, Voters: []uint64{1, 2, 3}, TickInterval: time.Hour}, host.Deps{
 		Storage: disk, Transport: w, Machine: newMachine(),
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
--- a/replica/roster/roster.go
+++ b/replica/roster/roster.go
@@ -25,14 +25,14 @@
 type AddressBook struct {
 	founders map[uint64]string
 
-	mu     sync.RWMutex
-	learnt map[uint64]string
-	heard  map[uint64]string
+	mu        sync.RWMutex
+	committed map[uint64]string
+	observed  map[uint64]string
 }
 
 // NewAddressBook returns a book that knows the founders.
 func NewAddressBook(founders map[uint64]string) *AddressBook {
-	return &AddressBook{founders: founders, heard: make(map[uint64]string)}
+	return &AddressBook{founders: founders, observed: make(map[uint64]string)}
 }
 
 // Observe notes the address of a replica that sent a message. A replica that
@@ -45,33 +45,33 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.heard) < MaxReplicas {
-		b.heard[id] = addr
+	if len(b.observed) < MaxReplicas {
+		b.observed[id] = addr
 	}
 }
 
 // SetMembers replaces what came from the log.
 func (b *AddressBook) SetMembers(list []Member) {
-	learnt := make(map[uint64]string, len(list))
+	addresses := make(map[uint64]string, len(list))
 	for _, r := range list {
-		learnt[r.ID] = r.Address
+		addresses[r.ID] = r.Address
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.learnt = learnt
+	b.committed = addresses
 }
 
 // Address returns the link address of a replica.
 func (b *AddressBook) Address(id uint64) (string, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	if addr, known := b.learnt[id]; known {
+	if addr, known := b.committed[id]; known {
 		return addr, true
 	}
 	if addr, known := b.founders[id]; known {
 		return addr, true
 	}
-	addr, known := b.heard[id]
+	addr, known := b.observed[id]
 	return addr, known
 }
 
--- a/replica/storage/load.go
+++ b/replica/storage/load.go
@@ -12,29 +12,29 @@
 
 // loader reads a data folder.
 type loader struct {
-	fs      FS
-	dir     string
-	id      uint64
-	state   replica.State
-	entries []replica.Entry
-	number  uint64 // of the latest frame
-	files   []segment
-	tail    []byte // the good frames of the last segment
-	stale   bool   // the log is older than the snapshot
+	fs              FS
+	dir             string
+	replicaID       uint64
+	state           replica.State
+	entries         []replica.Entry
+	lastFrameNumber uint64 // of the latest frame
+	segments        []segment
+	validFrames     []byte // the good frames of the last segment
+	logOutdated     bool   // the log is older than the snapshot
 }
 
 // segment is one file of the log.
 type segment struct {
-	number  uint64
-	size    int64
-	highest uint64 // index of the highest entry ever written to it
+	number       uint64
+	size         int64
+	highestIndex uint64 // index of the highest entry ever written to it
 }
 
 func segmentName(number uint64) string { return fmt.Sprintf("log-%016d.seg", number) }
 func snapshotName(index uint64) string { return fmt.Sprintf("snapshot-%016d.snap", index) }
 
 func (l *loader) load() error {
-	segments, snapshots, err := l.list()
+	segments, snapshots, err := l.listFiles()
 	if err != nil {
 		return err
 	}
@@ -46,11 +46,11 @@
 			return err
 		}
 	}
-	return l.joinEntries()
+	return l.dropCoveredEntries()
 }
 
 // list returns the numbers of segments and snapshots, ascending.
-func (l *loader) list() (segments, snapshots []uint64, err error) {
+func (l *loader) listFiles() (segments, snapshots []uint64, err error) {
 	names, err := l.fs.List(l.dir)
 	if err != nil {
 		return nil, nil, err
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	_, payload, rest, ok := cutFrame(b)
+	_, payload, rest, ok := decodeFrame(b)
 	if !ok || len(rest) > 0 {
 		return &CorruptError{File: name, Reason: "bad checksum or length"}
 	}
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (l *loader) loadSegment(number uint64, last bool) error {
+func (l *loader) loadSegment(number uint64, isLast bool) error {
 	name := segmentName(number)
 	b, err := l.fs.ReadFile(filepath.Join(l.dir, name))
 	if err != nil {
@@ -99,33 +99,33 @@
 	}
 	s := segment{number: number}
 	for rest := b; len(rest) > 0; {
-		frame, payload, next, ok := cutFrame(rest)
+		frameNumber, payload, next, ok := decodeFrame(rest)
 		if !ok {
-			if !last || frameFollows(rest[1:], l.number) {
+			if !isLast || containsLaterFrame(rest[1:], l.lastFrameNumber) {
 				return &CorruptError{File: name, Offset: s.size, Reason: "bad frame before good ones"}
 			}
 			break
 		}
-		if err := l.replay(&s, name, frame, payload); err != nil {
+		if err := l.replayFrame(&s, name, frameNumber, payload); err != nil {
 			return err
 		}
 		s.size += int64(len(rest) - len(next))
 		rest = next
 	}
-	l.files = append(l.files, s)
-	l.tail = b[:s.size]
+	l.segments = append(l.segments, s)
+	l.validFrames = b[:s.size]
 	return nil
 }
 
-func (l *loader) replay(s *segment, name string, frame uint64, payload []byte) error {
+func (l *loader) replayFrame(s *segment, name string, frameNumber uint64, payload []byte) error {
 	var r record
 	if err := msgpack.Unmarshal(payload, &r); err != nil {
 		return &CorruptError{File: name, Offset: s.size, Reason: err.Error()}
 	}
-	if frame <= l.number {
+	if frameNumber <= l.lastFrameNumber {
 		return &CorruptError{File: name, Offset: s.size, Reason: "frame number does not rise"}
 	}
-	l.number = frame
+	l.lastFrameNumber = frameNumber
 	if err := l.replayHeader(s, name, r.Header); err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 	return l.replayEntries(s, name, r.Entries)
 }
 
-func (l *loader) replayHeader(s *segment, name string, h *header) error {
+func (l *loader) replayHeader(s *segment, name string, h *segmentHeader) error {
 	switch {
 	case h == nil && s.size == 0:
 		return &CorruptError{File: name, Reason: "first frame has no header"}
@@ -143,9 +143,9 @@
 		return nil
 	case h.Version != formatVersion:
 		return &CorruptError{File: name, Reason: fmt.Sprintf("format version %d, want %d", h.Version, formatVersion)}
-	case h.Replica != l.id:
-		return &ReplicaError{Folder: h.Replica, Want: l.id}
-	case h.Restart:
+	case h.Replica != l.replicaID:
+		return &ReplicaError{Folder: h.Replica, Want: l.replicaID}
+	case h.ResetLog:
 		l.entries = nil
 	}
 	return nil
@@ -158,14 +158,14 @@
 		return nil
 	}
 	first := entries[0].Index
-	s.highest = max(s.highest, entries[len(entries)-1].Index)
+	s.highestIndex = max(s.highestIndex, entries[len(entries)-1].Index)
 	if len(l.entries) > 0 {
 		base := l.entries[0].Index
 		if first > base+uint64(len(l.entries)) {
 			return &CorruptError{File: name, Offset: s.size, Reason: fmt.Sprintf("gap before entry %d", first)}
 		}
-		kept := max(first, base) - base
-		l.entries = l.entries[:kept]
+		keepCount := max(first, base) - base
+		l.entries = l.entries[:keepCount]
 	}
 	l.entries = append(l.entries, entries...)
 	return nil
@@ -174,24 +174,24 @@
 // joinEntries drops the entries that the snapshot covers. If the log does not
 // hold the snapshot's last entry, the snapshot came from a leader and the crash
 // was before the log was begun anew: what the log holds is out of date.
-func (l *loader) joinEntries() error {
+func (l *loader) dropCoveredEntries() error {
 	meta := l.state.Snapshot.Meta
 	if len(l.entries) == 0 {
 		return nil
 	}
 	first := l.entries[0].Index
 	if first > meta.Index+1 {
-		return &CorruptError{File: segmentName(l.files[0].number), Reason: fmt.Sprintf("entries from %d to %d are missing", meta.Index+1, first-1)}
+		return &CorruptError{File: segmentName(l.segments[0].number), Reason: fmt.Sprintf("entries from %d to %d are missing", meta.Index+1, first-1)}
 	}
 	if first == meta.Index+1 {
 		l.state.Entries = l.entries
 		return nil
 	}
-	at := meta.Index - first
-	if at >= uint64(len(l.entries)) || l.entries[at].Term != meta.Term {
-		l.stale = true
+	offset := meta.Index - first
+	if offset >= uint64(len(l.entries)) || l.entries[offset].Term != meta.Term {
+		l.logOutdated = true
 		return nil
 	}
-	l.state.Entries = l.entries[at+1:]
+	l.state.Entries = l.entries[offset+1:]
 	return nil
 }
--- a/replica/storage/log.go
+++ b/replica/storage/log.go
@@ -29,15 +29,15 @@
 
 // Log is a replica's state on disk. It is not safe for concurrent use.
 type Log struct {
-	cfg    Config
-	fs     FS
-	lock   io.Closer
-	active File
-	files  []segment // ascending, the last one is active
-	number uint64    // of the latest frame
-	hard   replica.HardState
-	state  replica.State
-	failed error
+	cfg             Config
+	fs              FS
+	lock            io.Closer
+	activeFile      File
+	segments        []segment // ascending, the last one is active
+	lastFrameNumber uint64    // of the latest frame
+	hardState       replica.HardState
+	loadedState     replica.State
+	failure         error
 }
 
 // Open locks the folder, reads it, and cuts off a frame that a crash left
@@ -60,22 +60,22 @@
 }
 
 func (l *Log) open() error {
-	ld := &loader{fs: l.fs, dir: l.cfg.Dir, id: l.cfg.Replica}
+	ld := &loader{fs: l.fs, dir: l.cfg.Dir, replicaID: l.cfg.Replica}
 	if err := ld.load(); err != nil {
 		return err
 	}
-	l.state = ld.state
-	l.hard = ld.state.HardState
-	l.number = ld.number
-	l.files = ld.files
-	if len(l.files) == 0 {
-		return l.beginSegment(false)
+	l.loadedState = ld.state
+	l.hardState = ld.state.HardState
+	l.lastFrameNumber = ld.lastFrameNumber
+	l.segments = ld.segments
+	if len(l.segments) == 0 {
+		return l.startSegment(false)
 	}
-	if err := l.reopen(ld.tail); err != nil {
+	if err := l.reopenLastSegment(ld.validFrames); err != nil {
 		return err
 	}
-	if ld.stale {
-		return l.beginSegment(true)
+	if ld.logOutdated {
+		return l.startSegment(true)
 	}
 	return nil
 }
@@ -85,21 +85,21 @@
 // left frames there that were never synced, and after a failed sync the cache may
 // hold pages that the kernel has given up on and will not write again. Counting
 // them as synced would acknowledge entries that the next power loss takes away.
-func (l *Log) reopen(tail []byte) error {
-	last := l.files[len(l.files)-1]
-	if err := l.replaceFile(segmentName(last.number), tail); err != nil {
+func (l *Log) reopenLastSegment(validFrames []byte) error {
+	last := l.segments[len(l.segments)-1]
+	if err := l.replaceFile(segmentName(last.number), validFrames); err != nil {
 		return err
 	}
 	file, err := l.fs.Append(l.path(segmentName(last.number)))
 	if err != nil {
 		return err
 	}
-	l.active = file
+	l.activeFile = file
 	if last.size > 0 {
 		return nil
 	}
 	// The crash came while the segment was begun.
-	return l.writeHeader(false)
+	return l.writeSegmentHeader(false)
 }
 
 func (l *Log) path(name string) string { return filepath.Join(l.cfg.Dir, name) }
@@ -107,123 +107,123 @@
 // State returns what the folder held when it was opened. The entries are
 // released from the Log, so call it once.
 func (l *Log) State() replica.State {
-	state := l.state
-	l.state = replica.State{}
+	state := l.loadedState
+	l.loadedState = replica.State{}
 	return state
 }
 
 // Save writes and syncs a hard state and entries. The first entry replaces all
 // held from its index on.
 func (l *Log) Save(hs replica.HardState, entries []replica.Entry) error {
-	if l.failed != nil {
-		return trace.Wrap(l.failed)
+	if l.failure != nil {
+		return trace.Wrap(l.failure)
 	}
 	err := l.save(hs, entries)
-	return l.check(err, "save")
+	return l.recordFailure(err, "save")
 }
 
 func (l *Log) save(hs replica.HardState, entries []replica.Entry) error {
-	l.hard = hs
-	if err := l.write(record{HardState: &hs, Entries: entries}); err != nil {
+	l.hardState = hs
+	if err := l.writeFrame(record{HardState: &hs, Entries: entries}); err != nil {
 		return err
 	}
-	last := &l.files[len(l.files)-1]
+	last := &l.segments[len(l.segments)-1]
 	if n := len(entries); n > 0 {
-		last.highest = max(last.highest, entries[n-1].Index)
+		last.highestIndex = max(last.highestIndex, entries[n-1].Index)
 	}
 	if last.size < l.cfg.SegmentBytes {
 		return nil
 	}
-	return l.beginSegment(false)
+	return l.startSegment(false)
 }
 
 // write appends one frame and syncs it.
-func (l *Log) write(r record) error {
-	frame, err := encodeFrame(l.number+1, r)
+func (l *Log) writeFrame(r record) error {
+	frame, err := encodeFrame(l.lastFrameNumber+1, r)
 	if err != nil {
 		return err
 	}
-	if _, err := l.active.Write(frame); err != nil {
+	if _, err := l.activeFile.Write(frame); err != nil {
 		return err
 	}
-	if err := l.active.Sync(); err != nil {
+	if err := l.activeFile.Sync(); err != nil {
 		return err
 	}
-	l.number++
-	l.files[len(l.files)-1].size += int64(len(frame))
+	l.lastFrameNumber++
+	l.segments[len(l.segments)-1].size += int64(len(frame))
 	return nil
 }
 
 // beginSegment starts a new segment. The folder is synced too: without that the
 // file's name could be gone after a crash, and with it synced entries.
-func (l *Log) beginSegment(restart bool) error {
+func (l *Log) startSegment(resetLog bool) error {
 	number := uint64(1)
-	if n := len(l.files); n > 0 {
-		number = l.files[n-1].number + 1
+	if n := len(l.segments); n > 0 {
+		number = l.segments[n-1].number + 1
 	}
 	file, err := l.fs.Create(l.path(segmentName(number)))
 	if err != nil {
 		return err
 	}
-	if l.active != nil {
-		if err := l.active.Close(); err != nil {
+	if l.activeFile != nil {
+		if err := l.activeFile.Close(); err != nil {
 			return errors.Join(err, file.Close())
 		}
 	}
-	l.active = file
-	l.files = append(l.files, segment{number: number})
-	if err := l.writeHeader(restart); err != nil {
+	l.activeFile = file
+	l.segments = append(l.segments, segment{number: number})
+	if err := l.writeSegmentHeader(resetLog); err != nil {
 		return err
 	}
 	return l.fs.SyncDir(l.cfg.Dir)
 }
 
 // writeHeader repeats the hard state, so that earlier segments can be deleted.
-func (l *Log) writeHeader(restart bool) error {
-	h := header{Version: formatVersion, Replica: l.cfg.Replica, Restart: restart}
-	return l.write(record{Header: &h, HardState: &l.hard})
+func (l *Log) writeSegmentHeader(resetLog bool) error {
+	h := segmentHeader{Version: formatVersion, Replica: l.cfg.Replica, ResetLog: resetLog}
+	return l.writeFrame(record{Header: &h, HardState: &l.hardState})
 }
 
 // SaveSnapshot keeps a snapshot of the replica's own state machine and deletes
 // the segments that it makes needless.
 func (l *Log) SaveSnapshot(s replica.Snapshot) error {
-	if l.failed != nil {
-		return trace.Wrap(l.failed)
+	if l.failure != nil {
+		return trace.Wrap(l.failure)
 	}
 	err := l.saveSnapshot(s)
-	return l.check(err, "save snapshot")
+	return l.recordFailure(err, "save snapshot")
 }
 
 func (l *Log) saveSnapshot(s replica.Snapshot) error {
 	if err := l.writeSnapshot(s); err != nil {
 		return err
 	}
-	return l.deleteBefore(s.Meta.Index)
+	return l.deleteCoveredFiles(s.Meta.Index)
 }
 
 // Install keeps a snapshot that came from the leader and begins the log anew
 // after it. A crash in between leaves a log without the snapshot's last entry,
 // which Open takes as out of date.
-func (l *Log) Install(hs replica.HardState, s replica.Snapshot) error {
-	if l.failed != nil {
-		return trace.Wrap(l.failed)
+func (l *Log) InstallSnapshot(hs replica.HardState, s replica.Snapshot) error {
+	if l.failure != nil {
+		return trace.Wrap(l.failure)
 	}
-	err := l.install(hs, s)
-	return l.check(err, "install snapshot")
+	err := l.installSnapshot(hs, s)
+	return l.recordFailure(err, "install snapshot")
 }
 
-func (l *Log) install(hs replica.HardState, s replica.Snapshot) error {
-	l.hard = hs
-	if err := l.write(record{HardState: &hs}); err != nil {
+func (l *Log) installSnapshot(hs replica.HardState, s replica.Snapshot) error {
+	l.hardState = hs
+	if err := l.writeFrame(record{HardState: &hs}); err != nil {
 		return err
 	}
 	if err := l.writeSnapshot(s); err != nil {
 		return err
 	}
-	if err := l.beginSegment(true); err != nil {
+	if err := l.startSegment(true); err != nil {
 		return err
 	}
-	return l.deleteBefore(s.Meta.Index)
+	return l.deleteCoveredFiles(s.Meta.Index)
 }
 
 func (l *Log) writeSnapshot(s replica.Snapshot) error {
@@ -265,14 +265,14 @@
 // deleteBefore deletes earlier snapshots and the segments whose entries are all
 // covered. Segments go from the oldest on, so that no gap can arise. A name that
 // a crash brings back does no harm.
-func (l *Log) deleteBefore(index uint64) error {
-	for len(l.files) > 1 && l.files[0].highest <= index {
-		if err := l.fs.Remove(l.path(segmentName(l.files[0].number))); err != nil {
+func (l *Log) deleteCoveredFiles(index uint64) error {
+	for len(l.segments) > 1 && l.segments[0].highestIndex <= index {
+		if err := l.fs.Remove(l.path(segmentName(l.segments[0].number))); err != nil {
 			return err
 		}
-		l.files = l.files[1:]
+		l.segments = l.segments[1:]
 	}
-	_, snapshots, err := (&loader{fs: l.fs, dir: l.cfg.Dir}).list()
+	_, snapshots, err := (&loader{fs: l.fs, dir: l.cfg.Dir}).listFiles()
 	if err != nil {
 		return err
 	}
@@ -288,20 +288,20 @@
 }
 
 // check makes a failure last, see the package's comment.
-func (l *Log) check(err error, step string) error {
+func (l *Log) recordFailure(err error, step string) error {
 	if err == nil {
 		return nil
 	}
-	l.failed = fmt.Errorf("%w: %s in %s: %w", ErrFailed, step, l.cfg.Dir, err)
-	return trace.Wrap(l.failed)
+	l.failure = fmt.Errorf("%w: %s in %s: %w", ErrFailed, step, l.cfg.Dir, err)
+	return trace.Wrap(l.failure)
 }
 
 // Close releases the folder. It syncs nothing: what was acknowledged is synced.
 func (l *Log) Close() error {
-	if errors.Is(l.failed, ErrClosed) {
+	if errors.Is(l.failure, ErrClosed) {
 		return nil
 	}
-	err := errors.Join(l.active.Close(), l.lock.Close())
-	l.failed = ErrClosed
+	err := errors.Join(l.activeFile.Close(), l.lock.Close())
+	l.failure = ErrClosed
 	return trace.Wrap(err)
 }
--- a/replica/storage/log_test.go
+++ b/replica/storage/log_test.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-func hard(term uint64) replica.HardState { return replica.HardState{Term: term, Vote: 1} }
+func hardState(term uint64) replica.HardState { return replica.HardState{Term: term, Vote: 1} }
 
 // model is what the disk must hold.
 type model struct {
@@ -41,10 +41,10 @@
 }
 
 func (m model) save(term uint64, add []replica.Entry) model {
-	m.HardState = hard(term)
+	m.HardState = hardState(term)
 	if len(add) > 0 {
-		kept := add[0].Index - m.Snapshot.Meta.Index - 1
-		m.Entries = slices.Concat(m.Entries[:kept], add)
+		keepCount := add[0].Index - m.Snapshot.Meta.Index - 1
+		m.Entries = slices.Concat(m.Entries[:keepCount], add)
 	}
 	return m
 }
@@ -60,7 +60,7 @@
 }
 
 // operate does one random operation on the log and returns the model after it.
-func operate(t *rapid.T, l *storage.Log, m model, term uint64) (model, error) {
+func applyRandomOperation(t *rapid.T, l *storage.Log, m model, term uint64) (model, error) {
 	base := m.Snapshot.Meta.Index
 	switch rapid.IntRange(0, 6).Draw(t, "operation") {
 	case 0:
@@ -76,8 +76,8 @@
 	case 2:
 		next := m.snapshot(rapid.Uint64Range(base+1, m.LastIndex()+20).Draw(t, "install at"), term+1)
 		next.Entries = nil
-		next.HardState = hard(term + 1)
-		return next, l.Install(next.HardState, next.Snapshot)
+		next.HardState = hardState(term + 1)
+		return next, l.InstallSnapshot(next.HardState, next.Snapshot)
 	default:
 		first := rapid.Uint64Range(base+1, m.LastIndex()+1).Draw(t, "first")
 		add := entries(first, first+rapid.Uint64Range(0, 5).Draw(t, "more"), term)
@@ -100,13 +100,13 @@
 //
 // Breaks when one of these goes: the Sync in write; a SyncDir; the rename in
 // replaceFile; reopen's rewriting; the stale branch in open.
-func TestStateSurvivesDeathAtAnyStep(t *testing.T) {
+func TestStateSurvivesCrashAtAnyStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := newMemFS()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var m model
 		for range rapid.IntRange(1, 6).Draw(t, "lives") {
-			before, after := live(t, fs, m)
+			before, after := runUntilCrash(t, fs, m)
 			if rapid.Bool().Draw(t, "power loss") {
 				fs.powerLoss(rng)
 			} else {
@@ -115,9 +115,9 @@
 			l := open(t, fs)
 			m = model{l.State()}
 			require.NoError(t, l.Close())
-			half := before // an installation syncs the hard state first
-			half.HardState = after.HardState
-			if !equal(m.State, before.State) && !equal(m.State, after.State) && !equal(m.State, half.State) {
+			hardStateOnly := before // an installation syncs the hard state first
+			hardStateOnly.HardState = after.HardState
+			if !equal(m.State, before.State) && !equal(m.State, after.State) && !equal(m.State, hardStateOnly.State) {
 				t.Fatalf("found %+v\nwant %+v\nor %+v", m.State, before.State, after.State)
 			}
 		}
@@ -126,17 +126,17 @@
 
 // live opens the folder and operates until the process dies or has done enough.
 // It returns the states before and after the last operation.
-func live(t *rapid.T, fs *memFS, m model) (before, after model) {
-	fs.dieAt = fs.steps + rapid.IntRange(1, 80).Draw(t, "dies after")
+func runUntilCrash(t *rapid.T, fs *memFS, m model) (before, after model) {
+	fs.crashAtStep = fs.steps + rapid.IntRange(1, 80).Draw(t, "dies after")
 	l, err := storage.Open(config(), fs)
 	if err != nil {
-		require.ErrorIs(t, err, errDied)
+		require.ErrorIs(t, err, errCrashed)
 		return m, m
 	}
 	l.State()
 	for range rapid.IntRange(0, 20).Draw(t, "operations") {
 		term := m.HardState.Term + rapid.Uint64Range(0, 1).Draw(t, "term")
-		next, err := operate(t, l, m, term)
+		next, err := applyRandomOperation(t, l, m, term)
 		if err != nil {
 			require.ErrorIs(t, err, storage.ErrFailed)
 			return m, next
@@ -152,20 +152,20 @@
 // process is started anew, and what it finds then is written again.
 //
 // Breaks when l.failed is not kept in check, or reopen does not rewrite.
-func TestFailedSyncLasts(t *testing.T) {
+func TestFailedSyncIsPermanent(t *testing.T) {
 	fs := newMemFS()
 	l := open(t, fs)
-	require.NoError(t, l.Save(hard(1), entries(1, 3, 1)))
+	require.NoError(t, l.Save(hardState(1), entries(1, 3, 1)))
 	fs.failSync = true
-	require.ErrorIs(t, l.Save(hard(1), entries(4, 4, 1)), storage.ErrFailed)
-	require.ErrorIs(t, l.Save(hard(1), entries(4, 4, 1)), storage.ErrFailed)
+	require.ErrorIs(t, l.Save(hardState(1), entries(4, 4, 1)), storage.ErrFailed)
+	require.ErrorIs(t, l.Save(hardState(1), entries(4, 4, 1)), storage.ErrFailed)
 	require.ErrorIs(t, l.SaveSnapshot(replica.Snapshot{}), storage.ErrFailed)
-	require.ErrorIs(t, l.Install(hard(1), replica.Snapshot{}), storage.ErrFailed)
+	require.ErrorIs(t, l.InstallSnapshot(hardState(1), replica.Snapshot{}), storage.ErrFailed)
 
 	fs.kill()
 	l = open(t, fs)
 	found := l.State()
-	require.NoError(t, l.Save(hard(2), nil))
+	require.NoError(t, l.Save(hardState(2), nil))
 	fs.powerLoss(rand.New(rand.NewPCG(1, 1)))
 	after := open(t, fs).State()
 	require.Equal(t, found.Entries, after.Entries, "entries seen after the restart were taken for synced")
@@ -176,9 +176,9 @@
 func TestFullDisk(t *testing.T) {
 	fs := newMemFS()
 	l := open(t, fs)
-	require.NoError(t, l.Save(hard(1), entries(1, 3, 1)))
-	fs.space = 30
-	err := l.Save(hard(1), entries(4, 9, 1))
+	require.NoError(t, l.Save(hardState(1), entries(1, 3, 1)))
+	fs.freeBytes = 30
+	err := l.Save(hardState(1), entries(4, 9, 1))
 	require.ErrorIs(t, err, storage.ErrFailed)
 	require.ErrorIs(t, err, errFull)
 
@@ -191,20 +191,20 @@
 // say where; only the very last frame cannot be told from one that was torn.
 //
 // Breaks when frameFollows returns false.
-func TestBadFrameInTheMiddle(t *testing.T) {
+func TestCorruptFrameBeforeValidFrames(t *testing.T) {
 	fs := newMemFS()
-	whole := storage.Config{Dir: testDir, Replica: 7}
-	l, err := storage.Open(whole, fs)
+	singleSegment := storage.Config{Dir: testDir, Replica: 7}
+	l, err := storage.Open(singleSegment, fs)
 	require.NoError(t, err)
 	for i := uint64(1); i <= 6; i++ {
-		require.NoError(t, l.Save(hard(1), entries(i, i, 1)))
+		require.NoError(t, l.Save(hardState(1), entries(i, i, 1)))
 	}
 	require.NoError(t, l.Close())
 	file := fs.files[filepath.Join(testDir, "log-0000000000000001.seg")]
 	last := len(file.cache) * 5 / 6
 	for at := range last {
 		file.cache[at] ^= 0x10
-		_, err := storage.Open(whole, fs)
+		_, err := storage.Open(singleSegment, fs)
 		var corrupt *storage.CorruptError
 		require.ErrorAs(t, err, &corrupt, "byte %d of %d", at, len(file.cache))
 		file.cache[at] ^= 0x10
@@ -214,7 +214,7 @@
 
 // Two processes are started on one folder, or one under another replica's id.
 // Each would overwrite what the other acknowledged.
-func TestFolderBelongsToOneProcessAndReplica(t *testing.T) {
+func TestFolderLockedToOneProcessAndReplica(t *testing.T) {
 	c := storage.Config{Dir: t.TempDir(), Replica: 1}
 	l, err := storage.Open(c, storage.OS{})
 	require.NoError(t, err)
@@ -224,15 +224,15 @@
 
 	c.Replica = 2
 	_, err = storage.Open(c, storage.OS{})
-	var other *storage.ReplicaError
-	require.ErrorAs(t, err, &other)
+	var wrongReplica *storage.ReplicaError
+	require.ErrorAs(t, err, &wrongReplica)
 }
 
 // FuzzOpen feeds any bytes as the last segment: an error or a state, no panic.
 func FuzzOpen(f *testing.F) {
 	fs := newMemFS()
 	l := open(f, fs)
-	require.NoError(f, l.Save(hard(1), entries(1, 3, 1)))
+	require.NoError(f, l.Save(hardState(1), entries(1, 3, 1)))
 	for _, file := range fs.files {
 		f.Add(file.cache)
 		f.Add(file.cache[:len(file.cache)-1])
--- a/replica/storage/memfs_test.go
+++ b/replica/storage/memfs_test.go
@@ -12,48 +12,48 @@
 )
 
 var (
-	errDied = errors.New("process died")
-	errSync = errors.New("input/output error")
-	errFull = errors.New("no space left on device")
+	errCrashed = errors.New("process died")
+	errSync    = errors.New("input/output error")
+	errFull    = errors.New("no space left on device")
 )
 
 // memFile is a file with what the disk holds and what the kernel's cache shows.
 type memFile struct {
-	cache []byte
-	disk  []byte
-	clean int // the cache up to here counts as written and is not written again
+	cache      []byte
+	disk       []byte
+	cleanBytes int // the cache up to here counts as written and is not written again
 }
 
 // memFS is a file system in memory that forgets what was not synced.
 type memFS struct {
-	files    map[string]*memFile // as the process sees them
-	durable  map[string]*memFile // names that would be found after a crash
-	steps    int                 // calls that change something, so far
-	dieAt    int                 // call at which the process dies; 0: never
-	failSync bool                // the next sync fails
-	space    int                 // bytes left; negative: no limit
-	held     bool
+	files       map[string]*memFile // as the process sees them
+	durable     map[string]*memFile // names that would be found after a crash
+	steps       int                 // calls that change something, so far
+	crashAtStep int                 // call at which the process dies; 0: never
+	failSync    bool                // the next sync fails
+	freeBytes   int                 // bytes left; negative: no limit
+	locked      bool
 }
 
 func newMemFS() *memFS {
-	return &memFS{files: map[string]*memFile{}, durable: map[string]*memFile{}, space: -1}
+	return &memFS{files: map[string]*memFile{}, durable: map[string]*memFile{}, freeBytes: -1}
 }
 
 // step counts a call and reports whether the process is dead.
 func (m *memFS) step() error {
 	m.steps++
-	if m.dieAt > 0 && m.steps >= m.dieAt {
-		return errDied
+	if m.crashAtStep > 0 && m.steps >= m.crashAtStep {
+		return errCrashed
 	}
 	return nil
 }
 
 // kill ends the process: the cache stays. The lock ends with it.
 func (m *memFS) kill() {
-	m.held = false
-	m.dieAt = 0
+	m.locked = false
+	m.crashAtStep = 0
 	m.failSync = false
-	m.space = -1
+	m.freeBytes = -1
 }
 
 // powerLoss leaves what was synced, and of a file's unsynced rest any part: some
@@ -70,7 +70,7 @@
 			}
 		}
 		content := slices.Concat(f.disk, rest)
-		m.files[name] = &memFile{cache: content, disk: slices.Clone(content), clean: len(content)}
+		m.files[name] = &memFile{cache: content, disk: slices.Clone(content), cleanBytes: len(content)}
 	}
 	m.durable = map[string]*memFile{}
 	for name, f := range m.files {
@@ -89,9 +89,9 @@
 		o.f.cache = append(o.f.cache, half...)
 		return len(half), err
 	}
-	if o.fs.space >= 0 && len(b) > o.fs.space {
-		o.f.cache = append(o.f.cache, b[:o.fs.space]...)
-		return o.fs.space, errFull
+	if o.fs.freeBytes >= 0 && len(b) > o.fs.freeBytes {
+		o.f.cache = append(o.f.cache, b[:o.fs.freeBytes]...)
+		return o.fs.freeBytes, errFull
 	}
 	o.f.cache = append(o.f.cache, b...)
 	return len(b), nil
@@ -105,14 +105,14 @@
 	}
 	if o.fs.failSync {
 		o.fs.failSync = false
-		o.f.clean = len(o.f.cache)
+		o.f.cleanBytes = len(o.f.cache)
 		return errSync
 	}
-	for len(o.f.disk) < o.f.clean {
+	for len(o.f.disk) < o.f.cleanBytes {
 		o.f.disk = append(o.f.disk, 0)
 	}
-	o.f.disk = append(o.f.disk, o.f.cache[o.f.clean:]...)
-	o.f.clean = len(o.f.cache)
+	o.f.disk = append(o.f.disk, o.f.cache[o.f.cleanBytes:]...)
+	o.f.cleanBytes = len(o.f.cache)
 	return nil
 }
 
@@ -182,15 +182,15 @@
 }
 
 func (m *memFS) Lock(string) (io.Closer, error) {
-	if m.held {
+	if m.locked {
 		return nil, storage.ErrLocked
 	}
-	m.held = true
+	m.locked = true
 	return m, nil
 }
 
 // Close releases the lock.
 func (m *memFS) Close() error {
-	m.held = false
+	m.locked = false
 	return nil
 }
