--- a/replica/host/config.go
+++ b/replica/host/config.go
@@ -10,9 +10,9 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// Defaults of Config. With them a leader is missed after 500 ms and a follower
-// stands for election after at most a second; a sync may take 400 ms before it
-// costs a leader its office.
+// Defaults of Config. The election timeout is 500 ms, and a follower starts an
+// election within 1 s of the last heartbeat. A leader whose sync takes longer than
+// 400 ms may lose its leadership.
 const (
 	DefaultTickInterval   = 10 * time.Millisecond
 	DefaultElectionTicks  = 50
@@ -26,28 +26,31 @@
 	DefaultMaxEntryBytes  = 1 << 20
 )
 
-// Config is the settings of a Host. Zero values stand for the defaults.
+// Config holds the settings of a Host. Zero values select the defaults.
 type Config struct {
 	ID uint64
 
-	// Voters is the membership of a new group and counts only while the data folder
-	// is empty. A replica that joins a group, or that replaces one whose disk is
-	// lost, has a new ID and no Voters: it waits to be added as a learner.
+	// Voters is the initial membership of a new group; it is ignored unless the
+	// storage is empty. A replica that joins a group, or that replaces one whose disk
+	// was lost, has a new ID and no Voters: it waits to be added as a learner.
 	Voters []uint64
 
 	TickInterval   time.Duration
 	ElectionTicks  int // election timeout, in ticks
 	HeartbeatTicks int
 
-	// A snapshot is taken after so many entries or bytes of data, whichever comes
-	// first. Of the entries before it so many stay in memory for replicas that lag.
+	// A snapshot is taken after SnapshotEvery entries or SnapshotBytes of entry data,
+	// whichever comes first. Up to KeepEntries entries and KeepBytes before it stay in
+	// memory for followers that lag.
 	SnapshotEvery uint64
 	SnapshotBytes int
 	KeepEntries   uint64
 	KeepBytes     int
 
-	// Proposals waiting, each for its commit, and reads queued. More are refused with ErrBusy: the log
-	// in memory would otherwise grow without bound while no majority answers.
+	// MaxPending bounds the proposals that are not committed yet, and the queue of
+	// reads and other commands; MaxPendingBytes bounds the proposals' data. Above them
+	// calls return ErrBusy: the log in memory would otherwise grow without bound while
+	// no majority answers.
 	MaxPending      int
 	MaxPendingBytes int
 	MaxEntryBytes   int
@@ -67,12 +70,12 @@
 	return c
 }
 
-// validate checks the voters; package replica checks the rest.
+// validate checks the voters; replica.NewCore checks the other settings.
 func (c Config) validate() error {
 	seen := make(map[uint64]bool)
 	for _, id := range c.Voters {
 		if id == 0 || seen[id] {
-			return fmt.Errorf("%w: voters %v hold 0 or a replica twice", replica.ErrBadConfig, c.Voters)
+			return fmt.Errorf("%w: voters %v contain 0 or a duplicate", replica.ErrBadConfig, c.Voters)
 		}
 		seen[id] = true
 	}
@@ -88,31 +91,31 @@
 	}
 }
 
-// Machine is the state machine that the entries drive. The same entries must
-// give the same state at every replica: no clock, no randomness, no map order.
-// All calls come from one goroutine.
+// Machine is the replicated state machine. It must be deterministic: the same
+// entries give the same state at every replica, so it may not depend on the clock,
+// on random numbers or on the order of a map. All calls come from one goroutine.
 type Machine interface {
-	// Apply takes an entry of a kind from replica.KindApplication on. Result and
-	// error go to the caller of Propose; an error does not stop the replica, and it
-	// too must be the same everywhere.
+	// Apply applies a committed entry; its kind is at least replica.KindApplication.
+	// Result and error go to the caller of Propose. An error does not stop the
+	// replica, and must be the same at every replica.
 	Apply(e replica.Entry) (any, error)
-	// Snapshot returns the whole state. The replica does nothing else meanwhile, so
-	// it must take far less than an election timeout; the bytes stay in memory, and
-	// are sent as they are to a replica that is far behind.
+	// Snapshot returns the whole state. It blocks the replica, so it must take far
+	// less than an election timeout. The result stays in memory and is sent to
+	// followers that are far behind.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by that of a snapshot.
+	// Restore replaces the state with the result of an earlier Snapshot.
 	Restore(b []byte) error
 }
 
-// Transport carries messages between replicas. It may drop, delay, double and
+// Transport carries messages between replicas. It may drop, delay, duplicate and
 // reorder them.
 type Transport interface {
-	// Send never blocks. The message must not be changed.
+	// Send must not block and must not modify the message.
 	Send(m replica.Message)
 }
 
-// Storage keeps a replica's state; package storage has the one on disk. After an
-// error the Host stops and the process must stop too.
+// Storage persists a replica's state; storage.Log implements it on disk. Run
+// returns the first error of a method, and the process must stop then.
 type Storage interface {
 	State() replica.State
 	Save(hs replica.HardState, entries []replica.Entry) error
@@ -120,21 +123,21 @@
 	InstallSnapshot(hs replica.HardState, s replica.Snapshot) error
 }
 
-// Deps is what a Host works with.
+// Deps holds the dependencies of a Host. All are required.
 type Deps struct {
 	Storage   Storage
 	Transport Transport
 	Machine   Machine
 	Logger    *slog.Logger
-	Now       func() time.Time    // must carry a monotonic reading
-	Rand      func(n int64) int64 // a number in [0, n)
+	Now       func() time.Time    // its results must have a monotonic clock reading
+	Rand      func(n int64) int64 // returns a random number in [0, n)
 }
 
 func (d Deps) validate() error {
 	var errs []error
 	need := func(present bool, name string) {
 		if !present {
-			errs = append(errs, fmt.Errorf("host: no %s", name))
+			errs = append(errs, fmt.Errorf("host: missing %s", name))
 		}
 	}
 	need(d.Storage != nil, "storage")
--- a/replica/host/errors.go
+++ b/replica/host/errors.go
@@ -5,29 +5,31 @@
 	"fmt"
 )
 
-// The errors of Host. Test with errors.Is and errors.As.
+// The errors of Host, for errors.Is and errors.As.
 var (
-	// ErrUnknown: the proposal was appended, and it is not known whether it will be
-	// committed: leadership was lost, the context ended or the host stopped.
-	ErrOutcomeUnknown = errors.New("host: outcome unknown, the proposal may yet be committed")
+	// ErrOutcomeUnknown: the proposal was appended, but leadership was lost, the
+	// context ended or the host stopped before it was committed. It may be committed
+	// later.
+	ErrOutcomeUnknown = errors.New("host: outcome unknown, the proposal may still be committed")
 
 	// ErrStopped: the host has stopped; nothing was appended.
 	ErrStopped = errors.New("host: stopped")
 
-	// ErrBusy: too many proposals are waiting; nothing was appended.
-	ErrBusy = errors.New("host: too many proposals are waiting")
+	// ErrBusy: a queue or the limit on pending proposals is full; nothing was appended.
+	ErrBusy = errors.New("host: too many requests are waiting")
 
 	// ErrTooLarge: the data is longer than Config.MaxEntryBytes; nothing was appended.
 	ErrTooLarge = errors.New("host: entry is too large")
 
-	// ErrReservedKind: the kind belongs to package replica; nothing was appended.
-	ErrReservedKind = errors.New("host: kind is reserved")
+	// ErrReservedKind: the kind is below replica.KindApplication; nothing was appended.
+	ErrReservedKind = errors.New("host: entry kind is reserved")
 
-	// ErrTransferFailed: this replica is still the leader, or the target never led.
+	// ErrTransferFailed: another replica than the target leads, possibly still this
+	// one, or a newer transfer has replaced this one.
 	ErrTransferFailed = errors.New("host: leadership was not transferred")
 )
 
-// NotLeaderError says that this replica is not the leader, and that nothing was
+// NotLeaderError is returned if this replica is not the leader. Nothing was
 // appended or read.
 type NotLeaderError struct {
 	Leader uint64 // 0: unknown
--- a/replica/host/host.go
+++ b/replica/host/host.go
@@ -13,18 +13,21 @@
 )
 
 const (
-	inboxSize = 1_024 // messages received and not yet handled; more are dropped
-	// roundLimit bounds the inputs of one round, so that ticks are not starved.
+	// inboxSize is the capacity of the queue of received messages; messages above it
+	// are dropped.
+	inboxSize = 1_024
+	// maxInputsPerRound bounds the inputs handled before the next tick, so that a
+	// stream of inputs does not delay ticks.
 	maxInputsPerRound = 1_024
 )
 
 // Host runs one replica. Its methods are safe for concurrent use. Before a planned
-// stop of the leader call TransferLeadership: proposals go on until the hand-over,
-// which takes milliseconds, instead of stopping for an election.
+// stop of the leader call TransferLeadership, so that callers don't have to wait
+// for an election.
 type Host struct {
 	cfg       Config
 	deps      Deps
-	core      *replica.Core // the loop's, as is loop
+	core      *replica.Core // used by Run's goroutine only, as is loop
 	startTime time.Time
 	loop      loopState
 
@@ -38,9 +41,9 @@
 	view view
 }
 
-// New returns a Host that goes on from what the storage holds. On an empty one
-// it starts a new group of cfg.Voters if it is among them, else it waits to be
-// added to one.
+// New returns a Host that continues from the state in the storage. If the storage
+// is empty, the replica starts a new group of cfg.Voters if it is one of them;
+// otherwise it waits to be added to a group.
 func New(cfg Config, deps Deps) (*Host, error) {
 	cfg = cfg.withDefaults()
 	if err := errors.Join(cfg.validate(), deps.validate()); err != nil {
@@ -80,8 +83,8 @@
 	return err
 }
 
-// found writes the first membership as a snapshot before the first entry, so
-// that later changes of the settings cannot alter it.
+// bootstrap saves the initial membership as a snapshot at index 0, so that later
+// changes of the settings don't alter it.
 func (h *Host) bootstrap(state *replica.State) error {
 	if !slices.Contains(h.cfg.Voters, h.cfg.ID) {
 		return nil
@@ -91,8 +94,8 @@
 	return h.deps.Storage.SaveSnapshot(state.Snapshot)
 }
 
-// Step hands over a message that the transport received. It never blocks; with
-// a full inbox the message is dropped, as the network may do.
+// Step queues a message that the transport received. It never blocks: if the
+// queue is full, the message is dropped.
 func (h *Host) Step(m replica.Message) {
 	select {
 	case h.inbox <- m:
@@ -100,10 +103,11 @@
 	}
 }
 
-// Propose appends an entry and waits until it is applied here; it returns what
-// Machine.Apply returned. Other errors: *NotLeaderError, ErrBusy, ErrStopped,
-// ErrTooLarge, ErrReservedKind or the context's: surely not appended.
-// ErrUnknown: it may yet be committed. data must not be changed afterwards.
+// Propose appends an entry, waits until this replica has applied it, and returns
+// the result and error of Machine.Apply. After *NotLeaderError, ErrBusy,
+// ErrStopped, ErrTooLarge, ErrReservedKind or the context's error, the entry was
+// not appended; after ErrOutcomeUnknown it may still be committed. The caller must
+// not change data afterwards.
 func (h *Host) Propose(ctx context.Context, kind uint8, data []byte) (any, error) {
 	if kind < replica.KindApplication {
 		return nil, trace.Wrap(ErrReservedKind, "propose kind %d", kind)
@@ -124,23 +128,24 @@
 	return p.wait(ctx, h.stopped, ErrOutcomeUnknown)
 }
 
-// ReadBarrier returns once this replica, the leader, has applied everything that
-// was acknowledged before the call. A read of the state machine after it is
-// linearizable.
+// ReadBarrier returns once this replica has confirmed that it is the leader and
+// has applied all entries committed before the call. A read of the state machine
+// after it is linearizable. Errors: *NotLeaderError, ErrBusy, ErrStopped or the
+// context's.
 func (h *Host) ReadBarrier(ctx context.Context) error {
 	return h.runCommand(ctx, &command{request: newRequest()}, nil)
 }
 
-// ChangeMembers changes the membership by one replica and waits until the change
+// ChangeMembers adds, promotes or removes one replica and waits until the change
 // is committed. Errors: those of Propose, and replica.ErrChangePending,
-// ErrNotCaughtUp, ErrBadChange, ErrRemoveLeader.
+// ErrNotCaughtUp, ErrBadChange and ErrRemoveLeader.
 func (h *Host) ChangeMembers(ctx context.Context, ch replica.Change) error {
 	c := &command{request: newRequest(), change: &ch}
 	return trace.Wrap(h.runCommand(ctx, c, ErrOutcomeUnknown), "change members: replica %d", ch.ID)
 }
 
-// TransferLeadership hands leadership to another voter, for a planned stop. It
-// returns once that one is known to lead. It may take two election timeouts.
+// TransferLeadership transfers leadership to another voter and returns once that
+// one is the leader. It may take two election timeouts.
 // Errors: *NotLeaderError, replica.ErrNotVoter, replica.ErrTransferring,
 // ErrTransferFailed, ErrBusy, ErrStopped or the context's.
 func (h *Host) TransferLeadership(ctx context.Context, to uint64) error {
@@ -151,6 +156,8 @@
 	return trace.Wrap(h.runCommand(ctx, c, nil), "transfer leadership to replica %d", to)
 }
 
+// runCommand queues c and waits for its outcome. If ctx ends after the loop has
+// claimed c, it returns errIfClaimed, or the context's error if that is nil.
 func (h *Host) runCommand(ctx context.Context, c *command, errIfClaimed error) error {
 	select {
 	case h.commands <- c:
--- a/replica/host/loop.go
+++ b/replica/host/loop.go
@@ -11,26 +11,26 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// loopState is what only the loop touches: the requests it has taken on.
+// loopState holds the requests that the loop has claimed. Only the loop uses it.
 type loopState struct {
-	leaderTerm         uint64 // in which this replica leads and appended the requests; 0: none
+	leaderTerm         uint64 // term in which the requests were claimed; 0: none
 	appended           map[uint64]appendedRequest
-	reads              map[uint64]*command // waiting for a majority, by read id
+	reads              map[uint64]*command // waiting for confirmation by a majority, by read ID
 	transfer           *command
 	lastReadID         uint64
 	finished           []finishedRequest
-	lostReplicas       int // replicas reported as lost
-	bytesSinceSnapshot int // bytes of data applied since the last snapshot
+	lostReplicas       int // replicas last logged as having lost their log
+	bytesSinceSnapshot int // of entry data applied
 }
 
-// appended is a request whose entry is in the log.
+// appendedRequest is a request whose entry is in the log.
 type appendedRequest struct {
 	request *request
 	term    uint64
 }
 
-// finished is an outcome that is told once the loop's state is published, so
-// that a caller finds its own proposal in Status and LastIndexOf.
+// finishedRequest is an outcome to deliver after publishStatus, so that a caller
+// sees the effect of its own request in Status.
 type finishedRequest struct {
 	request *request
 	outcome outcome
@@ -43,8 +43,9 @@
 	}
 }
 
-// Run drives the replica until ctx ends (nil) or it cannot go on (the error; the
-// process must stop, see package storage). Call it once.
+// Run runs the replica until ctx ends, and then returns nil. It returns an error if
+// the replica cannot continue; the process must stop then (see package storage).
+// It may be called once.
 func (h *Host) Run(ctx context.Context) error {
 	ticker := time.NewTicker(h.cfg.TickInterval)
 	defer ticker.Stop()
@@ -55,10 +56,10 @@
 			return nil
 		}
 		if err != nil {
-			return trace.Wrap(err, "replica %d: take input", h.cfg.ID)
+			return trace.Wrap(err, "replica %d: handle input", h.cfg.ID)
 		}
 		if err := h.processReady(); err != nil {
-			return trace.Wrap(err, "replica %d: work", h.cfg.ID)
+			return trace.Wrap(err, "replica %d: process updates", h.cfg.ID)
 		}
 		h.failStaleRequests()
 		h.publishStatus()
@@ -66,7 +67,8 @@
 	}
 }
 
-// input waits for one input and then takes all that have queued up meanwhile.
+// handleInputs waits for one input and handles it and all that are queued, up to
+// maxInputsPerRound.
 func (h *Host) handleInputs(ctx context.Context, ticks <-chan time.Time) error {
 	if err := h.handleNextInput(ctx, ticks); err != nil {
 		return err
@@ -133,7 +135,8 @@
 	}
 }
 
-// track notes an appended request, or ends one that was refused.
+// trackAppended records an appended request, or finishes it with err if it was
+// refused.
 func (h *Host) trackAppended(r *request, pos replica.Position, err error) {
 	if err != nil {
 		h.finish(r, nil, h.callerError(err))
@@ -168,7 +171,7 @@
 	h.loop.reads[h.loop.lastReadID] = c
 }
 
-// refusal turns the core's error into the caller's.
+// callerError converts an error of the core to the one that the caller gets.
 func (h *Host) callerError(err error) error {
 	if errors.Is(err, replica.ErrNotLeader) || errors.Is(err, replica.ErrTransferring) {
 		return h.notLeaderError()
@@ -176,8 +179,8 @@
 	return err
 }
 
-// notLeader names the leader to turn to, which is not this replica, even while
-// it hands over.
+// notLeaderError returns a NotLeaderError with the current leader. During a
+// transfer, when this replica still leads but accepts nothing, the leader is 0.
 func (h *Host) notLeaderError() error {
 	leader := h.core.Leader()
 	if leader == h.cfg.ID {
@@ -186,7 +189,8 @@
 	return &NotLeaderError{Leader: leader}
 }
 
-// work does what the core asks for, in the order that replica.Ready demands.
+// processReady persists, sends and applies the core's updates in the order that
+// replica.Ready requires.
 func (h *Host) processReady() error {
 	for {
 		rd, ok := h.core.Ready()
@@ -215,7 +219,8 @@
 	}
 }
 
-// persist syncs what the messages of rd acknowledge, and then makes it known here.
+// persist syncs rd and then publishes the new end of the log. It must return
+// before rd.Messages are sent, since they acknowledge the entries.
 func (h *Host) persist(rd replica.Ready) error {
 	if rd.Snapshot != nil {
 		if err := h.deps.Storage.InstallSnapshot(rd.HardState, *rd.Snapshot); err != nil {
@@ -254,8 +259,8 @@
 	return h.deps.Machine.Apply(e)
 }
 
-// applied ends the request whose entry this is. Another term at its index means
-// that a later leader has replaced the entry.
+// finishApplied finishes the request that appended e, if any. If the term differs,
+// a later leader has overwritten the request's entry.
 func (h *Host) finishApplied(e replica.Entry, result any, err error) {
 	a, ok := h.loop.appended[e.Index]
 	if !ok {
@@ -269,8 +274,8 @@
 	h.finish(a.request, result, err)
 }
 
-// answerReads ends the reads that a majority has confirmed. Their index is at
-// most that of the last entry in rd.Committed, which is applied by now.
+// finishReads finishes the reads that a majority has confirmed. Their read index is
+// at most that of the last entry in rd.Committed, which has been applied.
 func (h *Host) finishReads(reads []replica.ReadState) {
 	for _, r := range reads {
 		if c, ok := h.loop.reads[r.ID]; ok {
@@ -280,8 +285,8 @@
 	}
 }
 
-// snapshot keeps the state machine's state now and then, so that the log, and
-// with it a restart and the memory in use, stays small.
+// snapshotIfDue saves a snapshot and compacts the log if enough entries or bytes
+// were applied since the last one. This bounds the memory and the restart time.
 func (h *Host) snapshotIfDue() error {
 	entryCount := h.core.AppliedIndex() - h.core.SnapshotIndex()
 	due := entryCount >= h.cfg.SnapshotEvery || h.loop.bytesSinceSnapshot >= h.cfg.SnapshotBytes
@@ -301,7 +306,8 @@
 	return nil
 }
 
-// settle ends requests that can no longer succeed here.
+// failStaleRequests finishes the requests of an earlier term and a transfer that has
+// ended.
 func (h *Host) failStaleRequests() {
 	isLeader := h.core.Role() == replica.Leader
 	if h.loop.leaderTerm != 0 && (!isLeader || h.core.Term() != h.loop.leaderTerm) {
@@ -312,7 +318,8 @@
 	h.logLostReplicas()
 }
 
-// abandon ends all requests that depend on this replica's leadership.
+// failRequests finishes all proposals with ErrOutcomeUnknown and all reads with
+// readErr.
 func (h *Host) failRequests(readErr error) {
 	for _, a := range h.loop.appended {
 		h.finish(a.request, nil, ErrOutcomeUnknown)
@@ -324,6 +331,8 @@
 	clear(h.loop.reads)
 }
 
+// finishTransfer finishes a transfer once a leader is known, unless it is still
+// under way.
 func (h *Host) finishTransfer(isLeader bool) {
 	t := h.loop.transfer
 	if t == nil || (isLeader && h.core.Transferring()) {
@@ -341,21 +350,23 @@
 	h.loop.transfer = nil
 }
 
-// reportLost logs a replica that came back without its data under its old id.
+// logLostReplicas logs an error when further replicas have restarted without their
+// data under their old ID.
 func (h *Host) logLostReplicas() {
 	lost := h.core.ReplicasWithLostLog()
 	if len(lost) > h.loop.lostReplicas {
-		h.deps.Logger.Error("replica has lost acknowledged entries; remove it and let it come back under a new id",
+		h.deps.Logger.Error("replica lost acknowledged entries; remove it and add it again with a new ID",
 			slog.Any("peers", lost), slog.Uint64("replica", h.cfg.ID))
 	}
 	h.loop.lostReplicas = len(lost)
 }
 
+// finish sets the outcome of a request; deliverOutcomes sends it to the caller.
 func (h *Host) finish(r *request, result any, err error) {
 	h.loop.finished = append(h.loop.finished, finishedRequest{request: r, outcome: outcome{result: result, err: err}})
 }
 
-// tell delivers the outcomes of this round.
+// deliverOutcomes sends the outcomes of this round to the callers.
 func (h *Host) deliverOutcomes() {
 	for _, f := range h.loop.finished {
 		f.request.done <- f.outcome
@@ -363,8 +374,8 @@
 	h.loop.finished = h.loop.finished[:0]
 }
 
-// stop ends every request that the loop has taken on. Those still queued end by
-// themselves when they see stopped closed.
+// stop finishes all requests that the loop has claimed. Callers of queued requests
+// return when h.stopped is closed.
 func (h *Host) stop() {
 	h.failRequests(ErrStopped)
 	if t := h.loop.transfer; t != nil {
--- a/replica/host/request.go
+++ b/replica/host/request.go
@@ -7,36 +7,38 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// outcome ends a request.
+// outcome is the result of a request.
 type outcome struct {
 	result any
 	err    error
 }
 
-// The states of a request. Exactly one of the caller, who gives up, and the
-// loop, which takes it on, moves it out of requestQueued; so a caller that gives
-// up knows whether its proposal was appended.
+// The states of a request. Either the loop claims a queued request or its caller
+// abandons it, never both; so a caller that gives up can determine whether its
+// proposal may have been appended.
 const (
 	requestQueued int32 = iota
 	requestClaimed
 	requestAbandoned
 )
 
-// request is a caller waiting for the loop.
+// request is a call that waits for the loop.
 type request struct {
 	state atomic.Int32
-	done  chan outcome // room for one
+	done  chan outcome // capacity 1, so that the loop never blocks
 }
 
 func newRequest() request { return request{done: make(chan outcome, 1)} }
 
-// take claims the request for the loop; false means that the caller has gone.
+// claim reports whether the loop may handle the request; if not, the caller has
+// abandoned it.
 func (r *request) claim() bool { return r.state.CompareAndSwap(requestQueued, requestClaimed) }
 
 func (r *request) abandon() bool { return r.state.CompareAndSwap(requestQueued, requestAbandoned) }
 
-// wait returns the outcome. A caller that leaves before the loop took the
-// request on gets the context's error; one that leaves later gets late, if set.
+// wait returns the outcome. If ctx ends before the loop has claimed the request,
+// wait returns the context's error; if it ends later, errIfClaimed unless that is
+// nil.
 func (r *request) wait(ctx context.Context, stopped <-chan struct{}, errIfClaimed error) (any, error) {
 	select {
 	case o := <-r.done:
@@ -55,7 +57,8 @@
 	return errIfClaimed
 }
 
-// afterStop runs when the loop has ended, after it finished all that it took on.
+// outcomeAfterStop returns the outcome after the loop has stopped. By then the loop
+// has finished every request that it claimed.
 func (r *request) outcomeAfterStop() (any, error) {
 	if r.abandon() {
 		return nil, ErrStopped
@@ -64,14 +67,15 @@
 	return o.result, o.err
 }
 
-// pending counts the proposals queued or appended, and their data.
+// pendingProposals counts the proposals that are queued or appended, and the bytes
+// of their data.
 type pendingProposals struct {
 	count atomic.Int64
 	bytes atomic.Int64
 }
 
-// enter adds a proposal and reports whether it is within the bounds. leave must
-// follow either way.
+// reserve adds a proposal of size bytes and reports whether the total is within the
+// limits of cfg. The caller must call release in either case.
 func (p *pendingProposals) reserve(size int, cfg Config) bool {
 	count := p.count.Add(1)
 	bytes := p.bytes.Add(int64(size))
@@ -90,10 +94,10 @@
 	data []byte
 }
 
-// command is a request that the loop handles by itself: a membership change, a
-// transfer or a read.
+// command is a membership change if change is set, a leadership transfer if transfer
+// is set, and a read barrier otherwise.
 type command struct {
 	request
 	change   *replica.Change
-	transfer uint64 // target; 0: none
+	transfer uint64 // ID of the target; 0: none
 }
--- a/replica/host/status.go
+++ b/replica/host/status.go
@@ -6,23 +6,22 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// Status is what a replica knows of itself at one moment. Its slices must not be
-// changed.
+// Status is a replica's state at one moment. Its slices must not be changed.
 type Status struct {
 	ID       uint64
 	Term     uint64
 	Leader   uint64 // 0: unknown
 	Role     replica.Role
-	Last     uint64 // index of the last entry, synced
+	Last     uint64 // index of the last synced entry
 	Commit   uint64
 	Applied  uint64
 	Snapshot uint64 // index of the latest snapshot
 	Voters   []uint64
 	Learners []uint64
-	Lost     []uint64 // at the leader: replicas that lost their disk and kept their id
+	Lost     []uint64 // at the leader: replicas that lost their disk and restarted under the same ID
 }
 
-// view is what other goroutines may read of the loop's state.
+// view is the part of the loop's state that other goroutines may read.
 type view struct {
 	status          Status
 	leaseTerm       uint64 // of the lease
@@ -32,33 +31,34 @@
 	voters          Voters
 }
 
-// Voters is the set of voters that a replica's log holds.
+// Voters is the latest set of voters in a replica's log.
 type Voters struct {
-	Index uint64 // of the entry that made this set, 0 for the founding one
+	Index uint64 // of the membership entry; 0 for the initial membership
 	Term  uint64 // of the last entry of the log
 	IDs   []uint64
 }
 
-// Voters returns the set of voters in this replica's log, committed or not. Like
-// LastIndexOf it tells of a change before this replica acknowledges it: among any
-// majority of a set, one replica names the set that was committed after it.
+// Voters returns the latest set of voters in this replica's log, committed or not.
+// Like LastIndexOf it includes a change before this replica acknowledges it.
+// Therefore, once the set that follows a set S is committed, at least one replica of
+// any majority of S returns it.
 func (h *Host) Voters() Voters {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.view.voters
 }
 
-// Status returns the replica's state as of the loop's last round.
+// Status returns the replica's state after the loop's last round.
 func (h *Host) Status() Status {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.view.status
 }
 
-// HoldsLease reports whether this replica is the leader and no other can be until
-// the given time, on this process's monotonic clock. Ask right before the act
-// that needs it, and act only if it ends before until: the time between is the
-// caller's to judge.
+// HoldsLease reports whether this replica is the leader and no other replica can
+// become leader before until, on this process's monotonic clock. Call it right
+// before the action that needs the lease; the caller must ensure that the action
+// ends before until.
 func (h *Host) HoldsLease() (term uint64, until time.Time, ok bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -66,17 +66,17 @@
 	return h.view.leaseTerm, h.view.leaseUntil, ok
 }
 
-// LastIndexOf returns the highest index of an entry of this kind in this
-// replica's log, synced, committed or not; 0 if there is none. An entry that a
-// majority has committed is in the log of at least one of any majority, so the
-// highest answer of a majority is at least the highest committed one.
+// LastIndexOf returns the highest index of a synced entry of this kind in this
+// replica's log, committed or not; 0 if there is none. A committed entry is in the
+// log of at least one replica of any majority, so the highest result of a majority
+// is at least the index of the last committed entry of the kind.
 func (h *Host) LastIndexOf(kind uint8) uint64 {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.view.lastIndexByKind[kind]
 }
 
-// publish makes the loop's state visible at the end of a round.
+// publishStatus updates Status and HoldsLease at the end of a round.
 func (h *Host) publishStatus() {
 	c := h.core
 	members := c.Members()
@@ -95,10 +95,10 @@
 	h.view.hasLease = leased
 }
 
-// publishLast makes LastIndexOf tell of the entries just synced. It must run
-// before they are acknowledged to the leader: otherwise an entry could be
-// committed while a majority still denies that it is there, and whoever asks a
-// majority for the highest index would take an old catalogue for the latest.
+// publishLogState updates LastIndexOf and Voters after entries were synced. It must
+// run before the entries are acknowledged to the leader. Otherwise an entry could be
+// committed while a majority still returns a lower index, and a caller that queries
+// a majority would take an old catalogue for the latest.
 func (h *Host) publishLogState() {
 	voters := Voters{
 		Index: h.core.LastIndexOf(replica.KindMembership), Term: h.core.LastTerm(), IDs: h.core.Members().Voters,
