--- a/replica/storage/doc.go
+++ b/replica/storage/doc.go
@@ -1,19 +1,20 @@
-// Package storage keeps a replica's state in one data folder.
+// Package storage stores a replica's state in a data folder:
 //
-//	LOCK                      held by the process that uses the folder
-//	log-<number>.seg          segments of the log, ascending
-//	snapshot-<index>.snap     the state machine's state; the highest one counts
+//	LOCK                      locked by the process that uses the folder
+//	log-<number>.seg          segments of the log, in ascending order
+//	snapshot-<index>.snap     snapshots of the state machine; the highest index is current
 //
-// Both kinds of file consist of frames: length (4 bytes), frame number (8 bytes)
-// and CRC-32C (4 bytes) of number and payload, all little-endian, then the
-// payload in msgpack. One Save is one frame, written and synced before Save
-// returns; so at most the last frame of the last segment can be incomplete after
-// a crash. Such a tail was never acknowledged and is cut off when the folder is
-// opened, by writing the good frames anew. A bad frame with a good one after it means that the disk has lost data
-// that was acknowledged: Open fails and the replica must be replaced.
+// A segment is a sequence of frames, a snapshot is one frame. A frame consists of
+// the payload's length (4 bytes), the frame number (8 bytes), the CRC-32C of length,
+// number and payload (4 bytes), all little-endian, and the payload in msgpack. Each
+// Save writes and syncs one frame before it returns, so after a crash at most the
+// last frame of the last segment is incomplete. Open removes such a frame, which was
+// never acknowledged, by rewriting the valid frames. An invalid frame followed by a
+// valid one means that the disk has lost acknowledged data: Open fails, and the
+// replica must be replaced.
 //
-// After any failed write or sync every call returns ErrFailed and the process
-// must stop. The kernel may drop the pages that it could not write and report
-// the failure only once; a second sync that succeeds proves nothing, and going
-// on would acknowledge entries that no disk holds. A restart reads what is there.
+// After a failed write or sync every call returns ErrFailed and the process must
+// stop. The kernel may discard the pages that it could not write and report the
+// failure only once, so a second sync may succeed although the data is not on disk.
+// After a restart, Open reads the data again.
 package storage
--- a/replica/storage/errors.go
+++ b/replica/storage/errors.go
@@ -7,29 +7,29 @@
 
 // The errors of this package.
 var (
-	// ErrFailed: a write or sync has failed, now or earlier. The process must stop.
-	ErrFailed = errors.New("storage: failed, the process must stop")
+	// ErrFailed: this or an earlier write or sync failed. The process must stop.
+	ErrFailed = errors.New("storage: write or sync failed, the process must stop")
 
 	// ErrLocked: another process uses the data folder.
 	ErrLocked = errors.New("storage: data folder is in use by another process")
 
-	// ErrClosed: the storage was closed.
+	// ErrClosed: the Log was closed.
 	ErrClosed = errors.New("storage: closed")
 )
 
-// CorruptError says that data which had been synced cannot be read back. The
-// replica must be removed from the group and come back empty under a new id.
+// CorruptError is returned if data that had been synced cannot be read. The replica
+// must be removed from the group and added again, empty, with a new ID.
 type CorruptError struct {
 	File   string
-	Offset int64 // of the bad frame, in bytes
+	Offset int64 // of the invalid frame, in bytes
 	Reason string
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("storage: %s is corrupt at byte %d: %s; replace this replica by one with a new id", e.File, e.Offset, e.Reason)
+	return fmt.Sprintf("storage: %s is corrupt at byte %d: %s; replace this replica with one that has a new ID", e.File, e.Offset, e.Reason)
 }
 
-// ReplicaError says that the folder belongs to another replica.
+// ReplicaError is returned if the folder belongs to another replica.
 type ReplicaError struct {
 	Folder, Want uint64
 }
--- a/replica/storage/frame.go
+++ b/replica/storage/frame.go
@@ -18,30 +18,30 @@
 	crcSize         = 4
 	frameHeaderSize = lengthSize + frameNumberSize + crcSize
 
-	// formatVersion is raised when old files can no longer be read.
+	// formatVersion is the version of the segments; others are refused.
 	formatVersion = 1
 )
 
-// castagnoli is the CRC-32C table, which processors compute in hardware.
+// castagnoli is the table of CRC-32C, which has hardware support.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// header is in the first frame of each segment.
+// segmentHeader is part of the first frame of each segment.
 type segmentHeader struct {
 	Version int    `msgpack:"v"`
 	Replica uint64 `msgpack:"r"`
-	// Restart: the log begins anew after the installed snapshot, whatever earlier
-	// segments hold.
+	// ResetLog: the log continues after an installed snapshot; the entries of earlier
+	// segments are discarded.
 	ResetLog bool `msgpack:"x,omitempty"`
 }
 
-// record is the payload of a segment's frame.
+// record is the payload of a frame of a segment.
 type record struct {
 	Header    *segmentHeader     `msgpack:"h,omitempty"`
 	HardState *replica.HardState `msgpack:"s,omitempty"`
 	Entries   []replica.Entry    `msgpack:"e,omitempty"`
 }
 
-// encodeFrame returns a frame with the payload v.
+// encodeFrame returns a frame with the msgpack encoding of v as its payload.
 func encodeFrame(number uint64, v any) ([]byte, error) {
 	buf := bytes.NewBuffer(make([]byte, frameHeaderSize))
 	enc := msgpack.NewEncoder(buf)
@@ -60,13 +60,14 @@
 	return b, nil
 }
 
-// frameCRC covers length, number and payload, but not itself.
+// frameCRC returns the CRC of a frame's length, number and payload.
 func frameCRC(frame []byte) uint32 {
 	crc := crc32.Update(0, castagnoli, frame[:lengthSize+frameNumberSize])
 	return crc32.Update(crc, castagnoli, frame[frameHeaderSize:])
 }
 
-// cutFrame takes the first frame off b; ok is false if there is no whole one.
+// decodeFrame decodes the first frame of b and returns the bytes after it as rest.
+// ok is false if b does not begin with a complete frame whose CRC matches.
 func decodeFrame(b []byte) (number uint64, payload, rest []byte, ok bool) {
 	if len(b) < frameHeaderSize {
 		return 0, nil, nil, false
@@ -83,10 +84,10 @@
 	return number, frame[frameHeaderSize:], b[end:], true
 }
 
-// frameFollows reports whether a whole frame with a number above after begins
-// anywhere in b. An unsynced frame may be on disk in any pattern of pages, so
-// neither its length nor its end can be trusted; only a later whole frame proves
-// that the bad one had been synced.
+// containsLaterFrame reports whether a valid frame with a number above after begins
+// at any offset of b. Of an unsynced frame any subset of pages may be on disk, so its
+// length is not reliable; only a valid later frame proves that the invalid one had
+// been synced.
 func containsLaterFrame(b []byte, after uint64) bool {
 	for ; len(b) >= frameHeaderSize; b = b[1:] {
 		number := binary.LittleEndian.Uint64(b[lengthSize:])
@@ -100,6 +101,6 @@
 	return false
 }
 
-// maxFrameGap bounds how far ahead a frame number may be to be taken for one.
-// It spares computing a CRC at nearly every offset.
+// maxFrameNumberGap bounds the frame numbers that containsLaterFrame considers, so
+// that it doesn't compute a CRC at nearly every offset.
 const maxFrameNumberGap = 1 << 20
--- a/replica/storage/fs.go
+++ b/replica/storage/fs.go
@@ -15,21 +15,22 @@
 	Close() error
 }
 
-// FS is what the storage needs of a file system. Names are paths.
+// FS is the file system that Log uses. Names are paths.
 type FS interface {
 	MkdirAll(dir string) error
-	// Create makes an empty file or empties an existing one.
+	// Create creates a file or truncates an existing one.
 	Create(name string) (File, error)
-	// Append opens an existing file for writing at its end.
+	// Append opens an existing file for appending.
 	Append(name string) (File, error)
 	ReadFile(name string) ([]byte, error)
-	// List returns the names, without the path, of the files in dir.
+	// List returns the base names of the files in dir.
 	List(dir string) ([]string, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncDir makes names created, renamed or removed in dir last.
+	// SyncDir makes the creation, renaming and removal of files in dir durable.
 	SyncDir(dir string) error
-	// Lock takes a lock that ends with the process at the latest.
+	// Lock acquires an exclusive lock or returns ErrLocked. The lock is released by
+	// Close or when the process ends.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -41,15 +42,15 @@
 	fileMode = 0o640
 )
 
-// MkdirAll makes dir and its parents.
+// MkdirAll creates dir and its parents.
 func (OS) MkdirAll(dir string) error { return os.MkdirAll(dir, dirMode) }
 
-// Create makes or empties a file.
+// Create creates a file or truncates an existing one.
 func (OS) Create(name string) (File, error) {
 	return os.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// Append opens a file for writing at its end.
+// Append opens an existing file for appending.
 func (OS) Append(name string) (File, error) {
 	return os.OpenFile(name, os.O_WRONLY|os.O_APPEND, fileMode)
 }
@@ -70,13 +71,13 @@
 	return names, nil
 }
 
-// Rename gives a file a new name, replacing a file of that name.
+// Rename renames a file and replaces an existing file of the new name.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove deletes a file.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// SyncDir syncs the folder itself.
+// SyncDir syncs the directory dir.
 func (OS) SyncDir(dir string) error {
 	d, err := os.Open(filepath.Clean(dir))
 	if err != nil {
@@ -85,9 +86,9 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Lock takes an advisory lock (flock) on a file. A file system that knows no such
-// locks grants it: the lock only keeps an operator from starting two replicas on
-// one folder, and a replica that would not start at all is worse.
+// Lock acquires an advisory lock (flock) on a file. It succeeds without a lock if the
+// file system doesn't support flock: the lock only protects against starting two
+// processes on one folder, and a replica must be able to start there.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -99,8 +100,8 @@
 	return f, nil
 }
 
-// lockError tells a lock that another process holds from one that the file system
-// doesn't have.
+// lockError converts an error of flock: to ErrLocked if another process holds the
+// lock, and to nil if the file system doesn't support locks.
 func lockError(err error) error {
 	switch {
 	case err == nil:
--- a/replica/storage/load.go
+++ b/replica/storage/load.go
@@ -10,24 +10,24 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// loader reads a data folder.
+// loader reads a data folder without changing it.
 type loader struct {
 	fs              FS
 	dir             string
 	replicaID       uint64
 	state           replica.State
 	entries         []replica.Entry
-	lastFrameNumber uint64 // of the latest frame
+	lastFrameNumber uint64
 	segments        []segment
-	validFrames     []byte // the good frames of the last segment
-	logOutdated     bool   // the log is older than the snapshot
+	validFrames     []byte // of the last segment
+	logOutdated     bool   // the log doesn't contain the snapshot's last entry
 }
 
 // segment is one file of the log.
 type segment struct {
 	number       uint64
 	size         int64
-	highestIndex uint64 // index of the highest entry ever written to it
+	highestIndex uint64 // highest index of an entry written to it, replaced entries included
 }
 
 func segmentName(number uint64) string { return fmt.Sprintf("log-%016d.seg", number) }
@@ -49,7 +49,8 @@
 	return l.dropCoveredEntries()
 }
 
-// list returns the numbers of segments and snapshots, ascending.
+// listFiles returns the numbers of the segments and the indexes of the snapshots,
+// ascending.
 func (l *loader) listFiles() (segments, snapshots []uint64, err error) {
 	names, err := l.fs.List(l.dir)
 	if err != nil {
@@ -69,9 +70,9 @@
 	return segments, snapshots, nil
 }
 
-// loadSnapshot reads the latest snapshot. It got its name only after it was
-// synced, so a bad one is a disk fault; an earlier one would not do, as segments
-// that it needs may be deleted.
+// loadSnapshot reads the latest snapshot. A snapshot is synced before it is renamed
+// to its final name, so an invalid one is a disk fault. An earlier snapshot cannot
+// replace it, since segments after that one may have been deleted.
 func (l *loader) loadSnapshot(indexes []uint64) error {
 	if len(indexes) == 0 {
 		return nil
@@ -83,7 +84,7 @@
 	}
 	_, payload, rest, ok := decodeFrame(b)
 	if !ok || len(rest) > 0 {
-		return &CorruptError{File: name, Reason: "bad checksum or length"}
+		return &CorruptError{File: name, Reason: "invalid checksum or length"}
 	}
 	if err := msgpack.Unmarshal(payload, &l.state.Snapshot); err != nil {
 		return &CorruptError{File: name, Reason: err.Error()}
@@ -102,7 +103,7 @@
 		frameNumber, payload, next, ok := decodeFrame(rest)
 		if !ok {
 			if !isLast || containsLaterFrame(rest[1:], l.lastFrameNumber) {
-				return &CorruptError{File: name, Offset: s.size, Reason: "bad frame before good ones"}
+				return &CorruptError{File: name, Offset: s.size, Reason: "invalid frame before valid ones"}
 			}
 			break
 		}
@@ -123,7 +124,7 @@
 		return &CorruptError{File: name, Offset: s.size, Reason: err.Error()}
 	}
 	if frameNumber <= l.lastFrameNumber {
-		return &CorruptError{File: name, Offset: s.size, Reason: "frame number does not rise"}
+		return &CorruptError{File: name, Offset: s.size, Reason: "frame number does not increase"}
 	}
 	l.lastFrameNumber = frameNumber
 	if err := l.replayHeader(s, name, r.Header); err != nil {
@@ -151,8 +152,8 @@
 	return nil
 }
 
-// replayEntries puts entries in their place; those held from the first index on
-// were replaced by a later leader.
+// replayEntries appends entries to the log. It first drops the entries from
+// entries[0].Index on, which a later leader has replaced.
 func (l *loader) replayEntries(s *segment, name string, entries []replica.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -171,9 +172,9 @@
 	return nil
 }
 
-// joinEntries drops the entries that the snapshot covers. If the log does not
-// hold the snapshot's last entry, the snapshot came from a leader and the crash
-// was before the log was begun anew: what the log holds is out of date.
+// dropCoveredEntries drops the entries that the snapshot covers. If the log doesn't
+// contain the snapshot's last entry, the process crashed in InstallSnapshot, after
+// saving the snapshot and before resetting the log; all entries are outdated then.
 func (l *loader) dropCoveredEntries() error {
 	meta := l.state.Snapshot.Meta
 	if len(l.entries) == 0 {
--- a/replica/storage/log.go
+++ b/replica/storage/log.go
@@ -12,7 +12,7 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// DefaultSegmentBytes is the size from which a new segment is begun: 8 MiB.
+// DefaultSegmentBytes is the default size from which a new segment is started.
 const DefaultSegmentBytes = 8 << 20
 
 const (
@@ -20,29 +20,30 @@
 	temporaryName = "new.tmp"
 )
 
-// Config is the settings of a Log.
+// Config holds the settings of a Log.
 type Config struct {
 	Dir          string
-	Replica      uint64 // id; a folder belongs to one replica for good
+	Replica      uint64 // ID; it is stored in the folder, and Open refuses another one
 	SegmentBytes int64  // 0: DefaultSegmentBytes
 }
 
-// Log is a replica's state on disk. It is not safe for concurrent use.
+// Log stores a replica's hard state, entries and snapshot on disk. It is not safe for
+// concurrent use.
 type Log struct {
 	cfg             Config
 	fs              FS
 	lock            io.Closer
 	activeFile      File
-	segments        []segment // ascending, the last one is active
+	segments        []segment // in ascending order; the last one is activeFile
 	lastFrameNumber uint64    // of the latest frame
 	hardState       replica.HardState
 	loadedState     replica.State
 	failure         error
 }
 
-// Open locks the folder, reads it, and cuts off a frame that a crash left
-// incomplete. Errors: ErrLocked, *CorruptError, *ReplicaError, or the file
-// system's.
+// Open locks and reads the data folder, and removes an incomplete last frame. The
+// folder is created if it doesn't exist. Errors: ErrLocked, *CorruptError,
+// *ReplicaError, or the file system's.
 func Open(cfg Config, fs FS) (*Log, error) {
 	cfg.SegmentBytes = cmp.Or(cfg.SegmentBytes, DefaultSegmentBytes)
 	if err := fs.MkdirAll(cfg.Dir); err != nil {
@@ -80,11 +81,11 @@
 	return nil
 }
 
-// reopen writes the last segment's good frames to disk once more and goes on
-// with it. What was read came from the kernel's cache: a killed process may have
-// left frames there that were never synced, and after a failed sync the cache may
-// hold pages that the kernel has given up on and will not write again. Counting
-// them as synced would acknowledge entries that the next power loss takes away.
+// reopenLastSegment rewrites the last segment with its valid frames and opens it for
+// appending. The frames were read from the kernel's page cache: a killed process may
+// have left frames there that were never synced, and after a failed sync the cache
+// may contain pages that the kernel will not write again. Without the rewrite, a
+// power loss could remove entries that were read here and then acknowledged.
 func (l *Log) reopenLastSegment(validFrames []byte) error {
 	last := l.segments[len(l.segments)-1]
 	if err := l.replaceFile(segmentName(last.number), validFrames); err != nil {
@@ -98,22 +99,22 @@
 	if last.size > 0 {
 		return nil
 	}
-	// The crash came while the segment was begun.
+	// The process crashed before the segment's header was written.
 	return l.writeSegmentHeader(false)
 }
 
 func (l *Log) path(name string) string { return filepath.Join(l.cfg.Dir, name) }
 
-// State returns what the folder held when it was opened. The entries are
-// released from the Log, so call it once.
+// State returns the state that Open read. It releases the state from the Log, so
+// later calls return an empty one.
 func (l *Log) State() replica.State {
 	state := l.loadedState
 	l.loadedState = replica.State{}
 	return state
 }
 
-// Save writes and syncs a hard state and entries. The first entry replaces all
-// held from its index on.
+// Save writes and syncs a hard state and entries. Stored entries from the index of
+// the first one on are replaced.
 func (l *Log) Save(hs replica.HardState, entries []replica.Entry) error {
 	if l.failure != nil {
 		return trace.Wrap(l.failure)
@@ -137,7 +138,7 @@
 	return l.startSegment(false)
 }
 
-// write appends one frame and syncs it.
+// writeFrame appends one frame to the active segment and syncs it.
 func (l *Log) writeFrame(r record) error {
 	frame, err := encodeFrame(l.lastFrameNumber+1, r)
 	if err != nil {
@@ -154,8 +155,8 @@
 	return nil
 }
 
-// beginSegment starts a new segment. The folder is synced too: without that the
-// file's name could be gone after a crash, and with it synced entries.
+// startSegment starts a new segment. It also syncs the folder: otherwise the file's
+// directory entry, and with it synced entries, could be missing after a crash.
 func (l *Log) startSegment(resetLog bool) error {
 	number := uint64(1)
 	if n := len(l.segments); n > 0 {
@@ -178,14 +179,15 @@
 	return l.fs.SyncDir(l.cfg.Dir)
 }
 
-// writeHeader repeats the hard state, so that earlier segments can be deleted.
+// writeSegmentHeader writes the first frame of a segment. It includes the hard state,
+// so that earlier segments can be deleted.
 func (l *Log) writeSegmentHeader(resetLog bool) error {
 	h := segmentHeader{Version: formatVersion, Replica: l.cfg.Replica, ResetLog: resetLog}
 	return l.writeFrame(record{Header: &h, HardState: &l.hardState})
 }
 
-// SaveSnapshot keeps a snapshot of the replica's own state machine and deletes
-// the segments that it makes needless.
+// SaveSnapshot saves a snapshot of the replica's own state machine and deletes the
+// segments and snapshots that it covers.
 func (l *Log) SaveSnapshot(s replica.Snapshot) error {
 	if l.failure != nil {
 		return trace.Wrap(l.failure)
@@ -201,9 +203,9 @@
 	return l.deleteCoveredFiles(s.Meta.Index)
 }
 
-// Install keeps a snapshot that came from the leader and begins the log anew
-// after it. A crash in between leaves a log without the snapshot's last entry,
-// which Open takes as out of date.
+// InstallSnapshot saves a snapshot received from the leader and resets the log to
+// continue after it. If the process crashes in between, the log doesn't contain the
+// snapshot's last entry, and Open discards its entries.
 func (l *Log) InstallSnapshot(hs replica.HardState, s replica.Snapshot) error {
 	if l.failure != nil {
 		return trace.Wrap(l.failure)
@@ -234,9 +236,9 @@
 	return l.replaceFile(snapshotName(s.Meta.Index), frame)
 }
 
-// replaceFile makes a file appear under its name only when it is whole: written
-// under another name, synced, renamed, and the folder synced. A crash at any step
-// leaves the previous file.
+// replaceFile replaces a file atomically: it writes and syncs a temporary file,
+// renames it, and syncs the folder. After a crash at any step the file has either its
+// old or its new content.
 func (l *Log) replaceFile(name string, b []byte) error {
 	temporary := l.path(temporaryName)
 	file, err := l.fs.Create(temporary)
@@ -262,9 +264,9 @@
 	return f.Close()
 }
 
-// deleteBefore deletes earlier snapshots and the segments whose entries are all
-// covered. Segments go from the oldest on, so that no gap can arise. A name that
-// a crash brings back does no harm.
+// deleteCoveredFiles deletes the snapshots before index and the segments whose
+// entries are all at or before index. It deletes the oldest segments first, so that
+// the log has no gap. A deleted file that reappears after a crash is harmless.
 func (l *Log) deleteCoveredFiles(index uint64) error {
 	for len(l.segments) > 1 && l.segments[0].highestIndex <= index {
 		if err := l.fs.Remove(l.path(segmentName(l.segments[0].number))); err != nil {
@@ -287,7 +289,8 @@
 	return nil
 }
 
-// check makes a failure last, see the package's comment.
+// recordFailure makes every later call fail if err is not nil; see the package
+// comment.
 func (l *Log) recordFailure(err error, step string) error {
 	if err == nil {
 		return nil
@@ -296,7 +299,8 @@
 	return trace.Wrap(l.failure)
 }
 
-// Close releases the folder. It syncs nothing: what was acknowledged is synced.
+// Close closes the active segment and releases the lock. It doesn't sync: all
+// acknowledged data is synced already.
 func (l *Log) Close() error {
 	if errors.Is(l.failure, ErrClosed) {
 		return nil
