--- a/replica/host/bench_test.go
+++ b/replica/host/bench_test.go
@@ -16,9 +16,9 @@
 	"savoryreel.example/savoryreel/replica/host"
 )
 
-// BenchmarkCommit prints commits a second and the 99th percentile of the time to
-// commit, with real syncs, by the number of replicas and of callers at a time.
-// All replicas share one disk here, so more replicas also mean more syncs on it.
+// BenchmarkCommit reports commits per second and percentiles of the time to commit,
+// with real syncs, by the number of replicas and of concurrent callers. All replicas
+// share one disk, so more replicas also mean more syncs on it.
 func BenchmarkCommit(b *testing.B) {
 	for _, replicas := range []int{1, 3, 5} {
 		for _, callers := range []int{1, 8, 64, 512} {
@@ -67,7 +67,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
@@ -82,8 +82,8 @@
 	return out
 }
 
-// BenchmarkCatchUp prints how long a replica that missed 1,000 changes needs
-// after its restart until it has applied them all.
+// BenchmarkCatchUp reports the time from the restart of a replica that missed 1,000
+// entries until it has applied them.
 func BenchmarkCatchUp(b *testing.B) {
 	const missed = 1_000
 	c := newCluster(b, host.Config{}, 1, 2, 3)
@@ -120,8 +120,8 @@
 	group.Wait()
 }
 
-// BenchmarkRecovery prints the time from the loss of the leader to the next
-// commit, at the default settings.
+// BenchmarkRecovery reports the time from stopping the leader to the next commit,
+// with the default settings.
 func BenchmarkRecovery(b *testing.B) {
 	c := newCluster(b, host.Config{}, 1, 2, 3)
 	var total, worst time.Duration
@@ -143,9 +143,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkIdle prints what a group of seven costs while nothing is proposed: the
-// share of one core for each replica, and the bytes a second that the leader
-// sends and receives, as encoded messages.
+// BenchmarkIdle reports the cost of a group of seven without proposals: the percentage
+// of a core for each replica, and the bytes of encoded messages per second that the
+// leader sends and receives.
 func BenchmarkIdle(b *testing.B) {
 	const replicas = 7
 	c := newCluster(b, host.Config{}, ids(replicas)...)
@@ -160,8 +160,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkTransfer prints how long a planned transfer takes and the longest time
-// that one caller, who proposes without a break, was without a commit.
+// BenchmarkTransfer reports the duration of a leadership transfer, and the longest
+// time without a commit for a caller that proposes continuously.
 func BenchmarkTransfer(b *testing.B) {
 	c := newCluster(b, host.Config{}, 1, 2, 3)
 	c.leader()
--- a/replica/host/cluster_test.go
+++ b/replica/host/cluster_test.go
@@ -28,13 +28,13 @@
 	pollInterval = time.Millisecond
 )
 
-// put sets one key; it is the only operation of the machine in these tests.
+// put sets one key. It is the only operation of machine.
 type put struct {
 	Key   string `msgpack:"k"`
 	Value string `msgpack:"v"`
 }
 
-// machine is a map with a count of applied entries.
+// machine is a key-value state machine that counts the applied entries.
 type machine struct {
 	mu    sync.Mutex
 	State machineState
@@ -80,14 +80,13 @@
 	return m.State.Values[key]
 }
 
-// network carries messages between hosts in memory. A cut replica neither sends
-// nor receives.
+// network is an in-memory Transport. A partitioned replica neither sends nor receives.
 type network struct {
 	mu          sync.Mutex
 	nodes       map[uint64]*host.Host
 	partitioned map[uint64]bool
 
-	recordedID       uint64 // messages from and to this replica are kept; 0: none
+	recordedID       uint64 // messages from and to this replica are recorded; 0: none
 	recordedMessages []replica.Message
 }
 
@@ -120,7 +119,7 @@
 	n.recordedID = id
 }
 
-// recorded returns the encoded size of the messages kept, in bytes.
+// recordedBytes returns the encoded size of the recorded messages.
 func (n *network) recordedBytes() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -144,7 +143,7 @@
 	runErr  chan error
 }
 
-// cluster is a group of hosts in one process, each with a folder of its own.
+// cluster is a group of replicas in one process, each with its own data folder.
 type cluster struct {
 	t      testing.TB
 	dir    string
@@ -194,7 +193,7 @@
 	return n
 }
 
-// stop ends a replica and returns what Run returned.
+// stop stops a replica and returns the result of Run.
 func (c *cluster) stop(id uint64) error {
 	n := c.nodes[id]
 	delete(c.nodes, id)
@@ -226,8 +225,8 @@
 	return found
 }
 
-// mustPut sets a key, again if a busy machine has cost the leader its office: to
-// set it twice does no harm.
+// mustPut sets a key. It retries after a change of leader, which also happens on a
+// busy machine; setting the key twice has no other effect than once.
 func (c *cluster) mustPut(key, value string) {
 	c.t.Helper()
 	data, err := msgpack.Marshal(put{Key: key, Value: value})
--- a/replica/host/fault_test.go
+++ b/replica/host/fault_test.go
@@ -15,7 +15,8 @@
 	"savoryreel.example/savoryreel/replica/storage"
 )
 
-// slowStorage is an empty storage whose saves wait for a verdict.
+// slowStorage is an empty storage whose Save blocks until a result is sent to
+// saveResults.
 type slowStorage struct {
 	saving      chan struct{}
 	saveResults chan error
@@ -32,13 +33,13 @@
 
 func (s *slowStorage) InstallSnapshot(replica.HardState, replica.Snapshot) error { return nil }
 
-// sending is a message sent and what LastIndexOf(kindMark) said at that moment.
+// sentMessage is a message and the result of LastIndexOf(kindMark) when it was sent.
 type sentMessage struct {
 	message   replica.Message
 	lastIndex uint64
 }
 
-// recorder keeps what a host sends.
+// recorder records the messages that a host sends.
 type recorder struct {
 	host *host.Host
 	sent chan sentMessage
@@ -48,13 +49,12 @@
 	r.sent <- sentMessage{message: m, lastIndex: r.host.LastIndexOf(kindMark)}
 }
 
-// A follower's disk is slow, and then a sync fails. Had it answered the leader
-// before the sync, the leader would have told a caller that the change is safe,
-// and the power loss that follows would take it away. After the failure the
-// process must stop, without any answer.
+// Guards against a follower that acknowledges an entry before its sync or after a
+// failed one: the leader would report the entry as committed, and a power loss could
+// remove it.
 //
-// Breaks when work sends rd.Messages before persist, or goes on after its error;
-// and when persist does not call publishLast.
+// Fails if processReady sends rd.Messages before persist or continues after its error,
+// or if persist doesn't call publishLogState.
 func TestNoAcknowledgementBeforeSync(t *testing.T) {
 	disk := &slowStorage{saving: make(chan struct{}), saveResults: make(chan error)}
 	transport := &recorder{sent: make(chan sentMessage, 100)}
@@ -77,7 +77,7 @@
 	reply := <-transport.sent
 	require.Equal(t, uint64(1), reply.message.Index)
 	require.Equal(t, replica.MsgAppendReply, reply.message.Type)
-	require.Equal(t, uint64(1), reply.lastIndex, "acknowledged and denied at once")
+	require.Equal(t, uint64(1), reply.lastIndex, "acknowledged an entry that LastIndexOf does not include")
 
 	second := replica.Entry{Index: 2, Term: 1, Kind: kindMark}
 	h.Step(replica.Message{Type: replica.MsgAppend, From: 2, To: 1, Term: 1, Index: 1, LogTerm: 1, Entries: []replica.Entry{second}})
@@ -90,11 +90,11 @@
 	require.ErrorIs(t, err, host.ErrStopped)
 }
 
-// A hundred callers propose while the disk is busy with a sync. With a sync for
-// each they would queue for a hundred of them, and at a surge every caller would
-// wait; so all share the next one. A caller beyond the bound is refused at once.
+// Guards against one sync for each proposal: proposals queued during a sync would
+// wait for one another. They must share the next sync, and a proposal above MaxPending
+// must fail at once with ErrBusy.
 //
-// Breaks when input takes one proposal a round.
+// Fails if handleInputs handles one proposal per round.
 func TestWaitingProposalsShareOneSync(t *testing.T) {
 	const callers = 100
 	disk := &slowStorage{saving: make(chan struct{}), saveResults: make(chan error)}
@@ -116,7 +116,7 @@
 			outcomes <- err
 		}()
 	}
-	require.ErrorIs(t, <-outcomes, host.ErrBusy, "one is beyond the bound")
+	require.ErrorIs(t, <-outcomes, host.ErrBusy, "one proposal is above MaxPending")
 	disk.saveResults <- nil
 	saves := 0
 	for done := 0; done < callers; {
@@ -129,7 +129,7 @@
 			done++
 		}
 	}
-	require.LessOrEqual(t, saves, callers/10, "callers that were about to queue up may need another round")
+	require.LessOrEqual(t, saves, callers/10, "proposals queued late may need another round")
 	cancel()
 	require.NoError(t, <-runErr)
 }
--- a/replica/host/host_test.go
+++ b/replica/host/host_test.go
@@ -16,9 +16,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// quick makes elections fast enough for tests and slow enough for a busy machine.
+// fastConfig has a short election timeout that still works on a busy machine.
 var fastConfig = host.Config{TickInterval: 5 * time.Millisecond, ElectionTicks: 80, HeartbeatTicks: 8}
 
+// Guards against entries lost by a snapshot, its compaction and a restart: a single
+// replica must have all acknowledged entries again.
 func TestSingleReplicaRestoresAcknowledgedEntries(t *testing.T) {
 	byEntries := fastConfig
 	byEntries.SnapshotEvery = 30
@@ -44,9 +46,10 @@
 	require.Equal(t, "99", n.machine.get("key"))
 	require.Equal(t, 100, n.machine.State.Applied)
 	require.GreaterOrEqual(t, n.Status().Snapshot, uint64(70))
-	require.Equal(t, uint64(101), n.LastIndexOf(kindPut), "the first entry is the leader's own")
+	require.Equal(t, uint64(101), n.LastIndexOf(kindPut), "entry 1 is the leader's empty entry")
 }
 
+// Guards against replication that skips entries or followers.
 func TestThreeReplicasApplySameEntries(t *testing.T) {
 	c := newCluster(t, fastConfig, 1, 2, 3)
 	for i := range 50 {
@@ -60,8 +63,8 @@
 	}
 }
 
-// The instance of the leader dies. Callers see errors until another replica is
-// elected; nothing that was acknowledged may be missing there.
+// Guards against acknowledged entries that are missing at the new leader after the
+// old one has stopped.
 func TestLeaderLossKeepsAcknowledgedEntries(t *testing.T) {
 	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.mustPut("key", "kept")
@@ -76,9 +79,8 @@
 	c.eventually("the old leader catches up", func() bool { return c.nodes[old].machine.get("key") == "kept" })
 }
 
-// A silent partition cuts off the leader while it takes proposals. Its callers
-// must not be told that the proposal failed, because it may yet be committed, and
-// a read there must not be answered from old state.
+// Guards against a partitioned leader that reports an appended proposal as failed,
+// although it may still be committed, or that serves reads from outdated state.
 func TestPartitionedLeaderReturnsOutcomeUnknown(t *testing.T) {
 	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.mustPut("key", "old")
@@ -97,12 +99,12 @@
 
 	c.mustPut("key", "new")
 	c.net.setPartitioned(id, false)
-	c.eventually("the cut replica follows", func() bool { return old.machine.get("key") == "new" })
+	c.eventually("the partitioned replica catches up", func() bool { return old.machine.get("key") == "new" })
 }
 
-// A replica loses its disk and comes back under a new id; soon after the repair
-// a second one is lost as well. What was acknowledged before must still be there
-// and the group must go on.
+// A replica that lost its disk is replaced by one with a new ID; then a second replica
+// stops. Guards against a replacement that doesn't hold all acknowledged entries or
+// doesn't count as a voter.
 func TestReplacementThenSecondLoss(t *testing.T) {
 	config := fastConfig
 	config.SnapshotEvery = 20
@@ -131,8 +133,8 @@
 	require.NotContains(t, n.Status().Voters, lost)
 }
 
-// An operator plans a stop of the leader's instance. Callers should see no gap
-// longer than the hand-over, and the old leader must not think it still leads.
+// Guards against a transfer after which the old leader still holds its lease or the
+// target doesn't lead.
 func TestTransferLeadership(t *testing.T) {
 	c := newCluster(t, fastConfig, 1, 2, 3)
 	old := c.leader().Status().ID
@@ -144,10 +146,10 @@
 	require.Equal(t, to, c.leader().Status().ID)
 }
 
-// The target of a transfer is cut off. The operator must be told, instead of
-// waiting for ever, and the group must go on under some leader.
+// Guards against a transfer to an unreachable replica that never returns or that
+// blocks later proposals.
 //
-// Breaks when settleTransfer does not end a transfer under another leader.
+// Fails if finishTransfer doesn't finish a transfer when another replica leads.
 func TestTransferToUnreachableReplicaFails(t *testing.T) {
 	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.mustPut("key", "before")
@@ -160,8 +162,8 @@
 	c.mustPut("key", "after")
 }
 
-// change repeats a membership change until it is in force: a learner may not have
-// caught up yet, the leader may just have been elected, or the outcome be unknown.
+// change retries a membership change until it is in effect. It can fail while a
+// learner catches up or after an election, and its outcome can be unknown.
 func (c *cluster) change(ch replica.Change) {
 	c.t.Helper()
 	c.eventually("membership change", func() bool {
--- a/replica/host/linearizable_test.go
+++ b/replica/host/linearizable_test.go
@@ -19,7 +19,7 @@
 
 const registerKey = "register"
 
-// access is a write, or with an empty value a read.
+// registerOp is a write of value, or a read if value is empty.
 type registerOp struct{ value string }
 
 var register = porcupine.Model{
@@ -32,7 +32,7 @@
 	},
 }
 
-// history collects the operations of all clients.
+// history records the operations of all clients.
 type history struct {
 	mu         sync.Mutex
 	start      time.Time
@@ -51,9 +51,9 @@
 	})
 }
 
-// client writes and reads at whichever replica, in turn, until done is closed.
-// After an unknown outcome it goes on under a new name: its old operation may
-// still take effect.
+// client alternates writes and reads, at each replica in turn, until done is closed.
+// After an unknown outcome it continues as a new client, since its previous operation
+// may still take effect.
 func (h *history) client(name int, nodes []*node, done <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
@@ -93,13 +93,12 @@
 	return name
 }
 
-// The leader is cut off while clients write and read, comes back, and the next
-// one is cut off in turn. A user would notice a read that shows an old value
-// after a newer one was seen or acknowledged, or a write refused as not run that
-// shows up later.
+// Partitions one leader after the other while clients write and read. Guards against
+// a read of an old value after a newer one was read or acknowledged, and against a
+// write that takes effect after it was reported as not appended.
 //
-// Breaks when ReadBarrier does not wait in takeRead, or settle reports
-// NotLeaderError for appended proposals.
+// Fails if ReadBarrier doesn't wait for a majority (startRead), or failStaleRequests
+// returns NotLeaderError for appended proposals.
 func TestHistoryIsLinearizable(t *testing.T) {
 	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.leader()
@@ -130,9 +129,9 @@
 	require.Equal(t, porcupine.Ok, result)
 }
 
-// seen leaves out the writes of unknown outcome that no read has seen. A history
-// is linearizable with them if it is without, as they may come last, and the
-// other way, as nobody saw them; the search with them takes far too long.
+// checkedOperations returns the operations without the writes of unknown outcome that
+// no read returned. These don't change whether the history is linearizable, since they
+// may be ordered last, but they make the check far too slow.
 func (h *history) checkedOperations() []porcupine.Operation {
 	read := map[string]bool{}
 	for _, o := range h.operations {
@@ -143,7 +142,7 @@
 	})
 }
 
-// moreThan waits for further operations.
+// waitForOperations waits until more than n further operations are recorded.
 func (h *history) waitForOperations(c *cluster, n int) {
 	count := func() int {
 		h.mu.Lock()
--- a/replica/host/voters_test.go
+++ b/replica/host/voters_test.go
@@ -14,7 +14,7 @@
 	"savoryreel.example/savoryreel/replica/host"
 )
 
-// witness notes which voters a host names as it sends a message.
+// votersRecorder records the result of Voters at each message that a host sends.
 type votersRecorder struct {
 	host *host.Host
 	sent chan host.Voters
@@ -22,12 +22,11 @@
 
 func (w *votersRecorder) Send(replica.Message) { w.sent <- w.host.Voters() }
 
-// A replica takes over a change of the voters and acknowledges it. Were it to
-// name the old voters for a moment longer, an entry that asks just then would
-// count its majority over a set that is no longer in force, and could take an old
-// catalogue for the latest.
+// Guards against a replica that acknowledges a change of the voters while Voters still
+// returns the old set: an entry would count a majority of an outdated set and could
+// take an old catalogue for the latest.
 //
-// Breaks when publishLast does not set the voters.
+// Fails if publishLogState doesn't set the voters.
 func TestVotersPublishedBeforeAcknowledgement(t *testing.T) {
 	disk := &slowStorage{saving: make(chan struct{}, 1), saveResults: make(chan error, 1)}
 	disk.saveResults <- nil
--- a/replica/storage/fs_test.go
+++ b/replica/storage/fs_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The data folder lies on a file system without locks. An operator would read that
-// another process uses the folder, look for it, and find none.
+// Guards against ErrLocked on a file system that doesn't support locks: an operator
+// would search for another process that doesn't exist.
 func TestFileSystemWithoutLocks(t *testing.T) {
 	for _, err := range []error{syscall.EBADF, syscall.ENOLCK, syscall.ENOSYS, syscall.EINVAL, syscall.ENOTSUP} {
 		require.NoError(t, lockError(err), err)
@@ -21,6 +21,7 @@
 	require.False(t, errors.Is(other, ErrLocked))
 }
 
+// Guards against two processes that hold the lock of one folder.
 func TestSecondLockIsRefused(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "LOCK")
 	first, err := OS{}.Lock(name)
--- a/replica/storage/log_test.go
+++ b/replica/storage/log_test.go
@@ -35,7 +35,7 @@
 
 func hardState(term uint64) replica.HardState { return replica.HardState{Term: term, Vote: 1} }
 
-// model is what the disk must hold.
+// model is the expected state on disk.
 type model struct {
 	replica.State
 }
@@ -59,7 +59,8 @@
 	return m
 }
 
-// operate does one random operation on the log and returns the model after it.
+// applyRandomOperation runs a random operation on the log and returns the expected
+// state after it.
 func applyRandomOperation(t *rapid.T, l *storage.Log, m model, term uint64) (model, error) {
 	base := m.Snapshot.Meta.Index
 	switch rapid.IntRange(0, 6).Draw(t, "operation") {
@@ -93,19 +94,18 @@
 		})
 }
 
-// The process dies in the middle of any file operation, or the power goes and
-// whatever was not synced is lost in part. A user would notice an acknowledged
-// change that is gone after the restart. What Save returned for must be there;
-// the operation under way may be there or not, but not half.
+// Guards against the loss of acknowledged data when the process is killed during any
+// file operation, or when a power loss removes any part of the unsynced data. The
+// operation in progress must be present completely or not at all.
 //
-// Breaks when one of these goes: the Sync in write; a SyncDir; the rename in
-// replaceFile; reopen's rewriting; the stale branch in open.
+// Fails without any of these: the Sync in writeFrame; a SyncDir; the rename in
+// replaceFile; the rewrite in reopenLastSegment; the logOutdated branch in open.
 func TestStateSurvivesCrashAtAnyStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := newMemFS()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var m model
-		for range rapid.IntRange(1, 6).Draw(t, "lives") {
+		for range rapid.IntRange(1, 6).Draw(t, "restarts") {
 			before, after := runUntilCrash(t, fs, m)
 			if rapid.Bool().Draw(t, "power loss") {
 				fs.powerLoss(rng)
@@ -115,7 +115,7 @@
 			l := open(t, fs)
 			m = model{l.State()}
 			require.NoError(t, l.Close())
-			hardStateOnly := before // an installation syncs the hard state first
+			hardStateOnly := before // InstallSnapshot syncs the hard state first
 			hardStateOnly.HardState = after.HardState
 			if !equal(m.State, before.State) && !equal(m.State, after.State) && !equal(m.State, hardStateOnly.State) {
 				t.Fatalf("found %+v\nwant %+v\nor %+v", m.State, before.State, after.State)
@@ -124,10 +124,11 @@
 	})
 }
 
-// live opens the folder and operates until the process dies or has done enough.
-// It returns the states before and after the last operation.
+// runUntilCrash opens the folder and runs random operations until the process crashes
+// or the drawn number of operations is done. It returns the expected states before and
+// after the last operation.
 func runUntilCrash(t *rapid.T, fs *memFS, m model) (before, after model) {
-	fs.crashAtStep = fs.steps + rapid.IntRange(1, 80).Draw(t, "dies after")
+	fs.crashAtStep = fs.steps + rapid.IntRange(1, 80).Draw(t, "crash after")
 	l, err := storage.Open(config(), fs)
 	if err != nil {
 		require.ErrorIs(t, err, errCrashed)
@@ -146,12 +147,11 @@
 	return m, m
 }
 
-// A sync fails once, as when a disk drops a write, and the next sync would
-// succeed although the data is not on disk. Acknowledging it would lose a
-// statement credit at the next power loss; so everything is refused until the
-// process is started anew, and what it finds then is written again.
+// Guards against continuing after a failed sync: the next sync would succeed although
+// the data is not on disk, and a power loss would remove acknowledged entries. Every
+// call must fail until a restart, which rewrites the data that it reads.
 //
-// Breaks when l.failed is not kept in check, or reopen does not rewrite.
+// Fails if recordFailure doesn't set l.failure, or reopenLastSegment doesn't rewrite.
 func TestFailedSyncIsPermanent(t *testing.T) {
 	fs := newMemFS()
 	l := open(t, fs)
@@ -168,11 +168,11 @@
 	require.NoError(t, l.Save(hardState(2), nil))
 	fs.powerLoss(rand.New(rand.NewPCG(1, 1)))
 	after := open(t, fs).State()
-	require.Equal(t, found.Entries, after.Entries, "entries seen after the restart were taken for synced")
+	require.Equal(t, found.Entries, after.Entries, "entries read after the restart were not synced")
 }
 
-// The disk fills up. The replica must stop with a clear error instead of going
-// on without a log, and start again once there is room, with all it acknowledged.
+// Guards against a replica that continues on a full disk, or that cannot start with
+// its acknowledged entries once there is space again.
 func TestFullDisk(t *testing.T) {
 	fs := newMemFS()
 	l := open(t, fs)
@@ -186,11 +186,11 @@
 	require.Equal(t, entries(1, 3, 1), open(t, fs).State().Entries)
 }
 
-// One bit of the log flips on disk, long after it was acknowledged. Cutting the
-// log there would silently lose every later entry, so the start must fail and
-// say where; only the very last frame cannot be told from one that was torn.
+// Guards against truncating the log at a corrupt frame that valid frames follow, which
+// would lose acknowledged entries: Open must return a CorruptError. Only a corrupt last
+// frame cannot be distinguished from an incomplete one.
 //
-// Breaks when frameFollows returns false.
+// Fails if containsLaterFrame always returns false.
 func TestCorruptFrameBeforeValidFrames(t *testing.T) {
 	fs := newMemFS()
 	singleSegment := storage.Config{Dir: testDir, Replica: 7}
@@ -212,8 +212,8 @@
 	require.Len(t, open(t, fs).State().Entries, 6)
 }
 
-// Two processes are started on one folder, or one under another replica's id.
-// Each would overwrite what the other acknowledged.
+// Guards against two processes on one folder, and a process with another replica's
+// folder: they would overwrite entries that the other one acknowledged.
 func TestFolderLockedToOneProcessAndReplica(t *testing.T) {
 	c := storage.Config{Dir: t.TempDir(), Replica: 1}
 	l, err := storage.Open(c, storage.OS{})
@@ -228,7 +228,8 @@
 	require.ErrorAs(t, err, &wrongReplica)
 }
 
-// FuzzOpen feeds any bytes as the last segment: an error or a state, no panic.
+// FuzzOpen opens a folder whose only segment has arbitrary content. Open must not
+// panic.
 func FuzzOpen(f *testing.F) {
 	fs := newMemFS()
 	l := open(f, fs)
--- a/replica/storage/memfs_test.go
+++ b/replica/storage/memfs_test.go
@@ -12,26 +12,26 @@
 )
 
 var (
-	errCrashed = errors.New("process died")
+	errCrashed = errors.New("process crashed")
 	errSync    = errors.New("input/output error")
 	errFull    = errors.New("no space left on device")
 )
 
-// memFile is a file with what the disk holds and what the kernel's cache shows.
+// memFile is a file with its content in the kernel's page cache and on disk.
 type memFile struct {
 	cache      []byte
 	disk       []byte
-	cleanBytes int // the cache up to here counts as written and is not written again
+	cleanBytes int // the first cleanBytes of cache are not written by the next sync
 }
 
-// memFS is a file system in memory that forgets what was not synced.
+// memFS is an in-memory file system that loses unsynced data in powerLoss.
 type memFS struct {
 	files       map[string]*memFile // as the process sees them
-	durable     map[string]*memFile // names that would be found after a crash
-	steps       int                 // calls that change something, so far
-	crashAtStep int                 // call at which the process dies; 0: never
+	durable     map[string]*memFile // files whose names are synced
+	steps       int                 // count of modifying calls
+	crashAtStep int                 // modifying call from which on the process is dead; 0: never
 	failSync    bool                // the next sync fails
-	freeBytes   int                 // bytes left; negative: no limit
+	freeBytes   int                 // negative: no limit
 	locked      bool
 }
 
@@ -39,7 +39,7 @@
 	return &memFS{files: map[string]*memFile{}, durable: map[string]*memFile{}, freeBytes: -1}
 }
 
-// step counts a call and reports whether the process is dead.
+// step counts a modifying call and returns errCrashed if the process is dead.
 func (m *memFS) step() error {
 	m.steps++
 	if m.crashAtStep > 0 && m.steps >= m.crashAtStep {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// kill ends the process: the cache stays. The lock ends with it.
+// kill ends the process: the page cache remains, the lock is released.
 func (m *memFS) kill() {
 	m.locked = false
 	m.crashAtStep = 0
@@ -56,8 +56,8 @@
 	m.freeBytes = -1
 }
 
-// powerLoss leaves what was synced, and of a file's unsynced rest any part: some
-// of it, then perhaps zeros where a page was lost.
+// powerLoss keeps the synced data and a random prefix of each file's unsynced data, in
+// which some bytes are zero, as if their page was lost.
 func (m *memFS) powerLoss(rng *rand.Rand) {
 	m.kill()
 	m.files = map[string]*memFile{}
@@ -97,8 +97,8 @@
 	return len(b), nil
 }
 
-// Sync writes what is not clean. A failed one marks everything clean, as kernels
-// do, and the next one succeeds without having written it.
+// Sync writes the data after cleanBytes to disk. A failed Sync marks all data as
+// clean, as kernels do, so the next one succeeds without writing it.
 func (o *openFile) Sync() error {
 	if err := o.fs.step(); err != nil {
 		return err
