--- a/replica/host/bench_test.go
+++ b/replica/host/bench_test.go
@@ -16,9 +16,9 @@
 	"savoryreel.example/savoryreel/replica/host"
 )
 
-// BenchmarkCommit prints commits a second and the 99th percentile of the time to
-// commit, with real syncs, by the number of replicas and of callers at a time.
-// All replicas share one disk here, so more replicas also mean more syncs on it.
+// BenchmarkCommit reports commits per second and percentiles of the time to commit,
+// with real syncs, by the number of replicas and of concurrent callers. All replicas
+// share one disk, so more replicas also mean more syncs on it.
 func BenchmarkCommit(b *testing.B) {
 	for _, replicas := range []int{1, 3, 5} {
 		for _, callers := range []int{1, 8, 64, 512} {
@@ -34,15 +34,15 @@
 	require.NoError(b, err)
 	leader := c.leader()
 	latencies := make([]*hdrhistogram.Histogram, callers)
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	var group sync.WaitGroup
 	b.ResetTimer()
-	start, used := time.Now(), cpuTime(b)
+	start, cpuUsed := time.Now(), cpuTime(b)
 	for i := range callers {
 		latencies[i] = hdrhistogram.New(1, int64(time.Minute), 3)
 		group.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				begin := time.Now()
 				if _, err := leader.Propose(context.Background(), kindPut, data); err != nil {
 					b.Error(err)
@@ -54,7 +54,7 @@
 	}
 	group.Wait()
 	elapsed := time.Since(start)
-	used = cpuTime(b) - used
+	cpuUsed = cpuTime(b) - cpuUsed
 	b.StopTimer()
 	all := latencies[0]
 	for _, h := range latencies[1:] {
@@ -63,11 +63,11 @@
 	b.ReportMetric(float64(b.N)/elapsed.Seconds(), "commits/s")
 	b.ReportMetric(float64(all.ValueAtQuantile(50))/1e6, "p50-ms")
 	b.ReportMetric(float64(all.ValueAtQuantile(99))/1e6, "p99-ms")
-	b.ReportMetric(float64(used.Microseconds())/float64(b.N)/float64(replicas), "cpu-µs/commit/replica")
+	b.ReportMetric(float64(cpuUsed.Microseconds())/float64(b.N)/float64(replicas), "cpu-µs/commit/replica")
 	b.ReportMetric(0, "ns/op")
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
@@ -82,20 +82,20 @@
 	return out
 }
 
-// BenchmarkCatchUp prints how long a replica that missed 1,000 changes needs
-// after its restart until it has applied them all.
+// BenchmarkCatchUp reports the time from the restart of a replica that missed 1,000
+// entries until it has applied them.
 func BenchmarkCatchUp(b *testing.B) {
 	const missed = 1_000
 	c := newCluster(b, host.Config{}, 1, 2, 3)
 	var total time.Duration
 	for range b.N {
 		leader := c.leader()
-		away := 1 + leader.Status().ID%3
-		require.NoError(b, c.stop(away))
+		stoppedID := 1 + leader.Status().ID%3
+		require.NoError(b, c.stop(stoppedID))
 		c.putMany(leader, missed)
 		last := leader.Status().Last
 		begin := time.Now()
-		n := c.start(away, 1, 2, 3)
+		n := c.start(stoppedID, 1, 2, 3)
 		c.eventually("caught up", func() bool { return n.Status().Applied >= last })
 		total += time.Since(begin)
 	}
@@ -120,8 +120,8 @@
 	group.Wait()
 }
 
-// BenchmarkRecovery prints the time from the loss of the leader to the next
-// commit, at the default settings.
+// BenchmarkRecovery reports the time from stopping the leader to the next commit,
+// with the default settings.
 func BenchmarkRecovery(b *testing.B) {
 	c := newCluster(b, host.Config{}, 1, 2, 3)
 	var total, worst time.Duration
@@ -143,25 +143,25 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkIdle prints what a group of seven costs while nothing is proposed: the
-// share of one core for each replica, and the bytes a second that the leader
-// sends and receives, as encoded messages.
+// BenchmarkIdle reports the cost of a group of seven without proposals: the percentage
+// of a core for each replica, and the bytes of encoded messages per second that the
+// leader sends and receives.
 func BenchmarkIdle(b *testing.B) {
 	const replicas = 7
 	c := newCluster(b, host.Config{}, ids(replicas)...)
 	leader := c.leader().Status().ID
-	c.net.record(leader)
-	begin, used := time.Now(), cpuTime(b)
+	c.net.startRecording(leader)
+	begin, cpuUsed := time.Now(), cpuTime(b)
 	<-time.After(time.Duration(b.N) * 100 * time.Millisecond)
 	elapsed := time.Since(begin)
-	used = cpuTime(b) - used
-	b.ReportMetric(100*used.Seconds()/elapsed.Seconds()/replicas, "%core/replica")
-	b.ReportMetric(float64(c.net.recorded())/elapsed.Seconds(), "leader-bytes/s")
+	cpuUsed = cpuTime(b) - cpuUsed
+	b.ReportMetric(100*cpuUsed.Seconds()/elapsed.Seconds()/replicas, "%core/replica")
+	b.ReportMetric(float64(c.net.recordedBytes())/elapsed.Seconds(), "leader-bytes/s")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkTransfer prints how long a planned transfer takes and the longest time
-// that one caller, who proposes without a break, was without a commit.
+// BenchmarkTransfer reports the duration of a leadership transfer, and the longest
+// time without a commit for a caller that proposes continuously.
 func BenchmarkTransfer(b *testing.B) {
 	c := newCluster(b, host.Config{}, 1, 2, 3)
 	c.leader()
--- a/replica/host/host_test.go
+++ b/replica/host/host_test.go
@@ -16,14 +16,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// quick makes elections fast enough for tests and slow enough for a busy machine.
-var quick = host.Config{TickInterval: 5 * time.Millisecond, ElectionTicks: 80, HeartbeatTicks: 8}
+// fastConfig has a short election timeout that still works on a busy machine.
+var fastConfig = host.Config{TickInterval: 5 * time.Millisecond, ElectionTicks: 80, HeartbeatTicks: 8}
 
-func TestSingleReplicaKeepsWhatItAcknowledged(t *testing.T) {
-	byEntries := quick
+// Guards against entries lost by a snapshot, its compaction and a restart: a single
+// replica must have all acknowledged entries again.
+func TestSingleReplicaRestoresAcknowledgedEntries(t *testing.T) {
+	byEntries := fastConfig
 	byEntries.SnapshotEvery = 30
 	byEntries.KeepEntries = 5
-	byBytes := quick
+	byBytes := fastConfig
 	byBytes.SnapshotBytes = 300
 	byBytes.KeepBytes = 100
 	for name, config := range map[string]host.Config{"by entries": byEntries, "by bytes": byBytes} {
@@ -44,11 +46,12 @@
 	require.Equal(t, "99", n.machine.get("key"))
 	require.Equal(t, 100, n.machine.State.Applied)
 	require.GreaterOrEqual(t, n.Status().Snapshot, uint64(70))
-	require.Equal(t, uint64(101), n.LastIndexOf(kindPut), "the first entry is the leader's own")
+	require.Equal(t, uint64(101), n.LastIndexOf(kindPut), "entry 1 is the leader's empty entry")
 }
 
-func TestThreeReplicasAgree(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+// Guards against replication that skips entries or followers.
+func TestThreeReplicasApplySameEntries(t *testing.T) {
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	for i := range 50 {
 		c.mustPut("key"+strconv.Itoa(i), "value")
 	}
@@ -60,10 +63,10 @@
 	}
 }
 
-// The instance of the leader dies. Callers see errors until another replica is
-// elected; nothing that was acknowledged may be missing there.
+// Guards against acknowledged entries that are missing at the new leader after the
+// old one has stopped.
 func TestLeaderLossKeepsAcknowledgedEntries(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.mustPut("key", "kept")
 	old := c.leader().Status().ID
 	require.NoError(t, c.stop(old))
@@ -76,18 +79,17 @@
 	c.eventually("the old leader catches up", func() bool { return c.nodes[old].machine.get("key") == "kept" })
 }
 
-// A silent partition cuts off the leader while it takes proposals. Its callers
-// must not be told that the proposal failed, because it may yet be committed, and
-// a read there must not be answered from old state.
-func TestLeaderCutOffAnswersUnknown(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+// Guards against a partitioned leader that reports an appended proposal as failed,
+// although it may still be committed, or that serves reads from outdated state.
+func TestPartitionedLeaderReturnsOutcomeUnknown(t *testing.T) {
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.mustPut("key", "old")
 	old := c.leader()
 	id := old.Status().ID
-	c.net.setCut(id, true)
+	c.net.setPartitioned(id, true)
 
 	_, err := old.Propose(t.Context(), kindPut, []byte{0x80})
-	require.ErrorIs(t, err, host.ErrUnknown)
+	require.ErrorIs(t, err, host.ErrOutcomeUnknown)
 	_, _, leased := old.HoldsLease()
 	require.False(t, leased)
 	var notLeader *host.NotLeaderError
@@ -96,15 +98,15 @@
 	require.ErrorAs(t, err, &notLeader)
 
 	c.mustPut("key", "new")
-	c.net.setCut(id, false)
-	c.eventually("the cut replica follows", func() bool { return old.machine.get("key") == "new" })
+	c.net.setPartitioned(id, false)
+	c.eventually("the partitioned replica catches up", func() bool { return old.machine.get("key") == "new" })
 }
 
-// A replica loses its disk and comes back under a new id; soon after the repair
-// a second one is lost as well. What was acknowledged before must still be there
-// and the group must go on.
+// A replica that lost its disk is replaced by one with a new ID; then a second replica
+// stops. Guards against a replacement that doesn't hold all acknowledged entries or
+// doesn't count as a voter.
 func TestReplacementThenSecondLoss(t *testing.T) {
-	config := quick
+	config := fastConfig
 	config.SnapshotEvery = 20
 	config.KeepEntries = 5
 	c := newCluster(t, config, 1, 2, 3)
@@ -131,10 +133,10 @@
 	require.NotContains(t, n.Status().Voters, lost)
 }
 
-// An operator plans a stop of the leader's instance. Callers should see no gap
-// longer than the hand-over, and the old leader must not think it still leads.
+// Guards against a transfer after which the old leader still holds its lease or the
+// target doesn't lead.
 func TestTransferLeadership(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	old := c.leader().Status().ID
 	to := 1 + old%3
 	c.transfer(to)
@@ -144,24 +146,24 @@
 	require.Equal(t, to, c.leader().Status().ID)
 }
 
-// The target of a transfer is cut off. The operator must be told, instead of
-// waiting for ever, and the group must go on under some leader.
+// Guards against a transfer to an unreachable replica that never returns or that
+// blocks later proposals.
 //
-// Breaks when settleTransfer does not end a transfer under another leader.
+// Fails if finishTransfer doesn't finish a transfer when another replica leads.
 func TestTransferToUnreachableReplicaFails(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.mustPut("key", "before")
 	old := c.leader()
 	to := 1 + old.Status().ID%3
-	c.net.setCut(to, true)
-	ctx, cancel := context.WithTimeout(t.Context(), waitBound)
+	c.net.setPartitioned(to, true)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	require.ErrorIs(t, old.TransferLeadership(ctx, to), host.ErrTransferFailed)
 	c.mustPut("key", "after")
 }
 
-// change repeats a membership change until it is in force: a learner may not have
-// caught up yet, the leader may just have been elected, or the outcome be unknown.
+// change retries a membership change until it is in effect. It can fail while a
+// learner catches up or after an election, and its outcome can be unknown.
 func (c *cluster) change(ch replica.Change) {
 	c.t.Helper()
 	c.eventually("membership change", func() bool {
--- a/replica/host/linearizable_test.go
+++ b/replica/host/linearizable_test.go
@@ -19,29 +19,29 @@
 
 const registerKey = "register"
 
-// access is a write, or with an empty value a read.
-type access struct{ value string }
+// registerOp is a write of value, or a read if value is empty.
+type registerOp struct{ value string }
 
 var register = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		if value := input.(access).value; value != "" {
+		if value := input.(registerOp).value; value != "" {
 			return true, value
 		}
 		return output.(string) == state.(string), state
 	},
 }
 
-// history collects the operations of all clients.
+// history records the operations of all clients.
 type history struct {
 	mu         sync.Mutex
 	start      time.Time
 	operations []porcupine.Operation
 }
 
-func (h *history) add(client int, input access, call time.Duration, output string, known bool) {
+func (h *history) add(client int, input registerOp, call time.Duration, output string, outcomeKnown bool) {
 	end := int64(time.Since(h.start))
-	if !known {
+	if !outcomeKnown {
 		end = math.MaxInt64
 	}
 	h.mu.Lock()
@@ -51,9 +51,9 @@
 	})
 }
 
-// client writes and reads at whichever replica, in turn, until done is closed.
-// After an unknown outcome it goes on under a new name: its old operation may
-// still take effect.
+// client alternates writes and reads, at each replica in turn, until done is closed.
+// After an unknown outcome it continues as a new client, since its previous operation
+// may still take effect.
 func (h *history) client(name int, nodes []*node, done <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
@@ -70,7 +70,7 @@
 		if i%2 == 0 {
 			name = h.write(ctx, n, name, i, call)
 		} else if n.ReadBarrier(ctx) == nil {
-			h.add(name, access{}, call, n.machine.get(registerKey), true)
+			h.add(name, registerOp{}, call, n.machine.get(registerKey), true)
 		}
 		cancel()
 	}
@@ -85,23 +85,22 @@
 	_, err = n.Propose(ctx, kindPut, data)
 	switch {
 	case err == nil:
-		h.add(name, access{value}, call, "", true)
-	case errors.Is(err, host.ErrUnknown):
-		h.add(name, access{value}, call, "", false)
+		h.add(name, registerOp{value}, call, "", true)
+	case errors.Is(err, host.ErrOutcomeUnknown):
+		h.add(name, registerOp{value}, call, "", false)
 		return name + 100
 	}
 	return name
 }
 
-// The leader is cut off while clients write and read, comes back, and the next
-// one is cut off in turn. A user would notice a read that shows an old value
-// after a newer one was seen or acknowledged, or a write refused as not run that
-// shows up later.
+// Partitions one leader after the other while clients write and read. Guards against
+// a read of an old value after a newer one was read or acknowledged, and against a
+// write that takes effect after it was reported as not appended.
 //
-// Breaks when ReadBarrier does not wait in takeRead, or settle reports
-// NotLeaderError for appended proposals.
+// Fails if ReadBarrier doesn't wait for a majority (startRead), or failStaleRequests
+// returns NotLeaderError for appended proposals.
 func TestHistoryIsLinearizable(t *testing.T) {
-	c := newCluster(t, quick, 1, 2, 3)
+	c := newCluster(t, fastConfig, 1, 2, 3)
 	c.leader()
 	nodes := []*node{c.nodes[1], c.nodes[2], c.nodes[3]}
 	h := &history{start: time.Now()}
@@ -112,39 +111,39 @@
 	}
 	for range 3 {
 		old := c.leader().Status().ID
-		h.moreThan(c, 100)
-		c.net.setCut(old, true)
+		h.waitForOperations(c, 100)
+		c.net.setPartitioned(old, true)
 		c.eventually("another leader", func() bool {
-			_, _, holds := c.nodes[1+old%3].HoldsLease()
-			_, _, also := c.nodes[1+(old+1)%3].HoldsLease()
-			return holds || also
+			_, _, firstLeads := c.nodes[1+old%3].HoldsLease()
+			_, _, secondLeads := c.nodes[1+(old+1)%3].HoldsLease()
+			return firstLeads || secondLeads
 		})
-		c.net.setCut(old, false)
+		c.net.setPartitioned(old, false)
 	}
-	h.moreThan(c, 100)
+	h.waitForOperations(c, 100)
 	close(done)
 	clients.Wait()
-	operations := h.seen()
+	operations := h.checkedOperations()
 	result := porcupine.CheckOperationsTimeout(register, operations, time.Minute)
 	t.Logf("%d operations: %s", len(operations), result)
 	require.Equal(t, porcupine.Ok, result)
 }
 
-// seen leaves out the writes of unknown outcome that no read has seen. A history
-// is linearizable with them if it is without, as they may come last, and the
-// other way, as nobody saw them; the search with them takes far too long.
-func (h *history) seen() []porcupine.Operation {
+// checkedOperations returns the operations without the writes of unknown outcome that
+// no read returned. These don't change whether the history is linearizable, since they
+// may be ordered last, but they make the check far too slow.
+func (h *history) checkedOperations() []porcupine.Operation {
 	read := map[string]bool{}
 	for _, o := range h.operations {
 		read[o.Output.(string)] = true
 	}
 	return slices.DeleteFunc(h.operations, func(o porcupine.Operation) bool {
-		return o.Return == math.MaxInt64 && !read[o.Input.(access).value]
+		return o.Return == math.MaxInt64 && !read[o.Input.(registerOp).value]
 	})
 }
 
-// moreThan waits for further operations.
-func (h *history) moreThan(c *cluster, n int) {
+// waitForOperations waits until more than n further operations are recorded.
+func (h *history) waitForOperations(c *cluster, n int) {
 	count := func() int {
 		h.mu.Lock()
 		defer h.mu.Unlock()
--- a/replica/host/loop.go
+++ b/replica/host/loop.go
@@ -11,75 +11,77 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// loopState is what only the loop touches: the requests it has taken on.
+// loopState holds the requests that the loop has claimed. Only the loop uses it.
 type loopState struct {
-	term     uint64 // in which this replica leads and appended the requests; 0: none
-	appended map[uint64]appended
-	reads    map[uint64]*command // waiting for a majority, by read id
-	transfer *command
-	nextRead uint64
-	finished []finished
-	lost     int // replicas reported as lost
-	grown    int // bytes of data applied since the last snapshot
+	leaderTerm         uint64 // term in which the requests were claimed; 0: none
+	appended           map[uint64]appendedRequest
+	reads              map[uint64]*command // waiting for confirmation by a majority, by read ID
+	transfer           *command
+	lastReadID         uint64
+	finished           []finishedRequest
+	lostReplicas       int // replicas last logged as having lost their log
+	bytesSinceSnapshot int // of entry data applied
 }
 
-// appended is a request whose entry is in the log.
-type appended struct {
+// appendedRequest is a request whose entry is in the log.
+type appendedRequest struct {
 	request *request
 	term    uint64
 }
 
-// finished is an outcome that is told once the loop's state is published, so
-// that a caller finds its own proposal in Status and LastIndexOf.
-type finished struct {
+// finishedRequest is an outcome to deliver after publishStatus, so that a caller
+// sees the effect of its own request in Status.
+type finishedRequest struct {
 	request *request
 	outcome outcome
 }
 
 func newLoopState() loopState {
 	return loopState{
-		appended: make(map[uint64]appended),
+		appended: make(map[uint64]appendedRequest),
 		reads:    make(map[uint64]*command),
 	}
 }
 
-// Run drives the replica until ctx ends (nil) or it cannot go on (the error; the
-// process must stop, see package storage). Call it once.
+// Run runs the replica until ctx ends, and then returns nil. It returns an error if
+// the replica cannot continue; the process must stop then (see package storage).
+// It may be called once.
 func (h *Host) Run(ctx context.Context) error {
 	ticker := time.NewTicker(h.cfg.TickInterval)
 	defer ticker.Stop()
 	defer h.stop()
 	for {
-		err := h.input(ctx, ticker.C)
+		err := h.handleInputs(ctx, ticker.C)
 		if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 			return nil
 		}
 		if err != nil {
-			return trace.Wrap(err, "replica %d: take input", h.cfg.ID)
+			return trace.Wrap(err, "replica %d: handle input", h.cfg.ID)
 		}
-		if err := h.work(); err != nil {
-			return trace.Wrap(err, "replica %d: work", h.cfg.ID)
+		if err := h.processReady(); err != nil {
+			return trace.Wrap(err, "replica %d: process updates", h.cfg.ID)
 		}
-		h.settle()
-		h.publish()
-		h.tell()
+		h.failStaleRequests()
+		h.publishStatus()
+		h.deliverOutcomes()
 	}
 }
 
-// input waits for one input and then takes all that have queued up meanwhile.
-func (h *Host) input(ctx context.Context, ticks <-chan time.Time) error {
-	if err := h.wait(ctx, ticks); err != nil {
+// handleInputs waits for one input and handles it and all that are queued, up to
+// maxInputsPerRound.
+func (h *Host) handleInputs(ctx context.Context, ticks <-chan time.Time) error {
+	if err := h.handleNextInput(ctx, ticks); err != nil {
 		return err
 	}
-	for range min(roundLimit, len(h.inbox)+len(h.propose)+len(h.command)) {
-		if err := h.takeQueued(); err != nil {
+	for range min(maxInputsPerRound, len(h.inbox)+len(h.proposals)+len(h.commands)) {
+		if err := h.handleQueuedInput(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *Host) wait(ctx context.Context, ticks <-chan time.Time) error {
+func (h *Host) handleNextInput(ctx context.Context, ticks <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -87,66 +89,67 @@
 		h.core.Tick(h.now())
 	case m := <-h.inbox:
 		return h.core.Step(h.now(), m)
-	case p := <-h.propose:
-		h.takeProposal(p)
-	case c := <-h.command:
-		h.takeCommand(c)
+	case p := <-h.proposals:
+		h.handleProposal(p)
+	case c := <-h.commands:
+		h.handleCommand(c)
 	}
 	return nil
 }
 
-func (h *Host) takeQueued() error {
+func (h *Host) handleQueuedInput() error {
 	select {
 	case m := <-h.inbox:
 		return h.core.Step(h.now(), m)
-	case p := <-h.propose:
-		h.takeProposal(p)
-	case c := <-h.command:
-		h.takeCommand(c)
+	case p := <-h.proposals:
+		h.handleProposal(p)
+	case c := <-h.commands:
+		h.handleCommand(c)
 	default:
 	}
 	return nil
 }
 
-func (h *Host) now() time.Duration { return h.deps.Now().Sub(h.start) }
+func (h *Host) now() time.Duration { return h.deps.Now().Sub(h.startTime) }
 
-func (h *Host) takeProposal(p *proposal) {
-	if !p.take() {
+func (h *Host) handleProposal(p *proposal) {
+	if !p.claim() {
 		return
 	}
-	at, err := h.core.Propose(p.kind, p.data)
-	h.track(&p.request, at, err)
+	pos, err := h.core.Propose(p.kind, p.data)
+	h.trackAppended(&p.request, pos, err)
 }
 
-func (h *Host) takeCommand(c *command) {
-	if !c.take() {
+func (h *Host) handleCommand(c *command) {
+	if !c.claim() {
 		return
 	}
 	switch {
 	case c.change != nil:
-		at, err := h.core.ProposeChange(*c.change)
-		h.track(&c.request, at, err)
+		pos, err := h.core.ProposeChange(*c.change)
+		h.trackAppended(&c.request, pos, err)
 	case c.transfer != 0:
-		h.takeTransfer(c)
+		h.startTransfer(c)
 	default:
-		h.takeRead(c)
+		h.startRead(c)
 	}
 }
 
-// track notes an appended request, or ends one that was refused.
-func (h *Host) track(r *request, at replica.Position, err error) {
+// trackAppended records an appended request, or finishes it with err if it was
+// refused.
+func (h *Host) trackAppended(r *request, pos replica.Position, err error) {
 	if err != nil {
-		h.finish(r, nil, h.refusal(err))
+		h.finish(r, nil, h.callerError(err))
 		return
 	}
-	h.loop.term = at.Term
-	h.loop.appended[at.Index] = appended{request: r, term: at.Term}
+	h.loop.leaderTerm = pos.Term
+	h.loop.appended[pos.Index] = appendedRequest{request: r, term: pos.Term}
 }
 
-func (h *Host) takeTransfer(c *command) {
+func (h *Host) startTransfer(c *command) {
 	err := h.core.Transfer(c.transfer)
 	if errors.Is(err, replica.ErrNotLeader) {
-		err = h.notLeader()
+		err = h.notLeaderError()
 	}
 	if err != nil {
 		h.finish(&c.request, nil, err)
@@ -158,27 +161,27 @@
 	h.loop.transfer = c
 }
 
-func (h *Host) takeRead(c *command) {
-	h.loop.nextRead++
-	if err := h.core.ReadIndex(h.loop.nextRead); err != nil {
-		h.finish(&c.request, nil, h.refusal(err))
+func (h *Host) startRead(c *command) {
+	h.loop.lastReadID++
+	if err := h.core.ReadIndex(h.loop.lastReadID); err != nil {
+		h.finish(&c.request, nil, h.callerError(err))
 		return
 	}
-	h.loop.term = h.core.Term()
-	h.loop.reads[h.loop.nextRead] = c
+	h.loop.leaderTerm = h.core.Term()
+	h.loop.reads[h.loop.lastReadID] = c
 }
 
-// refusal turns the core's error into the caller's.
-func (h *Host) refusal(err error) error {
+// callerError converts an error of the core to the one that the caller gets.
+func (h *Host) callerError(err error) error {
 	if errors.Is(err, replica.ErrNotLeader) || errors.Is(err, replica.ErrTransferring) {
-		return h.notLeader()
+		return h.notLeaderError()
 	}
 	return err
 }
 
-// notLeader names the leader to turn to, which is not this replica, even while
-// it hands over.
-func (h *Host) notLeader() error {
+// notLeaderError returns a NotLeaderError with the current leader. During a
+// transfer, when this replica still leads but accepts nothing, the leader is 0.
+func (h *Host) notLeaderError() error {
 	leader := h.core.Leader()
 	if leader == h.cfg.ID {
 		leader = 0
@@ -186,8 +189,9 @@
 	return &NotLeaderError{Leader: leader}
 }
 
-// work does what the core asks for, in the order that replica.Ready demands.
-func (h *Host) work() error {
+// processReady persists, sends and applies the core's updates in the order that
+// replica.Ready requires.
+func (h *Host) processReady() error {
 	for {
 		rd, ok := h.core.Ready()
 		if !ok {
@@ -202,8 +206,8 @@
 			return err
 		}
 		h.core.Advance(rd)
-		h.answerReads(rd.Reads)
-		if err := h.snapshot(); err != nil {
+		h.finishReads(rd.Reads)
+		if err := h.snapshotIfDue(); err != nil {
 			return err
 		}
 	}
@@ -215,10 +219,11 @@
 	}
 }
 
-// persist syncs what the messages of rd acknowledge, and then makes it known here.
+// persist syncs rd and then publishes the new end of the log. It must return
+// before rd.Messages are sent, since they acknowledge the entries.
 func (h *Host) persist(rd replica.Ready) error {
 	if rd.Snapshot != nil {
-		if err := h.deps.Storage.Install(rd.HardState, *rd.Snapshot); err != nil {
+		if err := h.deps.Storage.InstallSnapshot(rd.HardState, *rd.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -228,7 +233,7 @@
 		}
 	}
 	if rd.Snapshot != nil || len(rd.Entries) > 0 {
-		h.publishLast()
+		h.publishLogState()
 	}
 	return nil
 }
@@ -240,38 +245,38 @@
 		}
 	}
 	for _, e := range rd.Committed {
-		h.loop.grown += len(e.Data)
-		result, err := h.applyOne(e)
-		h.applied(e, result, err)
+		h.loop.bytesSinceSnapshot += len(e.Data)
+		result, err := h.applyEntry(e)
+		h.finishApplied(e, result, err)
 	}
 	return nil
 }
 
-func (h *Host) applyOne(e replica.Entry) (any, error) {
+func (h *Host) applyEntry(e replica.Entry) (any, error) {
 	if e.Kind < replica.KindApplication {
 		return nil, nil
 	}
 	return h.deps.Machine.Apply(e)
 }
 
-// applied ends the request whose entry this is. Another term at its index means
-// that a later leader has replaced the entry.
-func (h *Host) applied(e replica.Entry, result any, err error) {
+// finishApplied finishes the request that appended e, if any. If the term differs,
+// a later leader has overwritten the request's entry.
+func (h *Host) finishApplied(e replica.Entry, result any, err error) {
 	a, ok := h.loop.appended[e.Index]
 	if !ok {
 		return
 	}
 	delete(h.loop.appended, e.Index)
 	if a.term != e.Term {
-		h.finish(a.request, nil, ErrUnknown)
+		h.finish(a.request, nil, ErrOutcomeUnknown)
 		return
 	}
 	h.finish(a.request, result, err)
 }
 
-// answerReads ends the reads that a majority has confirmed. Their index is at
-// most that of the last entry in rd.Committed, which is applied by now.
-func (h *Host) answerReads(reads []replica.ReadState) {
+// finishReads finishes the reads that a majority has confirmed. Their read index is
+// at most that of the last entry in rd.Committed, which has been applied.
+func (h *Host) finishReads(reads []replica.ReadState) {
 	for _, r := range reads {
 		if c, ok := h.loop.reads[r.ID]; ok {
 			delete(h.loop.reads, r.ID)
@@ -280,15 +285,15 @@
 	}
 }
 
-// snapshot keeps the state machine's state now and then, so that the log, and
-// with it a restart and the memory in use, stays small.
-func (h *Host) snapshot() error {
-	entries := h.core.AppliedIndex() - h.core.SnapshotIndex()
-	due := entries >= h.cfg.SnapshotEvery || h.loop.grown >= h.cfg.SnapshotBytes
-	if entries == 0 || !due {
+// snapshotIfDue saves a snapshot and compacts the log if enough entries or bytes
+// were applied since the last one. This bounds the memory and the restart time.
+func (h *Host) snapshotIfDue() error {
+	entryCount := h.core.AppliedIndex() - h.core.SnapshotIndex()
+	due := entryCount >= h.cfg.SnapshotEvery || h.loop.bytesSinceSnapshot >= h.cfg.SnapshotBytes
+	if entryCount == 0 || !due {
 		return nil
 	}
-	h.loop.grown = 0
+	h.loop.bytesSinceSnapshot = 0
 	data, err := h.deps.Machine.Snapshot()
 	if err != nil {
 		return err
@@ -301,32 +306,36 @@
 	return nil
 }
 
-// settle ends requests that can no longer succeed here.
-func (h *Host) settle() {
-	leads := h.core.Role() == replica.Leader
-	if h.loop.term != 0 && (!leads || h.core.Term() != h.loop.term) {
-		h.abandon(h.notLeader())
-		h.loop.term = 0
+// failStaleRequests finishes the requests of an earlier term and a transfer that has
+// ended.
+func (h *Host) failStaleRequests() {
+	isLeader := h.core.Role() == replica.Leader
+	if h.loop.leaderTerm != 0 && (!isLeader || h.core.Term() != h.loop.leaderTerm) {
+		h.failRequests(h.notLeaderError())
+		h.loop.leaderTerm = 0
 	}
-	h.settleTransfer(leads)
-	h.reportLost()
+	h.finishTransfer(isLeader)
+	h.logLostReplicas()
 }
 
-// abandon ends all requests that depend on this replica's leadership.
-func (h *Host) abandon(reads error) {
+// failRequests finishes all proposals with ErrOutcomeUnknown and all reads with
+// readErr.
+func (h *Host) failRequests(readErr error) {
 	for _, a := range h.loop.appended {
-		h.finish(a.request, nil, ErrUnknown)
+		h.finish(a.request, nil, ErrOutcomeUnknown)
 	}
 	clear(h.loop.appended)
 	for _, c := range h.loop.reads {
-		h.finish(&c.request, nil, reads)
+		h.finish(&c.request, nil, readErr)
 	}
 	clear(h.loop.reads)
 }
 
-func (h *Host) settleTransfer(leads bool) {
+// finishTransfer finishes a transfer once a leader is known, unless it is still
+// under way.
+func (h *Host) finishTransfer(isLeader bool) {
 	t := h.loop.transfer
-	if t == nil || (leads && h.core.Transferring()) {
+	if t == nil || (isLeader && h.core.Transferring()) {
 		return
 	}
 	leader := h.core.Leader()
@@ -341,38 +350,40 @@
 	h.loop.transfer = nil
 }
 
-// reportLost logs a replica that came back without its data under its old id.
-func (h *Host) reportLost() {
+// logLostReplicas logs an error when further replicas have restarted without their
+// data under their old ID.
+func (h *Host) logLostReplicas() {
 	lost := h.core.ReplicasWithLostLog()
-	if len(lost) > h.loop.lost {
-		h.deps.Logger.Error("replica has lost acknowledged entries; remove it and let it come back under a new id",
+	if len(lost) > h.loop.lostReplicas {
+		h.deps.Logger.Error("replica lost acknowledged entries; remove it and add it again with a new ID",
 			slog.Any("peers", lost), slog.Uint64("replica", h.cfg.ID))
 	}
-	h.loop.lost = len(lost)
+	h.loop.lostReplicas = len(lost)
 }
 
+// finish sets the outcome of a request; deliverOutcomes sends it to the caller.
 func (h *Host) finish(r *request, result any, err error) {
-	h.loop.finished = append(h.loop.finished, finished{request: r, outcome: outcome{result: result, err: err}})
+	h.loop.finished = append(h.loop.finished, finishedRequest{request: r, outcome: outcome{result: result, err: err}})
 }
 
-// tell delivers the outcomes of this round.
-func (h *Host) tell() {
+// deliverOutcomes sends the outcomes of this round to the callers.
+func (h *Host) deliverOutcomes() {
 	for _, f := range h.loop.finished {
 		f.request.done <- f.outcome
 	}
 	h.loop.finished = h.loop.finished[:0]
 }
 
-// stop ends every request that the loop has taken on. Those still queued end by
-// themselves when they see stopped closed.
+// stop finishes all requests that the loop has claimed. Callers of queued requests
+// return when h.stopped is closed.
 func (h *Host) stop() {
-	h.abandon(ErrStopped)
+	h.failRequests(ErrStopped)
 	if t := h.loop.transfer; t != nil {
 		h.finish(&t.request, nil, ErrStopped)
 	}
-	h.tell()
+	h.deliverOutcomes()
 	h.mu.Lock()
-	h.view.leased = false
+	h.view.hasLease = false
 	h.mu.Unlock()
 	close(h.stopped)
 }
--- a/replica/host/voters_test.go
+++ b/replica/host/voters_test.go
@@ -14,24 +14,23 @@
 	"savoryreel.example/savoryreel/replica/host"
 )
 
-// witness notes which voters a host names as it sends a message.
-type witness struct {
+// votersRecorder records the result of Voters at each message that a host sends.
+type votersRecorder struct {
 	host *host.Host
 	sent chan host.Voters
 }
 
-func (w *witness) Send(replica.Message) { w.sent <- w.host.Voters() }
+func (w *votersRecorder) Send(replica.Message) { w.sent <- w.host.Voters() }
 
-// A replica takes over a change of the voters and acknowledges it. Were it to
-// name the old voters for a moment longer, an entry that asks just then would
-// count its majority over a set that is no longer in force, and could take an old
-// catalogue for the latest.
+// Guards against a replica that acknowledges a change of the voters while Voters still
+// returns the old set: an entry would count a majority of an outdated set and could
+// take an old catalogue for the latest.
 //
-// Breaks when publishLast does not set the voters.
-func TestVotersAreKnownBeforeTheyAreAcknowledged(t *testing.T) {
-	disk := &slowStorage{saving: make(chan struct{}, 1), verdicts: make(chan error, 1)}
-	disk.verdicts <- nil
-	w := &witness{sent: make(chan host.Voters, 100)}
+// Fails if publishLogState doesn't set the voters.
+func TestVotersPublishedBeforeAcknowledgement(t *testing.T) {
+	disk := &slowStorage{saving: make(chan struct{}, 1), saveResults: make(chan error, 1)}
+	disk.saveResults <- nil
+	w := &votersRecorder{sent: make(chan host.Voters, 100)}
 	h, err := host.New(host.Config{ID: 1, Voters: []uint64{1, 2, 3}, TickInterval: time.Hour}, host.Deps{
 		Storage: disk, Transport: w, Machine: newMachine(),
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
