--- a/entry/admission.go
+++ b/entry/admission.go
@@ -12,15 +12,15 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// leaseEvery is how often an entry reports its demand and has its parts of the
+// leaseInterval is how often an entry reports its demand and has its parts of the
 // workspaces' limits renewed; admit.DefaultShareConfig is made for it.
-const leaseEvery = time.Second
+const leaseInterval = time.Second
 
 // admissionShards spreads the workspaces over locks.
 const admissionShards = 16
 
-// leaser is how an entry gets its parts of the limits; api.Client is one.
-type leaser interface {
+// leaseClient is how an entry gets its parts of the limits; api.Client is one.
+type leaseClient interface {
 	Leases(ctx context.Context, r admit.Report) (admit.Reply, error)
 }
 
@@ -38,9 +38,9 @@
 }
 
 type admissionShard struct {
-	mu       sync.Mutex
-	admitter *admit.Admitter
-	known    map[string]bool // workspaces that have limits set
+	mu         sync.Mutex
+	admitter   *admit.Admitter
+	workspaces map[string]bool // workspaces that have limits set
 }
 
 func newAdmission(entry string, now func() time.Time) (*admission, error) {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return nil, err
 		}
-		a.shards[i].admitter, a.shards[i].known = admitter, map[string]bool{}
+		a.shards[i].admitter, a.shards[i].workspaces = admitter, map[string]bool{}
 	}
 	return a, nil
 }
@@ -59,29 +59,29 @@
 	return &a.shards[maphash.String(a.seed, workspace)%admissionShards]
 }
 
-// limits takes the limits of a new catalogue version.
-func (a *admission) limits(c *catalogue) {
+// setLimits takes the setLimits of a new catalogue version.
+func (a *admission) setLimits(c *catalogue) {
 	now := a.now()
-	for name, w := range c.byName {
+	for name, w := range c.workspacesByName {
 		s := a.shard(name)
 		s.mu.Lock()
 		s.admitter.SetLimits(now, name, w.Limits)
-		s.known[name] = true
+		s.workspaces[name] = true
 		s.mu.Unlock()
 	}
 	for i := range a.shards {
-		a.shards[i].forget(c)
+		a.shards[i].removeMissing(c)
 	}
 }
 
-// forget drops the workspaces that the catalogue no longer has.
-func (s *admissionShard) forget(c *catalogue) {
+// removeMissing drops the workspaces that the catalogue no longer has.
+func (s *admissionShard) removeMissing(c *catalogue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name := range s.known {
-		if _, still := c.byName[name]; !still {
+	for name := range s.workspaces {
+		if _, present := c.workspacesByName[name]; !present {
 			s.admitter.RemoveWorkspace(name)
-			delete(s.known, name)
+			delete(s.workspaces, name)
 		}
 	}
 }
@@ -109,8 +109,8 @@
 }
 
 // leaseLoop renews this entry's parts of the limits until ctx ends.
-func (a *admission) leaseLoop(ctx context.Context, control leaser) error {
-	tick := time.NewTicker(leaseEvery)
+func (a *admission) leaseLoop(ctx context.Context, control leaseClient) error {
+	tick := time.NewTicker(leaseInterval)
 	defer tick.Stop()
 	for {
 		a.renew(ctx, control)
@@ -123,16 +123,16 @@
 }
 
 // renew reports once, and a second time under the term of a new leader.
-func (a *admission) renew(ctx context.Context, control leaser) {
+func (a *admission) renew(ctx context.Context, control leaseClient) {
 	for range 2 {
-		asked := a.now()
-		reply, err := control.Leases(ctx, a.report(asked))
+		sentAt := a.now()
+		reply, err := control.Leases(ctx, a.report(sentAt))
 		if err != nil {
 			return // what is leased runs out by itself
 		}
 		a.term = reply.Term
 		if reply.Status == admit.Leased {
-			a.apply(asked, reply.Leases)
+			a.apply(sentAt, reply.Leases)
 			return
 		}
 	}
@@ -150,11 +150,11 @@
 	return r
 }
 
-func (a *admission) apply(asked time.Time, leases []admit.Lease) {
+func (a *admission) apply(sentAt time.Time, leases []admit.Lease) {
 	for _, l := range leases {
 		s := a.shard(l.Workspace)
 		s.mu.Lock()
-		s.admitter.Apply(a.now(), asked, l)
+		s.admitter.Apply(a.now(), sentAt, l)
 		s.mu.Unlock()
 	}
 }
@@ -162,7 +162,7 @@
 // admit lets a request in by its workspace's limits and by what the queue can
 // start in time, or refuses it at once.
 func (e *Entry) admit(w *contract.Workspace, s *contract.Service, r *request.Request) *request.Problem {
-	l, err := e.lanes.of(laneOf(s))
+	l, err := e.lanes.get(laneKeyOf(s))
 	if err != nil {
 		return request.NewProblem(request.CodeInternal, request.NotRun, "%v", err)
 	}
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -15,21 +15,21 @@
 
 // answerWriter writes one answer to one caller.
 type answerWriter struct {
-	entry *Entry
-	w     http.ResponseWriter
-	work  *work
-	next  int  // number of tokens that the caller has
-	begun bool // whether the head of the answer is out
+	entry      *Entry
+	w          http.ResponseWriter
+	work       *work
+	next       int  // number of tokens that the caller has
+	headerSent bool // whether the head of the answer is out
 }
 
-// eventID reads Last-Event-ID: the number of tokens that the caller has.
-func eventID(r *http.Request, have int) (int, *request.Problem) {
+// parseLastEventID reads Last-Event-ID: the number of tokens that the caller has.
+func parseLastEventID(r *http.Request, available int) (int, *request.Problem) {
 	text := r.Header.Get(request.HeaderEventID)
 	if text == "" {
 		return 0, nil
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < 0 || n > have {
+	if err != nil || n < 0 || n > available {
 		return 0, request.NewProblem(request.CodeBadRequest, request.NotRun, "%s %q names no token of this answer", request.HeaderEventID, text)
 	}
 	return n, nil
@@ -52,10 +52,10 @@
 			a.streamEnd(end)
 			return
 		}
-		a.head("text/event-stream")
+		a.writeHeader("text/event-stream")
 		for _, t := range tokens {
 			a.next++
-			a.event(a.chunk(native.ChunkChoice{Delta: native.Delta{Content: t}}, nil))
+			a.writeEvent(a.chunk(native.ChunkChoice{Delta: native.Delta{Content: t}}, nil))
 		}
 		if !a.flush() {
 			return
@@ -63,12 +63,12 @@
 	}
 }
 
-// head sends the status line and headers once.
-func (a *answerWriter) head(contentType string) {
-	if a.begun {
+// writeHeader sends the status line and headers once.
+func (a *answerWriter) writeHeader(contentType string) {
+	if a.headerSent {
 		return
 	}
-	a.begun = true
+	a.headerSent = true
 	if a.next == 0 {
 		a.entry.metrics.firstToken.UpdateDuration(a.work.request.Accepted)
 	}
@@ -87,13 +87,13 @@
 	}
 }
 
-// event writes one event; a broken connection shows at the flush.
-func (a *answerWriter) event(v any) {
-	enc, err := json.Marshal(v)
+// writeEvent writes one writeEvent; a broken connection shows at the flush.
+func (a *answerWriter) writeEvent(v any) {
+	encoded, err := json.Marshal(v)
 	if err != nil {
 		return // typed values of strings and numbers always encode
 	}
-	fmt.Fprintf(a.w, "id: %d\ndata: %s\n\n", a.next, enc)
+	fmt.Fprintf(a.w, "id: %d\ndata: %s\n\n", a.next, encoded)
 }
 
 // flushTimeout bounds one write to a caller. A caller's connection that went
@@ -110,18 +110,18 @@
 
 func (a *answerWriter) streamEnd(end *request.End) {
 	switch {
-	case end.MovedTo != "" && !a.begun:
+	case end.MovedTo != "" && !a.headerSent:
 		a.redirect(end)
 	case end.MovedTo != "":
 		fmt.Fprintf(a.w, "id: %d\nevent: moved\nretry: 0\ndata: {\"location\":%q}\n\n", a.next, a.location(end))
 		a.flush()
-	case end.Problem != nil && !a.begun:
-		a.problem(end.Problem)
+	case end.Problem != nil && !a.headerSent:
+		a.writeProblem(end.Problem)
 	case end.Problem != nil:
 		a.streamProblem(end.Problem)
 	default:
-		a.head("text/event-stream")
-		a.event(a.chunk(native.ChunkChoice{FinishReason: end.Finish}, a.usage(end)))
+		a.writeHeader("text/event-stream")
+		a.writeEvent(a.chunk(native.ChunkChoice{FinishReason: end.Finish}, a.usage(end)))
 		fmt.Fprint(a.w, "data: [DONE]\n\n")
 		a.w.Header().Set(request.HeaderOutcome, string(request.Answered))
 		a.flush()
@@ -129,24 +129,24 @@
 }
 
 func (a *answerWriter) streamProblem(p *request.Problem) {
-	p = a.named(p)
-	enc, err := json.Marshal(p)
+	p = a.withRequestID(p)
+	encoded, err := json.Marshal(p)
 	if err != nil {
 		return // typed values of strings and numbers always encode
 	}
-	fmt.Fprintf(a.w, "event: error\ndata: %s\n\n", enc)
+	fmt.Fprintf(a.w, "event: error\ndata: %s\n\n", encoded)
 	a.w.Header().Set(request.HeaderOutcome, string(p.Outcome))
 	a.flush()
 }
 
-// named returns a copy of p that names the request.
-func (a *answerWriter) named(p *request.Problem) *request.Problem {
+// withRequestID returns a copy of p that names the request.
+func (a *answerWriter) withRequestID(p *request.Problem) *request.Problem {
 	c := *p
 	c.RequestID = a.work.request.ID
 	return &c
 }
 
-func (a *answerWriter) problem(p *request.Problem) { a.named(p).Write(a.w) }
+func (a *answerWriter) writeProblem(p *request.Problem) { a.withRequestID(p).Write(a.w) }
 
 // redirect sends the caller to the entry that has its request now. 307 keeps
 // the method; the id in the address stands for the key that clients drop when
@@ -159,8 +159,8 @@
 	a.w.WriteHeader(http.StatusTemporaryRedirect)
 }
 
-// whole waits for the whole answer and sends it as one JSON document.
-func (a *answerWriter) whole(ctx context.Context) {
+// sendWhole waits for the sendWhole answer and sends it as one JSON document.
+func (a *answerWriter) sendWhole(ctx context.Context) {
 	for {
 		tokens, end, err := a.work.journal.Next(ctx, a.next)
 		if err != nil {
@@ -174,15 +174,15 @@
 		case end.MovedTo != "":
 			a.redirect(end)
 		case end.Problem != nil:
-			a.problem(end.Problem)
+			a.writeProblem(end.Problem)
 		default:
-			a.response(end)
+			a.writeResponse(end)
 		}
 		return
 	}
 }
 
-func (a *answerWriter) response(end *request.End) {
+func (a *answerWriter) writeResponse(end *request.End) {
 	h := a.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-store")
--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -13,11 +13,11 @@
 )
 
 // answerOf streams the answer of a journal to a caller that has so many tokens.
-func answerOf(t *testing.T, j *request.Journal, have int) *httptest.ResponseRecorder {
+func streamAnswer(t *testing.T, j *request.Journal, received int) *httptest.ResponseRecorder {
 	t.Helper()
 	w := httptest.NewRecorder()
 	a := &answerWriter{
-		entry: &Entry{metrics: NewMetrics(metrics.NewSet())}, w: w, next: have,
+		entry: &Entry{metrics: NewMetrics(metrics.NewSet())}, w: w, next: received,
 		work: &work{request: &request.Request{ID: "r1-1", Service: "chat"}, journal: j},
 	}
 	a.stream(t.Context())
@@ -27,11 +27,11 @@
 // A caller's connection breaks, and it asks again with the id of the last event
 // it got. It must read the next token and none twice. Broken by a.next++ after
 // the event in stream.
-func TestStreamGoesOnAfterLastEventID(t *testing.T) {
-	for have := range 4 {
+func TestStreamResumesAfterLastEventID(t *testing.T) {
+	for received := range 4 {
 		j := request.NewJournal([]string{"a", "b", "c"})
 		j.Finish(request.End{Finish: "stop"})
-		w := answerOf(t, j, have)
+		w := streamAnswer(t, j, received)
 		var ids, tokens []string
 		for _, event := range strings.Split(strings.TrimSpace(w.Body.String()), "\n\n") {
 			var id string
@@ -43,8 +43,8 @@
 				ids, tokens = append(ids, id), append(tokens, text[:1])
 			}
 		}
-		require.Equal(t, []string{"1", "2", "3"}[have:], append([]string{}, ids...))
-		require.Equal(t, []string{"a", "b", "c"}[have:], append([]string{}, tokens...))
+		require.Equal(t, []string{"1", "2", "3"}[received:], append([]string{}, ids...))
+		require.Equal(t, []string{"a", "b", "c"}[received:], append([]string{}, tokens...))
 		require.Equal(t, string(request.Answered), w.Result().Trailer.Get(request.HeaderOutcome))
 	}
 }
@@ -53,19 +53,19 @@
 // there by a redirect that any client follows; later only an event can tell it,
 // and a redirect written into the stream would end it as a broken answer. Broken
 // by leaving out !a.begun for moved answers in streamEnd.
-func TestMovedAnswers(t *testing.T) {
+func TestMovedAnswerRedirectsOrSendsEvent(t *testing.T) {
 	const location = "http://127.0.0.1:7001/v1/answers/r1-1"
 	end := request.End{MovedTo: "127.0.0.1:7001"}
 	early := request.NewJournal(nil)
 	early.Finish(end)
-	w := answerOf(t, early, 0)
+	w := streamAnswer(t, early, 0)
 	require.Equal(t, 307, w.Code)
 	require.Equal(t, location, w.Header().Get("Location"))
 	require.Empty(t, w.Body.String())
 
 	late := request.NewJournal([]string{"a"})
 	late.Finish(end)
-	w = answerOf(t, late, 0)
+	w = streamAnswer(t, late, 0)
 	require.Equal(t, 200, w.Code)
 	require.Empty(t, w.Header().Get("Location"))
 	require.Contains(t, w.Body.String(), "id: 1\nevent: moved\nretry: 0\ndata: {\"location\":\""+location+"\"}\n\n")
@@ -75,11 +75,11 @@
 // Every server fails on a request. Its caller must learn the outcome: by the
 // status before the first byte, and by an event and the trailer afterwards.
 // Broken by leaving out the trailer in streamProblem.
-func TestProblemAnswers(t *testing.T) {
+func TestProblemReachesCallerWithOutcome(t *testing.T) {
 	end := request.End{Problem: request.NewProblem(request.CodeServerFailed, request.Unknown, "gone")}
 	early := request.NewJournal(nil)
 	early.Finish(end)
-	w := answerOf(t, early, 0)
+	w := streamAnswer(t, early, 0)
 	require.Equal(t, 502, w.Code)
 	require.Equal(t, "application/problem+json", w.Header().Get("Content-Type"))
 	require.Equal(t, string(request.Unknown), w.Header().Get(request.HeaderOutcome))
@@ -87,7 +87,7 @@
 
 	late := request.NewJournal([]string{"a"})
 	late.Finish(end)
-	w = answerOf(t, late, 0)
+	w = streamAnswer(t, late, 0)
 	require.Equal(t, 200, w.Code)
 	require.Contains(t, w.Body.String(), "event: error\ndata: {")
 	require.Contains(t, w.Body.String(), `"outcome":"unknown"`)
@@ -96,11 +96,11 @@
 
 // A caller sends an id that this answer never had. Taken as it stands it would
 // wait for a token that never comes. Broken by removing n > have in eventID.
-func TestEventIDRefusesBadValues(t *testing.T) {
+func TestLastEventIDRejectsInvalidValues(t *testing.T) {
 	for text, want := range map[string]int{"": 0, "0": 0, "5": 5, "-1": -1, "6": -1, "x": -1, "1.5": -1, "99999999999999999999": -1} {
 		r := httptest.NewRequest("GET", "/", nil)
 		r.Header.Set(request.HeaderEventID, text)
-		n, p := eventID(r, 5)
+		n, p := parseLastEventID(r, 5)
 		if want < 0 {
 			require.NotNil(t, p, text)
 			require.Equal(t, request.CodeBadRequest, p.Code)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -27,23 +27,23 @@
 	// that breaks off goes on elsewhere; eight breaks in one answer are no
 	// longer a wave of reclaims.
 	maxAttempts = 8
-	// rerouteEvery is how often a request that lost its server looks for
+	// rerouteInterval is how often a request that lost its server looks for
 	// another while none can take it.
-	rerouteEvery = 50 * time.Millisecond
-	// streamSilence is how long a stream may bring nothing before its server is
+	rerouteInterval = 50 * time.Millisecond
+	// probeAfterIdle is how long a stream may bring nothing before its server is
 	// probed on a new connection: over forty times the target between tokens.
-	streamSilence = 2 * time.Second
-	// streamStalled is how long a stream may bring nothing although its server
+	probeAfterIdle = 2 * time.Second
+	// streamIdleTimeout is how long a stream may bring nothing although its server
 	// answers probes. A connection that something between the ends has lost
 	// track of looks just so, and would otherwise hold its caller for good.
-	streamStalled = 6 * time.Second
-	// firstTokenStalled is the same before the first token, where a long prompt
+	streamIdleTimeout = 6 * time.Second
+	// firstTokenTimeout is the same before the first token, where a long prompt
 	// may rightly take long.
-	firstTokenStalled = 30 * time.Second
+	firstTokenTimeout = 30 * time.Second
 	probeTimeout      = 800 * time.Millisecond
-	// refusedMin and refusedMax bound the pause after a refusal.
-	refusedMin = 40 * time.Millisecond
-	refusedMax = time.Second
+	// minRefusalBackoff and refusedMax bound the pause after a refusal.
+	minRefusalBackoff = 40 * time.Millisecond
+	maxRefusalBackoff = time.Second
 )
 
 // runner runs chat requests on model engines.
@@ -57,10 +57,10 @@
 
 // run answers w's request through to the end of its journal. first is the
 // server that the queue granted, or nil for work that came from another entry.
-func (r *runner) run(w *work, body native.ChatRequest, first *grant) {
-	g, backoff := first, refusedMin
+func (r *runner) run(w *work, body native.ChatRequest, granted *grant) {
+	g, backoff := granted, minRefusalBackoff
 	for failures := 0; failures < maxAttempts; {
-		ctx, cancel := w.arm()
+		ctx, cancel := w.stepContext()
 		end, err := r.step(ctx, w, body, g)
 		cause := context.Cause(ctx)
 		cancel(nil)
@@ -69,7 +69,7 @@
 		case err == nil:
 			w.journal.Finish(end)
 			return
-		case errors.Is(cause, errPaused) && w.park(), errors.Is(cause, errMoved):
+		case errors.Is(cause, errPaused) && w.waitForResume(), errors.Is(cause, errMoved):
 			continue
 		case w.ctx.Err() != nil:
 			w.journal.Finish(request.End{Problem: endedProblem(w.ctx, w.request)})
@@ -78,13 +78,13 @@
 		var final *request.Problem
 		if errors.As(err, &final) {
 			if failures > 0 || len(w.journal.Tokens()) > 0 {
-				final = mayHaveRun(final)
+				final = withUnknownOutcome(final)
 			}
 			w.journal.Finish(request.End{Problem: final})
 			return
 		}
 		if native.NotRun(err) {
-			backoff = r.pause(w, backoff)
+			backoff = r.waitBackoff(w, backoff)
 			continue
 		}
 		failures++
@@ -93,10 +93,10 @@
 		"%d backend servers failed on this request", maxAttempts).After(time.Second)})
 }
 
-// mayHaveRun is the problem of a request that is refused after an attempt has
+// withUnknownOutcome is the problem of a request that is refused after an attempt has
 // reached a server. "Not run" was right for the attempt that was refused, and
 // would be a lie of the request.
-func mayHaveRun(p *request.Problem) *request.Problem {
+func withUnknownOutcome(p *request.Problem) *request.Problem {
 	c := *p
 	if c.Outcome == request.NotRun {
 		c.Outcome = request.Unknown
@@ -104,16 +104,16 @@
 	return &c
 }
 
-// pause waits before a request that a server refused, or that did not reach it,
-// tries another, and returns the next pause. At saturation every server refuses
-// for a while; without the pause, each waiting request would ask all of them
+// waitBackoff waits before a request that a server refused, or that did not reach it,
+// tries another, and returns the next waitBackoff. At saturation every server refuses
+// for a while; without the waitBackoff, each waiting request would ask all of them
 // over and over.
-func (r *runner) pause(w *work, backoff time.Duration) time.Duration {
+func (r *runner) waitBackoff(w *work, backoff time.Duration) time.Duration {
 	select {
 	case <-w.ctx.Done():
 	case <-time.After(rand.N(backoff)):
 	}
-	return min(2*backoff, refusedMax)
+	return min(2*backoff, maxRefusalBackoff)
 }
 
 // step makes one attempt, on the granted server or on another one.
@@ -124,7 +124,7 @@
 			return request.End{}, err
 		}
 	}
-	g, err := r.guard.clear(ctx, w.ticket, g)
+	g, err := r.guard.checkGrant(ctx, w.ticket, g)
 	if err != nil {
 		return request.End{}, err
 	}
@@ -132,16 +132,16 @@
 	end, err := r.attempt(ctx, w, body, g)
 	w.setCurrent(nil)
 	if err == nil {
-		r.guard.finish(g.lane.key, g.run)
+		r.guard.finish(g.lane.key, g.quarantineRun)
 		return end, nil
 	}
 	if ctx.Err() != nil {
 		g.cancelled()
-		r.guard.end(g.lane.key, g.run)
+		r.guard.end(g.lane.key, g.quarantineRun)
 		return end, err
 	}
-	r.lost(ctx, w, g, err)
-	w.ticket.failed = append(w.ticket.failed, g.verdict.Server)
+	r.attemptFailed(ctx, w, g, err)
+	w.ticket.failedServers = append(w.ticket.failedServers, g.verdict.Server)
 	return end, err
 }
 
@@ -156,10 +156,10 @@
 
 // reroute finds another server for a request that lost its own.
 func (r *runner) reroute(ctx context.Context, w *work) (*grant, error) {
-	tick := time.NewTicker(rerouteEvery)
+	tick := time.NewTicker(rerouteInterval)
 	defer tick.Stop()
 	for waits := 0; ; waits++ {
-		if g, ok := w.ticket.lane.again(w.ticket); ok {
+		if g, ok := w.ticket.lane.regrant(w.ticket); ok {
 			return g, nil
 		}
 		if waits == 0 {
@@ -174,14 +174,14 @@
 	}
 }
 
-// lost ends a failed attempt.
-func (r *runner) lost(ctx context.Context, w *work, g *grant, err error) {
+// attemptFailed ends a failed attempt.
+func (r *runner) attemptFailed(ctx context.Context, w *work, g *grant, err error) {
 	g.failed()
 	r.metrics.attemptsFailed.Inc()
 	event.Log(ctx, r.log, slog.LevelWarn, event.AttemptFailed,
 		slog.String("request", string(w.request.ID)), slog.String("server", g.verdict.Server),
 		slog.Int("tokens", len(w.journal.Tokens())), slog.String("error", err.Error()))
-	r.guard.lost(ctx, g, err)
+	r.guard.attemptFailed(ctx, g, err)
 }
 
 // attempt sends the request to one server and appends what comes to the
@@ -189,52 +189,52 @@
 func (r *runner) attempt(ctx context.Context, w *work, body native.ChatRequest, g *grant) (request.End, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	prefilled := 0
-	if done := w.journal.Tokens(); len(done) > 0 {
-		body.Resume = &native.Resume{Tokens: done, Handle: r.carry(ctx, w, g.verdict.Address)}
+	recomputed := 0
+	if received := w.journal.Tokens(); len(received) > 0 {
+		body.Resume = &native.Resume{Tokens: received, Handle: r.transferKV(ctx, w, g.verdict.Address)}
 		if body.Resume.Handle == "" {
-			prefilled = w.held()
+			recomputed = w.heldTokens()
 		}
 		r.metrics.resumed.Inc()
 		event.Log(ctx, r.log, slog.LevelInfo, event.StreamResumed,
 			slog.String("request", string(w.request.ID)), slog.String("server", g.verdict.Server),
-			slog.Int("tokens", len(done)))
+			slog.Int("tokens", len(received)))
 	}
-	watch := newWatch(r, g.verdict.Address, cancel)
+	watch := newStreamWatch(r, g.verdict.Address, cancel)
 	go watch.run(ctx)
 	stream, err := r.engines.Chat(ctx, g.verdict.Address, string(w.request.ID), body)
 	if err != nil {
-		return request.End{}, causeOf(ctx, err)
+		return request.End{}, attemptError(ctx, err)
 	}
 	defer stream.Close()
 	end, err := r.read(ctx, w, stream, g, watch)
 	if err != nil {
-		r.metrics.recomputed.Add(prefilled) // no usage comes from an attempt that broke off
+		r.metrics.recomputed.Add(recomputed) // no usage comes from an attempt that broke off
 	}
 	return end, err
 }
 
 // read copies the stream to the journal.
-func (r *runner) read(ctx context.Context, w *work, stream *native.ChatStream, g *grant, watch *watch) (request.End, error) {
+func (r *runner) read(ctx context.Context, w *work, stream *native.ChatStream, g *grant, watch *streamWatch) (request.End, error) {
 	var end request.End
-	sent := r.now()
-	last := sent
-	before := len(w.journal.Tokens())
+	sentAt := r.now()
+	lastToken := sentAt
+	initialTokens := len(w.journal.Tokens())
 	for {
 		chunk, err := stream.Next()
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-			if n := len(w.journal.Tokens()) - before; n > 1 {
-				g.pace(last.Sub(sent) / time.Duration(n))
+			if n := len(w.journal.Tokens()) - initialTokens; n > 1 {
+				g.observeTokenInterval(lastToken.Sub(sentAt) / time.Duration(n))
 			}
-			return r.whole(w, stream, g, end)
+			return r.complete(w, stream, g, end)
 		}
 		if err != nil {
-			return request.End{}, causeOf(ctx, err)
+			return request.End{}, attemptError(ctx, err)
 		}
-		watch.heard()
+		watch.observe()
 		for _, c := range chunk.Choices {
 			if c.Delta.Content != "" {
-				last = r.token(w, g, c.Delta.Content, sent, last)
+				lastToken = r.appendToken(w, g, c.Delta.Content, sentAt, lastToken)
 			}
 			if c.FinishReason != "" {
 				end.Finish = c.FinishReason
@@ -243,20 +243,20 @@
 	}
 }
 
-// token appends one token and returns when it came.
-func (r *runner) token(w *work, g *grant, text string, sent, last time.Time) time.Time {
+// appendToken appends one appendToken and returns when it came.
+func (r *runner) appendToken(w *work, g *grant, text string, sentAt, lastToken time.Time) time.Time {
 	now := r.now()
-	if last.Equal(sent) {
-		g.firstToken(now.Sub(sent))
-		r.metrics.engineFirstToken.UpdateDuration(sent)
+	if lastToken.Equal(sentAt) {
+		g.firstToken(now.Sub(sentAt))
+		r.metrics.engineFirstToken.UpdateDuration(sentAt)
 	} else {
-		r.metrics.betweenTokens.Update(now.Sub(last).Seconds())
+		r.metrics.betweenTokens.Update(now.Sub(lastToken).Seconds())
 	}
 	w.journal.Append(text)
 	return now
 }
 
-func (r *runner) whole(w *work, stream *native.ChatStream, g *grant, end request.End) (request.End, error) {
+func (r *runner) complete(w *work, stream *native.ChatStream, g *grant, end request.End) (request.End, error) {
 	g.finished(w.cost())
 	usage := stream.Usage()
 	end.Prompt, end.Cached, end.Recomputed = usage.Prompt, usage.Cached, usage.Recomputed
@@ -266,10 +266,10 @@
 	return end, nil
 }
 
-// causeOf prefers the reason for which this side ended the attempt over the
+// attemptError prefers the reason for which this side ended the attempt over the
 // broken connection that it made.
-func causeOf(ctx context.Context, err error) error {
-	if cause := context.Cause(ctx); errors.Is(cause, errStalled) || errors.Is(cause, errSilent) {
+func attemptError(ctx context.Context, err error) error {
+	if cause := context.Cause(ctx); errors.Is(cause, errStalled) || errors.Is(cause, errUnreachable) {
 		return cause
 	}
 	return err
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -12,8 +12,8 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// maxAnnouncement bounds an announcement or a batch of cache events in bytes.
-const maxAnnouncement = 1 << 20
+// maxAnnouncementBytes bounds an announcement or a batch of cache events in bytes.
+const maxAnnouncementBytes = 1 << 20
 
 // handleAnnounce takes a backend server's announcement, which is also its
 // heartbeat. Without the announcers' key, anybody who reaches an entry could
@@ -27,7 +27,7 @@
 		e.refuseAnnouncement(w, r, request.NewProblem(request.CodeAnnounceRefused, request.NotRun, "%v", err))
 		return
 	}
-	if !e.listening() {
+	if !e.acceptsAnnouncements() {
 		e.refuseAnnouncement(w, r, e.drainingProblem())
 		return
 	}
@@ -50,7 +50,7 @@
 	if !e.decodeFromServer(w, r, &batch) {
 		return
 	}
-	e.prefixes.heard(r.PathValue("id"), batch.Incarnation, batch.Events)
+	e.prefixes.receive(r.PathValue("id"), batch.Incarnation, batch.Events)
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -61,7 +61,7 @@
 		e.refuseAnnouncement(w, r, request.NewProblem(request.CodeUnauthorized, request.NotRun, "the announcers' key is missing or wrong"))
 		return false
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement)).Decode(into); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)).Decode(into); err != nil {
 		e.refuseAnnouncement(w, r, request.NewProblem(request.CodeBadRequest, request.NotRun, "%v", err))
 		return false
 	}
@@ -74,16 +74,16 @@
 	p.Write(w)
 }
 
-// loadTime is when an announced load held, by this entry's clock. The server's
+// loadMeasuredAt is when an announced load held, by this entry's clock. The server's
 // clock may differ, so only the report's age by that clock is used, and never
 // more than maxReportAge.
-func loadTime(a *instance.Announcement, now time.Time) time.Time {
+func loadMeasuredAt(a *instance.Announcement, now time.Time) time.Time {
 	if a.Load.At.IsZero() {
 		return now
 	}
 	age := now.Sub(a.Load.At)
-	return now.Add(-min(max(age, 0), maxReportAge))
+	return now.Add(-min(max(age, 0), maxLoadAge))
 }
 
-// maxReportAge is beyond the lag of any report that is still worth correcting.
-const maxReportAge = 5 * time.Second
+// maxLoadAge is beyond the lag of any report that is still worth correcting.
+const maxLoadAge = 5 * time.Second
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -20,16 +20,16 @@
 	maxDeadline          = 30 * time.Minute
 )
 
-// maxKeyLength bounds an Idempotency-Key, which the ledger keeps for a day.
-const maxKeyLength = 255
+// maxKeyBytes bounds an Idempotency-Key, which the ledger keeps for a day.
+const maxKeyBytes = 255
 
-// staleRetry is when a caller should come back to an entry that cannot confirm
+// staleRetryDelay is when a caller should come back to an entry that cannot confirm
 // its catalogue; meanwhile another entry may take it.
-const staleRetry = 2 * time.Second
+const staleRetryDelay = 2 * time.Second
 
-// emptyRetry is when a caller should come back to a system that has just started:
+// emptyRetryDelay is when a caller should come back to a system that has just started:
 // its first catalogue arrives within a second.
-const emptyRetry = time.Second
+const emptyRetryDelay = time.Second
 
 // call is one caller's request on its way to acceptance.
 type call struct {
@@ -43,15 +43,15 @@
 // that is surely in force.
 func (e *Entry) authenticate(r *http.Request) (*call, *request.Problem) {
 	c := &call{http: r, arrived: e.deps.Now()}
-	if !e.accepting() {
+	if !e.acceptsRequests() {
 		return nil, e.drainingProblem()
 	}
 	if c.catalogue = e.follower.inForce(); c.catalogue == nil {
 		return nil, request.NewProblem(request.CodeCatalogueStale, request.NotRun,
-			"no majority of control replicas has confirmed this entry's catalogue; other entries: %s", e.otherEntries()).After(staleRetry)
+			"no majority of control replicas has confirmed this entry's catalogue; other entries: %s", e.otherEntryAddresses()).After(staleRetryDelay)
 	}
 	if c.catalogue.empty() {
-		return nil, request.NewProblem(request.CodeCatalogueStale, request.NotRun, "no catalogue has been accepted yet").After(emptyRetry)
+		return nil, request.NewProblem(request.CodeCatalogueStale, request.NotRun, "no catalogue has been accepted yet").After(emptyRetryDelay)
 	}
 	key, _ := request.BearerKey(r.Header)
 	var known bool
@@ -69,28 +69,28 @@
 		return nil, request.NewProblem(request.CodeUnknownService, request.NotRun, "no %s service %q", kind, name)
 	case !s.Allows(c.workspace.Name):
 		return nil, request.NewProblem(request.CodeForbidden, request.NotRun, "workspace %s may not call %q", c.workspace.Name, name)
-	case c.catalogue.stopped(name, c.arrived):
-		return nil, request.NewProblem(request.CodeStopped, request.NotRun, "service %q has a planned stop", name).After(stoppedRetry)
+	case c.catalogue.serviceStopped(name, c.arrived):
+		return nil, request.NewProblem(request.CodeStopped, request.NotRun, "service %q has a planned stop", name).After(stoppedRetryDelay)
 	}
 	return s, nil
 }
 
-// stoppedRetry is when a caller of a stopped service should ask again: stops
+// stoppedRetryDelay is when a caller of a stopped service should ask again: stops
 // last minutes, and nobody knows how many.
-const stoppedRetry = 30 * time.Second
+const stoppedRetryDelay = 30 * time.Second
 
 // request builds the part of a request that chat and plain calls share.
 func (e *Entry) newRequest(c *call, s *contract.Service, fallback time.Duration) (*request.Request, *request.Problem) {
 	h := c.http.Header
-	deadline, p := deadlineOf(h, c.arrived, fallback)
+	deadline, p := parseDeadline(h, c.arrived, fallback)
 	if p != nil {
 		return nil, p
 	}
 	key := h.Get(request.HeaderKey)
-	if len(key) > maxKeyLength {
-		return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "%s is longer than %d bytes", request.HeaderKey, maxKeyLength)
+	if len(key) > maxKeyBytes {
+		return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "%s is longer than %d bytes", request.HeaderKey, maxKeyBytes)
 	}
-	e.shares.add(c.workspace.Name, c.arrived)
+	e.trafficShares.add(c.workspace.Name, c.arrived)
 	return &request.Request{
 		ID: request.NewID(e.cfg.Region), Workspace: c.workspace.Name, Service: s.Name,
 		Class:  c.workspace.Class.Lower(contract.Class(h.Get(request.HeaderClass))),
@@ -100,9 +100,9 @@
 	}, nil
 }
 
-// deadlineOf reads the caller's deadline, milliseconds from now. It travels
+// parseDeadline reads the caller's deadline, milliseconds from now. It travels
 // with the request, so that no engine works on an answer that nobody awaits.
-func deadlineOf(h http.Header, now time.Time, fallback time.Duration) (time.Time, *request.Problem) {
+func parseDeadline(h http.Header, now time.Time, fallback time.Duration) (time.Time, *request.Problem) {
 	text := h.Get(request.HeaderDeadline)
 	if text == "" {
 		return now.Add(fallback), nil
@@ -122,26 +122,26 @@
 // is "not run" and no server waits for its rest.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *request.Problem) {
 	if r.ContentLength > limit {
-		return nil, tooLarge(limit)
+		return nil, tooLargeProblem(limit)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
 		return body, nil
 	}
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
-		return nil, tooLarge(limit)
+	var maxBytesErr *http.MaxBytesError
+	if errors.As(err, &maxBytesErr) {
+		return nil, tooLargeProblem(limit)
 	}
 	return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "the request body broke off: %v", err)
 }
 
-func tooLarge(limit int64) *request.Problem {
+func tooLargeProblem(limit int64) *request.Problem {
 	return request.NewProblem(request.CodeTooLarge, request.NotRun, "the body is larger than %d bytes", limit)
 }
 
 // refuse gives a request its final answer, at once, and logs it.
 func (e *Entry) refuse(w http.ResponseWriter, r *http.Request, p *request.Problem) {
-	e.metrics.ended(p.Outcome, p.Code)
+	e.metrics.requestEnded(p.Outcome, p.Code)
 	event.Log(r.Context(), e.deps.Log, slog.LevelInfo, event.RequestRefused,
 		slog.String("request", string(p.RequestID)), slog.String("method", r.Method), slog.String("path", r.URL.Path),
 		slog.String("code", string(p.Code)), slog.String("outcome", string(p.Outcome)),
@@ -151,7 +151,7 @@
 
 // logEnd writes the one line that tells how an accepted request ended.
 func (e *Entry) logEnd(r *request.Request, o request.Outcome, c request.Code, tokens int) {
-	e.metrics.ended(o, c)
+	e.metrics.requestEnded(o, c)
 	event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.RequestEnded,
 		slog.String("request", string(r.ID)), slog.String("workspace", r.Workspace), slog.String("service", r.Service),
 		slog.String("outcome", string(o)), slog.String("code", string(c)), slog.Int("tokens", tokens),
--- a/entry/catalogue.go
+++ b/entry/catalogue.go
@@ -25,24 +25,24 @@
 // catalogue is one version of the catalogue, indexed for requests. It does not
 // change.
 type catalogue struct {
-	reply      api.CatalogueReply
-	workspaces map[contract.KeyHash]*contract.Workspace
-	byName     map[string]*contract.Workspace
-	services   map[string]*contract.Service
+	reply            api.CatalogueReply
+	workspacesByKey  map[contract.KeyHash]*contract.Workspace
+	workspacesByName map[string]*contract.Workspace
+	services         map[string]*contract.Service
 }
 
 func newCatalogue(r api.CatalogueReply) *catalogue {
 	c := &catalogue{
-		reply:      r,
-		workspaces: map[contract.KeyHash]*contract.Workspace{},
-		byName:     map[string]*contract.Workspace{},
-		services:   map[string]*contract.Service{},
+		reply:            r,
+		workspacesByKey:  map[contract.KeyHash]*contract.Workspace{},
+		workspacesByName: map[string]*contract.Workspace{},
+		services:         map[string]*contract.Service{},
 	}
 	for i := range r.Catalogue.Workspaces {
 		w := &r.Catalogue.Workspaces[i]
-		c.byName[w.Name] = w
+		c.workspacesByName[w.Name] = w
 		for _, k := range w.Keys {
-			c.workspaces[k] = w
+			c.workspacesByKey[k] = w
 		}
 	}
 	for i := range r.Catalogue.Services {
@@ -54,17 +54,17 @@
 
 // empty reports whether nobody can call: no catalogue was accepted yet. A good key
 // must not read as unknown then, which callers take for final.
-func (c *catalogue) empty() bool { return len(c.workspaces) == 0 }
+func (c *catalogue) empty() bool { return len(c.workspacesByKey) == 0 }
 
 // workspaceOf finds the workspace of a bearer key. The key is looked up by its
 // hash, so the time taken tells nothing about other keys.
 func (c *catalogue) workspaceOf(key string) (*contract.Workspace, bool) {
-	w, ok := c.workspaces[contract.HashKey(key)]
+	w, ok := c.workspacesByKey[contract.HashKey(key)]
 	return w, ok
 }
 
-// stopped reports whether a planned stop covers the service.
-func (c *catalogue) stopped(service string, now time.Time) bool {
+// serviceStopped reports whether a planned stop covers the service.
+func (c *catalogue) serviceStopped(service string, now time.Time) bool {
 	for i := range c.reply.Stops {
 		s := &c.reply.Stops[i]
 		if s.Scope == contract.StopService && s.Name == service && s.InForce(now) {
@@ -74,8 +74,8 @@
 	return false
 }
 
-// covered reports whether a planned stop in force covers an instance.
-func (c *catalogue) covered(id, zone string, now time.Time) bool {
+// instanceStopped reports whether a planned stop in force covers an instance.
+func (c *catalogue) instanceStopped(id, zone string, now time.Time) bool {
 	for i := range c.reply.Stops {
 		s := &c.reply.Stops[i]
 		if s.Covers(id, zone) && s.InForce(now) {
@@ -101,21 +101,21 @@
 // newer than its catalogue has been accepted. No leader is needed for that, and
 // another entry's confirmation counts with its age.
 type follower struct {
-	control  controlClient
-	pool     *link.Pool
-	peers    func() []string // link addresses of other entries
-	log      *slog.Logger
-	now      func() time.Time
-	freshFor time.Duration
-	every    time.Duration
-	lax      bool
-	onChange func(*catalogue)
+	control          controlClient
+	pool             *link.Pool
+	peers            func() []string // link addresses of other entries
+	log              *slog.Logger
+	now              func() time.Time
+	freshFor         time.Duration
+	interval         time.Duration
+	serveUnconfirmed bool
+	onChange         func(*catalogue)
 
 	current atomic.Pointer[catalogue]
 
-	mu        sync.Mutex
-	confirmed time.Time // when the question was asked whose answer confirmed the catalogue
-	fresh     bool      // as last logged
+	mu          sync.Mutex
+	confirmedAt time.Time // when the question was asked whose answer confirmed the catalogue
+	loggedFresh bool      // as last logged
 }
 
 func (f *follower) register(s *link.Server) {
@@ -144,15 +144,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.current.Load() // not before the lock: a poll in between would put its confirmation beside the old index
-	if c == nil || f.confirmed.IsZero() {
+	if c == nil || f.confirmedAt.IsZero() {
 		return confirmedReply{}
 	}
-	return confirmedReply{Index: c.reply.Index, Age: f.now().Sub(f.confirmed), Known: true}
+	return confirmedReply{Index: c.reply.Index, Age: f.now().Sub(f.confirmedAt), Known: true}
 }
 
 // run polls until ctx ends.
 func (f *follower) run(ctx context.Context) error {
-	tick := time.NewTicker(f.every)
+	tick := time.NewTicker(f.interval)
 	defer tick.Stop()
 	for {
 		f.poll(ctx)
@@ -165,14 +165,14 @@
 }
 
 func (f *follower) poll(ctx context.Context) {
-	asked := f.now()
-	if err := f.pollControl(ctx, asked); err != nil {
-		f.pollPeers(ctx, asked)
+	askedAt := f.now()
+	if err := f.pollControl(ctx, askedAt); err != nil {
+		f.pollPeers(ctx, askedAt)
 	}
-	f.report(ctx)
+	f.logFreshness(ctx)
 }
 
-func (f *follower) pollControl(ctx context.Context, asked time.Time) error {
+func (f *follower) pollControl(ctx context.Context, askedAt time.Time) error {
 	c, err := f.control.Confirm(ctx)
 	if err != nil {
 		return trace.Wrap(err)
@@ -180,28 +180,28 @@
 	if f.current.Load() == nil || f.index() < c.Newest {
 		reply, err := f.control.Catalogue(ctx, f.index())
 		if err == nil {
-			f.take(ctx, reply)
+			f.applyReply(ctx, reply)
 		}
 	}
-	f.confirm(c.Needed, asked)
+	f.recordConfirmation(c.Needed, askedAt)
 	return nil
 }
 
 // pollPeers asks other entries, which may reach control where this one cannot.
-func (f *follower) pollPeers(ctx context.Context, asked time.Time) {
+func (f *follower) pollPeers(ctx context.Context, askedAt time.Time) {
 	for _, addr := range f.peers() {
 		reply, err := link.Call[confirmedReply](ctx, f.pool, addr, methodConfirmed, struct{}{})
 		if err != nil || !reply.Known {
 			continue
 		}
 		if f.index() < reply.Index {
-			cat, err := link.Call[api.CatalogueReply](ctx, f.pool, addr, methodCatalogue, api.CatalogueRequest{Have: f.index()})
+			catalogueReply, err := link.Call[api.CatalogueReply](ctx, f.pool, addr, methodCatalogue, api.CatalogueRequest{Have: f.index()})
 			if err != nil {
 				continue
 			}
-			f.take(ctx, cat)
+			f.applyReply(ctx, catalogueReply)
 		}
-		f.confirm(reply.Index, asked.Add(-reply.Age))
+		f.recordConfirmation(reply.Index, askedAt.Add(-reply.Age))
 		if f.isFresh() {
 			return
 		}
@@ -215,9 +215,9 @@
 	return 0
 }
 
-// take puts a newer catalogue in force here. An older one, answered late by a
+// applyReply puts a newer catalogue in force here. An older one, answered late by a
 // replica that lags, is passed over: a catalogue never reverts.
-func (f *follower) take(ctx context.Context, r api.CatalogueReply) {
+func (f *follower) applyReply(ctx context.Context, r api.CatalogueReply) {
 	old := f.current.Load()
 	if r.Unchanged || (old != nil && r.Index <= old.reply.Index) {
 		return
@@ -229,38 +229,38 @@
 	f.onChange(c)
 }
 
-// confirm notes that at the time asked nothing beyond index needed had been
+// recordConfirmation notes that at the time asked nothing beyond index needed had been
 // accepted, if this entry's catalogue reaches it.
-func (f *follower) confirm(needed uint64, asked time.Time) {
+func (f *follower) recordConfirmation(needed uint64, askedAt time.Time) {
 	if f.index() < needed || f.current.Load() == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if asked.After(f.confirmed) {
-		f.confirmed = asked
+	if askedAt.After(f.confirmedAt) {
+		f.confirmedAt = askedAt
 	}
 }
 
 func (f *follower) isFresh() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.confirmed.IsZero() && f.now().Sub(f.confirmed) <= f.freshFor
+	return !f.confirmedAt.IsZero() && f.now().Sub(f.confirmedAt) <= f.freshFor
 }
 
 // inForce returns the catalogue by which new requests may be judged, or nil.
 func (f *follower) inForce() *catalogue {
-	if !(f.lax || f.isFresh()) {
+	if !(f.serveUnconfirmed || f.isFresh()) {
 		return nil
 	}
 	return f.current.Load() // not before isFresh: a poll in between would confirm a newer one than was loaded
 }
 
-func (f *follower) report(ctx context.Context) {
+func (f *follower) logFreshness(ctx context.Context) {
 	fresh := f.isFresh()
 	f.mu.Lock()
-	changed := fresh != f.fresh
-	f.fresh = fresh
+	changed := fresh != f.loggedFresh
+	f.loggedFresh = fresh
 	f.mu.Unlock()
 	switch {
 	case changed && fresh:
--- a/entry/catalogue_test.go
+++ b/entry/catalogue_test.go
@@ -32,31 +32,31 @@
 // fakeControl is control as an entry sees it. accepted holds when each change
 // was accepted; change i+1 has index i+1.
 type fakeControl struct {
-	clock    *testClock
-	t        *rapid.T
-	accepted []time.Time
+	clock      *testClock
+	t          *rapid.T
+	acceptedAt []time.Time
 }
 
 var errLost = errors.New("answer lost")
 
-func (c *fakeControl) pause(label string) {
+func (c *fakeControl) advanceClock(label string) {
 	c.clock.advance(time.Duration(rapid.SampledFrom([]int{0, 0, 1, 30, 900, 3900, 9000}).Draw(c.t, label)) * time.Millisecond)
 }
 
 // accept takes n changes now.
-func (c *fakeControl) accept(n int) {
+func (c *fakeControl) acceptChanges(n int) {
 	for range n {
-		c.accepted = append(c.accepted, c.clock.at)
+		c.acceptedAt = append(c.acceptedAt, c.clock.at)
 	}
 }
 
 // Confirm names at least what was accepted when it was asked; replicas may have
 // more in their logs. The way there and back takes time, in which changes are accepted.
 func (c *fakeControl) Confirm(context.Context) (api.Confirmation, error) {
-	c.pause("way there")
-	needed := uint64(len(c.accepted))
-	c.accept(rapid.IntRange(0, 2).Draw(c.t, "accepted meanwhile"))
-	c.pause("way back")
+	c.advanceClock("way there")
+	needed := uint64(len(c.acceptedAt))
+	c.acceptChanges(rapid.IntRange(0, 2).Draw(c.t, "accepted meanwhile"))
+	c.advanceClock("way back")
 	if rapid.IntRange(0, 4).Draw(c.t, "confirmation lost") == 0 {
 		return api.Confirmation{}, errLost
 	}
@@ -65,11 +65,11 @@
 
 // Catalogue answers as a replica that may lag behind.
 func (c *fakeControl) Catalogue(_ context.Context, have uint64) (api.CatalogueReply, error) {
-	c.pause("fetch")
+	c.advanceClock("fetch")
 	if rapid.IntRange(0, 4).Draw(c.t, "catalogue lost") == 0 {
 		return api.CatalogueReply{}, errLost
 	}
-	index := uint64(rapid.IntRange(0, len(c.accepted)).Draw(c.t, "replica's index"))
+	index := uint64(rapid.IntRange(0, len(c.acceptedAt)).Draw(c.t, "replica's index"))
 	return api.CatalogueReply{Index: index, Unchanged: index == have}, nil
 }
 
@@ -86,20 +86,20 @@
 // accepted before t - freshFor is in it, and its index never falls. Broken by
 // taking asked after the answer in pollControl, by removing the index check in
 // confirm, and by removing the one in take.
-func TestCatalogueInForceLacksNoOldChange(t *testing.T) {
+func TestCatalogueInForceHasEveryOldChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := newTestClock()
 		control := &fakeControl{clock: clock, t: t}
 		f := newTestFollower(control, clock.now)
-		last := uint64(0)
+		lastIndex := uint64(0)
 		check := func() {
-			require.GreaterOrEqual(t, f.index(), last)
-			last = f.index()
+			require.GreaterOrEqual(t, f.index(), lastIndex)
+			lastIndex = f.index()
 			c := f.inForce()
 			if c == nil {
 				return
 			}
-			for i, at := range control.accepted {
+			for i, at := range control.acceptedAt {
 				if at.Before(clock.at.Add(-testFreshFor)) {
 					require.GreaterOrEqual(t, c.reply.Index, uint64(i+1))
 				}
@@ -107,9 +107,9 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"":       func(*rapid.T) { check() },
-			"accept": func(*rapid.T) { control.accept(1) },
+			"accept": func(*rapid.T) { control.acceptChanges(1) },
 			"poll":   func(*rapid.T) { f.poll(t.Context()) },
-			"freeze": func(*rapid.T) { control.pause("frozen") },
+			"freeze": func(*rapid.T) { control.advanceClock("frozen") },
 		})
 	})
 }
@@ -143,12 +143,12 @@
 // confirmed, on a clock that differs by an hour. Its word is as old as its own
 // confirmation; taken as fresh, the two could keep each other serving by an old
 // catalogue for good. Broken by leaving out Add(-reply.Age) in pollPeers.
-func TestPeersConfirmationsKeepTheirAge(t *testing.T) {
-	far, clock := newTestClock(), newTestClock()
-	far.advance(time.Hour)
-	peer, own := newTestFollower(nil, far.now), newTestFollower(refusingControl{}, clock.now)
-	peer.take(t.Context(), api.CatalogueReply{Index: 3})
-	peer.confirm(3, far.at.Add(-3*time.Second))
+func TestPeerConfirmationKeepsItsAge(t *testing.T) {
+	peerClock, clock := newTestClock(), newTestClock()
+	peerClock.advance(time.Hour)
+	peer, own := newTestFollower(nil, peerClock.now), newTestFollower(refusingControl{}, clock.now)
+	peer.applyReply(t.Context(), api.CatalogueReply{Index: 3})
+	peer.recordConfirmation(3, peerClock.at.Add(-3*time.Second))
 	own.pool = link.NewPool(link.PoolConfig{Self: link.PeerInfo{ID: "own", Role: "entry"}, ClusterKey: []byte("k")}, link.PoolDeps{Log: own.log})
 	t.Cleanup(own.pool.Close)
 	addr := serveFollower(t, peer)
@@ -178,16 +178,16 @@
 
 // replaceWhileLocked runs ask while its follower is in the middle of a poll that
 // brings catalogue 2 and its confirmation after a long time without any.
-func replaceWhileLocked[T any](t *testing.T, f *follower, function string, ask func() T) T {
+func replaceWhileLocked[T any](t *testing.T, f *follower, function string, call func() T) T {
 	t.Helper()
 	f.mu.Lock()
-	answer := make(chan T, 1)
-	go func() { answer <- ask() }()
+	result := make(chan T, 1)
+	go func() { result <- call() }()
 	awaitLock(t, function)
 	f.current.Store(newCatalogue(api.CatalogueReply{Index: 2}))
-	f.confirmed = f.now()
+	f.confirmedAt = f.now()
 	f.mu.Unlock()
-	return <-answer
+	return <-result
 }
 
 // An entry was cut off for long, and its first poll afterwards brings the
@@ -195,10 +195,10 @@
 // moment must be judged by that one or refused, never by the old catalogue under
 // the new confirmation. Broken by loading the catalogue before the freshness is
 // looked at in inForce.
-func TestInForcePairsCatalogueAndConfirmation(t *testing.T) {
+func TestInForceNeverPairsOldCatalogueWithNewConfirmation(t *testing.T) {
 	clock := newTestClock()
 	f := newTestFollower(nil, clock.now)
-	f.take(t.Context(), api.CatalogueReply{Index: 1})
+	f.applyReply(t.Context(), api.CatalogueReply{Index: 1})
 	c := replaceWhileLocked(t, f, "(*follower).inForce", f.inForce)
 	require.NotNil(t, c)
 	require.Equal(t, uint64(2), c.reply.Index)
@@ -208,18 +208,18 @@
 // The answer must not pair the old index with the new confirmation: the other
 // entry would keep its old catalogue in force by it. Broken by loading the
 // catalogue before the lock in describe.
-func TestDescribePairsCatalogueAndConfirmation(t *testing.T) {
+func TestDescribeNeverPairsOldIndexWithNewConfirmation(t *testing.T) {
 	clock := newTestClock()
 	f := newTestFollower(nil, clock.now)
-	f.take(t.Context(), api.CatalogueReply{Index: 1})
-	f.confirm(1, clock.at.Add(-time.Minute))
+	f.applyReply(t.Context(), api.CatalogueReply{Index: 1})
+	f.recordConfirmation(1, clock.at.Add(-time.Minute))
 	reply := replaceWhileLocked(t, f, "(*follower).describe", f.describe)
 	require.Equal(t, confirmedReply{Index: 2, Known: true}, reply)
 }
 
 // A system has just started and its first catalogue is on its way. A caller with a
 // good key must be told to come back, and not that nobody holds its key.
-func TestEmptyCatalogueKnowsNoCaller(t *testing.T) {
+func TestEmptyCatalogueIsDetected(t *testing.T) {
 	require.True(t, newCatalogue(api.CatalogueReply{}).empty())
 	full := newCatalogue(api.CatalogueReply{Catalogue: contract.Catalogue{
 		Workspaces: []contract.Workspace{{Name: "w", Keys: []contract.KeyHash{contract.HashKey("k")}}},
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -17,9 +17,9 @@
 
 // Estimates of a chat request's cost in tokens, used until its answer is whole.
 const (
-	bytesPerToken  = 4   // of English text, the usual rule of thumb
-	assumedAnswer  = 256 // tokens, where the caller sets no bound
-	maxAnswerBound = 128 << 10
+	bytesPerToken       = 4   // of English text, the usual rule of thumb
+	defaultAnswerTokens = 256 // tokens, where the caller sets no bound
+	maxAnswerTokens     = 128 << 10
 )
 
 // handleChat takes a model call, streamed or whole.
@@ -34,7 +34,7 @@
 		e.refuse(w, r, p)
 		return
 	}
-	e.follow(w, r, wk, 0)
+	e.sendAnswer(w, r, wk, 0)
 }
 
 // acceptChat turns the caller's request into work that runs, or refuses it.
@@ -52,7 +52,7 @@
 		return nil, p
 	}
 	if int64(len(body)) > s.BodyLimit() {
-		return nil, tooLarge(s.BodyLimit())
+		return nil, tooLargeProblem(s.BodyLimit())
 	}
 	req, p := e.newRequest(c, s, defaultChatDeadline)
 	if p != nil {
@@ -78,8 +78,8 @@
 		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "model is missing: it names the service")
 	case len(chat.Messages) == 0:
 		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "messages is empty")
-	case chat.MaxTokens < 0 || chat.MaxTokens > maxAnswerBound:
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "max_tokens %d is out of range 0..%d", chat.MaxTokens, maxAnswerBound)
+	case chat.MaxTokens < 0 || chat.MaxTokens > maxAnswerTokens:
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "max_tokens %d is out of range 0..%d", chat.MaxTokens, maxAnswerTokens)
 	case chat.Resume != nil:
 		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "resume is not for callers")
 	}
@@ -98,7 +98,7 @@
 	if c.MaxTokens > 0 {
 		return c.MaxTokens
 	}
-	return assumedAnswer
+	return defaultAnswerTokens
 }
 
 // startChat queues an admitted request and starts its work.
@@ -124,7 +124,7 @@
 // newWork builds the work of a request. tokens are those that another entry
 // has received already.
 func (e *Entry) newWork(s *contract.Service, req *request.Request, chat native.ChatRequest, tokens []string, weight int) (*work, error) {
-	l, err := e.lanes.of(laneOf(s))
+	l, err := e.lanes.get(laneKeyOf(s))
 	if err != nil {
 		return nil, err
 	}
@@ -158,15 +158,15 @@
 		wk.cancel()
 		return false
 	}
-	e.running.Go(func() {
+	e.runningRequests.Go(func() {
 		defer wk.cancel()
 		defer func() { e.release(wk.request, wk.cost()) }()
-		var first *grant
+		var granted *grant
 		if queued {
-			first = e.awaitGrant(wk)
+			granted = e.awaitGrant(wk)
 		}
 		if wk.journal.Ended() == nil {
-			e.runner.run(wk, body, first)
+			e.runner.run(wk, body, granted)
 		}
 		e.finishChat(wk)
 	})
@@ -177,15 +177,15 @@
 // was refused, which ends its journal, or when it was taken out of the queue to
 // be handed over.
 func (e *Entry) awaitGrant(wk *work) *grant {
-	ctx, cancel := wk.arm()
+	ctx, cancel := wk.stepContext()
 	defer cancel(nil)
 	select {
 	case d := <-wk.ticket.decision:
-		return e.decided(wk, d)
+		return e.applyDecision(wk, d)
 	case <-ctx.Done():
 	}
 	if !wk.ticket.lane.withdraw(wk.request.ID) {
-		return e.decided(wk, <-wk.ticket.decision)
+		return e.applyDecision(wk, <-wk.ticket.decision)
 	}
 	if wk.ctx.Err() != nil {
 		wk.journal.Finish(request.End{Problem: request.NewProblem(request.CodeDeadlineExpired, request.NotRun, "the request was given up while it waited")})
@@ -193,7 +193,7 @@
 	return nil
 }
 
-func (e *Entry) decided(wk *work, d decision) *grant {
+func (e *Entry) applyDecision(wk *work, d decision) *grant {
 	e.metrics.queueWait.UpdateDuration(wk.request.Accepted)
 	if d.problem != nil {
 		wk.journal.Finish(request.End{Problem: d.problem})
@@ -207,20 +207,20 @@
 	outcome, code := request.Answered, request.Code("")
 	switch {
 	case end.MovedTo != "":
-		wk.ended(e.deps.Now())
+		wk.markEnded(e.deps.Now())
 		return // the entry that took it over tells how it ended
 	case end.Problem != nil:
 		outcome, code = end.Problem.Outcome, end.Problem.Code
 	}
 	e.logEnd(wk.request, outcome, code, len(wk.journal.Tokens()))
-	wk.ended(e.deps.Now())
+	wk.markEnded(e.deps.Now())
 }
 
-// follow sends the answer from token number from on to one caller.
-func (e *Entry) follow(w http.ResponseWriter, r *http.Request, wk *work, from int) {
-	wk.follow()
+// sendAnswer sends the answer from token number from on to one caller.
+func (e *Entry) sendAnswer(w http.ResponseWriter, r *http.Request, wk *work, from int) {
+	wk.addFollower()
 	defer func() {
-		if wk.unfollow(e.deps.Now()) && wk.journal.Ended() == nil {
+		if wk.removeFollower(e.deps.Now()) && wk.journal.Ended() == nil {
 			event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.CallerLeft, slog.String("request", string(wk.request.ID)))
 			wk.cancel() // its only caller has left: the engine's slot goes to somebody who waits
 		}
@@ -230,7 +230,7 @@
 		a.stream(r.Context())
 		return
 	}
-	a.whole(r.Context())
+	a.sendWhole(r.Context())
 }
 
 // handleAnswer gives a caller that comes back the answer of its request, by the
@@ -242,15 +242,15 @@
 		e.refuse(w, r, request.NewProblem(request.CodeNoSuchAnswer, request.Unknown, "request %s is not here", id))
 		return
 	}
-	from, p := eventID(r, len(wk.journal.Tokens()))
+	from, p := parseLastEventID(r, len(wk.journal.Tokens()))
 	if p != nil {
 		e.refuse(w, r, p)
 		return
 	}
 	event.Log(r.Context(), e.deps.Log, slog.LevelInfo, event.CallerReturned,
 		slog.String("request", string(id)), slog.Int("from", from))
-	e.follow(w, r, wk, from)
+	e.sendAnswer(w, r, wk, from)
 }
 
-// answerGrace is how long an answer is held for a caller whose connection broke.
-const answerGrace = 60 * time.Second
+// answerTTL is how long an answer is held for a caller whose connection broke.
+const answerTTL = 60 * time.Second
--- a/entry/chat_test.go
+++ b/entry/chat_test.go
@@ -35,7 +35,7 @@
 		require.NotEmpty(t, chat.Messages)
 		require.Nil(t, chat.Resume)
 		require.GreaterOrEqual(t, chat.MaxTokens, 0)
-		require.LessOrEqual(t, chat.MaxTokens, maxAnswerBound)
+		require.LessOrEqual(t, chat.MaxTokens, maxAnswerTokens)
 		require.Positive(t, answerCost(promptTokens(chat.Messages), answerTokens(chat)))
 	})
 }
@@ -70,6 +70,6 @@
 		l := newTestLane(t)
 		l.announce(&a, l.clock.now())
 		l.tick()
-		l.leave(a.ID, a.Incarnation)
+		l.markLeaving(a.ID, a.Incarnation)
 	})
 }
--- a/entry/config.go
+++ b/entry/config.go
@@ -9,23 +9,23 @@
 
 // Config holds an entry's settings.
 type Config struct {
-	ID           string
-	Region       string
-	Zone         string
-	CallerListen string
-	CallerAddr   string // as callers are told; empty: CallerListen
-	LinkListen   string
-	OpsAddr      string
-	Control      []string // link addresses of the control replicas
-	Seeds        []string // link addresses of other entries to meet first
-	ClusterKey   string
-	AnnounceKey  string
-	LogLevel     string
-	FreshFor     time.Duration
-	Lax          bool
-	ListValidity time.Duration
-	DrainTimeout time.Duration
-	Capacity     int // requests in flight that count as a full load
+	ID               string
+	Region           string
+	Zone             string
+	CallerListen     string
+	CallerAddr       string // as callers are told; empty: CallerListen
+	LinkListen       string
+	OpsAddr          string
+	Control          []string // link addresses of the control replicas
+	Seeds            []string // link addresses of other entries to meet first
+	ClusterKey       string
+	AnnounceKey      string
+	LogLevel         string
+	FreshFor         time.Duration
+	ServeUnconfirmed bool
+	ListValidity     time.Duration
+	DrainTimeout     time.Duration
+	Capacity         int // requests in flight that count as a full load
 }
 
 // Declare declares the settings on s.
@@ -43,22 +43,22 @@
 	s.Secret(&c.AnnounceKey, "announce-key", "bearer key of backend servers' announcements", settings.Required)
 	s.String(&c.LogLevel, "log-level", "info", "debug, info, warn or error", settings.LogLevel)
 	s.Duration(&c.FreshFor, "fresh-for", 4*time.Second, "how long a confirmed catalogue counts as current", settings.Between(time.Second, time.Minute))
-	s.Bool(&c.Lax, "serve-unconfirmed", false, "let requests in by a catalogue that control has not confirmed; an operator's change may then not be in force here")
+	s.Bool(&c.ServeUnconfirmed, "serve-unconfirmed", false, "let requests in by a catalogue that control has not confirmed; an operator's change may then not be in force here")
 	s.Duration(&c.ListValidity, "list-validity", 30*time.Second, "how long callers keep the answer to which entry to use", settings.Between(time.Second, 10*time.Minute))
 	s.Int(&c.Capacity, "capacity", 1000, "requests in flight that count as a full load when callers are spread", settings.Between(1, 1_000_000))
 	s.Duration(&c.DrainTimeout, "drain-timeout", 5*time.Minute, "how long a stop waits for requests to end before it hands them over", settings.Between(time.Second, time.Hour))
 }
 
-// advertised is the address that callers are told.
-func (c *Config) advertised() string {
+// advertisedAddress is the address that callers are told.
+func (c *Config) advertisedAddress() string {
 	if c.CallerAddr != "" {
 		return c.CallerAddr
 	}
 	return c.CallerListen
 }
 
-// pick is the policy by which callers are told which entry to use.
-func (c *Config) pick() pick.Config {
+// pickConfig is the policy by which callers are told which entry to use.
+func (c *Config) pickConfig() pick.Config {
 	p := pick.DefaultConfig()
 	p.Validity = c.ListValidity
 	p.HeavyValidity = min(p.HeavyValidity, c.ListValidity)
--- a/entry/entries.go
+++ b/entry/entries.go
@@ -36,7 +36,7 @@
 // the answer. It needs no key: any entry that runs answers anybody. A caller
 // that shows its key is spread by its share of the load.
 func (e *Entry) handleEntries(w http.ResponseWriter, r *http.Request) {
-	v := e.picker.Pick(e.pickRequest(r), e.pickable())
+	v := e.picker.Pick(e.pickRequest(r), e.pickCandidates())
 	view := entriesView{ValidSeconds: int(v.Validity.Seconds()), Entries: []entryView{}}
 	for _, p := range v.Entries {
 		view.Entries = append(view.Entries, entryView{ID: p.ID, Address: p.Address, Zone: p.Zone})
@@ -60,14 +60,14 @@
 	c := e.follower.current.Load()
 	if key, shown := request.BearerKey(r.Header); shown && c != nil {
 		if w, known := c.workspaceOf(key); known {
-			q.Caller, q.Share = w.Name, e.shares.of(w.Name, q.Now)
+			q.Caller, q.Share = w.Name, e.trafficShares.share(w.Name, q.Now)
 		}
 	}
 	return q
 }
 
-// pickable lists the entries that may be named.
-func (e *Entry) pickable() []pick.Entry {
+// pickCandidates lists the entries that may be named.
+func (e *Entry) pickCandidates() []pick.Entry {
 	var out []pick.Entry
 	for _, m := range e.servingEntries() {
 		out = append(out, pick.Entry{
@@ -82,46 +82,48 @@
 // not look small just because it has been sent elsewhere.
 const shareWindow = time.Minute
 
-// shares counts each workspace's part of the requests at this entry, over this
+// trafficShares counts each workspace's part of the requests at this entry, over this
 // window and the last. Callers spread over entries, so the part here is about
 // the part everywhere.
-type shares struct {
-	mu     sync.Mutex
-	began  time.Time
-	counts map[string]int
-	before map[string]int
-	total  int
-	last   int
+type trafficShares struct {
+	mu            sync.Mutex
+	windowStart   time.Time
+	current       map[string]int
+	previous      map[string]int
+	currentTotal  int
+	previousTotal int
 }
 
-func newShares() *shares { return &shares{counts: map[string]int{}, before: map[string]int{}} }
+func newTrafficShares() *trafficShares {
+	return &trafficShares{current: map[string]int{}, previous: map[string]int{}}
+}
 
 // add counts one request.
-func (s *shares) add(workspace string, now time.Time) {
+func (s *trafficShares) add(workspace string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	s.counts[workspace]++
-	s.total++
+	s.rotateWindow(now)
+	s.current[workspace]++
+	s.currentTotal++
 }
 
-// of returns a workspace's part of the requests lately, 0..1.
-func (s *shares) of(workspace string, now time.Time) float64 {
+// share returns a workspace's part share the requests lately, 0..1.
+func (s *trafficShares) share(workspace string, now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	total := s.total + s.last
+	s.rotateWindow(now)
+	total := s.currentTotal + s.previousTotal
 	if total == 0 {
 		return 0
 	}
-	return float64(s.counts[workspace]+s.before[workspace]) / float64(total)
+	return float64(s.current[workspace]+s.previous[workspace]) / float64(total)
 }
 
-func (s *shares) turn(now time.Time) {
-	if now.Sub(s.began) < shareWindow {
+func (s *trafficShares) rotateWindow(now time.Time) {
+	if now.Sub(s.windowStart) < shareWindow {
 		return
 	}
-	s.before, s.last = s.counts, s.total
-	s.counts, s.total = map[string]int{}, 0
-	s.began = now
+	s.previous, s.previousTotal = s.current, s.currentTotal
+	s.current, s.currentTotal = map[string]int{}, 0
+	s.windowStart = now
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -29,13 +29,13 @@
 
 // Periods of an entry's own work.
 const (
-	followEvery  = 500 * time.Millisecond // asks for the catalogue's version; far below the 6 s in which a change must be in force
-	laneEvery    = 20 * time.Millisecond  // looks after deadlines; a request that is given up waits this long at most
-	planEvery    = 250 * time.Millisecond // looks for planned stops that have begun
-	syncEvery    = 100 * time.Millisecond // takes over load reports, which come every second at the most
-	sweepEvery   = time.Second
-	orphanedFor  = 30 * time.Second // a request from another entry whose caller never came is ended
-	closeTimeout = 5 * time.Second
+	catalogueInterval   = 500 * time.Millisecond // asks for the catalogue's version; far below the 6 s in which a change must be in force
+	laneInterval        = 20 * time.Millisecond  // looks after deadlines; a request that is given up waits this long at most
+	plannedStopInterval = 250 * time.Millisecond // looks for planned stops that have begun
+	syncInterval        = 100 * time.Millisecond // takes over load reports, which come every second at the most
+	housekeepInterval   = time.Second
+	orphanTimeout       = 30 * time.Second // a request from another entry whose caller never came is ended
+	closeTimeout        = 5 * time.Second
 )
 
 // Deps is what an Entry works with.
@@ -55,34 +55,34 @@
 	ctx    context.Context // ends with the process, after the drain
 	cancel context.CancelFunc
 
-	traffic  *link.Traffic
-	pool     *link.Pool
-	members  *membership.Node
-	control  *api.Client
-	ledger   ledgerClient
-	follower *follower
-	lanes    *lanes
-	prefixes *prefixes
-	registry *registry
-	onces    *onces
-	runner   *runner
-	plain    plainClient
-	admitter *admission
-	retries  *retries
-	picker   *pick.Picker
-	guard    *guard
-	holdings *holdings
-	moves    *evacuations
-	notes    *notes
-	shares   *shares
-	life     *life
+	traffic        *link.Traffic
+	pool           *link.Pool
+	members        *membership.Node
+	control        *api.Client
+	ledger         ledgerClient
+	follower       *follower
+	lanes          *lanes
+	prefixes       *prefixes
+	registry       *registry
+	onceCalls      *onceCalls
+	runner         *runner
+	plainClient    plainClient
+	admitter       *admission
+	retries        *retries
+	picker         *pick.Picker
+	guard          *guard
+	slotExchange   *slotExchange
+	evacuations    *evacuations
+	reclaimNotices *reclaimNotices
+	trafficShares  *trafficShares
+	lifecycle      *lifecycle
 
-	notices      chan time.Duration // reclaim notices for this instance
+	selfNotices  chan time.Duration // reclaim notices for this instance
 	plainRunning atomic.Int64
 
-	running  sync.WaitGroup // requests
-	settling sync.WaitGroup // ends that the ledger has yet to hear
-	fetching sync.WaitGroup // listings of prefix caches
+	runningRequests sync.WaitGroup // requests
+	ledgerUpdates   sync.WaitGroup // ends that the ledger has yet to hear
+	listingFetches  sync.WaitGroup // listings of prefix caches
 }
 
 // New builds an entry. Run starts it.
@@ -91,8 +91,8 @@
 	e := &Entry{
 		cfg: cfg, deps: deps, incarnation: uint64(deps.Now().UnixMilli()),
 		announceKey: contract.HashKey(cfg.AnnounceKey),
-		metrics:     NewMetrics(set), registry: newRegistry(), onces: newOnces(), notes: &notes{ends: map[string]time.Time{}},
-		shares: newShares(), life: newLife(deps.Now), notices: make(chan time.Duration, 1),
+		metrics:     NewMetrics(set), registry: newRegistry(), onceCalls: newOnceCalls(), reclaimNotices: &reclaimNotices{ends: map[string]time.Time{}},
+		trafficShares: newTrafficShares(), lifecycle: newLifecycle(deps.Now), selfNotices: make(chan time.Duration, 1),
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	e.traffic = link.NewTraffic(set)
@@ -100,7 +100,7 @@
 		link.PoolDeps{Log: deps.Log, Traffic: e.traffic})
 	e.control = api.NewClient(e.pool, cfg.Control, cfg.ID)
 	e.ledger = e.control
-	e.lanes = newLanes(laneSelf{zone: cfg.Zone, region: cfg.Region}, deps.Log, deps.Now)
+	e.lanes = newLanes(entryLocation{zone: cfg.Zone, region: cfg.Region}, deps.Log, deps.Now)
 	var err error
 	if e.admitter, err = newAdmission(fmt.Sprintf("%s/%d", cfg.ID, e.incarnation), deps.Now); err != nil {
 		return nil, err
@@ -108,27 +108,27 @@
 	if e.retries, err = newRetries(); err != nil {
 		return nil, err
 	}
-	if e.picker, err = pick.New(cfg.pick()); err != nil {
+	if e.picker, err = pick.New(cfg.pickConfig()); err != nil {
 		return nil, err
 	}
-	e.holdings = newHoldings(e)
-	if e.moves, err = newEvacuations(e); err != nil {
+	e.slotExchange = newSlotExchange(e)
+	if e.evacuations, err = newEvacuations(e); err != nil {
 		return nil, err
 	}
 	if e.guard, err = newGuard(e); err != nil {
 		return nil, err
 	}
 	engines := native.NewEngine(native.EngineConfig{})
-	e.plain = native.NewPlain(native.PlainConfig{})
+	e.plainClient = native.NewPlain(native.PlainConfig{})
 	e.runner = &runner{
 		engines: engines, log: deps.Log, now: deps.Now, metrics: e.metrics, guard: e.guard,
 	}
 	e.prefixes = &prefixes{
-		entry: e, lanes: e.lanes, engines: engines, log: deps.Log, work: &e.fetching, ctx: e.ctx, fetches: map[string]bool{},
+		entry: e, lanes: e.lanes, engines: engines, log: deps.Log, fetchGroup: &e.listingFetches, ctx: e.ctx, fetches: map[string]bool{},
 	}
 	e.follower = &follower{
 		control: e.control, pool: e.pool, peers: e.peerLinks, log: deps.Log, now: deps.Now,
-		freshFor: cfg.FreshFor, every: followEvery, lax: cfg.Lax, onChange: e.catalogueTaken,
+		freshFor: cfg.FreshFor, interval: catalogueInterval, serveUnconfirmed: cfg.ServeUnconfirmed, onChange: e.catalogueChanged,
 	}
 	return e, e.join()
 }
@@ -142,7 +142,7 @@
 	defer e.pool.Close()
 	defer e.cancel()
 	var g run.Group
-	if err := e.actors(ctx, &g); err != nil {
+	if err := e.addActors(ctx, &g); err != nil {
 		return err
 	}
 	event.Log(ctx, e.deps.Log, slog.LevelInfo, event.ProcessStarted,
@@ -150,14 +150,14 @@
 		slog.Uint64("incarnation", e.incarnation))
 	err := g.Run()
 	e.cancel()
-	e.running.Wait()
-	e.settling.Wait()
-	e.fetching.Wait()
+	e.runningRequests.Wait()
+	e.ledgerUpdates.Wait()
+	e.listingFetches.Wait()
 	event.Log(context.Background(), e.deps.Log, slog.LevelInfo, event.ProcessStopped, slog.Any("error", err))
 	return err
 }
 
-func (e *Entry) actors(ctx context.Context, g *run.Group) error {
+func (e *Entry) addActors(ctx context.Context, g *run.Group) error {
 	callers, err := daemon.Listen(ctx, e.deps.Log, "callers", e.cfg.CallerListen)
 	if err != nil {
 		return err
@@ -175,23 +175,23 @@
 	daemon.Actor(g, func(actorCtx context.Context) error { return srv.Serve(actorCtx, links) })
 	daemon.Actor(g, e.members.Run)
 	daemon.Actor(g, e.follower.run)
-	every(g, laneEvery, e.lanes.tick)
+	addPeriodic(g, laneInterval, e.lanes.tick)
 	daemon.Actor(g, func(c context.Context) error { return e.admitter.leaseLoop(c, e.control) })
-	every(g, planEvery, e.planNow)
-	every(g, syncEvery, e.syncServers)
-	every(g, expireEvery, e.guard.expire)
-	every(g, holdingsEvery, e.holdings.exchange)
-	every(g, sweepEvery, e.housekeep)
+	addPeriodic(g, plannedStopInterval, e.refreshPlannedStops)
+	addPeriodic(g, syncInterval, e.syncServers)
+	addPeriodic(g, quarantineExpireInterval, e.guard.expire)
+	addPeriodic(g, slotExchangeInterval, e.slotExchange.exchange)
+	addPeriodic(g, housekeepInterval, e.housekeep)
 	daemon.Actor(g, e.awaitNotice)
 	daemon.EndWith(ctx, g)
 	daemon.Serve(g, callers, e.Handler(), closeTimeout, e.deps.Log)
-	daemon.Serve(g, ops, e.operations(), daemon.CloseGrace, e.deps.Log)
+	daemon.Serve(g, ops, e.operationsHandler(), daemon.CloseGrace, e.deps.Log)
 	daemon.Signals(g, func(c context.Context) { e.leave(c, e.cfg.DrainTimeout) }, e.deps.Log)
 	return nil
 }
 
-// every adds an actor that calls fn once a period.
-func every(g *run.Group, period time.Duration, fn func()) {
+// addPeriodic adds an actor that calls fn once a period.
+func addPeriodic(g *run.Group, period time.Duration, fn func()) {
 	daemon.Actor(g, func(ctx context.Context) error { return daemon.Every(ctx, period, fn) })
 }
 
@@ -199,10 +199,10 @@
 	e.members.Register(srv)
 	e.follower.register(srv)
 	e.guard.register(srv)
-	e.holdings.register(srv)
+	e.slotExchange.register(srv)
 	e.prefixes.register(srv)
-	link.Handle(srv, methodOwner, e.answerOwner)
-	link.Handle(srv, methodTakeOver, e.takeOver)
+	link.Handle(srv, methodOwner, e.handleOwner)
+	link.Handle(srv, methodTakeOver, e.handleTakeOver)
 }
 
 // Handler serves callers and backend servers.
@@ -218,7 +218,7 @@
 	return mux
 }
 
-func (e *Entry) operations() http.Handler {
+func (e *Entry) operationsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", daemon.Operations(e.metrics.set, e.ready))
 	mux.HandleFunc("POST /v1/leave", e.handleLeave)
@@ -228,7 +228,7 @@
 
 // ready reports why this entry takes no new requests, or nil.
 func (e *Entry) ready() error {
-	if !e.accepting() {
+	if !e.acceptsRequests() {
 		return trace.ConnectionProblem(nil, "leaving")
 	}
 	if e.follower.inForce() == nil {
@@ -237,45 +237,47 @@
 	return nil
 }
 
-// catalogueTaken applies a new catalogue version.
-func (e *Entry) catalogueTaken(c *catalogue) {
-	e.admitter.limits(c)
-	e.plan(c)
-	e.tellVersion(c.reply.Version)
+// catalogueChanged applies a new catalogue version.
+func (e *Entry) catalogueChanged(c *catalogue) {
+	e.admitter.setLimits(c)
+	e.applyPlannedStops(c)
+	e.publishVersion(c.reply.Version)
 }
 
-// planNow applies planned stops as they begin.
-func (e *Entry) planNow() {
+// refreshPlannedStops applies planned stops as they begin.
+func (e *Entry) refreshPlannedStops() {
 	if c := e.follower.current.Load(); c != nil {
-		e.plan(c)
+		e.applyPlannedStops(c)
 	}
 }
 
-// plan applies the planned stops in force now to backend servers and to this
+// applyPlannedStops applies the planned stops in force now to backend servers and to this
 // entry itself.
-func (e *Entry) plan(c *catalogue) {
+func (e *Entry) applyPlannedStops(c *catalogue) {
 	now := e.deps.Now()
-	e.lanes.plan(func(id, zone string) bool { return c.covered(id, zone, now) || e.notes.covers(id, now) })
-	e.planSelf(c.covered(e.cfg.ID, e.cfg.Zone, now))
+	e.lanes.applyPlannedStops(func(id, zone string) bool {
+		return c.instanceStopped(id, zone, now) || e.reclaimNotices.covers(id, now)
+	})
+	e.applyOwnStop(c.instanceStopped(e.cfg.ID, e.cfg.Zone, now))
 }
 
 // housekeep does what is due each second.
 func (e *Entry) housekeep() {
-	e.sweep()
-	e.tellLoad()
+	e.removeAnswers()
+	e.publishLoad()
 	for _, l := range e.lanes.all() {
 		l.logSlow()
 	}
 }
 
-// sweep forgets answers that nobody comes back for.
-func (e *Entry) sweep() {
+// removeAnswers forgets answers that nobody comes back for.
+func (e *Entry) removeAnswers() {
 	now := e.deps.Now()
 	for _, w := range e.registry.all() {
 		switch {
-		case w.disposable(now, answerGrace):
+		case w.expired(now, answerTTL):
 			e.registry.remove(w.request.ID)
-		case w.orphaned(now, orphanedFor):
+		case w.orphaned(now, orphanTimeout):
 			w.cancel()
 		}
 	}
@@ -285,5 +287,5 @@
 // changes of state as events but not those of load alone.
 func (e *Entry) syncServers() {
 	e.lanes.sync(e.members.View().AllServers())
-	e.guard.avoided()
+	e.guard.updateAvoided()
 }
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -22,9 +22,9 @@
 	// kvBytesPerToken is that of the stand-in engine; models of 7 to 70 billion
 	// parameters with grouped heads need 60 to 330 KiB.
 	kvBytesPerToken = 128 << 10
-	// kvBandwidth is bytes a second between two engines: a 10 Gbit/s link.
-	kvBandwidth = 1.25e9
-	kvTimeout   = 5 * time.Second
+	// kvBytesPerSecond is bytes a second between two engines: a 10 Gbit/s link.
+	kvBytesPerSecond  = 1.25e9
+	kvTransferTimeout = 5 * time.Second
 )
 
 // evacuations moves requests off backend servers that have given notice.
@@ -47,30 +47,30 @@
 	return &evacuations{entry: e, planner: p}, nil
 }
 
-// leaving plans the moves off a server that has just given notice, and makes
+// serverLeaving plans the moves off a server that has just given notice, and makes
 // them in time. A server that stops without a time set keeps its requests: they
 // end there.
-func (v *evacuations) leaving(s *instance.Server) {
+func (v *evacuations) serverLeaving(s *instance.Server) {
 	notice := time.Duration(s.LeavingIn) * time.Millisecond
 	if notice <= 0 {
 		return
 	}
-	on := v.on(s)
-	if len(on) == 0 {
+	works := v.workOn(s)
+	if len(works) == 0 {
 		return
 	}
-	plan := v.planner.Decide(v.input(notice, on))
+	plan := v.planner.Decide(v.input(notice, works))
 	event.Log(v.entry.ctx, v.entry.deps.Log, slog.LevelInfo, event.EvacuationPlanned,
-		slog.String("server", s.ID), slog.Duration("notice", notice), slog.Int("requests", len(on)),
+		slog.String("server", s.ID), slog.Duration("notice", notice), slog.Int("requests", len(works)),
 		slog.Int("recomputed", plan.RecomputedTokens))
 	for _, m := range plan.Moves {
-		w := on[m.ID]
+		w := works[m.ID]
 		time.AfterFunc(m.Start, func() { w.moveOff(s.ID, s.Incarnation, m.Method != evacuate.MethodRecompute) })
 	}
 }
 
-// on lists the work that runs on a server, by request id.
-func (v *evacuations) on(s *instance.Server) map[string]*work {
+// workOn lists the work that runs workOn a server, by request id.
+func (v *evacuations) workOn(s *instance.Server) map[string]*work {
 	out := map[string]*work{}
 	for _, w := range v.entry.registry.all() {
 		if w.runsOn(s.ID, s.Incarnation) && w.journal.Ended() == nil {
@@ -80,20 +80,20 @@
 	return out
 }
 
-func (v *evacuations) input(notice time.Duration, on map[string]*work) evacuate.Input {
+func (v *evacuations) input(notice time.Duration, works map[string]*work) evacuate.Input {
 	entries := max(1, len(v.entry.servingEntries()))
 	in := evacuate.Input{
-		Notice: notice, Bandwidth: kvBandwidth / float64(entries), PrefillRate: route.DefaultConfig().PrefillRate,
+		Notice: notice, Bandwidth: kvBytesPerSecond / float64(entries), PrefillRate: route.DefaultConfig().PrefillRate,
 	}
-	for id, w := range on {
-		tokens := w.held()
+	for id, w := range works {
+		tokens := w.heldTokens()
 		in.Requests = append(in.Requests, evacuate.Request{ID: id, Tokens: tokens, Bytes: int64(tokens) * kvBytesPerToken})
 	}
 	return in
 }
 
-// held is how many tokens a server holds for the work: prompt and answer so far.
-func (w *work) held() int {
+// heldTokens is how many tokens a server holds for the work: prompt and answer so far.
+func (w *work) heldTokens() int {
 	return w.ticket.route.PromptTokens + len(w.journal.Tokens())
 }
 
@@ -101,22 +101,22 @@
 func (w *work) runsOn(server string, incarnation uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.current != nil && w.current.verdict.Server == server && w.current.verdict.Incarnation == incarnation
+	return w.currentGrant != nil && w.currentGrant.verdict.Server == server && w.currentGrant.verdict.Incarnation == incarnation
 }
 
 // moveOff ends the attempt on a server, if it still runs there, so that the work
 // goes on elsewhere; with its KV cache if carry is set.
-func (w *work) moveOff(server string, incarnation uint64, carry bool) {
+func (w *work) moveOff(server string, incarnation uint64, withKV bool) {
 	if !w.runsOn(server, incarnation) {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.parked != nil {
+	if w.paused != nil {
 		return // it is being handed over
 	}
-	if carry {
-		w.carryFrom = w.current.verdict.Address
+	if withKV {
+		w.kvSource = w.currentGrant.verdict.Address
 	}
 	w.interrupt(errMoved)
 }
@@ -125,28 +125,28 @@
 func (w *work) setCurrent(g *grant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.current = g
+	w.currentGrant = g
 }
 
-// takeCarry returns, once, the address of the engine whose KV cache is to be
+// takeKVSource returns, once, the address of the engine whose KV cache is to be
 // taken along, or the empty text.
-func (w *work) takeCarry() string {
+func (w *work) takeKVSource() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	from := w.carryFrom
-	w.carryFrom = ""
+	from := w.kvSource
+	w.kvSource = ""
 	return from
 }
 
-// carry brings the KV cache of w's request from the engine that it left to the
+// transferKV brings the KV cache of w's request from the engine that it left to the
 // one that goes on with it, and returns its handle there; empty when that did
 // not work, and the tokens are prefilled again.
-func (r *runner) carry(ctx context.Context, w *work, to string) string {
-	from := w.takeCarry()
+func (r *runner) transferKV(ctx context.Context, w *work, to string) string {
+	from := w.takeKVSource()
 	if from == "" {
 		return ""
 	}
-	ctx, cancel := context.WithTimeout(ctx, kvTimeout)
+	ctx, cancel := context.WithTimeout(ctx, kvTransferTimeout)
 	defer cancel()
 	exported, err := r.engines.ExportKV(ctx, from, string(w.request.ID))
 	if err == nil {
@@ -164,9 +164,9 @@
 // answerCost is a chat request's work in tokens of answer. Prompt tokens count
 // for as many as a slot generates in the time that their prefill takes.
 func answerCost(prompt, answer int) int {
-	return answer + prompt/promptPerAnswer + 1
+	return answer + prompt/promptTokensPerAnswerToken + 1
 }
 
-// promptPerAnswer is how many prompt tokens take as long as one token of the
+// promptTokensPerAnswerToken is how many prompt tokens take as long as one token of the
 // answer: 8,000 tokens a second prefilled, 46 ms between tokens.
-const promptPerAnswer = 368
+const promptTokensPerAnswerToken = 368
--- a/entry/grant.go
+++ b/entry/grant.go
@@ -10,14 +10,14 @@
 // grant is the right to send one attempt to one backend server. Its holder
 // calls exactly one of Finished, Failed and Cancelled.
 type grant struct {
-	lane    *lane
-	verdict route.Verdict
-	attempt route.Attempt
-	run     quarantine.Run
+	lane          *lane
+	verdict       route.Verdict
+	attempt       route.Attempt
+	quarantineRun quarantine.Run
 
-	workspace string
-	estimate  int64 // tokens of work that the queue has charged
-	over      bool  // has been closed
+	workspace     string
+	chargedTokens int64 // tokens of work that the queue has charged
+	closed        bool  // has been closed
 }
 
 // firstToken notes that the attempt's server has begun to answer, took after
@@ -26,14 +26,14 @@
 	g.lane.mu.Lock()
 	defer g.lane.mu.Unlock()
 	g.lane.router.FirstToken(&g.attempt, g.lane.now())
-	g.lane.drain.ObserveFirstToken(took)
+	g.lane.drainEstimator.ObserveFirstToken(took)
 }
 
-// pace notes the mean time between the tokens of an answer.
-func (g *grant) pace(gap time.Duration) {
+// observeTokenInterval notes the mean time between the tokens of an answer.
+func (g *grant) observeTokenInterval(gap time.Duration) {
 	g.lane.mu.Lock()
 	defer g.lane.mu.Unlock()
-	g.lane.drain.ObserveTokenInterval(gap)
+	g.lane.drainEstimator.ObserveTokenInterval(gap)
 }
 
 // finished ends an attempt that was answered. work is its tokens, prompt and
@@ -51,21 +51,21 @@
 	l := g.lane
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if g.over {
+	if g.closed {
 		return
 	}
-	g.over = true
+	g.closed = true
 	now := l.now()
 	how(l.router, &g.attempt, now)
 	l.starter.Ended(g.workspace)
-	if l.held[g.workspace]--; l.held[g.workspace] <= 0 {
-		delete(l.held, g.workspace)
+	if l.ownSlots[g.workspace]--; l.ownSlots[g.workspace] <= 0 {
+		delete(l.ownSlots, g.workspace)
 	}
-	l.queue.Charge(g.workspace, work-g.estimate)
+	l.queue.Charge(g.workspace, work-g.chargedTokens)
 	if work > 0 {
-		l.drain.ObserveEnd(now, work)
+		l.drainEstimator.ObserveEnd(now, work)
 	}
-	l.pump(now)
+	l.dispatch(now)
 }
 
 // server is the life of the backend server that the grant is for.
@@ -73,9 +73,9 @@
 	return quarantine.Server{ID: g.verdict.Server, Incarnation: g.verdict.Incarnation}
 }
 
-// move exchanges a grant for one on a given server. ok is false, and the grant
+// exchangeGrant exchanges a grant for one on a given server. ok is false, and the grant
 // given back, when that server cannot take work.
-func (l *lane) move(t *ticket, g *grant, to quarantine.Server) (*grant, bool) {
+func (l *lane) exchangeGrant(t *ticket, g *grant, to quarantine.Server) (*grant, bool) {
 	if g.server() == to {
 		return g, true
 	}
@@ -91,5 +91,5 @@
 	l.logRoute(t.request, &v, 0)
 	item := itemOf(t.request, t.weight, now)
 	item.Resumed = true
-	return l.grant(&v, &item, now), true
+	return l.newGrant(&v, &item, now), true
 }
--- a/entry/guard.go
+++ b/entry/guard.go
@@ -18,18 +18,18 @@
 
 // Links between entries for requests under suspicion.
 const (
-	methodAskOwner = "entry.quarantine.ask"
-	methodTellOwn  = "entry.quarantine.tell"
+	methodQuarantineAdmit  = "entry.quarantine.ask"
+	methodQuarantineReport = "entry.quarantine.tell"
 )
 
 // Periods of the quarantine.
 const (
-	// askTimeout bounds the question to the owner of a fingerprint. It is far
+	// quarantineOwnerTimeout bounds the question to the owner of a fingerprint. It is far
 	// above a round trip within a region, and far below the first-token target.
-	askTimeout = 150 * time.Millisecond
-	// suspectEvery is how often a suspect that has to wait asks again.
-	suspectEvery = 50 * time.Millisecond
-	expireEvery  = time.Minute
+	quarantineOwnerTimeout = 150 * time.Millisecond
+	// suspectRetryInterval is how often a suspect that has to wait asks again.
+	suspectRetryInterval     = 50 * time.Millisecond
+	quarantineExpireInterval = time.Minute
 )
 
 // guard keeps this entry's part of the quarantine: which requests are under
@@ -39,17 +39,17 @@
 	log   *slog.Logger
 	now   func() time.Time
 
-	mu    sync.Mutex
-	set   *quarantine.Set
-	told  uint64                       // version of set of which the lanes know the servers to avoid
-	built time.Time                    // when views were built
-	stale bool                         // an entry or a server came or went since views were built
-	views map[laneKey]*quarantine.View // who owns what, of each pool: a trial needs a server that can run the request
-	seen  map[string]sighting          // backend servers by id
+	mu             sync.Mutex
+	set            *quarantine.Set
+	appliedVersion uint64                       // version of set of which the lanes know the servers to avoid
+	viewsBuiltAt   time.Time                    // when views were built
+	viewsStale     bool                         // an entry or a server came or went since views were built
+	views          map[laneKey]*quarantine.View // who owns what, of each pool: a trial needs a server that can run the request
+	servers        map[string]observedServer    // backend servers by id
 }
 
-// sighting is how a backend server was last seen.
-type sighting struct {
+// observedServer is how a backend server was last seen.
+type observedServer struct {
 	incarnation uint64
 	serving     bool
 }
@@ -61,13 +61,13 @@
 	}
 	return &guard{
 		entry: e, log: e.deps.Log, now: e.deps.Now, set: set,
-		views: map[laneKey]*quarantine.View{}, seen: map[string]sighting{},
+		views: map[laneKey]*quarantine.View{}, servers: map[string]observedServer{},
 	}, nil
 }
 
 func (q *guard) register(s *link.Server) {
-	link.Handle(s, methodAskOwner, q.answer)
-	link.HandleNotice(s, methodTellOwn, func(_ context.Context, _ link.PeerInfo, r quarantine.Record) { q.merge(r) })
+	link.Handle(s, methodQuarantineAdmit, q.handleAdmit)
+	link.HandleNotice(s, methodQuarantineReport, func(_ context.Context, _ link.PeerInfo, r quarantine.Record) { q.merge(r) })
 }
 
 // serverChanged notes how a server is seen now. One that was serving and is gone,
@@ -75,22 +75,22 @@
 // entry that ran a request there may be lost too, and then only this tells.
 func (q *guard) serverChanged(s *instance.Server) {
 	q.mu.Lock()
-	was, known := q.seen[s.ID]
-	q.seen[s.ID] = sighting{incarnation: s.Incarnation, serving: s.State == instance.StateServing}
+	previous, known := q.servers[s.ID]
+	q.servers[s.ID] = observedServer{incarnation: s.Incarnation, serving: s.State == instance.StateServing}
 	if s.State == instance.StateGone {
-		delete(q.seen, s.ID)
+		delete(q.servers, s.ID)
 	}
 	q.mu.Unlock()
-	over := s.State == instance.StateGone || s.Incarnation > was.incarnation
-	if known && was.serving && over {
-		q.crashed(quarantine.Server{ID: s.ID, Incarnation: was.incarnation})
+	ended := s.State == instance.StateGone || s.Incarnation > previous.incarnation
+	if known && previous.serving && ended {
+		q.serverCrashed(quarantine.Server{ID: s.ID, Incarnation: previous.incarnation})
 	}
 }
 
-// clear decides whether a request may be sent to the server that it was
+// checkGrant decides whether a request may be sent to the server that it was
 // granted. It may wait, come back with a grant for another server, or return
 // the request's final problem. Nothing has been sent when it returns.
-func (q *guard) clear(ctx context.Context, t *ticket, g *grant) (*grant, error) {
+func (q *guard) checkGrant(ctx context.Context, t *ticket, g *grant) (*grant, error) {
 	fingerprint := t.request.Fingerprint()
 	for {
 		v := q.decide(ctx, t.lane.key, fingerprint, g.server())
@@ -104,9 +104,9 @@
 			return nil, request.NewProblem(request.CodeQuarantined, request.NotRun,
 				"backend servers stopped while they ran this request; it is refused until %s", v.Until.UTC().Format(time.RFC3339))
 		case quarantine.ActionRun:
-			if next, ok := t.lane.move(t, g, v.Server); ok {
-				next.run = q.start(fingerprint, v)
-				return next, nil
+			if moved, ok := t.lane.exchangeGrant(t, g, v.Server); ok {
+				moved.quarantineRun = q.start(fingerprint, v)
+				return moved, nil
 			}
 			q.end(t.lane.key, q.start(fingerprint, v)) // the granted server has gone: give the grant back
 		default:
@@ -115,21 +115,21 @@
 		event.Log(ctx, q.log, slog.LevelInfo, event.SuspectHeld,
 			slog.String("request", string(t.request.ID)), slog.String("reason", v.Reason.String()))
 		var err error
-		if g, err = q.later(ctx, t); err != nil {
+		if g, err = q.waitForGrant(ctx, t); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// later waits a while and grants a server anew.
-func (q *guard) later(ctx context.Context, t *ticket) (*grant, error) {
+// waitForGrant waits a while and grants a server anew.
+func (q *guard) waitForGrant(ctx context.Context, t *ticket) (*grant, error) {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(suspectEvery):
+		case <-time.After(suspectRetryInterval):
 		}
-		if g, ok := t.lane.again(t); ok {
+		if g, ok := t.lane.regrant(t); ok {
 			return g, nil
 		}
 	}
@@ -146,7 +146,7 @@
 	q.mu.Lock()
 	record := q.set.Finish(r, q.now())
 	q.mu.Unlock()
-	q.tell(key, r, record)
+	q.reportRun(key, r, record)
 }
 
 // end notes that a run ended otherwise on a server that lives, or that leaves
@@ -155,11 +155,11 @@
 	q.mu.Lock()
 	record := q.set.End(r, q.now())
 	q.mu.Unlock()
-	q.tell(key, r, record)
+	q.reportRun(key, r, record)
 }
 
-// tell gives the news of a granted run to the owner of its fingerprint.
-func (q *guard) tell(key laneKey, r quarantine.Run, record quarantine.Record) {
+// reportRun gives the news of a granted run to the owner of its fingerprint.
+func (q *guard) reportRun(key laneKey, r quarantine.Run, record quarantine.Record) {
 	if r.Grant == 0 {
 		return
 	}
@@ -167,40 +167,40 @@
 	owner := q.view(key).Owner(r.Fingerprint)
 	q.mu.Unlock()
 	if m, known := q.entry.members.View().Member(owner); known && owner != q.entry.cfg.ID {
-		_ = link.Notify(q.entry.pool, m.LinkAddress, methodTellOwn, record) // a grant that is not closed runs out by itself
+		_ = link.Notify(q.entry.pool, m.LinkAddress, methodQuarantineReport, record) // a grant that is not closed runs out by itself
 	}
 	if record.EverCrashed {
-		q.spread(record)
+		q.broadcast(record)
 	}
 }
 
-// crashed notes that a server died without having announced that it leaves, and
+// serverCrashed notes that a server died without having announced that it leaves, and
 // spreads all requests that ran there as suspects.
-func (q *guard) crashed(s quarantine.Server) {
+func (q *guard) serverCrashed(s quarantine.Server) {
 	q.mu.Lock()
 	suspects := q.set.Crashed(s, q.now())
 	q.mu.Unlock()
 	for _, r := range suspects {
-		q.spread(r)
+		q.broadcast(r)
 	}
 }
 
-// avoided tells the lanes which servers run a suspect now. It looks at every
+// updateAvoided tells the lanes which servers run a suspect now. It looks at every
 // record, so only when one has changed.
-func (q *guard) avoided() {
+func (q *guard) updateAvoided() {
 	q.mu.Lock()
-	if q.set.Version() == q.told {
+	if q.set.Version() == q.appliedVersion {
 		q.mu.Unlock()
 		return
 	}
-	q.told = q.set.Version()
+	q.appliedVersion = q.set.Version()
 	var servers []string
 	for _, s := range q.set.OnTrial(q.now()) {
 		servers = append(servers, s.ID)
 	}
 	q.mu.Unlock()
 	for _, l := range q.entry.lanes.all() {
-		l.setAvoid(servers)
+		l.setAvoidedServers(servers)
 	}
 }
 
@@ -211,21 +211,21 @@
 	q.set.Expire(q.now())
 }
 
-// lost closes the run of an attempt that its server did not answer. Whether the
+// attemptFailed closes the run of an attempt that its server did not answer. Whether the
 // server crashed decides whether the request is a suspect: one that refused it,
 // that answers a probe, or that had announced its end has not been crashed by it.
-func (q *guard) lost(ctx context.Context, g *grant, err error) {
-	if q.lives(ctx, g, err) {
-		q.end(g.lane.key, g.run)
+func (q *guard) attemptFailed(ctx context.Context, g *grant, err error) {
+	if q.serverAlive(ctx, g, err) {
+		q.end(g.lane.key, g.quarantineRun)
 		return
 	}
-	q.crashed(g.server())
+	q.serverCrashed(g.server())
 }
 
-func (q *guard) lives(ctx context.Context, g *grant, err error) bool {
+func (q *guard) serverAlive(ctx context.Context, g *grant, err error) bool {
 	var call *native.CallError
 	switch {
-	case native.NotRun(err), errors.Is(err, errStalled), q.entry.onLeaving(g):
+	case native.NotRun(err), errors.Is(err, errStalled), q.entry.onLeavingServer(g):
 		return true
 	case errors.As(err, &call) && call.Status >= 300:
 		return true // it answered, with an error
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -18,9 +18,9 @@
 // takeOverTimeout bounds one hand-over of one request.
 const takeOverTimeout = time.Second
 
-// handOverWidth bounds the hand-overs in flight: a few hundred requests then
+// maxConcurrentHandOvers bounds the hand-overs in flight: a few hundred requests then
 // take well under a second, and one peer is not flooded.
-const handOverWidth = 32
+const maxConcurrentHandOvers = 32
 
 // takeOverRequest is a request with its journal: all that another entry needs
 // to answer it. Weight is the workspace's share.
@@ -41,7 +41,7 @@
 	if len(peers) == 0 {
 		return
 	}
-	slots := make(chan struct{}, handOverWidth)
+	slots := make(chan struct{}, maxConcurrentHandOvers)
 	var wg sync.WaitGroup
 	for i, wk := range e.registry.all() {
 		if wk.journal.Ended() != nil {
@@ -57,25 +57,25 @@
 }
 
 // rotate spreads the requests over the peers.
-func rotate(peers []*instance.Member, by int) []*instance.Member {
-	n := by % len(peers)
+func rotate(peers []*instance.Member, offset int) []*instance.Member {
+	n := offset % len(peers)
 	return append(append([]*instance.Member{}, peers[n:]...), peers[:n]...)
 }
 
 // handOverPeers lists the entries that can take requests, other zones first: a
 // reclaim takes a zone whole, so a peer in this zone is likely to go next.
 func (e *Entry) handOverPeers() []*instance.Member {
-	var far, near []*instance.Member
+	var otherZones, sameZone []*instance.Member
 	for _, m := range e.servingEntries() {
 		switch {
 		case m.ID == e.cfg.ID:
 		case m.Zone != e.cfg.Zone:
-			far = append(far, m)
+			otherZones = append(otherZones, m)
 		default:
-			near = append(near, m)
+			sameZone = append(sameZone, m)
 		}
 	}
-	return append(far, near...)
+	return append(otherZones, sameZone...)
 }
 
 // handOver gives one request to the first peer that takes it. Its attempt here
@@ -109,10 +109,10 @@
 	return link.Call[takeOverReply](ctx, e.pool, m.LinkAddress, methodTakeOver, msg)
 }
 
-// takeOver accepts a request from an entry that leaves, and goes on with its
+// handleTakeOver accepts a request from an entry that leaves, and goes on with its
 // answer. A second offer of the same request, after a lost reply, finds the first.
-func (e *Entry) takeOver(ctx context.Context, from link.PeerInfo, msg takeOverRequest) (takeOverReply, error) {
-	if !e.accepting() {
+func (e *Entry) handleTakeOver(ctx context.Context, from link.PeerInfo, msg takeOverRequest) (takeOverReply, error) {
+	if !e.acceptsRequests() {
 		return takeOverReply{}, e.drainingProblem()
 	}
 	c := e.follower.current.Load()
@@ -123,8 +123,8 @@
 	if !known {
 		return takeOverReply{}, request.NewProblem(request.CodeUnknownService, request.NotRun, "no service %q", msg.Request.Service)
 	}
-	reply := takeOverReply{CallerAddr: e.cfg.advertised()}
-	if _, held := e.registry.get(msg.Request.ID); held {
+	reply := takeOverReply{CallerAddr: e.cfg.advertisedAddress()}
+	if _, registered := e.registry.get(msg.Request.ID); registered {
 		return reply, nil
 	}
 	chat, p := decodeChat(msg.Request.Body)
@@ -136,7 +136,7 @@
 	if err != nil {
 		return takeOverReply{}, err
 	}
-	wk.taken, wk.lastLeft = true, e.deps.Now()
+	wk.takenOver, wk.lastFollowerLeft = true, e.deps.Now()
 	if !e.launch(wk, e.engineRequest(s, &req, chat), false) {
 		return reply, nil
 	}
--- a/entry/holdings.go
+++ b/entry/holdings.go
@@ -10,84 +10,84 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-// methodHoldings tells other entries which slots a workspace holds here.
-const methodHoldings = "entry.holdings"
+// methodSlots tells other entries which slots a workspace holds here.
+const methodSlots = "entry.holdings"
 
 // Bounds of the exchange of holdings.
 const (
-	holdingsEvery = time.Second
-	// holdingsKept is how long another entry's word counts: three losses.
-	holdingsKept = 4 * time.Second
-	// holdingsPeers is the most entries that tell each other. Each tells all
+	slotExchangeInterval = time.Second
+	// peerSlotsTTL is how long another entry's word counts: three losses.
+	peerSlotsTTL = 4 * time.Second
+	// maxSlotExchangePeers is the most entries that tell each other. Each tells all
 	// others, so bytes grow with their number; with more entries each keeps to
 	// its part of a workspace's share, which needs no word from others.
-	holdingsPeers = 16
+	maxSlotExchangePeers = 16
 )
 
-// holding is how many slots of one pool one workspace holds at one entry.
-type holding struct {
+// workspaceSlots is how many slots of one pool one workspace holds at one entry.
+type workspaceSlots struct {
 	Kind      contract.Kind `msgpack:"k"`
 	Pool      string        `msgpack:"p"`
 	Workspace string        `msgpack:"w"`
 	Slots     int           `msgpack:"n"`
 }
 
-// holdings exchanges with other entries how many slots each workspace holds. An
+// slotExchange exchanges with other entries how many slots each workspace holds. An
 // entry that knew only its own would take a workspace that holds much here and
 // nothing elsewhere for one above its share, and make its callers wait.
-type holdings struct {
+type slotExchange struct {
 	entry *Entry
 
 	mu    sync.Mutex
-	peers map[string]peerHoldings // by entry id
+	peers map[string]peerSlots // by entry id
 }
 
-type peerHoldings struct {
-	at    time.Time
-	slots []holding
+type peerSlots struct {
+	receivedAt time.Time
+	slots      []workspaceSlots
 }
 
-func newHoldings(e *Entry) *holdings {
-	return &holdings{entry: e, peers: map[string]peerHoldings{}}
+func newSlotExchange(e *Entry) *slotExchange {
+	return &slotExchange{entry: e, peers: map[string]peerSlots{}}
 }
 
-func (h *holdings) register(s *link.Server) {
-	link.HandleNotice(s, methodHoldings, func(_ context.Context, from link.PeerInfo, list []holding) {
+func (h *slotExchange) register(s *link.Server) {
+	link.HandleNotice(s, methodSlots, func(_ context.Context, from link.PeerInfo, list []workspaceSlots) {
 		h.mu.Lock()
-		h.peers[from.ID] = peerHoldings{at: h.entry.deps.Now(), slots: list}
+		h.peers[from.ID] = peerSlots{receivedAt: h.entry.deps.Now(), slots: list}
 		h.mu.Unlock()
 	})
 }
 
 // exchange tells the others and takes in what they told.
-func (h *holdings) exchange() {
-	h.tell()
+func (h *slotExchange) exchange() {
+	h.send()
 	h.apply()
 }
 
-func (h *holdings) tell() {
+func (h *slotExchange) send() {
 	peers := h.entry.peerLinks()
-	if len(peers) == 0 || len(peers) >= holdingsPeers {
+	if len(peers) == 0 || len(peers) >= maxSlotExchangePeers {
 		return
 	}
-	var list []holding
+	var list []workspaceSlots
 	for _, l := range h.entry.lanes.all() {
-		for workspace, n := range l.holds() {
-			list = append(list, holding{Kind: l.key.kind, Pool: l.key.name, Workspace: workspace, Slots: n})
+		for workspace, n := range l.slotsByWorkspace() {
+			list = append(list, workspaceSlots{Kind: l.key.kind, Pool: l.key.name, Workspace: workspace, Slots: n})
 		}
 	}
 	for _, addr := range peers {
-		_ = link.Notify(h.entry.pool, addr, methodHoldings, list) // the next one comes in a second
+		_ = link.Notify(h.entry.pool, addr, methodSlots, list) // the next one comes in a second
 	}
 }
 
 // apply sums up what the others hold and tells the lanes.
-func (h *holdings) apply() {
+func (h *slotExchange) apply() {
 	sums := map[laneKey]map[string]int{}
 	now := h.entry.deps.Now()
 	h.mu.Lock()
 	for id, p := range h.peers {
-		if now.Sub(p.at) > holdingsKept {
+		if now.Sub(p.receivedAt) > peerSlotsTTL {
 			delete(h.peers, id)
 			continue
 		}
@@ -101,23 +101,23 @@
 	}
 	h.mu.Unlock()
 	for _, l := range h.entry.lanes.all() {
-		l.setElsewhere(sums[l.key])
+		l.setRemoteSlots(sums[l.key])
 	}
 }
 
-// holds returns the slots that each workspace holds.
-func (l *lane) holds() map[string]int {
+// slotsByWorkspace returns the slots that each workspace slotsByWorkspace.
+func (l *lane) slotsByWorkspace() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.held)
+	return maps.Clone(l.ownSlots)
 }
 
-// setElsewhere tells the lane the slots that each workspace holds at other
+// setRemoteSlots tells the lane the slots that each workspace holds at other
 // entries; a workspace that is not named holds none.
-func (l *lane) setElsewhere(slots map[string]int) {
+func (l *lane) setRemoteSlots(slots map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for workspace := range l.elsewhere {
+	for workspace := range l.remoteSlots {
 		if slots[workspace] == 0 {
 			l.starter.SetRemoteSlots(workspace, 0)
 		}
@@ -125,5 +125,5 @@
 	for workspace, n := range slots {
 		l.starter.SetRemoteSlots(workspace, n)
 	}
-	l.elsewhere = slots
+	l.remoteSlots = slots
 }
--- a/entry/lane.go
+++ b/entry/lane.go
@@ -25,7 +25,7 @@
 	name string
 }
 
-func laneOf(s *contract.Service) laneKey {
+func laneKeyOf(s *contract.Service) laneKey {
 	if s.Kind == contract.KindModel {
 		return laneKey{kind: s.Kind, name: s.Model}
 	}
@@ -35,45 +35,45 @@
 // lane is one pool's queue and router under one lock. It is the shard by which
 // requests of different pools do not wait for each other.
 type lane struct {
-	key  laneKey
-	self laneSelf
-	log  *slog.Logger
-	now  func() time.Time
-
-	mu      sync.Mutex
-	queue   *queue.Queue
-	router  *route.Router
-	drain   *admit.DrainEstimator
-	starter *queue.Starter
-	slots   map[string]int  // by backend server that serves
-	slow    map[string]bool // servers that are eased off, as last logged
-	held    map[string]int  // slots by workspace
-
-	avoid     []string       // servers on which a suspect is tried: what crashes them would take new work along
-	elsewhere map[string]int // slots by workspace at other entries, as last heard
-	tickets   map[string]*ticket
-	entries   int // how many entries share the servers
-	number    int // this entry's number among them, from 0
+	key      laneKey
+	location entryLocation
+	log      *slog.Logger
+	now      func() time.Time
+
+	mu             sync.Mutex
+	queue          *queue.Queue
+	router         *route.Router
+	drainEstimator *admit.DrainEstimator
+	starter        *queue.Starter
+	slots          map[string]int  // by backend server that serves
+	loggedSlow     map[string]bool // servers that are eased off, as last logged
+	ownSlots       map[string]int  // slots by workspace
+
+	avoidedServers []string       // servers on which a suspect is tried: what crashes them would take new work along
+	remoteSlots    map[string]int // slots by workspace at other entries, as last heard
+	tickets        map[string]*ticket
+	entryCount     int // how many entries share the servers
+	entryIndex     int // this entry's number among them, from 0
 
 	// Scratch space of free.
 	occupancies []route.Occupancy
-	parts       []int
+	entrySlots  []int
 }
 
-// laneSelf is what a lane knows of the entry it belongs to.
-type laneSelf struct {
+// entryLocation is what a lane knows of the entry it belongs to.
+type entryLocation struct {
 	zone, region string
 }
 
 // ticket is one request's place in a lane, from submit until it is granted a
 // server or refused.
 type ticket struct {
-	request  *request.Request
-	lane     *lane
-	route    route.Request
-	failed   []string // servers that failed this request
-	weight   int
-	decision chan decision // receives exactly one
+	request       *request.Request
+	lane          *lane
+	route         route.Request
+	failedServers []string // servers that failed this request
+	weight        int
+	decision      chan decision // receives exactly one
 }
 
 // decision ends a wait: a grant, or the problem that the caller gets.
@@ -82,11 +82,11 @@
 	problem *request.Problem
 }
 
-// unroutedRetry is when a caller should come back if no backend server is
+// noServerRetryDelay is when a caller should come back if no backend server is
 // known: announcements repeat each second, so two seconds bring the next ones.
-const unroutedRetry = 2 * time.Second
+const noServerRetryDelay = 2 * time.Second
 
-func newLane(key laneKey, self laneSelf, log *slog.Logger, now func() time.Time) (*lane, error) {
+func newLane(key laneKey, location entryLocation, log *slog.Logger, now func() time.Time) (*lane, error) {
 	q, err := queue.New(queue.DefaultConfig())
 	if err != nil {
 		return nil, err
@@ -100,9 +100,9 @@
 		return nil, err
 	}
 	return &lane{
-		key: key, starter: starter, entries: 1, self: self, log: log, now: now, queue: q, router: r,
-		drain: admit.NewDrainEstimator(admit.DefaultConfig().Memory),
-		slots: map[string]int{}, slow: map[string]bool{}, held: map[string]int{}, tickets: map[string]*ticket{},
+		key: key, starter: starter, entryCount: 1, location: location, log: log, now: now, queue: q, router: r,
+		drainEstimator: admit.NewDrainEstimator(admit.DefaultConfig().Memory),
+		slots:          map[string]int{}, loggedSlow: map[string]bool{}, ownSlots: map[string]int{}, tickets: map[string]*ticket{},
 	}, nil
 }
 
@@ -113,23 +113,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.slots) == 0 {
-		return request.NewProblem(request.CodeNoServer, request.NotRun, "no backend server serves %s", l.key.name).After(unroutedRetry)
+		return request.NewProblem(request.CodeNoServer, request.NotRun, "no backend server serves %s", l.key.name).After(noServerRetryDelay)
 	}
 	item := itemOf(t.request, t.weight, now)
 	item.Deadline = l.latestStart(t.request, now)
 	l.starter.Seen(now, &item)
 	verdict := l.queue.Push(now, item)
 	for _, item := range verdict.Evicted {
-		l.refuse(item.ID, l.fullProblem(item.Workspace, now))
+		l.refuse(item.ID, l.queueFullProblem(item.Workspace, now))
 	}
 	if !verdict.Accepted {
 		if verdict.Reason == queue.AlreadyExpired {
 			return expiredProblem()
 		}
-		return l.fullProblem(t.request.Workspace, now)
+		return l.queueFullProblem(t.request.Workspace, now)
 	}
 	l.tickets[string(t.request.ID)] = t
-	l.pump(now)
+	l.dispatch(now)
 	return nil
 }
 
@@ -138,10 +138,10 @@
 // stood for long starts requests just before their deadlines: each takes a slot
 // and is cut off in the middle, and the fleet works for callers that have gone.
 func (l *lane) latestStart(r *request.Request, now time.Time) time.Time {
-	e := l.drain.Estimate(now, queue.Backlog{})
-	takes := e.FirstToken + time.Duration(r.Answer)*e.TokenInterval
-	left := r.Deadline.Sub(now)
-	return r.Deadline.Add(-min(takes, left*9/10))
+	e := l.drainEstimator.Estimate(now, queue.Backlog{})
+	expected := e.FirstToken + time.Duration(r.Answer)*e.TokenInterval
+	remaining := r.Deadline.Sub(now)
+	return r.Deadline.Add(-min(expected, remaining*9/10))
 }
 
 func itemOf(r *request.Request, weight int, now time.Time) queue.Item {
@@ -157,28 +157,28 @@
 	defer l.mu.Unlock()
 	now := l.now()
 	item := itemOf(r, weight, now)
-	return l.drain.Estimate(now, l.starter.Backlog(now, l.queue, &item, l.free(now)))
+	return l.drainEstimator.Estimate(now, l.starter.Backlog(now, l.queue, &item, l.slotTotals(now)))
 }
 
-// free sums up the slots of the lane's servers as this entry sees them. The lock
+// slotTotals sums up the slots of the lane's servers as this entry sees them. The lock
 // is held.
-func (l *lane) free(now time.Time) queue.Slots {
-	turn := l.number + int(now.Unix())
-	s := queue.Slots{Entries: l.entries, Entry: l.number, Report: int(now.Unix())}
+func (l *lane) slotTotals(now time.Time) queue.Slots {
+	rotation := l.entryIndex + int(now.Unix())
+	s := queue.Slots{Entries: l.entryCount, Entry: l.entryIndex, Report: int(now.Unix())}
 	l.occupancies = l.router.Occupancies(l.occupancies[:0], now)
-	l.parts = l.parts[:0]
+	l.entrySlots = l.entrySlots[:0]
 	for _, o := range l.occupancies {
-		l.parts = append(l.parts, o.Slots-o.Reported)
+		l.entrySlots = append(l.entrySlots, o.Slots-o.Reported)
 	}
-	queue.SplitSlots(l.parts, l.entries, turn)
+	queue.SplitSlots(l.entrySlots, l.entryCount, rotation)
 	for i, o := range l.occupancies {
-		reported := max(0, o.Slots-o.Reported)
-		believed := max(0, o.Slots-o.Reported-o.OwnSinceReport)
+		reportedFree := max(0, o.Slots-o.Reported)
+		estimatedFree := max(0, o.Slots-o.Reported-o.OwnSinceReport)
 		s.Total += o.Slots
-		s.Free += reported
-		s.Taken += reported - believed
-		if believed > 0 {
-			s.Assigned += max(0, l.parts[i]-o.OwnSinceReport)
+		s.Free += reportedFree
+		s.Taken += reportedFree - estimatedFree
+		if estimatedFree > 0 {
+			s.Assigned += max(0, l.entrySlots[i]-o.OwnSinceReport)
 		}
 	}
 	return s
@@ -188,17 +188,17 @@
 	return request.NewProblem(request.CodeDeadlineExpired, request.NotRun, "the deadline passed before a backend server was free")
 }
 
-func (l *lane) fullProblem(workspace string, now time.Time) *request.Problem {
+func (l *lane) queueFullProblem(workspace string, now time.Time) *request.Problem {
 	return request.NewProblem(request.CodeQueueFull, request.NotRun,
-		"workspace %s has too many requests waiting for %s", workspace, l.key.name).After(l.drainTime(now))
+		"workspace %s has too many requests waiting for %s", workspace, l.key.name).After(l.retryDelay(now))
 }
 
-// drainTime is a refused caller's wait before it asks again: the whole queue at
+// retryDelay is a refused caller's wait before it asks again: the whole queue at
 // the rate at which it drains, from one second to a minute, spread upwards by
 // half so that those refused together do not come back together.
-func (l *lane) drainTime(now time.Time) time.Duration {
+func (l *lane) retryDelay(now time.Time) time.Duration {
 	cfg := admit.DefaultConfig()
-	rate, known := l.drain.Rate(now)
+	rate, known := l.drainEstimator.Rate(now)
 	if !known || rate <= 0 {
 		return cfg.MinRetryAfter
 	}
@@ -208,29 +208,29 @@
 
 // refuse ends a waiting request's wait with a problem. The lock is held.
 func (l *lane) refuse(id string, p *request.Problem) {
-	t, waits := l.tickets[id]
-	if !waits {
+	t, waiting := l.tickets[id]
+	if !waiting {
 		return
 	}
 	delete(l.tickets, id)
 	t.decision <- decision{problem: p}
 }
 
-// pump grants servers to waiting requests, in the queue's order, for as long as
+// dispatch grants servers to waiting requests, in the queue's order, for as long as
 // there are slots that this entry may take. The lock is held.
-func (l *lane) pump(now time.Time) {
+func (l *lane) dispatch(now time.Time) {
 	for _, item := range l.queue.Expired(now) {
 		l.refuse(item.ID, expiredProblem())
 	}
-	for l.startNext(now) {
+	for l.dispatchNext(now) {
 	}
-	slots := l.free(now)
-	l.drain.SetFull(now, slots.Free <= slots.Taken || l.queue.Len() > 0)
+	slots := l.slotTotals(now)
+	l.drainEstimator.SetFull(now, slots.Free <= slots.Taken || l.queue.Len() > 0)
 }
 
-// startNext grants a server to the next request that may start now.
-func (l *lane) startNext(now time.Time) bool {
-	slots := l.free(now)
+// dispatchNext grants a server to the next request that may start now.
+func (l *lane) dispatchNext(now time.Time) bool {
+	slots := l.slotTotals(now)
 	var chosen route.Verdict
 	item, ok := l.queue.PopFunc(now, func(it *queue.Item) queue.Eligibility {
 		v := l.starter.Decide(now, it, slots)
@@ -238,7 +238,7 @@
 			return v.Eligibility()
 		}
 		t := l.tickets[it.ID]
-		t.route.Now, t.route.Seed, t.route.Exclude = now, rand.Uint64(), l.exclusions(t)
+		t.route.Now, t.route.Seed, t.route.Exclude = now, rand.Uint64(), l.excludedServers(t)
 		if chosen = l.router.Choose(&t.route); !chosen.OK() {
 			return queue.Waits
 		}
@@ -249,49 +249,49 @@
 	}
 	t := l.tickets[item.ID]
 	delete(l.tickets, item.ID)
-	t.decision <- decision{grant: l.grant(&chosen, &item, now)}
+	t.decision <- decision{grant: l.newGrant(&chosen, &item, now)}
 	l.logRoute(t.request, &chosen, now.Sub(item.Enqueued))
 	return true
 }
 
-// exclusions lists the servers that a request is not sent to.
-func (l *lane) exclusions(t *ticket) []string {
+// excludedServers lists the servers that a request is not sent to.
+func (l *lane) excludedServers(t *ticket) []string {
 	switch {
-	case len(t.failed) == 0:
-		return l.avoid
-	case len(l.avoid) == 0:
-		return t.failed
+	case len(t.failedServers) == 0:
+		return l.avoidedServers
+	case len(l.avoidedServers) == 0:
+		return t.failedServers
 	default:
-		return slices.Concat(t.failed, l.avoid)
+		return slices.Concat(t.failedServers, l.avoidedServers)
 	}
 }
 
-// setAvoid tells the lane which servers get no new work while a suspect runs there.
-func (l *lane) setAvoid(servers []string) {
+// setAvoidedServers tells the lane which servers get no new work while a suspect runs there.
+func (l *lane) setAvoidedServers(servers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.avoid = servers
+	l.avoidedServers = servers
 }
 
-// grant counts a start on the verdict's server.
-func (l *lane) grant(v *route.Verdict, item *queue.Item, now time.Time) *grant {
+// newGrant counts a start on the verdict's server.
+func (l *lane) newGrant(v *route.Verdict, item *queue.Item, now time.Time) *grant {
 	l.starter.Started(now, item)
-	l.held[item.Workspace]++
-	return &grant{lane: l, verdict: *v, attempt: l.router.Started(v, now), workspace: item.Workspace, estimate: item.Cost}
+	l.ownSlots[item.Workspace]++
+	return &grant{lane: l, verdict: *v, attempt: l.router.Started(v, now), workspace: item.Workspace, chargedTokens: item.Cost}
 }
 
-// again grants a server to a request that has been granted one before and lost
+// regrant grants a server to a request that has been granted one before and lost
 // it. It does not queue: its turn has come once, and behind a long queue its
 // caller would see the answer stop. ok is false while no server can take it.
-func (l *lane) again(t *ticket) (*grant, bool) {
+func (l *lane) regrant(t *ticket) (*grant, bool) {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t.route.Now, t.route.Seed, t.route.NoProbe = now, rand.Uint64(), true
-	t.route.Exclude = l.exclusions(t)
+	t.route.Exclude = l.excludedServers(t)
 	v := l.router.Choose(&t.route)
 	if !v.OK() && v.Reason == route.ReasonAllExcluded {
-		t.failed, t.route.Exclude = nil, l.avoid // better a server that failed once than none
+		t.failedServers, t.route.Exclude = nil, l.avoidedServers // better a server that failed once than none
 		v = l.router.Choose(&t.route)
 	}
 	if !v.OK() {
@@ -300,7 +300,7 @@
 	l.logRoute(t.request, &v, 0)
 	item := itemOf(t.request, t.weight, now)
 	item.Resumed = true
-	return l.grant(&v, &item, now), true
+	return l.newGrant(&v, &item, now), true
 }
 
 // withdraw takes a waiting request out of the queue, because its caller left.
@@ -308,7 +308,7 @@
 func (l *lane) withdraw(id request.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, waits := l.tickets[string(id)]; !waits {
+	if _, waiting := l.tickets[string(id)]; !waiting {
 		return false
 	}
 	delete(l.tickets, string(id))
@@ -320,12 +320,12 @@
 func (l *lane) tick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pump(l.now())
+	l.dispatch(l.now())
 }
 
-// slowShare is the part of its full share below which a server counts as eased
+// slowHealthWeight is the part of its full share below which a server counts as eased
 // off in the log. A new server begins at a tenth and is not slow.
-const slowShare = 0.5
+const slowHealthWeight = 0.5
 
 // logSlow logs each server that begins or ceases to be eased off.
 func (l *lane) logSlow() {
@@ -333,11 +333,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id := range l.slots {
-		slow := l.router.HealthWeight(id) < slowShare
-		if slow == l.slow[id] {
+		slow := l.router.HealthWeight(id) < slowHealthWeight
+		if slow == l.loggedSlow[id] {
 			continue
 		}
-		l.slow[id] = slow
+		l.loggedSlow[id] = slow
 		event.Log(context.Background(), l.log, slog.LevelWarn, event.ServerSlow,
 			slog.String("server", id), slog.Bool("slow", slow), slog.Float64("share", l.router.Weight(id, now)))
 	}
@@ -356,11 +356,11 @@
 	} else {
 		delete(l.slots, a.ID)
 	}
-	l.pump(now)
+	l.dispatch(now)
 }
 
-// leave stops new work to a server, whatever it last said of itself.
-func (l *lane) leave(id string, incarnation uint64) {
+// markLeaving stops new work to a server, whatever it last said of itself.
+func (l *lane) markLeaving(id string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.router.MarkLeaving(id, incarnation)
@@ -380,15 +380,15 @@
 	defer l.mu.Unlock()
 	l.router.Remove(id)
 	delete(l.slots, id)
-	delete(l.slow, id)
+	delete(l.loggedSlow, id)
 }
 
 // setEntries tells how many entries share the servers and which this one is.
-func (l *lane) setEntries(n, number int) {
+func (l *lane) setEntries(count, index int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.entries, l.number = n, number
-	l.router.SetEntries(n)
+	l.entryCount, l.entryIndex = count, index
+	l.router.SetEntries(count)
 }
 
 // logRoute writes one line per routing decision, with the runners-up.
--- a/entry/lane_test.go
+++ b/entry/lane_test.go
@@ -25,7 +25,7 @@
 
 func newTestLane(t require.TestingT) *testLane {
 	clock := newTestClock()
-	l, err := newLane(laneKey{kind: contract.KindModel, name: "m"}, laneSelf{zone: "z1", region: "r1"}, slog.New(slog.DiscardHandler), clock.now)
+	l, err := newLane(laneKey{kind: contract.KindModel, name: "m"}, entryLocation{zone: "z1", region: "r1"}, slog.New(slog.DiscardHandler), clock.now)
 	require.NoError(t, err)
 	return &testLane{lane: l, clock: clock}
 }
@@ -39,12 +39,12 @@
 }
 
 // ask submits a request of a workspace with this deadline.
-func (l *testLane) ask(workspace string, within time.Duration) (*ticket, *request.Problem) {
+func (l *testLane) submitRequest(workspace string, timeout time.Duration) (*ticket, *request.Problem) {
 	now := l.clock.now()
 	t := &ticket{
 		request: &request.Request{
 			ID: request.ID(fmt.Sprintf("%s-%d", workspace, len(l.tickets))), Workspace: workspace, Service: "s",
-			Class: contract.ClassStandard, Deadline: now.Add(within), Accepted: now, Cost: 100,
+			Class: contract.ClassStandard, Deadline: now.Add(timeout), Accepted: now, Cost: 100,
 		},
 		weight: 1, lane: l.lane, decision: make(chan decision, 2), // room for one too many
 		route: route.Request{PromptTokens: 10, Zone: "z1", Region: "r1"},
@@ -54,7 +54,7 @@
 }
 
 // granted takes the ticket's grant, or nil if there is no decision yet.
-func granted(t require.TestingT, k *ticket) *grant {
+func takeGrant(t require.TestingT, k *ticket) *grant {
 	if len(k.decision) == 0 {
 		return nil
 	}
@@ -67,41 +67,41 @@
 // request of another workspace must not wait behind the burst: its caller would
 // see a first token that is seconds late. Broken by returning queue.Waits
 // in startNext for the quiet workspace while the burst waits.
-func TestBurstDoesNotHoldUpAnotherWorkspace(t *testing.T) {
+func TestBurstDoesNotDelayAnotherWorkspace(t *testing.T) {
 	l := newTestLane(t)
 	l.announce(l.server("a", 4, 0), l.clock.now())
 	var running []*grant
 	for range 20 {
-		k, p := l.ask("burst", time.Minute)
+		k, p := l.submitRequest("burst", time.Minute)
 		require.Nil(t, p)
-		if g := granted(t, k); g != nil {
+		if g := takeGrant(t, k); g != nil {
 			running = append(running, g)
 		}
 	}
-	quiet, p := l.ask("quiet", time.Minute)
+	quiet, p := l.submitRequest("quiet", time.Minute)
 	require.Nil(t, p)
 	if len(quiet.decision) == 0 {
 		running[0].finished(100)
 	}
-	require.NotNil(t, granted(t, quiet), "the next slot is the quiet workspace's")
+	require.NotNil(t, takeGrant(t, quiet), "the next slot is the quiet workspace's")
 }
 
 // A queue is full, and the backlog's requests are dropped or pass their deadlines
 // there. Each caller must be told at once and once; one that is not told waits
 // until its connection breaks. Broken by leaving out refuse in pump, or the loop
 // over the evicted in submit.
-func TestGivenUpRequestsAreDecidedOnceAndAtOnce(t *testing.T) {
+func TestDroppedRequestsGetOneDecisionAtOnce(t *testing.T) {
 	l := newTestLane(t)
 	l.announce(l.server("a", 1, 1), l.clock.now())
 	refused := 0
 	for i := range 10_510 + 50 {
-		if _, p := l.ask(fmt.Sprintf("w%d", i%4), 10*time.Second); p != nil {
+		if _, p := l.submitRequest(fmt.Sprintf("w%d", i%4), 10*time.Second); p != nil {
 			require.Equal(t, request.CodeQueueFull, p.Code)
 			require.Positive(t, p.RetryAfter)
 			refused++
 		}
 	}
-	_, p := l.ask("late", 10*time.Second)
+	_, p := l.submitRequest("late", 10*time.Second)
 	require.Nil(t, p, "a workspace with nothing waiting takes the place of one with much")
 	evicted := 0
 	for _, k := range l.tickets {
@@ -144,7 +144,7 @@
 		}
 		collect := func() {
 			for _, k := range l.tickets {
-				if g := granted(t, k); g != nil {
+				if g := takeGrant(t, k); g != nil {
 					require.False(t, withdrawn[k], "a withdrawn request was granted a server")
 					g.firstToken(time.Millisecond) // a silent server is eased off, and its load goes to the others
 					running = append(running, g)
@@ -163,13 +163,13 @@
 				collect()
 				require.LessOrEqual(t, len(running), total)
 				held := 0
-				for _, n := range l.held {
+				for _, n := range l.ownSlots {
 					held += n
 				}
 				require.Equal(t, len(running), held)
 			},
 			"ask": func(t *rapid.T) {
-				_, p := l.ask(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "workspace"), time.Hour)
+				_, p := l.submitRequest(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "workspace"), time.Hour)
 				require.Nil(t, p)
 			},
 			"end": func(t *rapid.T) {
@@ -207,23 +207,23 @@
 // An operator stops a server, which may go on announcing itself as serving, and
 // takes the stop back. In between nothing may be sent there, and afterwards it
 // must work again. Broken by removing router.Leave in leave, and remove in restore.
-func TestLeaveAndRestoreOfAServer(t *testing.T) {
+func TestStoppedServerGetsNoWorkUntilRestored(t *testing.T) {
 	l := newTestLane(t)
 	l.announce(l.server("a", 4, 0), l.clock.now())
-	l.leave("a", 1)
+	l.markLeaving("a", 1)
 	l.announce(l.server("a", 4, 0), l.clock.now())
-	k, _ := l.ask("x", time.Minute)
-	require.Nil(t, granted(t, k))
+	k, _ := l.submitRequest("x", time.Minute)
+	require.Nil(t, takeGrant(t, k))
 	l.withdraw(k.request.ID)
 	l.restore(l.server("a", 4, 0), l.clock.now())
-	k, p := l.ask("x", time.Minute)
+	k, p := l.submitRequest("x", time.Minute)
 	require.Nil(t, p)
-	require.NotNil(t, granted(t, k))
+	require.NotNil(t, takeGrant(t, k))
 }
 
 // count as room for work that the router sends to the other: that one would get
 // the whole queue, and neither fairness nor deadlines hold for what waits inside it.
-func TestEasedServersSlotsDoNotFillOthers(t *testing.T) {
+func TestSlowServerSlotsDoNotOverloadOthers(t *testing.T) {
 	l := newTestLane(t)
 	slots := map[string]int{"a": 2, "b": 8}
 	running := map[string]int{}
@@ -231,7 +231,7 @@
 		for _, id := range []string{"a", "b"} {
 			l.announce(l.server(id, slots[id], running[id]), l.clock.now())
 			for _, k := range l.tickets {
-				if g := granted(t, k); g != nil {
+				if g := takeGrant(t, k); g != nil {
 					running[g.verdict.Server]++
 					if g.verdict.Server == "a" {
 						g.firstToken(time.Millisecond)
@@ -239,8 +239,8 @@
 				}
 			}
 		}
-		k, _ := l.ask("x", time.Hour)
-		if g := granted(t, k); g != nil {
+		k, _ := l.submitRequest("x", time.Hour)
+		if g := takeGrant(t, k); g != nil {
 			running[g.verdict.Server]++
 			if g.verdict.Server == "a" {
 				g.firstToken(time.Millisecond)
--- a/entry/lanes.go
+++ b/entry/lanes.go
@@ -12,59 +12,59 @@
 
 // lanes holds the lane of each pool of backend servers.
 type lanes struct {
-	self laneSelf
-	log  *slog.Logger
-	now  func() time.Time
-
-	mu      sync.RWMutex
-	byKey   map[laneKey]*lane
-	entries int // how many entries share the servers
-	number  int // this entry's number among them, from 0
+	location entryLocation
+	log      *slog.Logger
+	now      func() time.Time
+
+	mu         sync.RWMutex
+	byKey      map[laneKey]*lane
+	entryCount int // how many entries share the servers
+	entryIndex int // this entry's number among them, from 0
 	// servers holds what was last taken from the membership, so that a lane made
 	// later, when a catalogue change names a new service, begins with them.
-	servers  map[string]*heard
+	servers  map[string]*serverState
 	stopped  map[string]bool // servers that a planned stop covers
 	sequence uint64          // of the announcements given to routers
 }
 
-// heard is a server as taken from the membership, and when, on this entry's
+// serverState is a server as taken from the membership, and when, on this entry's
 // clock, its load held.
-type heard struct {
+type serverState struct {
 	server *instance.Server
 	loadAt time.Time
 }
 
-func newLanes(self laneSelf, log *slog.Logger, now func() time.Time) *lanes {
+func newLanes(location entryLocation, log *slog.Logger, now func() time.Time) *lanes {
 	return &lanes{
-		self: self, log: log, now: now, entries: 1,
-		byKey: map[laneKey]*lane{}, servers: map[string]*heard{}, stopped: map[string]bool{},
+		location: location, log: log, now: now, entryCount: 1,
+		byKey: map[laneKey]*lane{}, servers: map[string]*serverState{}, stopped: map[string]bool{},
 	}
 }
 
-// of returns the lane of a pool, made at its first use.
-func (ls *lanes) of(key laneKey) (*lane, error) {
+// get returns the lane get a pool, made at its first use.
+func (ls *lanes) get(key laneKey) (*lane, error) {
 	ls.mu.RLock()
 	l, known := ls.byKey[key]
 	ls.mu.RUnlock()
 	if known {
 		return l, nil
 	}
-	return ls.make(key)
+	return ls.create(key)
 }
 
-func (ls *lanes) make(key laneKey) (*lane, error) {
+func (ls *lanes) create(key laneKey) (*lane, error) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	if l, known := ls.byKey[key]; known {
 		return l, nil
 	}
-	l, err := newLane(key, ls.self, ls.log, ls.now)
+	l, err := newLane(key, ls.location, ls.log, ls.now)
 	if err != nil {
 		return nil, err
 	}
-	l.setEntries(ls.entries, ls.number) // nobody else knows the new lane yet, so its lock is free
+	l.setEntries(ls.entryCount, ls.entryIndex) // nobody else knows the new lane yet, so its lock is free
 	for _, h := range ls.servers {
-		if slices.Contains(keysOf(h.server), key) {
+		if slices.Contains(laneKeysOf(h.server), key) {
 			l.announce(ls.announcement(h), h.loadAt)
 		}
 	}
@@ -72,8 +72,8 @@
 	return l, nil
 }
 
-// keysOf lists the pools that a server belongs to.
-func keysOf(a *instance.Server) []laneKey {
+// laneKeysOf lists the pools that a server belongs to.
+func laneKeysOf(a *instance.Server) []laneKey {
 	var out []laneKey
 	if a.Model != "" {
 		out = append(out, laneKey{kind: contract.KindModel, name: a.Model})
@@ -88,7 +88,7 @@
 // under a sequence of this entry's own, because the membership has put what it
 // heard in order already. A server that a planned stop covers counts as leaving
 // whatever it says of itself. The lock is held.
-func (ls *lanes) announcement(h *heard) *instance.Announcement {
+func (ls *lanes) announcement(h *serverState) *instance.Announcement {
 	a := h.server.Announcement
 	ls.sequence++
 	a.Sequence = ls.sequence
@@ -106,49 +106,49 @@
 	present := make(map[string]bool, len(servers))
 	for _, s := range servers {
 		present[s.ID] = true
-		ls.take(s, now)
+		ls.update(s, now)
 	}
 	ls.mu.RLock()
-	var gone []string
+	var missing []string
 	for id := range ls.servers {
 		if !present[id] {
-			gone = append(gone, id)
+			missing = append(missing, id)
 		}
 	}
 	ls.mu.RUnlock()
-	for _, id := range gone {
+	for _, id := range missing {
 		ls.remove(id)
 	}
 }
 
-func (ls *lanes) take(s *instance.Server, now time.Time) {
+func (ls *lanes) update(s *instance.Server, now time.Time) {
 	ls.mu.Lock()
 	old := ls.servers[s.ID]
 	if old != nil && old.server == s {
 		ls.mu.Unlock()
 		return
 	}
-	h := &heard{server: s, loadAt: loadTime(&s.Announcement, now)}
+	h := &serverState{server: s, loadAt: loadMeasuredAt(&s.Announcement, now)}
 	ls.servers[s.ID] = h
 	a := ls.announcement(h)
 	ls.mu.Unlock()
-	keys := keysOf(s)
-	for _, l := range ls.some(keys) {
+	keys := laneKeysOf(s)
+	for _, l := range ls.existing(keys) {
 		l.announce(a, h.loadAt)
 	}
 	if old != nil {
-		ls.leaveOthers(old.server, keys)
+		ls.removeFromOldLanes(old.server, keys)
 	}
 }
 
-// leaveOthers takes a server out of the lanes that it no longer belongs to, as
+// removeFromOldLanes takes a server out of the lanes that it no longer belongs to, as
 // after it loaded another model.
-func (ls *lanes) leaveOthers(old *instance.Server, keys []laneKey) {
-	for _, key := range keysOf(old) {
+func (ls *lanes) removeFromOldLanes(old *instance.Server, keys []laneKey) {
+	for _, key := range laneKeysOf(old) {
 		if slices.Contains(keys, key) {
 			continue
 		}
-		for _, l := range ls.some([]laneKey{key}) {
+		for _, l := range ls.existing([]laneKey{key}) {
 			l.remove(old.ID)
 		}
 	}
@@ -163,13 +163,13 @@
 	if !known {
 		return
 	}
-	for _, l := range ls.some(keysOf(h.server)) {
+	for _, l := range ls.existing(laneKeysOf(h.server)) {
 		l.remove(id)
 	}
 }
 
-// some returns the lanes of these keys that exist.
-func (ls *lanes) some(keys []laneKey) []*lane {
+// existing returns the lanes of these keys that exist.
+func (ls *lanes) existing(keys []laneKey) []*lane {
 	ls.mu.RLock()
 	defer ls.mu.RUnlock()
 	var out []*lane
@@ -193,20 +193,20 @@
 
 // setEntries tells every lane how many entries share the backend servers, and
 // which of them this one is.
-func (ls *lanes) setEntries(n, number int) {
+func (ls *lanes) setEntries(count, index int) {
 	ls.mu.Lock()
-	ls.entries, ls.number = n, number
+	ls.entryCount, ls.entryIndex = count, index
 	ls.mu.Unlock()
 	for _, l := range ls.all() {
-		l.setEntries(n, number)
+		l.setEntries(count, index)
 	}
 }
 
-// plan applies the planned stops in force to every server. A server whose stop
+// applyPlannedStops applies the planned stops in force to every server. A server whose stop
 // was cancelled takes work again; one that leaves by its own word does not.
-func (ls *lanes) plan(covers func(id, zone string) bool) {
+func (ls *lanes) applyPlannedStops(covers func(id, zone string) bool) {
 	ls.mu.Lock()
-	var changed []*heard
+	var changed []*serverState
 	for id, h := range ls.servers {
 		stop := covers(id, h.server.Zone)
 		if stop == ls.stopped[id] {
@@ -217,18 +217,18 @@
 	}
 	ls.mu.Unlock()
 	for _, h := range changed {
-		ls.replan(h)
+		ls.applyPlannedStop(h)
 	}
 }
 
-func (ls *lanes) replan(h *heard) {
+func (ls *lanes) applyPlannedStop(h *serverState) {
 	ls.mu.Lock()
 	stop := ls.stopped[h.server.ID]
 	a := ls.announcement(h)
 	ls.mu.Unlock()
-	for _, l := range ls.some(keysOf(h.server)) {
+	for _, l := range ls.existing(laneKeysOf(h.server)) {
 		if stop {
-			l.leave(a.ID, a.Incarnation)
+			l.markLeaving(a.ID, a.Incarnation)
 			continue
 		}
 		l.restore(a, h.loadAt)
--- a/entry/life.go
+++ b/entry/life.go
@@ -28,79 +28,79 @@
 	return [...]string{"serving", "unlisted", "closed"}[p]
 }
 
-// life is an entry's phase. A planned stop can be cancelled, so phases go back
+// lifecycle is an entry's phase. A planned stop can be cancelled, so phases go back
 // too; a leave by signal or reclaim notice does not.
-type life struct {
+type lifecycle struct {
 	now func() time.Time
 
-	mu       sync.Mutex
-	phase    phase
-	unlisted time.Time // when callers stopped being sent here
-	final    bool      // the process will end
-	planned  bool      // a planned stop covers this entry
+	mu          sync.Mutex
+	phase       phase
+	unlistedAt  time.Time // when callers stopped being sent here
+	endsProcess bool      // the process will end
+	stopPlanned bool      // a planned stop covers this entry
 }
 
-func newLife(now func() time.Time) *life { return &life{now: now} }
+func newLifecycle(now func() time.Time) *lifecycle { return &lifecycle{now: now} }
 
-func (l *life) is() phase {
+func (l *lifecycle) current() phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
 }
 
-// unlist begins a leave that ends the process.
-func (l *life) unlist() {
+// startLeaving begins a leave that ends the process.
+func (l *lifecycle) startLeaving() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.final = true
+	l.endsProcess = true
 	if l.phase == phaseServing {
-		l.phase, l.unlisted = phaseUnlisted, l.now()
+		l.phase, l.unlistedAt = phaseUnlisted, l.now()
 	}
 }
 
-func (l *life) close() {
+func (l *lifecycle) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.phase = phaseClosed
 }
 
-// plan notes whether a planned stop covers this entry and reports what is to be
+// applyPlannedStop notes whether a planned stop covers this entry and reports what is to be
 // done: begin to leave, close after every list that names it has run out, or
 // serve again after the stop was cancelled.
-func (l *life) plan(covered bool, accept func(unlisted time.Time) time.Time) (begin, closed, back bool) {
+func (l *lifecycle) applyPlannedStop(stopped bool, acceptUntil func(unlisted time.Time) time.Time) (unlisting, closed, resumed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.final:
+	case l.endsProcess:
 		return false, false, false
-	case covered && l.phase == phaseServing:
-		l.phase, l.unlisted, l.planned = phaseUnlisted, l.now(), true
+	case stopped && l.phase == phaseServing:
+		l.phase, l.unlistedAt, l.stopPlanned = phaseUnlisted, l.now(), true
 		return true, false, false
-	case covered && l.phase == phaseUnlisted && !l.now().Before(accept(l.unlisted)):
+	case stopped && l.phase == phaseUnlisted && !l.now().Before(acceptUntil(l.unlistedAt)):
 		l.phase = phaseClosed
 		return false, true, false
-	case !covered && l.planned:
-		l.phase, l.planned = phaseServing, false
+	case !stopped && l.stopPlanned:
+		l.phase, l.stopPlanned = phaseServing, false
 		return false, false, true
 	}
 	return false, false, false
 }
 
-// accepting reports whether new requests are let in. An entry that is leaving
-// goes on accepting until every answer that named it has run out: callers keep
+// acceptsRequests reports whether new requests are let in. An entry that is leaving
+// goes on acceptsRequests until every answer that named it has run out: callers keep
 // such answers and would find a closed door through no fault of theirs.
-func (e *Entry) accepting() bool { return e.life.is() != phaseClosed }
+func (e *Entry) acceptsRequests() bool { return e.lifecycle.current() != phaseClosed }
 
-// listening reports whether backend servers may go on announcing here.
-func (e *Entry) listening() bool { return e.life.is() == phaseServing }
+// acceptsAnnouncements reports whether backend servers may go on announcing here.
+func (e *Entry) acceptsAnnouncements() bool { return e.lifecycle.current() == phaseServing }
 
 // drainingProblem refuses a new request because this entry leaves.
 func (e *Entry) drainingProblem() *request.Problem {
-	return request.NewProblem(request.CodeDraining, request.NotRun, "use another entry: %s", e.otherEntries()).After(time.Second)
+	return request.NewProblem(request.CodeDraining, request.NotRun, "use another entry: %s", e.otherEntryAddresses()).After(time.Second)
 }
 
-// otherEntries names the entries that callers may use, for people and logs.
-func (e *Entry) otherEntries() string {
+// otherEntryAddresses names the entries that callers may use, for people and logs.
+func (e *Entry) otherEntryAddresses() string {
 	var names []string
 	for _, m := range e.servingEntries() {
 		if m.ID != e.cfg.ID {
@@ -110,49 +110,49 @@
 	return strings.Join(names, ", ")
 }
 
-// planSelf follows the planned stops that cover this entry. The other entries
+// applyOwnStop follows the planned stops that cover this entry. The other entries
 // know of the stop from the catalogue, as servingEntries does, and nothing is
 // spread of it: a stop ends when the catalogue says so and at no other time.
-func (e *Entry) planSelf(covered bool) {
-	begin, closed, back := e.life.plan(covered, func(unlisted time.Time) time.Time {
+func (e *Entry) applyOwnStop(stopped bool) {
+	unlisting, closed, resumed := e.lifecycle.applyPlannedStop(stopped, func(unlisted time.Time) time.Time {
 		return e.picker.Drain(pick.DrainRequest{Now: e.deps.Now(), LeavingSince: unlisted}).AcceptUntil
 	})
 	switch {
-	case begin:
+	case unlisting:
 		event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.StopBegun, slog.String("id", e.cfg.ID))
 		event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.DrainBegun, slog.String("cause", "planned stop"))
 	case closed:
 		event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.DrainDone, slog.Int("unfinished", e.unfinished()))
-	case back:
+	case resumed:
 		event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.MemberChanged, slog.String("id", e.cfg.ID), slog.String("state", "serving"))
 	}
 }
 
-// drainPoll is how often a drain looks whether it is done.
-const drainPoll = 50 * time.Millisecond
+// drainPollInterval is how often a drain looks whether it is done.
+const drainPollInterval = 50 * time.Millisecond
 
 // leave ends this entry's service within about limit, cutting off nobody: it
 // has itself unlisted, accepts until every list that names it has run out,
 // closes, lets requests finish, and hands over what has not finished in time.
 func (e *Entry) leave(ctx context.Context, limit time.Duration) {
-	begun := e.deps.Now()
-	e.life.unlist()
-	e.tellLeaving()
+	startedAt := e.deps.Now()
+	e.lifecycle.startLeaving()
+	e.publishLeaving()
 	event.Log(ctx, e.deps.Log, slog.LevelInfo, event.DrainBegun,
 		slog.String("cause", "leave"), slog.Duration("limit", limit), slog.Int("unfinished", e.unfinished()))
-	until := e.picker.Drain(pick.DrainRequest{Now: begun, LeavingSince: begun, ReclaimedAt: begun.Add(limit / 3)})
-	e.waitUntil(ctx, until.AcceptUntil, func() bool { return false })
-	e.life.close()
-	finishBy := begun.Add(limit / 2)
+	drain := e.picker.Drain(pick.DrainRequest{Now: startedAt, LeavingSince: startedAt, ReclaimedAt: startedAt.Add(limit / 3)})
+	e.waitUntil(ctx, drain.AcceptUntil, func() bool { return false })
+	e.lifecycle.close()
+	finishBy := startedAt.Add(limit / 2)
 	e.waitUntil(ctx, finishBy, func() bool { return e.unfinished() == 0 })
 	e.handOverAll(ctx)
-	e.waitUntil(ctx, begun.Add(limit), func() bool { return e.unfinished() == 0 && e.registry.followed() == 0 })
+	e.waitUntil(ctx, startedAt.Add(limit), func() bool { return e.unfinished() == 0 && e.registry.followerCount() == 0 })
 	event.Log(ctx, e.deps.Log, slog.LevelInfo, event.DrainDone, slog.Int("unfinished", e.unfinished()))
 }
 
 // waitUntil returns when done reports true, at the time end, or when ctx ends.
 func (e *Entry) waitUntil(ctx context.Context, end time.Time, done func() bool) {
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for !done() && e.deps.Now().Before(end) {
 		select {
@@ -165,7 +165,7 @@
 
 // unfinished counts the requests that have not ended.
 func (e *Entry) unfinished() int {
-	return e.registry.unfinished() + int(e.plainRunning.Load()) + e.onces.len()
+	return e.registry.unfinished() + int(e.plainRunning.Load()) + e.onceCalls.len()
 }
 
 // handleLeave takes a reclaim notice for this instance:
@@ -176,15 +176,15 @@
 		request.NewProblem(request.CodeBadRequest, request.NotRun, "notice is not a duration such as 20s").Write(w)
 		return
 	}
-	e.reclaimed(notice)
+	e.leaveWithin(notice)
 	w.WriteHeader(http.StatusAccepted)
 	fmt.Fprintln(w, "leaving")
 }
 
-// reclaimed has this entry leave within a notice for its own instance.
-func (e *Entry) reclaimed(notice time.Duration) {
+// leaveWithin has this entry leave within a notice for its own instance.
+func (e *Entry) leaveWithin(notice time.Duration) {
 	select {
-	case e.notices <- notice:
+	case e.selfNotices <- notice:
 	default: // a notice is being followed already
 	}
 }
@@ -194,7 +194,7 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case notice := <-e.notices:
+	case notice := <-e.selfNotices:
 		e.leave(ctx, notice)
 		return nil
 	}
--- a/entry/members.go
+++ b/entry/members.go
@@ -21,7 +21,7 @@
 	e.members, err = membership.New(membership.Config{
 		Self: instance.Member{
 			ID: e.cfg.ID, Incarnation: e.incarnation, Role: instance.RoleEntry, Region: e.cfg.Region, Zone: e.cfg.Zone,
-			CallerAddress: e.cfg.advertised(), LinkAddress: e.cfg.LinkListen, State: instance.StateServing,
+			CallerAddress: e.cfg.advertisedAddress(), LinkAddress: e.cfg.LinkListen, State: instance.StateServing,
 		},
 		Seeds: e.cfg.Seeds, Merge: records.Merge,
 	}, membership.Deps{Pool: e.pool, Log: e.deps.Log})
@@ -32,19 +32,19 @@
 	return nil
 }
 
-// tellLeaving spreads that this entry leaves for good.
-func (e *Entry) tellLeaving() {
+// publishLeaving spreads that this entry leaves for good.
+func (e *Entry) publishLeaving() {
 	e.members.SetSelf(func(m *instance.Member) { m.State = instance.StateLeaving })
 }
 
-// tellLoad spreads how much of its capacity this entry uses.
-func (e *Entry) tellLoad() {
+// publishLoad spreads how much of its capacity this entry uses.
+func (e *Entry) publishLoad() {
 	load := float64(e.unfinished()) / float64(e.cfg.Capacity)
 	e.members.SetSelf(func(m *instance.Member) { m.Load = load })
 }
 
-// tellVersion spreads which catalogue version is in force here.
-func (e *Entry) tellVersion(version uint64) {
+// publishVersion spreads which catalogue version is in force here.
+func (e *Entry) publishVersion(version uint64) {
 	e.members.SetSelf(func(m *instance.Member) { m.Catalogue = version })
 }
 
@@ -54,7 +54,7 @@
 	c, now := e.follower.current.Load(), e.deps.Now()
 	var out []*instance.Member
 	for _, m := range e.members.View().Members(instance.RoleEntry) {
-		stopped := c != nil && c.covered(m.ID, m.Zone, now)
+		stopped := c != nil && c.instanceStopped(m.ID, m.Zone, now)
 		if m.State == instance.StateServing && !m.Suspected && !stopped {
 			out = append(out, m)
 		}
@@ -88,7 +88,7 @@
 
 func (e *Entry) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	v := StatusView{
-		ID: e.cfg.ID, Zone: e.cfg.Zone, Phase: e.life.is().String(), Unfinished: e.unfinished(),
+		ID: e.cfg.ID, Zone: e.cfg.Zone, Phase: e.lifecycle.current().String(), Unfinished: e.unfinished(),
 		Members: e.members.View().Members(""), Servers: e.members.View().AllServers(),
 	}
 	if c := e.follower.current.Load(); c != nil {
@@ -105,7 +105,7 @@
 	case ev.Server != nil:
 		e.serverChanged(ev.Server)
 		if ev.Kind == membership.ServerLeaving {
-			e.moves.leaving(ev.Server)
+			e.evacuations.serverLeaving(ev.Server)
 		}
 	case ev.Member != nil:
 		e.memberChanged(ev.Member)
@@ -135,22 +135,22 @@
 	event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.MemberChanged,
 		slog.String("id", m.ID), slog.String("role", m.Role), slog.String("state", string(m.State)))
 	e.guard.membersChanged()
-	e.shareServers()
+	e.updateEntryCount()
 }
 
-// onLeaving reports whether an attempt's server is known to leave or to be gone:
+// onLeavingServer reports whether an attempt's server is known to leave or to be gone:
 // its work goes on elsewhere and is no retry.
-func (e *Entry) onLeaving(g *grant) bool {
+func (e *Entry) onLeavingServer(g *grant) bool {
 	s, known := e.members.View().Server(g.verdict.Server)
 	return known && (s.State != instance.StateServing || s.Incarnation != g.verdict.Incarnation)
 }
 
-// shareServers tells the lanes how many entries send work to the servers. Those
+// updateEntryCount tells the lanes how many entries send work to the servers. Those
 // that leave still do, for what they have accepted.
-func (e *Entry) shareServers() {
+func (e *Entry) updateEntryCount() {
 	members := e.members.View().Members(instance.RoleEntry)
-	number := slices.IndexFunc(members, func(m *instance.Member) bool { return m.ID == e.cfg.ID })
-	e.lanes.setEntries(max(1, len(members)), max(0, number))
+	index := slices.IndexFunc(members, func(m *instance.Member) bool { return m.ID == e.cfg.ID })
+	e.lanes.setEntries(max(1, len(members)), max(0, index))
 }
 
 // recordChanged takes in a shared record. One that cannot be read is passed
@@ -163,56 +163,56 @@
 		}
 	case records.IsNotice(r.Key):
 		if notice, err := records.DecodeNotice(r.Key, r.Body); err == nil {
-			e.noticed(notice)
+			e.applyNotice(notice)
 		}
 	}
 }
 
-// noticed follows a reclaim notice: for this entry's own instance it leaves; a
+// applyNotice follows a reclaim notice: for this entry's own instance it leaves; a
 // backend server gets no new work from now on, whatever it says of itself, and
 // its requests are moved off in time.
-func (e *Entry) noticed(n fleet.Notice) {
-	left := n.Ends().Sub(e.deps.Now())
-	if left <= 0 {
+func (e *Entry) applyNotice(n fleet.Notice) {
+	remaining := n.Ends().Sub(e.deps.Now())
+	if remaining <= 0 {
 		return
 	}
 	if n.Instance == e.cfg.ID {
-		e.reclaimed(left)
+		e.leaveWithin(remaining)
 		return
 	}
-	e.notes.add(n)
-	e.planNow()
+	e.reclaimNotices.add(n)
+	e.refreshPlannedStops()
 	if s, known := e.members.View().Server(n.Instance); known && s.State == instance.StateServing {
 		leaving := *s
-		leaving.LeavingIn = int(left.Milliseconds())
-		e.moves.leaving(&leaving)
+		leaving.LeavingIn = int(remaining.Milliseconds())
+		e.evacuations.serverLeaving(&leaving)
 	}
 }
 
-// notes are the reclaim notices of backend servers.
-type notes struct {
+// reclaimNotices are the reclaim notices of backend servers.
+type reclaimNotices struct {
 	mu   sync.Mutex
 	ends map[string]time.Time // by instance
 }
 
 // add notes a notice until a while after its end.
-func (t *notes) add(n fleet.Notice) {
+func (t *reclaimNotices) add(n fleet.Notice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ends[n.Instance] = n.Ends().Add(noteKept)
+	t.ends[n.Instance] = n.Ends().Add(noticeGrace)
 }
 
-// noteKept is how long after its end a notice still keeps work from a server. By
+// noticeGrace is how long after its end a notice still keeps work from a server. By
 // then the instance is gone; one that was spared after all serves again.
-const noteKept = time.Minute
+const noticeGrace = time.Minute
 
-func (t *notes) covers(id string, now time.Time) bool {
+func (t *reclaimNotices) covers(id string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	end, noted := t.ends[id]
-	if noted && now.After(end) {
+	end, known := t.ends[id]
+	if known && now.After(end) {
 		delete(t.ends, id)
 		return false
 	}
-	return noted
+	return known
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// ended counts one request by outcome and, where it has one, problem code.
-func (m *Metrics) ended(o request.Outcome, c request.Code) {
+// requestEnded counts one request by outcome and, where it has one, problem code.
+func (m *Metrics) requestEnded(o request.Outcome, c request.Code) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("savoryreel_requests_total{outcome=%q,code=%q}", o, c)).Inc()
 }
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -18,37 +18,37 @@
 
 // onces is the set of once-only requests that this entry runs, or whose end it
 // has yet to tell the ledger.
-type onces struct {
-	mu      sync.Mutex
-	running map[string]int // by request id; the uses of each
+type onceCalls struct {
+	mu   sync.Mutex
+	uses map[string]int // by request id; the uses of each
 }
 
-func newOnces() *onces { return &onces{running: map[string]int{}} }
+func newOnceCalls() *onceCalls { return &onceCalls{uses: map[string]int{}} }
 
-func (o *onces) begin(id string) {
+func (o *onceCalls) add(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.running[id]++
+	o.uses[id]++
 }
 
-func (o *onces) end(id string) {
+func (o *onceCalls) remove(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.running[id]--; o.running[id] <= 0 {
-		delete(o.running, id)
+	if o.uses[id]--; o.uses[id] <= 0 {
+		delete(o.uses, id)
 	}
 }
 
-func (o *onces) has(id string) bool {
+func (o *onceCalls) has(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.running[id] > 0
+	return o.uses[id] > 0
 }
 
-func (o *onces) len() int {
+func (o *onceCalls) len() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.running)
+	return len(o.uses)
 }
 
 // ownerRequest names the record in question.
@@ -67,9 +67,9 @@
 // was held up on its way, by a frozen replica, until after the command to
 // release had passed it. The request never ran. Left alone, such a record would
 // keep its key for good and each resend of the caller would wait in vain.
-func (e *Entry) answerOwner(ctx context.Context, _ link.PeerInfo, q ownerRequest) (ownerReply, error) {
+func (e *Entry) handleOwner(ctx context.Context, _ link.PeerInfo, q ownerRequest) (ownerReply, error) {
 	r := q.Record
-	if r.Owner != e.owner() || e.onces.has(r.RequestID) {
+	if r.Owner != e.ledgerOwner() || e.onceCalls.has(r.RequestID) {
 		return ownerReply{Running: true}, nil
 	}
 	_, err := e.ledger.Ledger(ctx, ledger.Command{
@@ -80,12 +80,12 @@
 
 // askOwner has the owner of a record look after it. An owner that cannot be
 // reached is asked again at the next look.
-func (e *Entry) askOwner(ctx context.Context, r *ledger.Record) {
+func (e *Entry) checkOwner(ctx context.Context, r *ledger.Record) {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	q := ownerRequest{Record: *r}
-	if r.Owner == e.owner() {
-		_, _ = e.answerOwner(ctx, link.PeerInfo{}, q) // asked again at the next look
+	if r.Owner == e.ledgerOwner() {
+		_, _ = e.handleOwner(ctx, link.PeerInfo{}, q) // asked again at the next look
 		return
 	}
 	if m, known := e.members.View().Member(r.Owner.Entry); known {
@@ -94,7 +94,7 @@
 }
 
 // ownerGone reports whether the entry life that owns a record is over.
-func (e *Entry) ownerGone(o ledger.Owner) bool {
+func (e *Entry) ownerEnded(o ledger.Owner) bool {
 	if o.Entry == e.cfg.ID {
 		return o.Incarnation != e.incarnation
 	}
--- a/entry/ownership.go
+++ b/entry/ownership.go
@@ -14,17 +14,17 @@
 // askMessage passes a request's fingerprint to its owner with what is known. The
 // record goes along only where it holds something: most requests have run
 // nowhere yet, and entries ask this for each of them.
-type askMessage struct {
-	Print  uint64             `msgpack:"f"`
-	Record *quarantine.Record `msgpack:"r,omitempty"`
-	Server quarantine.Server  `msgpack:"s"` // where routing would send it
-	Kind   contract.Kind      `msgpack:"k"` // of the pool whose servers can run it
-	Pool   string             `msgpack:"p"`
+type quarantineAdmitRequest struct {
+	Fingerprint uint64             `msgpack:"f"`
+	Record      *quarantine.Record `msgpack:"r,omitempty"`
+	Server      quarantine.Server  `msgpack:"s"` // where routing would send it
+	Kind        contract.Kind      `msgpack:"k"` // of the pool whose servers can run it
+	Pool        string             `msgpack:"p"`
 }
 
 // askReply is the owner's verdict. Server and Record go along only where they
 // differ from what the asking entry knows or must be told.
-type askReply struct {
+type quarantineAdmitReply struct {
 	Action quarantine.Action  `msgpack:"a"`
 	Reason quarantine.Reason  `msgpack:"y"`
 	Grant  uint64             `msgpack:"g,omitempty"`
@@ -34,15 +34,15 @@
 }
 
 // answer decides as the owner of a fingerprint.
-func (q *guard) answer(_ context.Context, _ link.PeerInfo, m askMessage) (askReply, error) {
+func (q *guard) handleAdmit(_ context.Context, _ link.PeerInfo, m quarantineAdmitRequest) (quarantineAdmitReply, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
 	if m.Record != nil {
 		q.set.Merge(*m.Record, now)
 	}
-	v := q.set.Admit(quarantine.Query{Now: now, Fingerprint: m.Print, Server: m.Server, View: q.view(laneKey{m.Kind, m.Pool})})
-	reply := askReply{Action: v.Action, Reason: v.Reason, Grant: v.Grant}
+	v := q.set.Admit(quarantine.Query{Now: now, Fingerprint: m.Fingerprint, Server: m.Server, View: q.view(laneKey{m.Kind, m.Pool})})
+	reply := quarantineAdmitReply{Action: v.Action, Reason: v.Reason, Grant: v.Grant}
 	if v.Server != m.Server {
 		reply.Server = &v.Server
 	}
@@ -56,8 +56,8 @@
 }
 
 // verdict restores the owner's verdict at the entry that asked.
-func (r *askReply) verdict(ask quarantine.Query) quarantine.Verdict {
-	v := quarantine.Verdict{Action: r.Action, Reason: r.Reason, Server: ask.Server, Grant: r.Grant}
+func (r *quarantineAdmitReply) verdict(query quarantine.Query) quarantine.Verdict {
+	v := quarantine.Verdict{Action: r.Action, Reason: r.Reason, Server: query.Server, Grant: r.Grant}
 	if r.Server != nil {
 		v.Server = *r.Server
 	}
@@ -68,10 +68,10 @@
 	case r.Record != nil:
 		v.Record = *r.Record
 	case r.Grant != 0:
-		trial := quarantine.Exposure{Server: v.Server, Grant: r.Grant, State: quarantine.StateTrial, At: ask.Now}
-		v.Record = quarantine.Record{Fingerprint: ask.Fingerprint, Exposures: []quarantine.Exposure{trial}}
+		trial := quarantine.Exposure{Server: v.Server, Grant: r.Grant, State: quarantine.StateTrial, At: query.Now}
+		v.Record = quarantine.Record{Fingerprint: query.Fingerprint, Exposures: []quarantine.Exposure{trial}}
 	default:
-		v.Record.Fingerprint = ask.Fingerprint
+		v.Record.Fingerprint = query.Fingerprint
 	}
 	return v
 }
@@ -82,11 +82,11 @@
 func (q *guard) membersChanged() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.stale = true
+	q.viewsStale = true
 }
 
 // rebuild works out who owns what. The lock is held; the view takes none.
-func (q *guard) rebuild() {
+func (q *guard) rebuildViews() {
 	var entries []string
 	for _, m := range q.entry.members.View().Members(instance.RoleEntry) {
 		if m.State == instance.StateServing {
@@ -98,7 +98,7 @@
 		if s.State != instance.StateServing {
 			continue
 		}
-		for _, key := range keysOf(s) {
+		for _, key := range laneKeysOf(s) {
 			pools[key] = append(pools[key], quarantine.Server{ID: s.ID, Incarnation: s.Incarnation})
 		}
 	}
@@ -106,19 +106,19 @@
 	for key, servers := range pools {
 		views[key] = quarantine.NewView(q.entry.cfg.ID, entries, servers)
 	}
-	q.views, q.stale = views, false
+	q.views, q.viewsStale = views, false
 }
 
 // rebuildEvery bounds how often it is worked out who owns what: 2 ms each at 370
 // entries, so 2 in 100 of a core while a data centre goes. Entries differ by more
 // than that in when they hear of a change.
-const rebuildEvery = 100 * time.Millisecond
+const minRebuildInterval = 100 * time.Millisecond
 
 // view is the picture of one pool. The lock is held.
 func (q *guard) view(key laneKey) *quarantine.View {
-	if now := q.now(); q.stale && now.Sub(q.built) >= rebuildEvery {
-		q.rebuild()
-		q.built = now
+	if now := q.now(); q.viewsStale && now.Sub(q.viewsBuiltAt) >= minRebuildInterval {
+		q.rebuildViews()
+		q.viewsBuiltAt = now
 	}
 	if v, known := q.views[key]; known {
 		return v
@@ -129,26 +129,26 @@
 // decide asks this entry's own records and, where another entry owns the
 // fingerprint, that one.
 func (q *guard) decide(ctx context.Context, key laneKey, fingerprint uint64, server quarantine.Server) quarantine.Verdict {
-	ask := quarantine.Query{Now: q.now(), Fingerprint: fingerprint, Server: server}
-	v := q.admit(key, ask)
+	query := quarantine.Query{Now: q.now(), Fingerprint: fingerprint, Server: server}
+	v := q.admit(key, query)
 	if v.Action != quarantine.ActionPass {
 		return v
 	}
 	m, known := q.entry.members.View().Member(v.Owner)
 	if !known {
-		return q.unasked(key, ask, v)
+		return q.decideWithoutOwner(key, query, v)
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, quarantineOwnerTimeout)
 	defer cancel()
-	msg := askMessage{Print: fingerprint, Server: server, Kind: key.kind, Pool: key.name}
+	msg := quarantineAdmitRequest{Fingerprint: fingerprint, Server: server, Kind: key.kind, Pool: key.name}
 	if len(v.Record.Exposures) > 0 {
 		msg.Record = &v.Record
 	}
-	reply, err := link.Call[askReply](ctx, q.entry.pool, m.LinkAddress, methodAskOwner, msg)
+	reply, err := link.Call[quarantineAdmitReply](ctx, q.entry.pool, m.LinkAddress, methodQuarantineAdmit, msg)
 	if err != nil || reply.Action == quarantine.ActionPass {
-		return q.unasked(key, ask, v)
+		return q.decideWithoutOwner(key, query, v)
 	}
-	granted := reply.verdict(ask)
+	granted := reply.verdict(query)
 	q.merge(granted.Record)
 	return granted
 }
@@ -159,23 +159,23 @@
 // others have noticed, some seconds in which callers of a healthy system wait.
 // While owners are out of reach, a request that crashes servers can take one
 // more than two for each entry that it comes through.
-func (q *guard) unasked(key laneKey, ask quarantine.Query, v quarantine.Verdict) quarantine.Verdict {
+func (q *guard) decideWithoutOwner(key laneKey, query quarantine.Query, v quarantine.Verdict) quarantine.Verdict {
 	if v.Record.EverCrashed {
-		ask.Unreachable = true
-		return q.admit(key, ask)
+		query.Unreachable = true
+		return q.admit(key, query)
 	}
-	return quarantine.Verdict{Action: quarantine.ActionRun, Reason: quarantine.ReasonNoSuspicion, Server: ask.Server}
+	return quarantine.Verdict{Action: quarantine.ActionRun, Reason: quarantine.ReasonNoSuspicion, Server: query.Server}
 }
 
-func (q *guard) admit(key laneKey, ask quarantine.Query) quarantine.Verdict {
+func (q *guard) admit(key laneKey, query quarantine.Query) quarantine.Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	ask.View = q.view(key)
-	return q.set.Admit(ask)
+	query.View = q.view(key)
+	return q.set.Admit(query)
 }
 
 // spread gives a record to all entries.
-func (q *guard) spread(r quarantine.Record) {
+func (q *guard) broadcast(r quarantine.Record) {
 	body, err := records.EncodeQuarantine(r)
 	if err != nil {
 		return // numbers, strings and times always encode
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -29,7 +29,7 @@
 
 // plainCost is the work of a plain call in tokens: about what one short call
 // takes of a web server compared with a model's slot.
-const plainCost = 32
+const plainCallTokens = 32
 
 // plainCall is one accepted call of a plain service.
 type plainCall struct {
@@ -54,7 +54,7 @@
 		e.refuse(w, r, p)
 		return
 	}
-	defer e.release(call.request, plainCost)
+	defer e.release(call.request, plainCallTokens)
 	ctx, cancel := context.WithDeadline(callContext(r.Context(), call.request), call.request.Deadline)
 	defer cancel()
 	call.ctx = ctx
@@ -88,7 +88,7 @@
 	if p != nil {
 		return nil, p
 	}
-	req.Idempotent, req.Cost = s.Idempotent(req.Method, path), plainCost
+	req.Idempotent, req.Cost = s.Idempotent(req.Method, path), plainCallTokens
 	if !req.Idempotent && req.Key == "" {
 		return nil, request.NewProblem(request.CodeKeyMissing, request.NotRun, "%s %s may not be repeated", req.Method, path)
 	}
@@ -99,7 +99,7 @@
 	if q := c.http.URL.RawQuery; q != "" {
 		req.Path += "?" + q
 	}
-	l, err := e.lanes.of(laneOf(s))
+	l, err := e.lanes.get(laneKeyOf(s))
 	if err != nil {
 		return nil, request.NewProblem(request.CodeInternal, request.NotRun, "%v", err)
 	}
@@ -116,13 +116,13 @@
 // serve runs the call and answers the caller, or returns its problem.
 func (c *plainCall) serve() *request.Problem {
 	if !c.request.Idempotent {
-		return c.once()
+		return c.recordAndRun()
 	}
 	g, p := c.acquire()
 	if p != nil {
 		return p
 	}
-	return c.repeat(g)
+	return c.runRepeatable(g)
 }
 
 // acquire queues the call until a server is granted.
@@ -130,16 +130,16 @@
 	if p := c.ticket.lane.submit(c.ticket); p != nil {
 		return nil, p
 	}
-	g, p := c.await()
+	g, p := c.awaitGrant()
 	if p != nil {
 		return nil, p
 	}
-	c.entry.retries.first(c.entry.deps.Now(), c.request)
-	return c.cleared(g)
+	c.entry.retries.firstAttempt(c.entry.deps.Now(), c.request)
+	return c.checkGrant(g)
 }
 
 // await waits for the queue's grant.
-func (c *plainCall) await() (*grant, *request.Problem) {
+func (c *plainCall) awaitGrant() (*grant, *request.Problem) {
 	select {
 	case d := <-c.ticket.decision:
 		c.entry.metrics.queueWait.UpdateDuration(c.request.Accepted)
@@ -155,8 +155,8 @@
 }
 
 // cleared has the quarantine decide where the granted call may run.
-func (c *plainCall) cleared(g *grant) (*grant, *request.Problem) {
-	g, err := c.entry.guard.clear(c.ctx, c.ticket, g)
+func (c *plainCall) checkGrant(g *grant) (*grant, *request.Problem) {
+	g, err := c.entry.guard.checkGrant(c.ctx, c.ticket, g)
 	var final *request.Problem
 	switch {
 	case errors.As(err, &final):
@@ -169,10 +169,10 @@
 
 // repeat runs a call that may be repeated: another server is tried for as long
 // as no byte of an answer has gone to the caller.
-func (c *plainCall) repeat(g *grant) *request.Problem {
+func (c *plainCall) runRepeatable(g *grant) *request.Problem {
 	outcome := request.NotRun
-	for n := 1; ; n++ {
-		resp, _, err := c.send(g, c.entry.plain.Do)
+	for attempts := 1; ; attempts++ {
+		resp, _, err := c.send(g, c.entry.plainClient.Do)
 		if err == nil {
 			c.relay(g, resp)
 			return nil
@@ -183,7 +183,7 @@
 		if c.ctx.Err() != nil {
 			return request.NewProblem(request.CodeDeadlineExpired, outcome, "the deadline passed while the call ran")
 		}
-		next, p := c.another(g, n, err, outcome)
+		next, p := c.nextGrant(g, attempts, err, outcome)
 		if p != nil {
 			return p
 		}
@@ -193,10 +193,10 @@
 
 // another grants the next server after a failed attempt, if the retry budgets
 // allow one, or returns the call's final problem.
-func (c *plainCall) another(g *grant, n int, err error, o request.Outcome) (*grant, *request.Problem) {
-	failed := request.NewProblem(request.CodeServerFailed, o, "%v", err).After(time.Second)
-	v := c.entry.retries.failed(c.entry.deps.Now(), g.verdict.Server, retry.Failure{
-		Call: callOf(c.request), Attempts: n, NotRun: native.NotRun(err), Reclaimed: c.entry.onLeaving(g),
+func (c *plainCall) nextGrant(g *grant, attempts int, err error, outcome request.Outcome) (*grant, *request.Problem) {
+	failed := request.NewProblem(request.CodeServerFailed, outcome, "%v", err).After(time.Second)
+	v := c.entry.retries.attemptFailed(c.entry.deps.Now(), g.verdict.Server, retry.Failure{
+		Call: retryCall(c.request), Attempts: attempts, NotRun: native.NotRun(err), Reclaimed: c.entry.onLeavingServer(g),
 	})
 	if !v.Go {
 		failed.Detail += " (" + v.Reason.String() + ")"
@@ -207,23 +207,23 @@
 	case <-c.ctx.Done():
 		return nil, failed
 	}
-	c.ticket.failed = append(c.ticket.failed, g.verdict.Server)
-	next, ok := c.ticket.lane.again(c.ticket)
+	c.ticket.failedServers = append(c.ticket.failedServers, g.verdict.Server)
+	next, ok := c.ticket.lane.regrant(c.ticket)
 	if !ok {
 		return nil, failed
 	}
-	next, p := c.cleared(next)
-	if p != nil && o != request.NotRun {
-		p = mayHaveRun(p)
+	next, p := c.checkGrant(next)
+	if p != nil && outcome != request.NotRun {
+		p = withUnknownOutcome(p)
 	}
 	return next, p
 }
 
 // send makes one attempt and closes its grant if it failed.
 func (c *plainCall) send(g *grant, do func(context.Context, string, *http.Request) (*http.Response, bool, error)) (*http.Response, bool, error) {
-	out, err := c.outgoing()
+	out, err := c.backendRequest()
 	if err != nil {
-		c.cancelled(g)
+		c.cancelAttempt(g)
 		return nil, false, err
 	}
 	started := c.entry.deps.Now()
@@ -233,11 +233,11 @@
 		return resp, sent, nil
 	}
 	if c.ctx.Err() != nil {
-		c.cancelled(g)
+		c.cancelAttempt(g)
 		return nil, sent, err
 	}
 	g.failed()
-	c.entry.guard.lost(c.ctx, g, err)
+	c.entry.guard.attemptFailed(c.ctx, g, err)
 	c.entry.metrics.attemptsFailed.Inc()
 	event.Log(c.ctx, c.entry.deps.Log, slog.LevelWarn, event.AttemptFailed,
 		slog.String("request", string(c.request.ID)), slog.String("server", g.verdict.Server),
@@ -247,13 +247,13 @@
 
 // hopByHop lists the headers that belong to one connection (RFC 9110 section
 // 7.6.1) and those that are between the caller and this system.
-var hopByHop = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", request.HeaderKeep, request.HeaderClass,
 }
 
 // outgoing is the request as the backend server gets it.
-func (c *plainCall) outgoing() (*http.Request, error) {
+func (c *plainCall) backendRequest() (*http.Request, error) {
 	out, err := http.NewRequestWithContext(c.ctx, c.request.Method, "http://backend"+c.request.Path, bytes.NewReader(c.request.Body))
 	if err != nil {
 		return nil, err
@@ -271,7 +271,7 @@
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
@@ -281,9 +281,9 @@
 // answer off as the whole.
 func (c *plainCall) relay(g *grant, resp *http.Response) {
 	defer resp.Body.Close()
-	c.head(resp)
+	c.writeHeader(resp)
 	_, err := io.Copy(flushWriter{c.writer}, resp.Body)
-	c.settle(g, err)
+	c.closeGrant(g, err)
 	if err != nil {
 		c.entry.logEnd(c.request, request.Unknown, request.CodeServerFailed, 0)
 		panic(http.ErrAbortHandler)
@@ -292,27 +292,27 @@
 }
 
 // settle closes the attempt's grant by how the answer's body ended.
-func (c *plainCall) settle(g *grant, err error) {
-	var broken *native.CallError
+func (c *plainCall) closeGrant(g *grant, err error) {
+	var callErr *native.CallError
 	switch {
 	case err == nil:
-		g.finished(plainCost)
-		c.entry.guard.finish(g.lane.key, g.run)
-	case errors.As(err, &broken) && c.ctx.Err() == nil:
+		g.finished(plainCallTokens)
+		c.entry.guard.finish(g.lane.key, g.quarantineRun)
+	case errors.As(err, &callErr) && c.ctx.Err() == nil:
 		g.failed()
-		c.entry.guard.lost(c.ctx, g, err)
+		c.entry.guard.attemptFailed(c.ctx, g, err)
 	default:
-		c.cancelled(g) // the caller left or its deadline passed
+		c.cancelAttempt(g) // the caller left or its deadline passed
 	}
 }
 
 // cancelled closes an attempt that was given up here.
-func (c *plainCall) cancelled(g *grant) {
+func (c *plainCall) cancelAttempt(g *grant) {
 	g.cancelled()
-	c.entry.guard.end(g.lane.key, g.run)
+	c.entry.guard.end(g.lane.key, g.quarantineRun)
 }
 
-func (c *plainCall) head(resp *http.Response) {
+func (c *plainCall) writeHeader(resp *http.Response) {
 	h := c.writer.Header()
 	for name, values := range resp.Header {
 		h[name] = values
@@ -339,4 +339,4 @@
 
 // maxHeldAnswer bounds what of a once-only call's answer is held back until it
 // is whole, so that a small answer, as a statement credit's, is all or nothing.
-const maxHeldAnswer = ledger.MaxAnswer
+const maxBufferedAnswerBytes = ledger.MaxAnswer
--- a/entry/prefixes.go
+++ b/entry/prefixes.go
@@ -30,12 +30,12 @@
 // sends them elsewhere. Neither shows but as recomputed tokens, for as long as
 // the gap is not repaired.
 type prefixes struct {
-	entry   *Entry
-	lanes   *lanes
-	engines listingClient
-	log     *slog.Logger
-	work    *sync.WaitGroup
-	ctx     context.Context
+	entry      *Entry
+	lanes      *lanes
+	engines    listingClient
+	log        *slog.Logger
+	fetchGroup *sync.WaitGroup
+	ctx        context.Context
 
 	mu      sync.Mutex
 	fetches map[string]bool // servers whose listing is being fetched
@@ -47,47 +47,47 @@
 // cachePeers is the most entries that pass cache events on to each other. At
 // more, the events of hundreds of servers would take more than all other control
 // traffic, and affinity rests on rendezvous hashing, which needs none.
-const cachePeers = 16
+const maxCacheEventPeers = 16
 
 // cacheMessage is a batch of events passed on.
-type cacheMessage struct {
+type cacheEventsMessage struct {
 	Server      string                `msgpack:"s"`
 	Incarnation uint64                `msgpack:"i"`
 	Events      []instance.CacheEvent `msgpack:"e"`
 }
 
 func (p *prefixes) register(s *link.Server) {
-	link.HandleNotice(s, methodCacheEvents, func(_ context.Context, _ link.PeerInfo, m cacheMessage) {
-		p.take(m.Server, m.Incarnation, m.Events)
+	link.HandleNotice(s, methodCacheEvents, func(_ context.Context, _ link.PeerInfo, m cacheEventsMessage) {
+		p.apply(m.Server, m.Incarnation, m.Events)
 	})
 }
 
 // heard takes events that a server sent here and passes them on.
-func (p *prefixes) heard(server string, incarnation uint64, events []instance.CacheEvent) {
-	p.take(server, incarnation, events)
+func (p *prefixes) receive(server string, incarnation uint64, events []instance.CacheEvent) {
+	p.apply(server, incarnation, events)
 	peers := p.entry.peerLinks()
-	if len(peers) >= cachePeers {
+	if len(peers) >= maxCacheEventPeers {
 		return
 	}
 	for _, addr := range peers {
 		// A lost batch shows there as a gap and is repaired by a listing.
-		_ = link.Notify(p.entry.pool, addr, methodCacheEvents, cacheMessage{server, incarnation, events})
+		_ = link.Notify(p.entry.pool, addr, methodCacheEvents, cacheEventsMessage{server, incarnation, events})
 	}
 }
 
 // take applies a batch of events of one incarnation of a server.
-func (p *prefixes) take(server string, incarnation uint64, events []instance.CacheEvent) {
-	l, address, ok := p.laneOf(server, incarnation)
+func (p *prefixes) apply(server string, incarnation uint64, events []instance.CacheEvent) {
+	l, address, ok := p.modelLane(server, incarnation)
 	if !ok {
 		return // not announced here yet: its listing is fetched when it is
 	}
-	if l.cacheEvents(server, incarnation, events) {
+	if l.applyCacheEvents(server, incarnation, events) {
 		return
 	}
-	p.repair(l, server, address)
+	p.fetchListing(l, server, address)
 }
 
-func (p *prefixes) laneOf(server string, incarnation uint64) (*lane, string, bool) {
+func (p *prefixes) modelLane(server string, incarnation uint64) (*lane, string, bool) {
 	p.lanes.mu.RLock()
 	h, known := p.lanes.servers[server]
 	p.lanes.mu.RUnlock()
@@ -95,52 +95,52 @@
 		return nil, "", false
 	}
 	a := h.server
-	l, err := p.lanes.of(laneKey{kind: contract.KindModel, name: a.Model})
+	l, err := p.lanes.get(laneKey{kind: contract.KindModel, name: a.Model})
 	return l, a.Address, err == nil
 }
 
 // repair fetches the full listing, once at a time for each server.
-func (p *prefixes) repair(l *lane, server, address string) {
+func (p *prefixes) fetchListing(l *lane, server, address string) {
 	p.mu.Lock()
-	busy := p.fetches[server]
+	fetching := p.fetches[server]
 	p.fetches[server] = true
 	p.mu.Unlock()
-	if busy {
+	if fetching {
 		return
 	}
 	event.Log(p.ctx, p.log, slog.LevelInfo, event.CacheGap, slog.String("server", server))
-	p.work.Go(func() {
-		defer p.fetched(server)
+	p.fetchGroup.Go(func() {
+		defer p.fetchDone(server)
 		ctx, cancel := context.WithTimeout(p.ctx, listingTimeout)
 		defer cancel()
 		listing, err := p.engines.Listing(ctx, address)
 		if err != nil {
 			return // the next events show the gap again
 		}
-		l.cacheListing(server, listing)
+		l.applyCacheListing(server, listing)
 	})
 }
 
-func (p *prefixes) fetched(server string) {
+func (p *prefixes) fetchDone(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.fetches, server)
 }
 
 // cacheEvents applies events and reports false where some are missing.
-func (l *lane) cacheEvents(server string, incarnation uint64, events []instance.CacheEvent) bool {
+func (l *lane) applyCacheEvents(server string, incarnation uint64, events []instance.CacheEvent) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	whole := true
+	complete := true
 	for _, ev := range events {
 		if l.router.Prefixes().Apply(server, incarnation, ev) == route.Gap {
-			whole = false
+			complete = false
 		}
 	}
-	return whole
+	return complete
 }
 
-func (l *lane) cacheListing(server string, c native.CacheListing) {
+func (l *lane) applyCacheListing(server string, c native.CacheListing) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	listing := route.Listing{Incarnation: c.Incarnation, Sequence: c.Sequence}
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -23,20 +23,20 @@
 	return &retries{policy: p}, nil
 }
 
-func callOf(r *request.Request) retry.Call {
+func retryCall(r *request.Request) retry.Call {
 	return retry.Call{Workspace: r.Workspace, Service: r.Service, Class: r.Class, Idempotent: r.Idempotent, Deadline: r.Deadline}
 }
 
 // first notes the first attempt of a request, which fills the budgets.
-func (t *retries) first(now time.Time, r *request.Request) {
+func (t *retries) firstAttempt(now time.Time, r *request.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.policy.First(now, callOf(r))
+	t.policy.First(now, retryCall(r))
 }
 
 // failed notes a failed attempt on a server and decides whether another may
 // follow.
-func (t *retries) failed(now time.Time, server string, f retry.Failure) retry.Verdict {
+func (t *retries) attemptFailed(now time.Time, server string, f retry.Failure) retry.Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.policy.ServerFailed(now, server)
@@ -45,8 +45,8 @@
 
 // setServers tells how many backend servers there are, by which a wave of
 // failures is told from single ones.
-func (t *retries) setServers(n int) {
+func (t *retries) setServers(count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.policy.SetServers(n)
+	t.policy.SetServers(count)
 }
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -10,7 +10,7 @@
 // Why a watch ended an attempt.
 var (
 	// errSilent: the server answers neither on the stream nor on a new connection.
-	errSilent = errors.New("stream silent, server answers no probe")
+	errUnreachable = errors.New("stream silent, server answers no probe")
 	// errStalled: the server is alive, but its stream brings nothing.
 	errStalled = errors.New("stream stalled, server answers probes")
 )
@@ -20,29 +20,29 @@
 // leaves a stream that is open and brings nothing, for good; the caller would
 // wait for its whole deadline. A probe on a new connection tells the first
 // from a slow server at once; the second shows only by time.
-type watch struct {
-	runner  *runner
-	address string
-	cancel  context.CancelCauseFunc
-	last    atomic.Int64 // Unix nanoseconds when the stream last brought something
-	begun   atomic.Bool  // whether it has brought anything
+type streamWatch struct {
+	runner       *runner
+	address      string
+	cancel       context.CancelCauseFunc
+	lastReceived atomic.Int64 // Unix nanoseconds when the stream last brought something
+	received     atomic.Bool  // whether it has brought anything
 }
 
-func newWatch(r *runner, address string, cancel context.CancelCauseFunc) *watch {
-	w := &watch{runner: r, address: address, cancel: cancel}
-	w.last.Store(r.now().UnixNano())
+func newStreamWatch(r *runner, address string, cancel context.CancelCauseFunc) *streamWatch {
+	w := &streamWatch{runner: r, address: address, cancel: cancel}
+	w.lastReceived.Store(r.now().UnixNano())
 	return w
 }
 
 // heard notes that the stream has brought something.
-func (w *watch) heard() {
-	w.last.Store(w.runner.now().UnixNano())
-	w.begun.Store(true)
+func (w *streamWatch) observe() {
+	w.lastReceived.Store(w.runner.now().UnixNano())
+	w.received.Store(true)
 }
 
 // run looks after the stream until ctx ends.
-func (w *watch) run(ctx context.Context) {
-	tick := time.NewTicker(streamSilence / 4)
+func (w *streamWatch) run(ctx context.Context) {
+	tick := time.NewTicker(probeAfterIdle / 4)
 	defer tick.Stop()
 	for {
 		select {
@@ -50,7 +50,7 @@
 			return
 		case <-tick.C:
 		}
-		if err := w.judge(ctx); err != nil {
+		if err := w.check(ctx); err != nil {
 			w.cancel(err)
 			return
 		}
@@ -58,29 +58,29 @@
 }
 
 // judge returns why the attempt should end, or nil.
-func (w *watch) judge(ctx context.Context) error {
-	quiet := w.quiet()
-	if quiet < streamSilence {
+func (w *streamWatch) check(ctx context.Context) error {
+	idle := w.idle()
+	if idle < probeAfterIdle {
 		return nil
 	}
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if w.runner.engines.Probe(probeCtx, w.address) != nil && w.quiet() >= streamSilence {
-		return errSilent
+	if w.runner.engines.Probe(probeCtx, w.address) != nil && w.idle() >= probeAfterIdle {
+		return errUnreachable
 	}
-	if w.quiet() > w.bound() {
+	if w.idle() > w.maxIdle() {
 		return errStalled
 	}
 	return nil
 }
 
-func (w *watch) quiet() time.Duration {
-	return time.Duration(w.runner.now().UnixNano() - w.last.Load())
+func (w *streamWatch) idle() time.Duration {
+	return time.Duration(w.runner.now().UnixNano() - w.lastReceived.Load())
 }
 
-func (w *watch) bound() time.Duration {
-	if w.begun.Load() {
-		return streamStalled
+func (w *streamWatch) maxIdle() time.Duration {
+	if w.received.Load() {
+		return streamIdleTimeout
 	}
-	return firstTokenStalled
+	return firstTokenTimeout
 }
--- a/entry/work.go
+++ b/entry/work.go
@@ -19,42 +19,42 @@
 	ctx    context.Context    // of the attempts; ends at the deadline
 	cancel context.CancelFunc // ends the attempts
 
-	mu        sync.Mutex
-	followers int       // callers that read the answer now
-	lastLeft  time.Time // when the last follower left; zero: none has
-	taken     bool      // came from another entry: its caller may still be on the way
-	done      time.Time // when the answer ended; zero: it goes on
-	current   *grant    // where the attempt runs; nil: nowhere
-	carryFrom string    // address of the engine whose KV cache goes along
-	interrupt context.CancelCauseFunc
-	parked    chan struct{} // not nil: the work is to pause; closed once it has
-	resumed   chan struct{} // closed when the work may go on
+	mu               sync.Mutex
+	followers        int       // callers that read the answer now
+	lastFollowerLeft time.Time // when the last follower left; zero: none has
+	takenOver        bool      // came from another entry: its caller may still be on the way
+	endedAt          time.Time // when the answer ended; zero: it goes on
+	currentGrant     *grant    // where the attempt runs; nil: nowhere
+	kvSource         string    // address of the engine whose KV cache goes along
+	interrupt        context.CancelCauseFunc
+	paused           chan struct{} // not nil: the work is to pause; closed once it has
+	resumed          chan struct{} // closed when the work may go on
 }
 
 // errPaused is why an attempt ends when its request is to be handed over.
 var errPaused = errors.New("paused for a hand-over")
 
 // arm returns the context of the next step, which a pause interrupts.
-func (w *work) arm() (context.Context, context.CancelCauseFunc) {
+func (w *work) stepContext() (context.Context, context.CancelCauseFunc) {
 	ctx, cancel := context.WithCancelCause(w.ctx)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.interrupt = cancel
-	if w.parked != nil {
+	if w.paused != nil {
 		cancel(errPaused)
 	}
 	return ctx, cancel
 }
 
 // park waits out a pause. It reports false when the work has ended meanwhile.
-func (w *work) park() bool {
+func (w *work) waitForResume() bool {
 	w.mu.Lock()
-	parked, resumed := w.parked, w.resumed
+	paused, resumed := w.paused, w.resumed
 	w.mu.Unlock()
-	if parked == nil {
+	if paused == nil {
 		return w.ctx.Err() == nil
 	}
-	close(parked)
+	close(paused)
 	select {
 	case <-resumed:
 		return true
@@ -68,18 +68,18 @@
 // nobody waits for it.
 func (w *work) pause() bool {
 	w.mu.Lock()
-	if w.parked != nil || w.journal.Ended() != nil {
+	if w.paused != nil || w.journal.Ended() != nil {
 		w.mu.Unlock()
 		return false
 	}
-	w.parked, w.resumed = make(chan struct{}), make(chan struct{})
-	parked, interrupt := w.parked, w.interrupt
+	w.paused, w.resumed = make(chan struct{}), make(chan struct{})
+	paused, interrupt := w.paused, w.interrupt
 	w.mu.Unlock()
 	if interrupt != nil {
 		interrupt(errPaused)
 	}
 	select {
-	case <-parked:
+	case <-paused:
 	case <-w.ctx.Done():
 		return false // a token may still be on its way, which a copy of the journal would lack
 	}
@@ -91,49 +91,49 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	close(w.resumed)
-	w.parked = nil
+	w.paused = nil
 }
 
 // orphaned reports whether the work came from another entry and its caller has
 // not come for it.
-func (w *work) orphaned(now time.Time, after time.Duration) bool {
+func (w *work) orphaned(now time.Time, timeout time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.taken && w.followers == 0 && !w.request.Keep && now.Sub(w.lastLeft) > after
+	return w.takenOver && w.followers == 0 && !w.request.Keep && now.Sub(w.lastFollowerLeft) > timeout
 }
 
 // follow counts a caller that reads the answer.
-func (w *work) follow() {
+func (w *work) addFollower() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.followers++
-	w.taken = false // its caller has come
+	w.takenOver = false // its caller has come
 }
 
 // unfollow counts a caller that stopped reading and reports whether nobody is
 // left who wants the answer.
-func (w *work) unfollow(now time.Time) bool {
+func (w *work) removeFollower(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.followers--
-	w.lastLeft = now
-	return w.followers == 0 && !w.request.Keep && !w.taken
+	w.lastFollowerLeft = now
+	return w.followers == 0 && !w.request.Keep && !w.takenOver
 }
 
 // ended notes when the answer ended: from then on it is only held for callers
 // that come back.
-func (w *work) ended(now time.Time) {
+func (w *work) markEnded(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.done = now
+	w.endedAt = now
 }
 
 // disposable reports whether the answer has ended and nobody has asked for it
 // for long.
-func (w *work) disposable(now time.Time, after time.Duration) bool {
+func (w *work) expired(now time.Time, ttl time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.done.IsZero() && w.followers == 0 && now.Sub(w.done) > after && now.Sub(w.lastLeft) > after
+	return !w.endedAt.IsZero() && w.followers == 0 && now.Sub(w.endedAt) > ttl && now.Sub(w.lastFollowerLeft) > ttl
 }
 
 // registryShards is a power of two well above the number of cores, so that two
@@ -169,8 +169,8 @@
 	s := r.shard(w.request.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, known := s.work[w.request.ID]; known {
-		return old, false
+	if existing, known := s.work[w.request.ID]; known {
+		return existing, false
 	}
 	s.work[w.request.ID] = w
 	return w, true
@@ -222,7 +222,7 @@
 }
 
 // followed counts the callers that read an answer now.
-func (r *registry) followed() int {
+func (r *registry) followerCount() int {
 	n := 0
 	for _, w := range r.all() {
 		w.mu.Lock()
--- a/entry/work_test.go
+++ b/entry/work_test.go
@@ -26,7 +26,7 @@
 func generate(w *work, tokens int) {
 	defer w.cancel()
 	for {
-		ctx, cancel := w.arm()
+		ctx, cancel := w.stepContext()
 		for ctx.Err() == nil && len(w.journal.Tokens()) < tokens {
 			virtualWait(10 * time.Millisecond) // virtual: an engine's pace
 			w.journal.Append(fmt.Sprint(len(w.journal.Tokens())))
@@ -37,7 +37,7 @@
 			w.journal.Finish(request.End{Finish: "stop"})
 			return
 		}
-		if !errors.Is(cause, errPaused) || !w.park() {
+		if !errors.Is(cause, errPaused) || !w.waitForResume() {
 			w.journal.Finish(request.End{Problem: endedProblem(w.ctx, w.request)})
 			return
 		}
@@ -73,7 +73,7 @@
 // hand-over must neither hang nor take a finished answer for one that goes on:
 // the other entry would generate the end again. Broken by not waiting for w.ctx
 // in pause, which then hangs.
-func TestPauseRacesWithTheEnd(t *testing.T) {
+func TestPauseRacesWithEndOfAnswer(t *testing.T) {
 	for at := range 32 {
 		synctest.Test(t, func(t *testing.T) {
 			w := newTestWork(t)
@@ -95,7 +95,7 @@
 // attempt, which has a token on its way. Pause must not promise that no more
 // come: the hand-over would copy the journal without that token. Broken by
 // passing on whether the journal has ended when w.ctx ends in pause.
-func TestPauseOfCancelledWorkPromisesNothing(t *testing.T) {
+func TestPauseOfCancelledWorkMissesNoToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestWork(t)
 		go generate(w, 20)
