--- a/entry/admission.go
+++ b/entry/admission.go
@@ -12,27 +12,27 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// leaseInterval is how often an entry reports its demand and has its parts of the
-// workspaces' limits renewed; admit.DefaultShareConfig is made for it.
+// leaseInterval is how often an entry reports its demand and renews its leases on shares of
+// the workspaces' limits. admit.DefaultShareConfig depends on it.
 const leaseInterval = time.Second
 
-// admissionShards spreads the workspaces over locks.
+// admissionShards is the number of locks over which the workspaces are spread.
 const admissionShards = 16
 
-// leaseClient is how an entry gets its parts of the limits; api.Client is one.
+// leaseClient obtains leases on shares of the limits from the control leader. api.Client
+// implements it.
 type leaseClient interface {
 	Leases(ctx context.Context, r admit.Report) (admit.Reply, error)
 }
 
-// admission holds this entry's part of the workspaces' limits, in shards by
-// workspace.
+// admission enforces this entry's shares of the workspaces' limits, in shards by workspace.
 type admission struct {
-	entry  string // this life of this entry: a new one holds none of the old one's leases
+	entry  string // entry id and incarnation, since a restarted entry has none of its earlier leases
 	now    func() time.Time
 	seed   maphash.Seed
 	shards [admissionShards]admissionShard
 
-	// Of the reports to the control leader; only the lease loop uses them.
+	// Sent with each report to the control leader. Only leaseLoop uses them.
 	term     uint64
 	sequence uint64
 }
@@ -59,7 +59,7 @@
 	return &a.shards[maphash.String(a.seed, workspace)%admissionShards]
 }
 
-// setLimits takes the setLimits of a new catalogue version.
+// setLimits applies the limits of a new catalogue version.
 func (a *admission) setLimits(c *catalogue) {
 	now := a.now()
 	for name, w := range c.workspacesByName {
@@ -74,7 +74,7 @@
 	}
 }
 
-// removeMissing drops the workspaces that the catalogue no longer has.
+// removeMissing removes the workspaces that the catalogue no longer contains.
 func (s *admissionShard) removeMissing(c *catalogue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,6 +86,7 @@
 	}
 }
 
+// decide reports whether a request is admitted, and the reason if it is not.
 func (a *admission) decide(r admit.Request) admit.Verdict {
 	s := a.shard(r.Workspace)
 	s.mu.Lock()
@@ -93,7 +94,7 @@
 	return s.admitter.Decide(a.now(), r, rand.Float64())
 }
 
-// resume counts a request that another entry had admitted.
+// resume counts a request that another entry has admitted and handed over to this one.
 func (a *admission) resume(workspace string) {
 	s := a.shard(workspace)
 	s.mu.Lock()
@@ -101,6 +102,7 @@
 	s.admitter.Resume(workspace)
 }
 
+// done records the end of an admitted request, whose work was actual tokens.
 func (a *admission) done(r *request.Request, actual int) {
 	s := a.shard(r.Workspace)
 	s.mu.Lock()
@@ -108,7 +110,7 @@
 	s.admitter.Done(a.now(), r.Workspace, int64(r.Cost), int64(actual))
 }
 
-// leaseLoop renews this entry's parts of the limits until ctx ends.
+// leaseLoop renews this entry's leases until ctx ends.
 func (a *admission) leaseLoop(ctx context.Context, control leaseClient) error {
 	tick := time.NewTicker(leaseInterval)
 	defer tick.Stop()
@@ -122,13 +124,14 @@
 	}
 }
 
-// renew reports once, and a second time under the term of a new leader.
+// renew sends one report, and a second one if a new leader has to be told of the demands
+// under its own term.
 func (a *admission) renew(ctx context.Context, control leaseClient) {
 	for range 2 {
 		sentAt := a.now()
 		reply, err := control.Leases(ctx, a.report(sentAt))
 		if err != nil {
-			return // what is leased runs out by itself
+			return // the leases expire unless a later report renews them
 		}
 		a.term = reply.Term
 		if reply.Status == admit.Leased {
@@ -159,8 +162,8 @@
 	}
 }
 
-// admit lets a request in by its workspace's limits and by what the queue can
-// start in time, or refuses it at once.
+// admit returns nil if the limits of the workspace and the estimated wait in the queue
+// allow the request. Otherwise it returns the problem with which the request is refused.
 func (e *Entry) admit(w *contract.Workspace, s *contract.Service, r *request.Request) *request.Problem {
 	l, err := e.lanes.get(laneKeyOf(s))
 	if err != nil {
@@ -191,6 +194,5 @@
 	}
 }
 
-// release gives back what an admitted request held. actual is its work in
-// tokens as it turned out.
+// release ends the admission of a request, whose work was actual tokens.
 func (e *Entry) release(r *request.Request, actual int) { e.admitter.done(r, actual) }
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -13,16 +13,17 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// answerWriter writes one answer to one caller.
+// answerWriter writes the answer of one request to one caller.
 type answerWriter struct {
 	entry      *Entry
 	w          http.ResponseWriter
 	work       *work
-	next       int  // number of tokens that the caller has
-	headerSent bool // whether the head of the answer is out
+	next       int  // number of tokens that the caller has received
+	headerSent bool // whether status line and headers have been sent
 }
 
-// parseLastEventID reads Last-Event-ID: the number of tokens that the caller has.
+// parseLastEventID reads Last-Event-ID, the number of tokens that the caller has received.
+// available is the number of tokens generated so far. Without the header it returns 0.
 func parseLastEventID(r *http.Request, available int) (int, *request.Problem) {
 	text := r.Header.Get(request.HeaderEventID)
 	if text == "" {
@@ -30,23 +31,23 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 || n > available {
-		return 0, request.NewProblem(request.CodeBadRequest, request.NotRun, "%s %q names no token of this answer", request.HeaderEventID, text)
+		return 0, request.NewProblem(request.CodeBadRequest, request.NotRun, "%s: %q is not the id of an event of this answer", request.HeaderEventID, text)
 	}
 	return n, nil
 }
 
-// location is where the answer goes on at another entry.
+// location returns the URL of the answer at the entry that has taken the request over.
 func (a *answerWriter) location(end *request.End) string {
 	return "http://" + end.MovedTo + "/v1/answers/" + string(a.work.request.ID)
 }
 
-// stream sends the answer as server-sent events, one a token. The id of an
-// event is the number of tokens up to it.
+// stream sends the answer as server-sent events, one per token. The id of an event is the
+// number of tokens sent so far, including its own.
 func (a *answerWriter) stream(ctx context.Context) {
 	for {
 		tokens, end, err := a.work.journal.Next(ctx, a.next)
 		if err != nil {
-			return // the caller has left
+			return // the caller has disconnected
 		}
 		if end != nil {
 			a.streamEnd(end)
@@ -63,7 +64,7 @@
 	}
 }
 
-// writeHeader sends the status line and headers once.
+// writeHeader sends the status line and the headers, at its first call only.
 func (a *answerWriter) writeHeader(contentType string) {
 	if a.headerSent {
 		return
@@ -87,27 +88,31 @@
 	}
 }
 
-// writeEvent writes one writeEvent; a broken connection shows at the flush.
+// writeEvent writes one event. A write error is ignored, since flush reports a broken
+// connection.
 func (a *answerWriter) writeEvent(v any) {
 	encoded, err := json.Marshal(v)
 	if err != nil {
-		return // typed values of strings and numbers always encode
+		return // unreachable: strings and numbers always encode
 	}
 	fmt.Fprintf(a.w, "id: %d\ndata: %s\n\n", a.next, encoded)
 }
 
-// flushTimeout bounds one write to a caller. A caller's connection that went
-// silent for good would otherwise hold this goroutine as long as the kernel
-// goes on retrying, a quarter of an hour.
+// flushTimeout bounds one write to a caller. Without it, a connection whose peer no longer
+// responds would block the goroutine until the kernel stops retransmitting, after about 15
+// minutes.
 const flushTimeout = 10 * time.Second
 
-// flush pushes what was written to the caller and reports whether it went out.
+// flush sends what has been written and reports whether it succeeded.
 func (a *answerWriter) flush() bool {
 	rc := http.NewResponseController(a.w)
-	_ = rc.SetWriteDeadline(time.Now().Add(flushTimeout)) // not every writer has one; then the kernel's bound holds
+	_ = rc.SetWriteDeadline(time.Now().Add(flushTimeout)) // if the writer supports no deadline, the kernel's retransmission timeout applies
 	return rc.Flush() == nil
 }
 
+// streamEnd ends a stream with the last event, a redirect or a problem. A redirect or a
+// problem status is possible only before the headers have been sent; afterwards each is an
+// event.
 func (a *answerWriter) streamEnd(end *request.End) {
 	switch {
 	case end.MovedTo != "" && !a.headerSent:
@@ -132,14 +137,14 @@
 	p = a.withRequestID(p)
 	encoded, err := json.Marshal(p)
 	if err != nil {
-		return // typed values of strings and numbers always encode
+		return // unreachable: strings and numbers always encode
 	}
 	fmt.Fprintf(a.w, "event: error\ndata: %s\n\n", encoded)
 	a.w.Header().Set(request.HeaderOutcome, string(p.Outcome))
 	a.flush()
 }
 
-// withRequestID returns a copy of p that names the request.
+// withRequestID returns a copy of p with the id of the request.
 func (a *answerWriter) withRequestID(p *request.Problem) *request.Problem {
 	c := *p
 	c.RequestID = a.work.request.ID
@@ -148,9 +153,9 @@
 
 func (a *answerWriter) writeProblem(p *request.Problem) { a.withRequestID(p).Write(a.w) }
 
-// redirect sends the caller to the entry that has its request now. 307 keeps
-// the method; the id in the address stands for the key that clients drop when
-// they follow a redirect to another host.
+// redirect sends the caller to the entry that has taken its request over. Status 307 keeps
+// the method. The URL contains the request id, because clients drop Authorization when they
+// follow a redirect to another host.
 func (a *answerWriter) redirect(end *request.End) {
 	h := a.w.Header()
 	h.Set("Location", a.location(end))
@@ -159,12 +164,12 @@
 	a.w.WriteHeader(http.StatusTemporaryRedirect)
 }
 
-// sendWhole waits for the sendWhole answer and sends it as one JSON document.
+// sendWhole waits for the end of the answer and sends it as one JSON document.
 func (a *answerWriter) sendWhole(ctx context.Context) {
 	for {
 		tokens, end, err := a.work.journal.Next(ctx, a.next)
 		if err != nil {
-			return // the caller has left
+			return // the caller has disconnected
 		}
 		a.next += len(tokens)
 		if end == nil {
@@ -190,7 +195,7 @@
 	h.Set(request.HeaderOutcome, string(request.Answered))
 	a.entry.metrics.firstToken.UpdateDuration(a.work.request.Accepted)
 	text := strings.Join(a.work.journal.Tokens(), "")
-	_ = json.NewEncoder(a.w).Encode(native.ChatResponse{ // the caller is gone: nobody to tell
+	_ = json.NewEncoder(a.w).Encode(native.ChatResponse{ // an error means that the caller has disconnected
 		ID: string(a.work.request.ID), Object: "chat.completion", Model: a.work.request.Service,
 		Choices: []native.Choice{{
 			Message:      native.Message{Role: "assistant", Content: text},
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -13,7 +13,7 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// engineClient is how an entry calls model engines; native.EngineClient is one.
+// engineClient calls model engines. native.EngineClient implements it.
 type engineClient interface {
 	Chat(ctx context.Context, address, requestID string, req native.ChatRequest) (*native.ChatStream, error)
 	Probe(ctx context.Context, address string) error
@@ -21,27 +21,25 @@
 	ImportKV(ctx context.Context, address string, from native.ImportRequest) (native.ExportReply, error)
 }
 
-// Bounds of the attempts of one chat request.
+// Limits and delays of the attempts of one chat request.
 const (
-	// maxAttempts bounds how many servers one request may be sent to. An answer
-	// that breaks off goes on elsewhere; eight breaks in one answer are no
-	// longer a wave of reclaims.
+	// maxAttempts bounds the attempts that may fail on a server after the request has
+	// reached it.
 	maxAttempts = 8
-	// rerouteInterval is how often a request that lost its server looks for
-	// another while none can take it.
+	// rerouteInterval is how often a request without a server looks for another one.
 	rerouteInterval = 50 * time.Millisecond
-	// probeAfterIdle is how long a stream may bring nothing before its server is
-	// probed on a new connection: over forty times the target between tokens.
+	// probeAfterIdle is how long a stream may be idle before its server is probed on a new
+	// connection.
 	probeAfterIdle = 2 * time.Second
-	// streamIdleTimeout is how long a stream may bring nothing although its server
-	// answers probes. A connection that something between the ends has lost
-	// track of looks just so, and would otherwise hold its caller for good.
+	// streamIdleTimeout is how long a stream may be idle although its server answers
+	// probes, for example because a middlebox has dropped the connection without closing
+	// it.
 	streamIdleTimeout = 6 * time.Second
-	// firstTokenTimeout is the same before the first token, where a long prompt
-	// may rightly take long.
+	// firstTokenTimeout applies instead before the first token, since a long prompt takes
+	// long to prefill.
 	firstTokenTimeout = 30 * time.Second
 	probeTimeout      = 800 * time.Millisecond
-	// minRefusalBackoff and refusedMax bound the pause after a refusal.
+	// The backoff after a server has refused a request doubles between these bounds.
 	minRefusalBackoff = 40 * time.Millisecond
 	maxRefusalBackoff = time.Second
 )
@@ -55,8 +53,8 @@
 	guard   *guard
 }
 
-// run answers w's request through to the end of its journal. first is the
-// server that the queue granted, or nil for work that came from another entry.
+// run makes attempts until w's journal has ended. granted is the server that the queue
+// granted, or nil for work taken over from another entry.
 func (r *runner) run(w *work, body native.ChatRequest, granted *grant) {
 	g, backoff := granted, minRefusalBackoff
 	for failures := 0; failures < maxAttempts; {
@@ -93,9 +91,9 @@
 		"%d backend servers failed on this request", maxAttempts).After(time.Second)})
 }
 
-// withUnknownOutcome is the problem of a request that is refused after an attempt has
-// reached a server. "Not run" was right for the attempt that was refused, and
-// would be a lie of the request.
+// withUnknownOutcome returns a copy of p for a request that is refused after an earlier
+// attempt has reached a server: "not run" holds for the refused attempt, but not for the
+// request.
 func withUnknownOutcome(p *request.Problem) *request.Problem {
 	c := *p
 	if c.Outcome == request.NotRun {
@@ -104,10 +102,9 @@
 	return &c
 }
 
-// waitBackoff waits before a request that a server refused, or that did not reach it,
-// tries another, and returns the next waitBackoff. At saturation every server refuses
-// for a while; without the waitBackoff, each waiting request would ask all of them
-// over and over.
+// waitBackoff waits a random time up to backoff after a server has refused the request or
+// could not be reached, and returns the next backoff. At saturation all servers refuse;
+// without the wait, each waiting request would try all of them repeatedly.
 func (r *runner) waitBackoff(w *work, backoff time.Duration) time.Duration {
 	select {
 	case <-w.ctx.Done():
@@ -116,7 +113,7 @@
 	return min(2*backoff, maxRefusalBackoff)
 }
 
-// step makes one attempt, on the granted server or on another one.
+// step makes one attempt, on the granted server or, if g is nil, on another one.
 func (r *runner) step(ctx context.Context, w *work, body native.ChatRequest, g *grant) (request.End, error) {
 	if g == nil {
 		var err error
@@ -145,8 +142,8 @@
 	return end, err
 }
 
-// endedProblem is the problem of a request whose context ended: its deadline
-// passed, or nobody waits for it any more.
+// endedProblem returns the problem of a request whose context has ended, by its deadline or
+// because no caller waits for it.
 func endedProblem(ctx context.Context, r *request.Request) *request.Problem {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return request.NewProblem(request.CodeDeadlineExpired, request.Unknown, "the deadline passed while the request ran")
@@ -154,7 +151,7 @@
 	return request.NewProblem(request.CodeInternal, request.Unknown, "request %s was cancelled", r.ID)
 }
 
-// reroute finds another server for a request that lost its own.
+// reroute waits until another server can take the request.
 func (r *runner) reroute(ctx context.Context, w *work) (*grant, error) {
 	tick := time.NewTicker(rerouteInterval)
 	defer tick.Stop()
@@ -174,7 +171,7 @@
 	}
 }
 
-// attemptFailed ends a failed attempt.
+// attemptFailed records an attempt that its server has not answered.
 func (r *runner) attemptFailed(ctx context.Context, w *work, g *grant, err error) {
 	g.failed()
 	r.metrics.attemptsFailed.Inc()
@@ -184,8 +181,8 @@
 	r.guard.attemptFailed(ctx, g, err)
 }
 
-// attempt sends the request to one server and appends what comes to the
-// journal. It returns a nil error only for a whole answer.
+// attempt sends the request to one server and appends the received tokens to the journal.
+// The error is nil only if the answer is complete.
 func (r *runner) attempt(ctx context.Context, w *work, body native.ChatRequest, g *grant) (request.End, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -209,12 +206,12 @@
 	defer stream.Close()
 	end, err := r.read(ctx, w, stream, g, watch)
 	if err != nil {
-		r.metrics.recomputed.Add(recomputed) // no usage comes from an attempt that broke off
+		r.metrics.recomputed.Add(recomputed) // a failed attempt reports no usage
 	}
 	return end, err
 }
 
-// read copies the stream to the journal.
+// read copies the stream to the journal until it ends.
 func (r *runner) read(ctx context.Context, w *work, stream *native.ChatStream, g *grant, watch *streamWatch) (request.End, error) {
 	var end request.End
 	sentAt := r.now()
@@ -243,7 +240,8 @@
 	}
 }
 
-// appendToken appends one appendToken and returns when it came.
+// appendToken appends one token, updates the latency metrics and returns the time of
+// receipt.
 func (r *runner) appendToken(w *work, g *grant, text string, sentAt, lastToken time.Time) time.Time {
 	now := r.now()
 	if lastToken.Equal(sentAt) {
@@ -256,6 +254,7 @@
 	return now
 }
 
+// complete finishes the grant of a complete answer and returns end with the reported usage.
 func (r *runner) complete(w *work, stream *native.ChatStream, g *grant, end request.End) (request.End, error) {
 	g.finished(w.cost())
 	usage := stream.Usage()
@@ -266,8 +265,8 @@
 	return end, nil
 }
 
-// attemptError prefers the reason for which this side ended the attempt over the
-// broken connection that it made.
+// attemptError returns the reason for which streamWatch ended the attempt, if it did, and
+// else err.
 func attemptError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); errors.Is(cause, errStalled) || errors.Is(cause, errUnreachable) {
 		return cause
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -12,12 +12,12 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// maxAnnouncementBytes bounds an announcement or a batch of cache events in bytes.
+// maxAnnouncementBytes bounds the body of an announcement or of a batch of cache events.
 const maxAnnouncementBytes = 1 << 20
 
-// handleAnnounce takes a backend server's announcement, which is also its
-// heartbeat. Without the announcers' key, anybody who reaches an entry could
-// make himself a backend server and read callers' requests.
+// handleAnnounce accepts a backend server's announcement, which is also its heartbeat. It
+// requires the announcement key, since a server that announces itself receives callers'
+// requests.
 func (e *Entry) handleAnnounce(w http.ResponseWriter, r *http.Request) {
 	var a instance.Announcement
 	if !e.decodeFromServer(w, r, &a) {
@@ -44,7 +44,7 @@
 	Events      []instance.CacheEvent `json:"events"`
 }
 
-// handleCacheEvents takes a batch of a server's cache events.
+// handleCacheEvents accepts a batch of a server's cache events.
 func (e *Entry) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
 	var batch cacheEvents
 	if !e.decodeFromServer(w, r, &batch) {
@@ -54,11 +54,12 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// decodeFromServer checks the announcers' key and reads a JSON body.
+// decodeFromServer checks the announcement key and decodes the JSON body. It reports false
+// after it has refused the request.
 func (e *Entry) decodeFromServer(w http.ResponseWriter, r *http.Request, into any) bool {
 	key, _ := request.BearerKey(r.Header)
 	if !contract.HashKey(key).Equal(e.announceKey) {
-		e.refuseAnnouncement(w, r, request.NewProblem(request.CodeUnauthorized, request.NotRun, "the announcers' key is missing or wrong"))
+		e.refuseAnnouncement(w, r, request.NewProblem(request.CodeUnauthorized, request.NotRun, "the announcement key is missing or wrong"))
 		return false
 	}
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)).Decode(into); err != nil {
@@ -74,9 +75,9 @@
 	p.Write(w)
 }
 
-// loadMeasuredAt is when an announced load held, by this entry's clock. The server's
-// clock may differ, so only the report's age by that clock is used, and never
-// more than maxReportAge.
+// loadMeasuredAt returns when an announced load was measured, by this entry's clock. The
+// server's clock may differ, so the age is bounded by 0 and maxLoadAge. A load without a
+// time counts as measured now.
 func loadMeasuredAt(a *instance.Announcement, now time.Time) time.Time {
 	if a.Load.At.IsZero() {
 		return now
@@ -85,5 +86,5 @@
 	return now.Add(-min(max(age, 0), maxLoadAge))
 }
 
-// maxLoadAge is beyond the lag of any report that is still worth correcting.
+// maxLoadAge exceeds the delay of any report that is still of use.
 const maxLoadAge = 5 * time.Second
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -13,25 +13,24 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// Bounds of a caller's deadline.
+// Deadlines of requests, by default and at most.
 const (
 	defaultChatDeadline  = 5 * time.Minute
 	defaultPlainDeadline = 60 * time.Second
 	maxDeadline          = 30 * time.Minute
 )
 
-// maxKeyBytes bounds an Idempotency-Key, which the ledger keeps for a day.
+// maxKeyBytes bounds an Idempotency-Key, which the ledger stores for a day.
 const maxKeyBytes = 255
 
-// staleRetryDelay is when a caller should come back to an entry that cannot confirm
-// its catalogue; meanwhile another entry may take it.
+// staleRetryDelay is sent as Retry-After by an entry that cannot confirm its catalogue.
+// Another entry may accept the request meanwhile.
 const staleRetryDelay = 2 * time.Second
 
-// emptyRetryDelay is when a caller should come back to a system that has just started:
-// its first catalogue arrives within a second.
+// emptyRetryDelay is sent as Retry-After until the first catalogue has arrived.
 const emptyRetryDelay = time.Second
 
-// call is one caller's request on its way to acceptance.
+// call is a caller's request that has been authenticated but not accepted yet.
 type call struct {
 	http      *http.Request
 	arrived   time.Time
@@ -39,8 +38,8 @@
 	workspace *contract.Workspace
 }
 
-// authenticate finds the workspace of the request's bearer key in a catalogue
-// that is surely in force.
+// authenticate finds the workspace of the request's bearer key. It refuses the request
+// unless this entry accepts requests and its catalogue is confirmed.
 func (e *Entry) authenticate(r *http.Request) (*call, *request.Problem) {
 	c := &call{http: r, arrived: e.deps.Now()}
 	if !e.acceptsRequests() {
@@ -61,7 +60,8 @@
 	return c, nil
 }
 
-// service finds the service that the caller names and may call.
+// service returns the service of this name and kind if the workspace may call it and no
+// planned stop covers it.
 func (c *call) service(name string, kind contract.Kind) (*contract.Service, *request.Problem) {
 	s, known := c.catalogue.services[name]
 	switch {
@@ -75,11 +75,12 @@
 	return s, nil
 }
 
-// stoppedRetryDelay is when a caller of a stopped service should ask again: stops
-// last minutes, and nobody knows how many.
+// stoppedRetryDelay is sent as Retry-After by a stopped service. A stop takes minutes, and
+// its end is not known.
 const stoppedRetryDelay = 30 * time.Second
 
-// request builds the part of a request that chat and plain calls share.
+// newRequest builds a request from the headers that chat and plain calls have in common.
+// fallback is the time to the deadline if the caller sets none.
 func (e *Entry) newRequest(c *call, s *contract.Service, fallback time.Duration) (*request.Request, *request.Problem) {
 	h := c.http.Header
 	deadline, p := parseDeadline(h, c.arrived, fallback)
@@ -100,8 +101,8 @@
 	}, nil
 }
 
-// parseDeadline reads the caller's deadline, milliseconds from now. It travels
-// with the request, so that no engine works on an answer that nobody awaits.
+// parseDeadline reads the caller's deadline, in milliseconds from now, and limits it to
+// maxDeadline. fallback applies if the caller sets none.
 func parseDeadline(h http.Header, now time.Time, fallback time.Duration) (time.Time, *request.Problem) {
 	text := h.Get(request.HeaderDeadline)
 	if text == "" {
@@ -117,9 +118,9 @@
 	return now.Add(min(time.Duration(min(ms, maxDeadline.Milliseconds()))*time.Millisecond, maxDeadline)), nil
 }
 
-// readBody reads a whole request body of at most limit bytes. Nothing goes to a
-// backend server before the body is whole, so a caller that breaks off half way
-// is "not run" and no server waits for its rest.
+// readBody reads a whole request body of at most limit bytes. Nothing is sent to a backend
+// server before the body is complete, so a request whose body breaks off has not run and
+// occupies no server.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *request.Problem) {
 	if r.ContentLength > limit {
 		return nil, tooLargeProblem(limit)
@@ -132,14 +133,14 @@
 	if errors.As(err, &maxBytesErr) {
 		return nil, tooLargeProblem(limit)
 	}
-	return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "the request body broke off: %v", err)
+	return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "cannot read the request body: %v", err)
 }
 
 func tooLargeProblem(limit int64) *request.Problem {
 	return request.NewProblem(request.CodeTooLarge, request.NotRun, "the body is larger than %d bytes", limit)
 }
 
-// refuse gives a request its final answer, at once, and logs it.
+// refuse counts, logs and writes the final problem of a request.
 func (e *Entry) refuse(w http.ResponseWriter, r *http.Request, p *request.Problem) {
 	e.metrics.requestEnded(p.Outcome, p.Code)
 	event.Log(r.Context(), e.deps.Log, slog.LevelInfo, event.RequestRefused,
@@ -149,7 +150,7 @@
 	p.Write(w)
 }
 
-// logEnd writes the one line that tells how an accepted request ended.
+// logEnd counts and logs the end of an accepted request. It is called once per request.
 func (e *Entry) logEnd(r *request.Request, o request.Outcome, c request.Code, tokens int) {
 	e.metrics.requestEnded(o, c)
 	event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.RequestEnded,
--- a/entry/catalogue.go
+++ b/entry/catalogue.go
@@ -15,15 +15,13 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-// Links between entries that keep catalogues current where control cannot be
-// reached directly.
+// Calls between entries, for an entry that cannot reach control itself.
 const (
 	methodConfirmed = "entry.confirmed"
 	methodCatalogue = "entry.catalogue"
 )
 
-// catalogue is one version of the catalogue, indexed for requests. It does not
-// change.
+// catalogue is one version of the catalogue with indexes for lookups. It is immutable.
 type catalogue struct {
 	reply            api.CatalogueReply
 	workspacesByKey  map[contract.KeyHash]*contract.Workspace
@@ -52,18 +50,19 @@
 	return c
 }
 
-// empty reports whether nobody can call: no catalogue was accepted yet. A good key
-// must not read as unknown then, which callers take for final.
+// empty reports whether the catalogue has no workspace keys, as before the first catalogue
+// is accepted. Callers would take "unknown key" as final, so they are told to retry
+// instead.
 func (c *catalogue) empty() bool { return len(c.workspacesByKey) == 0 }
 
-// workspaceOf finds the workspace of a bearer key. The key is looked up by its
-// hash, so the time taken tells nothing about other keys.
+// workspaceOf returns the workspace of a bearer key. The lookup is by hash, so its duration
+// reveals nothing about other keys.
 func (c *catalogue) workspaceOf(key string) (*contract.Workspace, bool) {
 	w, ok := c.workspacesByKey[contract.HashKey(key)]
 	return w, ok
 }
 
-// serviceStopped reports whether a planned stop covers the service.
+// serviceStopped reports whether a planned stop in force covers the service.
 func (c *catalogue) serviceStopped(service string, now time.Time) bool {
 	for i := range c.reply.Stops {
 		s := &c.reply.Stops[i]
@@ -74,7 +73,7 @@
 	return false
 }
 
-// instanceStopped reports whether a planned stop in force covers an instance.
+// instanceStopped reports whether a planned stop in force covers the instance or its zone.
 func (c *catalogue) instanceStopped(id, zone string, now time.Time) bool {
 	for i := range c.reply.Stops {
 		s := &c.reply.Stops[i]
@@ -85,21 +84,19 @@
 	return false
 }
 
-// controlClient is how an entry reaches the control replicas.
+// controlClient calls the control replicas.
 type controlClient interface {
 	Confirm(ctx context.Context) (api.Confirmation, error)
 	Catalogue(ctx context.Context, have uint64) (api.CatalogueReply, error)
 }
 
-// follower keeps this entry's catalogue current and knows until when it surely
-// is.
+// follower fetches the catalogue and tracks since when it has been confirmed.
 //
-// An entry that a silent partition has cut off goes on serving an old catalogue
-// unless something stops it: a workspace that an operator has just cut off
-// would still be served there. So an entry lets new requests in only while a
-// majority of control replicas has confirmed, within freshFor, that nothing
-// newer than its catalogue has been accepted. No leader is needed for that, and
-// another entry's confirmation counts with its age.
+// An entry that a partition has cut off from control would go on serving by an old
+// catalogue, also for a workspace that an operator has disabled since. So an entry admits
+// new requests only if a majority of the control replicas has confirmed, within freshFor,
+// that no newer catalogue has been accepted. A confirmation needs no leader. One that
+// another entry has obtained counts as well, with its age.
 type follower struct {
 	control          controlClient
 	pool             *link.Pool
@@ -114,8 +111,8 @@
 	current atomic.Pointer[catalogue]
 
 	mu          sync.Mutex
-	confirmedAt time.Time // when the question was asked whose answer confirmed the catalogue
-	loggedFresh bool      // as last logged
+	confirmedAt time.Time // when the request was sent whose response confirmed the catalogue
+	loggedFresh bool      // whether the catalogue was fresh when last logged
 }
 
 func (f *follower) register(s *link.Server) {
@@ -131,19 +128,20 @@
 	})
 }
 
-// confirmedReply is what one entry tells another of its catalogue. Age counts
-// from when the confirmation was asked for; the receiver takes it as having
-// been that old when it sent its own question, which is never too young.
+// confirmedReply reports an entry's catalogue to another entry. Age counts from the request
+// for the confirmation. The receiver subtracts it from the time of its own request, so the
+// result is never too recent.
 type confirmedReply struct {
 	Index uint64        `msgpack:"idx"`
 	Age   time.Duration `msgpack:"age"`
 	Known bool          `msgpack:"known"`
 }
 
+// describe returns the index and the age of the confirmed catalogue, for other entries.
 func (f *follower) describe() confirmedReply {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := f.current.Load() // not before the lock: a poll in between would put its confirmation beside the old index
+	c := f.current.Load() // under the lock, so that a poll in between cannot combine its confirmation with the old index
 	if c == nil || f.confirmedAt.IsZero() {
 		return confirmedReply{}
 	}
@@ -164,6 +162,8 @@
 	}
 }
 
+// poll asks control or, if that fails, other entries whether the catalogue is current, and
+// fetches a newer one.
 func (f *follower) poll(ctx context.Context) {
 	askedAt := f.now()
 	if err := f.pollControl(ctx, askedAt); err != nil {
@@ -187,7 +187,8 @@
 	return nil
 }
 
-// pollPeers asks other entries, which may reach control where this one cannot.
+// pollPeers asks other entries, which may reach control when this one cannot, until the
+// catalogue is fresh.
 func (f *follower) pollPeers(ctx context.Context, askedAt time.Time) {
 	for _, addr := range f.peers() {
 		reply, err := link.Call[confirmedReply](ctx, f.pool, addr, methodConfirmed, struct{}{})
@@ -208,6 +209,7 @@
 	}
 }
 
+// index returns the index of the catalogue, or 0 without one.
 func (f *follower) index() uint64 {
 	if c := f.current.Load(); c != nil {
 		return c.reply.Index
@@ -215,8 +217,8 @@
 	return 0
 }
 
-// applyReply puts a newer catalogue in force here. An older one, answered late by a
-// replica that lags, is passed over: a catalogue never reverts.
+// applyReply replaces the catalogue by a newer one. It ignores an older one, as a lagging
+// replica may send it, so that the catalogue never reverts.
 func (f *follower) applyReply(ctx context.Context, r api.CatalogueReply) {
 	old := f.current.Load()
 	if r.Unchanged || (old != nil && r.Index <= old.reply.Index) {
@@ -229,8 +231,8 @@
 	f.onChange(c)
 }
 
-// recordConfirmation notes that at the time asked nothing beyond index needed had been
-// accepted, if this entry's catalogue reaches it.
+// recordConfirmation records that no change after index needed had been accepted at
+// askedAt. It has no effect if this entry's catalogue is older than needed.
 func (f *follower) recordConfirmation(needed uint64, askedAt time.Time) {
 	if f.index() < needed || f.current.Load() == nil {
 		return
@@ -242,20 +244,22 @@
 	}
 }
 
+// isFresh reports whether the catalogue was confirmed within freshFor.
 func (f *follower) isFresh() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.confirmedAt.IsZero() && f.now().Sub(f.confirmedAt) <= f.freshFor
 }
 
-// inForce returns the catalogue by which new requests may be judged, or nil.
+// inForce returns the catalogue that applies to new requests, or nil if it is not fresh.
 func (f *follower) inForce() *catalogue {
 	if !(f.serveUnconfirmed || f.isFresh()) {
 		return nil
 	}
-	return f.current.Load() // not before isFresh: a poll in between would confirm a newer one than was loaded
+	return f.current.Load() // after isFresh, since a poll in between may confirm a newer catalogue than was loaded before
 }
 
+// logFreshness logs when the catalogue becomes fresh or ceases to be.
 func (f *follower) logFreshness(ctx context.Context) {
 	fresh := f.isFresh()
 	f.mu.Lock()
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -15,14 +15,14 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// Estimates of a chat request's cost in tokens, used until its answer is whole.
+// Estimates and bounds of a chat request's cost in tokens.
 const (
-	bytesPerToken       = 4   // of English text, the usual rule of thumb
-	defaultAnswerTokens = 256 // tokens, where the caller sets no bound
+	bytesPerToken       = 4   // typical of English text
+	defaultAnswerTokens = 256 // if the caller sets no max_tokens
 	maxAnswerTokens     = 128 << 10
 )
 
-// handleChat takes a model call, streamed or whole.
+// handleChat accepts a chat request and sends its answer, streamed or whole.
 func (e *Entry) handleChat(w http.ResponseWriter, r *http.Request) {
 	c, p := e.authenticate(r)
 	if p != nil {
@@ -37,7 +37,7 @@
 	e.sendAnswer(w, r, wk, 0)
 }
 
-// acceptChat turns the caller's request into work that runs, or refuses it.
+// acceptChat checks and admits a caller's request, and returns its started work.
 func (e *Entry) acceptChat(w http.ResponseWriter, c *call) (*work, *request.Problem) {
 	body, p := readBody(w, c.http, contract.MaxMaxBody)
 	if p != nil {
@@ -64,28 +64,28 @@
 	return e.startChat(c, s, req, chat)
 }
 
-// decodeChat reads a chat request strictly where it matters and leniently
-// elsewhere: clients of the OpenAI API send many fields that no engine here
-// knows, and refusing them would refuse the clients.
+// decodeChat decodes a chat request. It checks only the fields that this system uses:
+// clients of the OpenAI API send many others.
 func decodeChat(body []byte) (native.ChatRequest, *request.Problem) {
 	var chat native.ChatRequest
 	dec := json.NewDecoder(bytes.NewReader(body))
 	if err := dec.Decode(&chat); err != nil {
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "the body is no chat request: %v", err)
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "the body is not a chat request: %v", err)
 	}
 	switch {
 	case chat.Model == "":
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "model is missing: it names the service")
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "model is missing; it must name a service")
 	case len(chat.Messages) == 0:
 		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "messages is empty")
 	case chat.MaxTokens < 0 || chat.MaxTokens > maxAnswerTokens:
 		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "max_tokens %d is out of range 0..%d", chat.MaxTokens, maxAnswerTokens)
 	case chat.Resume != nil:
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "resume is not for callers")
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "resume may not be set by callers")
 	}
 	return chat, nil
 }
 
+// promptTokens estimates the tokens of the prompt.
 func promptTokens(messages []native.Message) int {
 	n := 0
 	for _, m := range messages {
@@ -94,6 +94,7 @@
 	return n/bytesPerToken + 1
 }
 
+// answerTokens estimates the tokens of the answer.
 func answerTokens(c native.ChatRequest) int {
 	if c.MaxTokens > 0 {
 		return c.MaxTokens
@@ -101,7 +102,7 @@
 	return defaultAnswerTokens
 }
 
-// startChat queues an admitted request and starts its work.
+// startChat admits, queues and launches a request.
 func (e *Entry) startChat(c *call, s *contract.Service, req *request.Request, chat native.ChatRequest) (*work, *request.Problem) {
 	if p := e.admit(c.workspace, s, req); p != nil {
 		return nil, p
@@ -121,8 +122,8 @@
 	return wk, nil
 }
 
-// newWork builds the work of a request. tokens are those that another entry
-// has received already.
+// newWork returns the work of a request. tokens are those that another entry has generated
+// already.
 func (e *Entry) newWork(s *contract.Service, req *request.Request, chat native.ChatRequest, tokens []string, weight int) (*work, error) {
 	l, err := e.lanes.get(laneKeyOf(s))
 	if err != nil {
@@ -139,8 +140,8 @@
 	return &work{request: req, journal: request.NewJournal(tokens), ticket: t, ctx: ctx, cancel: cancel}, nil
 }
 
-// engineRequest is what the engine is asked: the caller's request under the
-// engine's own name for the model, and the priority of the request's class.
+// engineRequest returns the request for the engine: the caller's, with the engine's name of
+// the model or adapter and the priority of the request's class.
 func (e *Entry) engineRequest(s *contract.Service, req *request.Request, chat native.ChatRequest) native.ChatRequest {
 	chat.Model = s.Model
 	if s.Adapter != "" {
@@ -150,9 +151,9 @@
 	return chat
 }
 
-// launch registers the work and runs it in a goroutine of its own: the answer
-// belongs to the request and not to one caller's connection. It reports false
-// when the request runs here already.
+// launch registers the work and runs it in its own goroutine, so that it does not end with
+// one caller's connection. It reports false if the request is registered here already.
+// queued says whether the work has to wait for the queue's decision.
 func (e *Entry) launch(wk *work, body native.ChatRequest, queued bool) bool {
 	if _, added := e.registry.add(wk); !added {
 		wk.cancel()
@@ -173,9 +174,8 @@
 	return true
 }
 
-// awaitGrant waits for the queue's decision. It returns nil when the request
-// was refused, which ends its journal, or when it was taken out of the queue to
-// be handed over.
+// awaitGrant waits for the queue's decision. It returns nil if the request was refused,
+// which ends its journal, or if it was withdrawn from the queue to be handed over.
 func (e *Entry) awaitGrant(wk *work) *grant {
 	ctx, cancel := wk.stepContext()
 	defer cancel(nil)
@@ -188,11 +188,13 @@
 		return e.applyDecision(wk, <-wk.ticket.decision)
 	}
 	if wk.ctx.Err() != nil {
-		wk.journal.Finish(request.End{Problem: request.NewProblem(request.CodeDeadlineExpired, request.NotRun, "the request was given up while it waited")})
+		wk.journal.Finish(request.End{Problem: request.NewProblem(request.CodeDeadlineExpired, request.NotRun, "the request ended while it was queued")})
 	}
 	return nil
 }
 
+// applyDecision returns the grant of a decision, or ends the journal with its problem and
+// returns nil.
 func (e *Entry) applyDecision(wk *work, d decision) *grant {
 	e.metrics.queueWait.UpdateDuration(wk.request.Accepted)
 	if d.problem != nil {
@@ -208,7 +210,7 @@
 	switch {
 	case end.MovedTo != "":
 		wk.markEnded(e.deps.Now())
-		return // the entry that took it over tells how it ended
+		return // the entry that took it over logs its end
 	case end.Problem != nil:
 		outcome, code = end.Problem.Outcome, end.Problem.Code
 	}
@@ -216,13 +218,14 @@
 	wk.markEnded(e.deps.Now())
 }
 
-// sendAnswer sends the answer from token number from on to one caller.
+// sendAnswer sends the answer to one caller, from token number from on. The work is
+// cancelled when its last caller has disconnected, unless the request is to be kept.
 func (e *Entry) sendAnswer(w http.ResponseWriter, r *http.Request, wk *work, from int) {
 	wk.addFollower()
 	defer func() {
 		if wk.removeFollower(e.deps.Now()) && wk.journal.Ended() == nil {
 			event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.CallerLeft, slog.String("request", string(wk.request.ID)))
-			wk.cancel() // its only caller has left: the engine's slot goes to somebody who waits
+			wk.cancel() // frees the engine's slot for a waiting request
 		}
 	}()
 	a := &answerWriter{entry: e, w: w, work: wk, next: from}
@@ -233,13 +236,13 @@
 	a.sendWhole(r.Context())
 }
 
-// handleAnswer gives a caller that comes back the answer of its request, by the
-// request's id: after a redirect, with any method, or with Last-Event-ID.
+// handleAnswer sends a request's answer to a caller that reconnects with the request's id,
+// with any method: after a redirect, or with Last-Event-ID.
 func (e *Entry) handleAnswer(w http.ResponseWriter, r *http.Request) {
 	id := request.ID(r.PathValue("id"))
 	wk, known := e.registry.get(id)
 	if !known {
-		e.refuse(w, r, request.NewProblem(request.CodeNoSuchAnswer, request.Unknown, "request %s is not here", id))
+		e.refuse(w, r, request.NewProblem(request.CodeNoSuchAnswer, request.Unknown, "this entry has no request %s", id))
 		return
 	}
 	from, p := parseLastEventID(r, len(wk.journal.Tokens()))
@@ -252,5 +255,5 @@
 	e.sendAnswer(w, r, wk, from)
 }
 
-// answerTTL is how long an answer is held for a caller whose connection broke.
+// answerTTL is how long a finished answer is stored for callers that reconnect.
 const answerTTL = 60 * time.Second
--- a/entry/config.go
+++ b/entry/config.go
@@ -7,17 +7,17 @@
 	"savoryreel.example/savoryreel/settings"
 )
 
-// Config holds an entry's settings.
+// Config holds the settings of an entry. Declare documents them.
 type Config struct {
 	ID               string
 	Region           string
 	Zone             string
 	CallerListen     string
-	CallerAddr       string // as callers are told; empty: CallerListen
+	CallerAddr       string // advertised to callers; empty: CallerListen
 	LinkListen       string
 	OpsAddr          string
 	Control          []string // link addresses of the control replicas
-	Seeds            []string // link addresses of other entries to meet first
+	Seeds            []string // link addresses of other entries to contact first
 	ClusterKey       string
 	AnnounceKey      string
 	LogLevel         string
@@ -25,7 +25,7 @@
 	ServeUnconfirmed bool
 	ListValidity     time.Duration
 	DrainTimeout     time.Duration
-	Capacity         int // requests in flight that count as a full load
+	Capacity         int // requests in flight at full load
 }
 
 // Declare declares the settings on s.
@@ -34,22 +34,22 @@
 	s.String(&c.Region, "region", "r1", "region of this instance", settings.Required)
 	s.String(&c.Zone, "zone", "z1", "zone of this instance", settings.Required)
 	s.String(&c.CallerListen, "listen", "127.0.0.1:7001", "address for callers and for backend servers' announcements", settings.HostPort)
-	s.String(&c.CallerAddr, "advertise", "", "address that callers are told, if it differs from --listen", settings.Optional(settings.HostPort))
+	s.String(&c.CallerAddr, "advertise", "", "address that is advertised to callers, if it differs from --listen", settings.Optional(settings.HostPort))
 	s.String(&c.LinkListen, "link-listen", "127.0.0.1:7002", "address for links of other processes", settings.HostPort)
 	s.String(&c.OpsAddr, "ops-listen", "127.0.0.1:7003", "address of health, metrics and profiles", settings.HostPort)
 	s.Strings(&c.Control, "control", []string{"127.0.0.1:7101"}, "link addresses of all control replicas", settings.HostPorts)
-	s.Strings(&c.Seeds, "entries", nil, "link addresses of other entries to meet first", settings.HostPorts)
-	s.Secret(&c.ClusterKey, "cluster-key", "key that the system's own processes share", settings.Required)
+	s.Strings(&c.Seeds, "entries", nil, "link addresses of other entries to contact first", settings.HostPorts)
+	s.Secret(&c.ClusterKey, "cluster-key", "shared key of this system's processes", settings.Required)
 	s.Secret(&c.AnnounceKey, "announce-key", "bearer key of backend servers' announcements", settings.Required)
 	s.String(&c.LogLevel, "log-level", "info", "debug, info, warn or error", settings.LogLevel)
 	s.Duration(&c.FreshFor, "fresh-for", 4*time.Second, "how long a confirmed catalogue counts as current", settings.Between(time.Second, time.Minute))
-	s.Bool(&c.ServeUnconfirmed, "serve-unconfirmed", false, "let requests in by a catalogue that control has not confirmed; an operator's change may then not be in force here")
-	s.Duration(&c.ListValidity, "list-validity", 30*time.Second, "how long callers keep the answer to which entry to use", settings.Between(time.Second, 10*time.Minute))
-	s.Int(&c.Capacity, "capacity", 1000, "requests in flight that count as a full load when callers are spread", settings.Between(1, 1_000_000))
+	s.Bool(&c.ServeUnconfirmed, "serve-unconfirmed", false, "admit requests by a catalogue that control has not confirmed; an operator's change may then not be in force here")
+	s.Duration(&c.ListValidity, "list-validity", 30*time.Second, "how long callers cache the list of entries to use", settings.Between(time.Second, 10*time.Minute))
+	s.Int(&c.Capacity, "capacity", 1000, "requests in flight at which this entry counts as fully loaded when callers are distributed", settings.Between(1, 1_000_000))
 	s.Duration(&c.DrainTimeout, "drain-timeout", 5*time.Minute, "how long a stop waits for requests to end before it hands them over", settings.Between(time.Second, time.Hour))
 }
 
-// advertisedAddress is the address that callers are told.
+// advertisedAddress returns the address that callers are to use.
 func (c *Config) advertisedAddress() string {
 	if c.CallerAddr != "" {
 		return c.CallerAddr
@@ -57,7 +57,7 @@
 	return c.CallerListen
 }
 
-// pickConfig is the policy by which callers are told which entry to use.
+// pickConfig returns the settings of the policy that chooses entries for callers.
 func (c *Config) pickConfig() pick.Config {
 	p := pick.DefaultConfig()
 	p.Validity = c.ListValidity
--- a/entry/entries.go
+++ b/entry/entries.go
@@ -16,25 +16,25 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// headerZone names the zone where a caller is, if it knows.
+// headerZone is the request header with which a caller may give its zone.
 const headerZone = "Savoryreel-Zone"
 
-// entryView is one entry as callers are told.
+// entryView is one entry in the answer to GET /v1/entries.
 type entryView struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// entriesView is the answer to GET /v1/entries: in the order to use them.
+// entriesView is the answer to GET /v1/entries, with the preferred entry first.
 type entriesView struct {
 	Entries      []entryView `json:"entries"`
 	ValidSeconds int         `json:"validSeconds"`
 }
 
-// handleEntries tells a caller which entry to use, and for how long it may keep
-// the answer. It needs no key: any entry that runs answers anybody. A caller
-// that shows its key is spread by its share of the load.
+// handleEntries answers which entries a caller should use and how long it may cache the
+// list. No key is required. If the caller sends one, its workspace's fraction of the
+// requests is taken into account.
 func (e *Entry) handleEntries(w http.ResponseWriter, r *http.Request) {
 	v := e.picker.Pick(e.pickRequest(r), e.pickCandidates())
 	view := entriesView{ValidSeconds: int(v.Validity.Seconds()), Entries: []entryView{}}
@@ -45,9 +45,11 @@
 		slog.String("caller", r.RemoteAddr), slog.String("reason", v.Reason.String()), slog.Any("entries", view.Entries))
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", fmt.Sprintf("max-age=%d", view.ValidSeconds))
-	_ = json.NewEncoder(w).Encode(view) // the caller is gone: nobody to tell
+	_ = json.NewEncoder(w).Encode(view) // an error means that the caller has disconnected
 }
 
+// pickRequest describes the caller to the pick policy, by its workspace or else by its
+// address.
 func (e *Entry) pickRequest(r *http.Request) pick.Request {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -66,7 +68,7 @@
 	return q
 }
 
-// pickCandidates lists the entries that may be named.
+// pickCandidates lists the entries that callers may be sent to.
 func (e *Entry) pickCandidates() []pick.Entry {
 	var out []pick.Entry
 	for _, m := range e.servingEntries() {
@@ -77,14 +79,14 @@
 	return out
 }
 
-// shareWindow is over what time a workspace's share of the requests is counted.
-// It is above the time for which callers keep an answer, so that a caller does
-// not look small just because it has been sent elsewhere.
+// shareWindow is the period over which a workspace's requests are counted. It is longer
+// than callers cache a list of entries, so that a caller that was just sent to another
+// entry is still counted here.
 const shareWindow = time.Minute
 
-// trafficShares counts each workspace's part of the requests at this entry, over this
-// window and the last. Callers spread over entries, so the part here is about
-// the part everywhere.
+// trafficShares counts requests per workspace at this entry, over the current and the
+// previous window. Since callers are distributed over the entries, a workspace's fraction
+// here is close to its fraction of all requests.
 type trafficShares struct {
 	mu            sync.Mutex
 	windowStart   time.Time
@@ -107,7 +109,7 @@
 	s.currentTotal++
 }
 
-// share returns a workspace's part share the requests lately, 0..1.
+// share returns a workspace's fraction of the recent requests, 0 to 1.
 func (s *trafficShares) share(workspace string, now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,6 +121,7 @@
 	return float64(s.current[workspace]+s.previous[workspace]) / float64(total)
 }
 
+// rotateWindow starts a new window if the current one is over. The lock is held.
 func (s *trafficShares) rotateWindow(now time.Time) {
 	if now.Sub(s.windowStart) < shareWindow {
 		return
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry is the daemon that stands before callers: it tells them which
-// entry to use, lets requests in, queues them by workspace, routes them to
-// backend servers, streams the answers, and hands its requests over to another
-// entry when its instance is taken away.
+// Package entry is the daemon that callers connect to. It tells them which entry to use,
+// admits their requests, queues them by workspace, routes them to backend servers and
+// streams the answers. When its instance is reclaimed it hands its requests over to other
+// entries.
 package entry
 
 import (
@@ -27,24 +27,24 @@
 	"savoryreel.example/savoryreel/policy/pick"
 )
 
-// Periods of an entry's own work.
+// Intervals and timeouts of the periodic work.
 const (
-	catalogueInterval   = 500 * time.Millisecond // asks for the catalogue's version; far below the 6 s in which a change must be in force
-	laneInterval        = 20 * time.Millisecond  // looks after deadlines; a request that is given up waits this long at most
-	plannedStopInterval = 250 * time.Millisecond // looks for planned stops that have begun
-	syncInterval        = 100 * time.Millisecond // takes over load reports, which come every second at the most
+	catalogueInterval   = 500 * time.Millisecond // of polls for the catalogue; a change must be in force within 6 s
+	laneInterval        = 20 * time.Millisecond  // of checks for expired requests and free slots
+	plannedStopInterval = 250 * time.Millisecond // of checks for planned stops that begin or end
+	syncInterval        = 100 * time.Millisecond // of updates of the lanes with the load that servers report
 	housekeepInterval   = time.Second
-	orphanTimeout       = 30 * time.Second // a request from another entry whose caller never came is ended
+	orphanTimeout       = 30 * time.Second // after it a request taken over is cancelled if its caller has not connected
 	closeTimeout        = 5 * time.Second
 )
 
-// Deps is what an Entry works with.
+// Deps are the dependencies of an Entry.
 type Deps struct {
 	Log *slog.Logger
-	Now func() time.Time // must carry a monotonic reading
+	Now func() time.Time // its times must have a monotonic reading
 }
 
-// Entry is one entry.
+// Entry is one entry process. New builds it and Run serves until it ends.
 type Entry struct {
 	cfg         Config
 	deps        Deps
@@ -52,7 +52,7 @@
 	announceKey contract.KeyHash
 	metrics     *Metrics
 
-	ctx    context.Context // ends with the process, after the drain
+	ctx    context.Context // cancelled after the drain
 	cancel context.CancelFunc
 
 	traffic        *link.Traffic
@@ -80,12 +80,12 @@
 	selfNotices  chan time.Duration // reclaim notices for this instance
 	plainRunning atomic.Int64
 
-	runningRequests sync.WaitGroup // requests
-	ledgerUpdates   sync.WaitGroup // ends that the ledger has yet to hear
-	listingFetches  sync.WaitGroup // listings of prefix caches
+	runningRequests sync.WaitGroup // chat requests
+	ledgerUpdates   sync.WaitGroup // updates that the ledger has not committed yet
+	listingFetches  sync.WaitGroup // fetches of prefix cache listings
 }
 
-// New builds an entry. Run starts it.
+// New returns an entry that Run starts. It opens no listener.
 func New(cfg Config, deps Deps) (*Entry, error) {
 	set := metrics.NewSet()
 	e := &Entry{
@@ -137,7 +137,7 @@
 	return link.PeerInfo{ID: e.cfg.ID, Incarnation: e.incarnation, Address: e.cfg.LinkListen, Role: "entry"}
 }
 
-// Run serves until ctx ends, a signal comes or a component fails.
+// Run serves until ctx ends, a signal arrives or a component fails.
 func (e *Entry) Run(ctx context.Context) error {
 	defer e.pool.Close()
 	defer e.cancel()
@@ -157,6 +157,7 @@
 	return err
 }
 
+// addActors opens the listeners and adds all components to g.
 func (e *Entry) addActors(ctx context.Context, g *run.Group) error {
 	callers, err := daemon.Listen(ctx, e.deps.Log, "callers", e.cfg.CallerListen)
 	if err != nil {
@@ -190,11 +191,12 @@
 	return nil
 }
 
-// addPeriodic adds an actor that calls fn once a period.
+// addPeriodic adds an actor that calls fn once per period.
 func addPeriodic(g *run.Group, period time.Duration, fn func()) {
 	daemon.Actor(g, func(ctx context.Context) error { return daemon.Every(ctx, period, fn) })
 }
 
+// register registers the handlers of other processes' calls.
 func (e *Entry) register(srv *link.Server) {
 	e.members.Register(srv)
 	e.follower.register(srv)
@@ -205,7 +207,7 @@
 	link.Handle(srv, methodTakeOver, e.handleTakeOver)
 }
 
-// Handler serves callers and backend servers.
+// Handler returns the handler of requests from callers and backend servers.
 func (e *Entry) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/entries", e.handleEntries)
@@ -218,6 +220,7 @@
 	return mux
 }
 
+// operationsHandler returns the handler of the operations listener.
 func (e *Entry) operationsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", daemon.Operations(e.metrics.set, e.ready))
@@ -226,7 +229,7 @@
 	return mux
 }
 
-// ready reports why this entry takes no new requests, or nil.
+// ready returns why this entry accepts no new requests, or nil.
 func (e *Entry) ready() error {
 	if !e.acceptsRequests() {
 		return trace.ConnectionProblem(nil, "leaving")
@@ -244,15 +247,16 @@
 	e.publishVersion(c.reply.Version)
 }
 
-// refreshPlannedStops applies planned stops as they begin.
+// refreshPlannedStops applies the planned stops that have begun or ended since the last
+// call.
 func (e *Entry) refreshPlannedStops() {
 	if c := e.follower.current.Load(); c != nil {
 		e.applyPlannedStops(c)
 	}
 }
 
-// applyPlannedStops applies the planned stops in force now to backend servers and to this
-// entry itself.
+// applyPlannedStops applies the planned stops and reclaim notices in force to the backend
+// servers, and the planned stops also to this entry.
 func (e *Entry) applyPlannedStops(c *catalogue) {
 	now := e.deps.Now()
 	e.lanes.applyPlannedStops(func(id, zone string) bool {
@@ -261,7 +265,7 @@
 	e.applyOwnStop(c.instanceStopped(e.cfg.ID, e.cfg.Zone, now))
 }
 
-// housekeep does what is due each second.
+// housekeep runs the tasks of each housekeepInterval.
 func (e *Entry) housekeep() {
 	e.removeAnswers()
 	e.publishLoad()
@@ -270,7 +274,8 @@
 	}
 }
 
-// removeAnswers forgets answers that nobody comes back for.
+// removeAnswers removes finished answers after answerTTL and cancels requests taken over
+// whose caller has not connected within orphanTimeout.
 func (e *Entry) removeAnswers() {
 	now := e.deps.Now()
 	for _, w := range e.registry.all() {
@@ -283,8 +288,8 @@
 	}
 }
 
-// syncServers takes the backend servers' loads from the membership, which reports
-// changes of state as events but not those of load alone.
+// syncServers updates the lanes with the backend servers' loads. The membership sends no
+// events for changes of load alone.
 func (e *Entry) syncServers() {
 	e.lanes.sync(e.members.View().AllServers())
 	e.guard.updateAvoided()
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -13,27 +13,27 @@
 	"savoryreel.example/savoryreel/policy/route"
 )
 
-// errMoved is why an attempt ends when its request leaves a reclaimed server
-// before that server ends.
+// errMoved is the cause of the end of an attempt whose request is moved off a reclaimed
+// server.
 var errMoved = errors.New("moved off a leaving backend server")
 
-// What an entry assumes of a KV cache until an engine has told.
+// Estimates of the size and the transfer of KV caches, and the bound of a transfer.
 const (
-	// kvBytesPerToken is that of the stand-in engine; models of 7 to 70 billion
-	// parameters with grouped heads need 60 to 330 KiB.
+	// kvBytesPerToken is that of the simulated engine. Models of 7 to 70 billion parameters
+	// with grouped-query attention need 60 to 330 KiB.
 	kvBytesPerToken = 128 << 10
-	// kvBytesPerSecond is bytes a second between two engines: a 10 Gbit/s link.
+	// kvBytesPerSecond between two engines, as of a 10 Gbit/s link.
 	kvBytesPerSecond  = 1.25e9
 	kvTransferTimeout = 5 * time.Second
 )
 
-// evacuations moves requests off backend servers that have given notice.
+// evacuations moves requests off backend servers that are about to be reclaimed.
 //
-// A server that is reclaimed takes the KV caches of its requests along. Resumed
-// only when it has gone, each answer stalls until prompt and tokens so far have
-// been prefilled again, all of them in the same second on the servers that are
-// left. Moved within the notice, the longest take their cache along, and the
-// others are spread over the notice.
+// A reclaimed server takes the KV caches of its requests with it. If the requests were
+// resumed only after its end, all of them would have their prompts and tokens prefilled
+// again at the same time on the remaining servers, and their answers would stall. Within
+// the notice, the KV caches of the longest requests can be transferred, and the prefills of
+// the others are distributed over the notice.
 type evacuations struct {
 	entry   *Entry
 	planner *evacuate.Planner
@@ -47,9 +47,8 @@
 	return &evacuations{entry: e, planner: p}, nil
 }
 
-// serverLeaving plans the moves off a server that has just given notice, and makes
-// them in time. A server that stops without a time set keeps its requests: they
-// end there.
+// serverLeaving plans and schedules the moves off a server that has announced its end. A
+// server that leaves without a time limit keeps its requests until they end.
 func (v *evacuations) serverLeaving(s *instance.Server) {
 	notice := time.Duration(s.LeavingIn) * time.Millisecond
 	if notice <= 0 {
@@ -69,7 +68,7 @@
 	}
 }
 
-// workOn lists the work that runs workOn a server, by request id.
+// workOn returns the unfinished work on a server, by request id.
 func (v *evacuations) workOn(s *instance.Server) map[string]*work {
 	out := map[string]*work{}
 	for _, w := range v.entry.registry.all() {
@@ -80,6 +79,7 @@
 	return out
 }
 
+// input returns the planner's input. Each entry plans with its fraction of the bandwidth.
 func (v *evacuations) input(notice time.Duration, works map[string]*work) evacuate.Input {
 	entries := max(1, len(v.entry.servingEntries()))
 	in := evacuate.Input{
@@ -92,20 +92,21 @@
 	return in
 }
 
-// heldTokens is how many tokens a server holds for the work: prompt and answer so far.
+// heldTokens returns the number of tokens in the KV cache of the request: its prompt and
+// the answer so far.
 func (w *work) heldTokens() int {
 	return w.ticket.route.PromptTokens + len(w.journal.Tokens())
 }
 
-// runsOn reports whether the work's attempt is on this life of a server.
+// runsOn reports whether the work's attempt runs on this incarnation of a server.
 func (w *work) runsOn(server string, incarnation uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.currentGrant != nil && w.currentGrant.verdict.Server == server && w.currentGrant.verdict.Incarnation == incarnation
 }
 
-// moveOff ends the attempt on a server, if it still runs there, so that the work
-// goes on elsewhere; with its KV cache if carry is set.
+// moveOff ends the attempt on a server, if it still runs there, so that the work continues
+// on another one. withKV says whether its KV cache is to be transferred.
 func (w *work) moveOff(server string, incarnation uint64, withKV bool) {
 	if !w.runsOn(server, incarnation) {
 		return
@@ -121,15 +122,15 @@
 	w.interrupt(errMoved)
 }
 
-// setCurrent notes where the work's attempt runs; nil: nowhere.
+// setCurrent records the grant of the running attempt, or nil if none runs.
 func (w *work) setCurrent(g *grant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.currentGrant = g
 }
 
-// takeKVSource returns, once, the address of the engine whose KV cache is to be
-// taken along, or the empty text.
+// takeKVSource returns the address of the engine whose KV cache is to be transferred, or an
+// empty string, and clears it.
 func (w *work) takeKVSource() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,9 +139,9 @@
 	return from
 }
 
-// transferKV brings the KV cache of w's request from the engine that it left to the
-// one that goes on with it, and returns its handle there; empty when that did
-// not work, and the tokens are prefilled again.
+// transferKV transfers the KV cache of w's request to the engine at address to and returns
+// its handle there. The handle is empty if nothing is to be transferred or the transfer
+// fails; then the tokens are prefilled again.
 func (r *runner) transferKV(ctx context.Context, w *work, to string) string {
 	from := w.takeKVSource()
 	if from == "" {
@@ -161,12 +162,12 @@
 	return exported.Handle
 }
 
-// answerCost is a chat request's work in tokens of answer. Prompt tokens count
-// for as many as a slot generates in the time that their prefill takes.
+// answerCost returns the work of a chat request, in tokens of answer. Prompt tokens are
+// converted by the time that their prefill takes.
 func answerCost(prompt, answer int) int {
 	return answer + prompt/promptTokensPerAnswerToken + 1
 }
 
-// promptTokensPerAnswerToken is how many prompt tokens take as long as one token of the
-// answer: 8,000 tokens a second prefilled, 46 ms between tokens.
+// promptTokensPerAnswerToken is how many prompt tokens are prefilled in the time of one
+// answer token: 8,000 per second at 46 ms per token.
 const promptTokensPerAnswerToken = 368
