--- a/entry/admission.go
+++ b/entry/admission.go
@@ -102,7 +102,7 @@
 	s.admitter.Resume(workspace)
 }
 
-// done records the end of an admitted request, whose work was actual tokens.
+// done records the end of an admitted request. actual is its work in tokens.
 func (a *admission) done(r *request.Request, actual int) {
 	s := a.shard(r.Workspace)
 	s.mu.Lock()
@@ -124,8 +124,8 @@
 	}
 }
 
-// renew sends one report, and a second one if a new leader has to be told of the demands
-// under its own term.
+// renew sends a report and, if a new leader answers it, a second one under that leader's
+// term.
 func (a *admission) renew(ctx context.Context, control leaseClient) {
 	for range 2 {
 		sentAt := a.now()
@@ -141,6 +141,7 @@
 	}
 }
 
+// report returns the next report of the demands of all workspaces.
 func (a *admission) report(now time.Time) admit.Report {
 	a.sequence++
 	r := admit.Report{Entry: a.entry, Term: a.term, Sequence: a.sequence}
@@ -153,6 +154,7 @@
 	return r
 }
 
+// apply applies the leases that a report sent at sentAt has obtained.
 func (a *admission) apply(sentAt time.Time, leases []admit.Lease) {
 	for _, l := range leases {
 		s := a.shard(l.Workspace)
@@ -181,6 +183,7 @@
 	return p
 }
 
+// refusalCode returns the problem code of a refusal.
 func refusalCode(r admit.Reason) request.Code {
 	switch {
 	case r.IsLimit():
@@ -194,5 +197,5 @@
 	}
 }
 
-// release ends the admission of a request, whose work was actual tokens.
+// release ends the admission of a request. actual is its work in tokens.
 func (e *Entry) release(r *request.Request, actual int) { e.admitter.done(r, actual) }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -23,8 +23,8 @@
 
 // Limits and delays of the attempts of one chat request.
 const (
-	// maxAttempts bounds the attempts that may fail on a server after the request has
-	// reached it.
+	// maxAttempts bounds the failed attempts of a request. An attempt that the server
+	// refused, or that did not reach it, does not count.
 	maxAttempts = 8
 	// rerouteInterval is how often a request without a server looks for another one.
 	rerouteInterval = 50 * time.Millisecond
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -152,8 +152,8 @@
 }
 
 // launch registers the work and runs it in its own goroutine, so that it does not end with
-// one caller's connection. It reports false if the request is registered here already.
-// queued says whether the work has to wait for the queue's decision.
+// one caller's connection. If queued is set, the work first waits for the queue's decision.
+// launch reports false if the request is registered here already.
 func (e *Entry) launch(wk *work, body native.ChatRequest, queued bool) bool {
 	if _, added := e.registry.add(wk); !added {
 		wk.cancel()
--- a/entry/entries.go
+++ b/entry/entries.go
@@ -80,8 +80,8 @@
 }
 
 // shareWindow is the period over which a workspace's requests are counted. It is longer
-// than callers cache a list of entries, so that a caller that was just sent to another
-// entry is still counted here.
+// than callers cache a list of entries by default, so that a caller that was just sent to
+// another entry is still counted here.
 const shareWindow = time.Minute
 
 // trafficShares counts requests per workspace at this entry, over the current and the
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -247,8 +247,7 @@
 	e.publishVersion(c.reply.Version)
 }
 
-// refreshPlannedStops applies the planned stops that have begun or ended since the last
-// call.
+// refreshPlannedStops applies the planned stops again, since some may have begun or ended.
 func (e *Entry) refreshPlannedStops() {
 	if c := e.follower.current.Load(); c != nil {
 		e.applyPlannedStops(c)
--- a/entry/evacuation.go
+++ b/entry/evacuation.go
@@ -22,7 +22,7 @@
 	// kvBytesPerToken is that of the simulated engine. Models of 7 to 70 billion parameters
 	// with grouped-query attention need 60 to 330 KiB.
 	kvBytesPerToken = 128 << 10
-	// kvBytesPerSecond between two engines, as of a 10 Gbit/s link.
+	// kvBytesPerSecond is the bandwidth between two engines, that of a 10 Gbit/s link.
 	kvBytesPerSecond  = 1.25e9
 	kvTransferTimeout = 5 * time.Second
 )
@@ -106,7 +106,7 @@
 }
 
 // moveOff ends the attempt on a server, if it still runs there, so that the work continues
-// on another one. withKV says whether its KV cache is to be transferred.
+// on another one. If withKV is set, its KV cache is to be transferred there.
 func (w *work) moveOff(server string, incarnation uint64, withKV bool) {
 	if !w.runsOn(server, incarnation) {
 		return
--- a/entry/grant.go
+++ b/entry/grant.go
@@ -7,8 +7,8 @@
 	"savoryreel.example/savoryreel/policy/route"
 )
 
-// grant is the right to send one attempt to one backend server. Its holder
-// calls exactly one of Finished, Failed and Cancelled.
+// grant is the right to send one attempt to one backend server. Its holder calls exactly
+// one of finished, failed and cancelled.
 type grant struct {
 	lane          *lane
 	verdict       route.Verdict
@@ -16,12 +16,12 @@
 	quarantineRun quarantine.Run
 
 	workspace     string
-	chargedTokens int64 // tokens of work that the queue has charged
-	closed        bool  // has been closed
+	chargedTokens int64 // tokens of work charged to the workspace at the start
+	closed        bool  // set by the first call of end
 }
 
-// firstToken notes that the attempt's server has begun to answer, took after
-// the request was sent.
+// firstToken records that the server has begun to answer. took is the time since the
+// request was sent.
 func (g *grant) firstToken(took time.Duration) {
 	g.lane.mu.Lock()
 	defer g.lane.mu.Unlock()
@@ -29,24 +29,24 @@
 	g.lane.drainEstimator.ObserveFirstToken(took)
 }
 
-// observeTokenInterval notes the mean time between the tokens of an answer.
+// observeTokenInterval records the mean time between the tokens of an answer.
 func (g *grant) observeTokenInterval(gap time.Duration) {
 	g.lane.mu.Lock()
 	defer g.lane.mu.Unlock()
 	g.lane.drainEstimator.ObserveTokenInterval(gap)
 }
 
-// finished ends an attempt that was answered. work is its tokens, prompt and
-// answer, as they turned out.
+// finished ends an attempt whose answer is complete. work is its actual cost in tokens.
 func (g *grant) finished(work int) { g.end((*route.Router).Finished, int64(work)) }
 
-// failed ends an attempt that the server did not answer.
+// failed ends an attempt that the server has not answered.
 func (g *grant) failed() { g.end((*route.Router).Failed, 0) }
 
-// cancelled ends an attempt that was given up here; the server is not to blame.
+// cancelled ends an attempt that this entry has cancelled. It does not count against the
+// server.
 func (g *grant) cancelled() { g.end((*route.Router).Cancelled, 0) }
 
-// end closes the grant. Calls after the first have no effect.
+// end closes the grant and dispatches waiting requests. Only the first call has an effect.
 func (g *grant) end(how func(*route.Router, *route.Attempt, time.Time), work int64) {
 	l := g.lane
 	l.mu.Lock()
@@ -68,13 +68,13 @@
 	l.dispatch(now)
 }
 
-// server is the life of the backend server that the grant is for.
+// server returns the incarnation of the backend server that was granted.
 func (g *grant) server() quarantine.Server {
 	return quarantine.Server{ID: g.verdict.Server, Incarnation: g.verdict.Incarnation}
 }
 
-// exchangeGrant exchanges a grant for one on a given server. ok is false, and the grant
-// given back, when that server cannot take work.
+// exchangeGrant replaces g by a grant on another server. If that server cannot take the
+// request, g is cancelled and ok is false.
 func (l *lane) exchangeGrant(t *ticket, g *grant, to quarantine.Server) (*grant, bool) {
 	if g.server() == to {
 		return g, true
--- a/entry/guard.go
+++ b/entry/guard.go
@@ -16,24 +16,24 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// Links between entries for requests under suspicion.
+// Calls and notices to the owner of a request's fingerprint.
 const (
 	methodQuarantineAdmit  = "entry.quarantine.ask"
 	methodQuarantineReport = "entry.quarantine.tell"
 )
 
-// Periods of the quarantine.
+// Intervals and timeouts of the quarantine.
 const (
-	// quarantineOwnerTimeout bounds the question to the owner of a fingerprint. It is far
-	// above a round trip within a region, and far below the first-token target.
+	// quarantineOwnerTimeout bounds a call to the owner of a fingerprint. It is well above
+	// a round trip within a region and well below the objective for the first token.
 	quarantineOwnerTimeout = 150 * time.Millisecond
 	// suspectRetryInterval is how often a suspect that has to wait asks again.
 	suspectRetryInterval     = 50 * time.Millisecond
 	quarantineExpireInterval = time.Minute
 )
 
-// guard keeps this entry's part of the quarantine: which requests are under
-// suspicion, and where they may run.
+// guard holds this entry's quarantine records: which requests are suspected of crashing
+// servers, and where they may run.
 type guard struct {
 	entry *Entry
 	log   *slog.Logger
@@ -41,14 +41,14 @@
 
 	mu             sync.Mutex
 	set            *quarantine.Set
-	appliedVersion uint64                       // version of set of which the lanes know the servers to avoid
-	viewsBuiltAt   time.Time                    // when views were built
-	viewsStale     bool                         // an entry or a server came or went since views were built
-	views          map[laneKey]*quarantine.View // who owns what, of each pool: a trial needs a server that can run the request
-	servers        map[string]observedServer    // backend servers by id
+	appliedVersion uint64                       // version of set that the avoided servers of the lanes reflect
+	viewsBuiltAt   time.Time                    // when views was last built
+	viewsStale     bool                         // whether entries or servers have changed since
+	views          map[laneKey]*quarantine.View // by pool, since a trial needs a server that can run the request
+	servers        map[string]observedServer    // as last observed, by id
 }
 
-// observedServer is how a backend server was last seen.
+// observedServer is the last observed state of a backend server.
 type observedServer struct {
 	incarnation uint64
 	serving     bool
@@ -70,9 +70,9 @@
 	link.HandleNotice(s, methodQuarantineReport, func(_ context.Context, _ link.PeerInfo, r quarantine.Record) { q.merge(r) })
 }
 
-// serverChanged notes how a server is seen now. One that was serving and is gone,
-// or is back under a new incarnation, crashed: it said nothing of leaving. The
-// entry that ran a request there may be lost too, and then only this tells.
+// serverChanged records a server's state. A server that was serving and has ended or
+// restarted without announcing that it leaves has crashed. The crash is detected even if
+// the entry that ran the request is lost as well.
 func (q *guard) serverChanged(s *instance.Server) {
 	q.mu.Lock()
 	previous, known := q.servers[s.ID]
@@ -87,9 +87,9 @@
 	}
 }
 
-// checkGrant decides whether a request may be sent to the server that it was
-// granted. It may wait, come back with a grant for another server, or return
-// the request's final problem. Nothing has been sent when it returns.
+// checkGrant decides whether a request may be sent to the granted server. It may wait,
+// return a grant on another server, or return the request's final problem. It returns
+// before anything is sent.
 func (q *guard) checkGrant(ctx context.Context, t *ticket, g *grant) (*grant, error) {
 	fingerprint := t.request.Fingerprint()
 	for {
@@ -102,13 +102,13 @@
 				slog.String("request", string(t.request.ID)), slog.String("workspace", t.request.Workspace),
 				slog.String("fingerprint", strconv.FormatUint(fingerprint, 16)), slog.Time("until", v.Until))
 			return nil, request.NewProblem(request.CodeQuarantined, request.NotRun,
-				"backend servers stopped while they ran this request; it is refused until %s", v.Until.UTC().Format(time.RFC3339))
+				"backend servers crashed while they ran this request; it is refused until %s", v.Until.UTC().Format(time.RFC3339))
 		case quarantine.ActionRun:
 			if moved, ok := t.lane.exchangeGrant(t, g, v.Server); ok {
 				moved.quarantineRun = q.start(fingerprint, v)
 				return moved, nil
 			}
-			q.end(t.lane.key, q.start(fingerprint, v)) // the granted server has gone: give the grant back
+			q.end(t.lane.key, q.start(fingerprint, v)) // the server of the verdict is unavailable, so its run ends
 		default:
 			g.cancelled()
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-// waitForGrant waits a while and grants a server anew.
+// waitForGrant waits until a server can be granted again.
 func (q *guard) waitForGrant(ctx context.Context, t *ticket) (*grant, error) {
 	for {
 		select {
@@ -135,13 +135,14 @@
 	}
 }
 
+// start records that a run starts by the verdict v.
 func (q *guard) start(fingerprint uint64, v quarantine.Verdict) quarantine.Run {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.set.Start(fingerprint, v)
 }
 
-// finish notes that a run ended with a whole answer.
+// finish records a run whose answer is complete.
 func (q *guard) finish(key laneKey, r quarantine.Run) {
 	q.mu.Lock()
 	record := q.set.Finish(r, q.now())
@@ -149,8 +150,8 @@
 	q.reportRun(key, r, record)
 }
 
-// end notes that a run ended otherwise on a server that lives, or that leaves
-// as announced.
+// end records a run that ended without a complete answer although its server has not
+// crashed.
 func (q *guard) end(key laneKey, r quarantine.Run) {
 	q.mu.Lock()
 	record := q.set.End(r, q.now())
@@ -158,7 +159,8 @@
 	q.reportRun(key, r, record)
 }
 
-// reportRun gives the news of a granted run to the owner of its fingerprint.
+// reportRun reports the end of a granted run to the owner of its fingerprint. A record with
+// crashes is broadcast as well.
 func (q *guard) reportRun(key laneKey, r quarantine.Run, record quarantine.Record) {
 	if r.Grant == 0 {
 		return
@@ -167,15 +169,15 @@
 	owner := q.view(key).Owner(r.Fingerprint)
 	q.mu.Unlock()
 	if m, known := q.entry.members.View().Member(owner); known && owner != q.entry.cfg.ID {
-		_ = link.Notify(q.entry.pool, m.LinkAddress, methodQuarantineReport, record) // a grant that is not closed runs out by itself
+		_ = link.Notify(q.entry.pool, m.LinkAddress, methodQuarantineReport, record) // if the notice is lost, the grant expires at the owner
 	}
 	if record.EverCrashed {
 		q.broadcast(record)
 	}
 }
 
-// serverCrashed notes that a server died without having announced that it leaves, and
-// spreads all requests that ran there as suspects.
+// serverCrashed records that a server ended without announcing it, and broadcasts the
+// requests that ran there as suspects.
 func (q *guard) serverCrashed(s quarantine.Server) {
 	q.mu.Lock()
 	suspects := q.set.Crashed(s, q.now())
@@ -185,8 +187,8 @@
 	}
 }
 
-// updateAvoided tells the lanes which servers run a suspect now. It looks at every
-// record, so only when one has changed.
+// updateAvoided updates the lanes with the servers that run a suspect. It reads all
+// records, so it returns early unless one has changed.
 func (q *guard) updateAvoided() {
 	q.mu.Lock()
 	if q.set.Version() == q.appliedVersion {
@@ -204,16 +206,15 @@
 	}
 }
 
-// expire forgets what is older than the quarantine keeps.
+// expire removes the expired records.
 func (q *guard) expire() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.set.Expire(q.now())
 }
 
-// attemptFailed closes the run of an attempt that its server did not answer. Whether the
-// server crashed decides whether the request is a suspect: one that refused it,
-// that answers a probe, or that had announced its end has not been crashed by it.
+// attemptFailed closes the run of an attempt that its server has not answered. The request
+// becomes a suspect unless the server is alive or was leaving.
 func (q *guard) attemptFailed(ctx context.Context, g *grant, err error) {
 	if q.serverAlive(ctx, g, err) {
 		q.end(g.lane.key, g.quarantineRun)
@@ -222,13 +223,15 @@
 	q.serverCrashed(g.server())
 }
 
+// serverAlive reports whether the failure of an attempt is no sign of a crash: the server
+// refused the request, answered with an error, was leaving, or answers a probe.
 func (q *guard) serverAlive(ctx context.Context, g *grant, err error) bool {
 	var call *native.CallError
 	switch {
 	case native.NotRun(err), errors.Is(err, errStalled), q.entry.onLeavingServer(g):
 		return true
 	case errors.As(err, &call) && call.Status >= 300:
-		return true // it answered, with an error
+		return true // the server answered with an error
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -15,27 +15,28 @@
 // methodTakeOver hands a request over to another entry.
 const methodTakeOver = "entry.take_over"
 
-// takeOverTimeout bounds one hand-over of one request.
+// takeOverTimeout bounds one offer of one request to one entry.
 const takeOverTimeout = time.Second
 
-// maxConcurrentHandOvers bounds the hand-overs in flight: a few hundred requests then
-// take well under a second, and one peer is not flooded.
+// maxConcurrentHandOvers limits the load on the peers. A few hundred requests still take
+// well under a second.
 const maxConcurrentHandOvers = 32
 
-// takeOverRequest is a request with its journal: all that another entry needs
-// to answer it. Weight is the workspace's share.
+// takeOverRequest carries a request and its journal, which is all that another entry needs
+// to continue the answer. Weight is the workspace's weight in the queue.
 type takeOverRequest struct {
 	Request request.Request `msgpack:"req"`
 	Tokens  []string        `msgpack:"tok"`
 	Weight  int             `msgpack:"w"`
 }
 
-// takeOverReply says where the caller finds the answer now.
+// takeOverReply returns the address at which callers reach the entry that has taken the
+// request over.
 type takeOverReply struct {
 	CallerAddr string `msgpack:"addr"`
 }
 
-// handOverAll gives every unfinished chat request to other entries.
+// handOverAll hands every unfinished chat request over to other entries.
 func (e *Entry) handOverAll(ctx context.Context) {
 	peers := e.handOverPeers()
 	if len(peers) == 0 {
@@ -56,14 +57,15 @@
 	wg.Wait()
 }
 
-// rotate spreads the requests over the peers.
+// rotate returns peers rotated by offset, so that consecutive requests go to different
+// peers.
 func rotate(peers []*instance.Member, offset int) []*instance.Member {
 	n := offset % len(peers)
 	return append(append([]*instance.Member{}, peers[n:]...), peers[:n]...)
 }
 
-// handOverPeers lists the entries that can take requests, other zones first: a
-// reclaim takes a zone whole, so a peer in this zone is likely to go next.
+// handOverPeers lists the entries that can take requests, those of other zones first:
+// reclaims often affect a whole zone.
 func (e *Entry) handOverPeers() []*instance.Member {
 	var otherZones, sameZone []*instance.Member
 	for _, m := range e.servingEntries() {
@@ -78,12 +80,12 @@
 	return append(otherZones, sameZone...)
 }
 
-// handOver gives one request to the first peer that takes it. Its attempt here
-// is stopped before its journal is copied: a token that came in afterwards
-// would be sent to the caller here and generated again there.
+// handOver hands one request over to the first peer that accepts it. The attempt is paused
+// before the journal is copied. Otherwise a later token would be sent to the caller here
+// and be generated again there.
 func (e *Entry) handOver(ctx context.Context, wk *work, peers []*instance.Member) {
 	if !wk.pause() {
-		return // ended meanwhile
+		return // it has ended
 	}
 	msg := takeOverRequest{Request: *wk.request, Tokens: wk.journal.Tokens(), Weight: wk.ticket.weight}
 	for _, m := range peers {
@@ -100,17 +102,18 @@
 		wk.cancel()
 		return
 	}
-	wk.resume() // nobody took it: it goes on here for as long as it can
+	wk.resume() // no peer accepted it, so it continues here
 }
 
+// offer asks one peer to take a request over.
 func (e *Entry) offer(ctx context.Context, m *instance.Member, msg takeOverRequest) (takeOverReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, takeOverTimeout)
 	defer cancel()
 	return link.Call[takeOverReply](ctx, e.pool, m.LinkAddress, methodTakeOver, msg)
 }
 
-// handleTakeOver accepts a request from an entry that leaves, and goes on with its
-// answer. A second offer of the same request, after a lost reply, finds the first.
+// handleTakeOver accepts a request from an entry that leaves and continues its answer. It
+// accepts a repeated offer, as after a lost reply, without starting the request twice.
 func (e *Entry) handleTakeOver(ctx context.Context, from link.PeerInfo, msg takeOverRequest) (takeOverReply, error) {
 	if !e.acceptsRequests() {
 		return takeOverReply{}, e.drainingProblem()
--- a/entry/holdings.go
+++ b/entry/holdings.go
@@ -10,21 +10,21 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-// methodSlots tells other entries which slots a workspace holds here.
+// methodSlots reports to other entries how many slots each workspace holds here.
 const methodSlots = "entry.holdings"
 
-// Bounds of the exchange of holdings.
+// Interval and bounds of the exchange of held slots.
 const (
 	slotExchangeInterval = time.Second
-	// peerSlotsTTL is how long another entry's word counts: three losses.
+	// peerSlotsTTL is how long an entry's report counts. It survives three lost reports.
 	peerSlotsTTL = 4 * time.Second
-	// maxSlotExchangePeers is the most entries that tell each other. Each tells all
-	// others, so bytes grow with their number; with more entries each keeps to
-	// its part of a workspace's share, which needs no word from others.
+	// maxSlotExchangePeers is the number of other entries from which on no reports are
+	// sent, since their traffic grows with the square of the number of entries. Each entry
+	// then uses only its fraction of a workspace's share, which requires no reports.
 	maxSlotExchangePeers = 16
 )
 
-// workspaceSlots is how many slots of one pool one workspace holds at one entry.
+// workspaceSlots is the number of slots of one pool that one workspace holds at one entry.
 type workspaceSlots struct {
 	Kind      contract.Kind `msgpack:"k"`
 	Pool      string        `msgpack:"p"`
@@ -32,9 +32,9 @@
 	Slots     int           `msgpack:"n"`
 }
 
-// slotExchange exchanges with other entries how many slots each workspace holds. An
-// entry that knew only its own would take a workspace that holds much here and
-// nothing elsewhere for one above its share, and make its callers wait.
+// slotExchange reports the slots that each workspace holds to the other entries. By its own
+// count alone, an entry would delay a workspace that holds many slots here and none
+// elsewhere, although it is within its share.
 type slotExchange struct {
 	entry *Entry
 
@@ -59,12 +59,13 @@
 	})
 }
 
-// exchange tells the others and takes in what they told.
+// exchange sends a report and applies those received.
 func (h *slotExchange) exchange() {
 	h.send()
 	h.apply()
 }
 
+// send reports the slots held here to all other entries.
 func (h *slotExchange) send() {
 	peers := h.entry.peerLinks()
 	if len(peers) == 0 || len(peers) >= maxSlotExchangePeers {
@@ -77,11 +78,11 @@
 		}
 	}
 	for _, addr := range peers {
-		_ = link.Notify(h.entry.pool, addr, methodSlots, list) // the next one comes in a second
+		_ = link.Notify(h.entry.pool, addr, methodSlots, list) // a lost report is replaced by the next
 	}
 }
 
-// apply sums up what the others hold and tells the lanes.
+// apply sums up the other entries' reports and passes the sums to the lanes.
 func (h *slotExchange) apply() {
 	sums := map[laneKey]map[string]int{}
 	now := h.entry.deps.Now()
@@ -105,15 +106,15 @@
 	}
 }
 
-// slotsByWorkspace returns the slots that each workspace slotsByWorkspace.
+// slotsByWorkspace returns the slots that each workspace holds here.
 func (l *lane) slotsByWorkspace() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.ownSlots)
 }
 
-// setRemoteSlots tells the lane the slots that each workspace holds at other
-// entries; a workspace that is not named holds none.
+// setRemoteSlots sets the slots that each workspace holds at other entries. A workspace
+// that slots does not contain holds none.
 func (l *lane) setRemoteSlots(slots map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/lane.go
+++ b/entry/lane.go
@@ -18,13 +18,14 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// laneKey names a pool of backend servers that can stand in for each other: all
-// servers of one model, or all servers of one plain service.
+// laneKey identifies a pool of interchangeable backend servers: all servers of one model,
+// or all servers of one plain service.
 type laneKey struct {
 	kind contract.Kind
 	name string
 }
 
+// laneKeyOf returns the key of the pool that serves s.
 func laneKeyOf(s *contract.Service) laneKey {
 	if s.Kind == contract.KindModel {
 		return laneKey{kind: s.Kind, name: s.Model}
@@ -32,8 +33,8 @@
 	return laneKey{kind: s.Kind, name: s.Name}
 }
 
-// lane is one pool's queue and router under one lock. It is the shard by which
-// requests of different pools do not wait for each other.
+// lane is the queue and the router of one pool under one lock, so that requests of
+// different pools do not contend.
 type lane struct {
 	key      laneKey
 	location entryLocation
@@ -45,45 +46,45 @@
 	router         *route.Router
 	drainEstimator *admit.DrainEstimator
 	starter        *queue.Starter
-	slots          map[string]int  // by backend server that serves
-	loggedSlow     map[string]bool // servers that are eased off, as last logged
-	ownSlots       map[string]int  // slots by workspace
+	slots          map[string]int  // by serving backend server
+	loggedSlow     map[string]bool // servers that were slow when last logged
+	ownSlots       map[string]int  // slots held here, by workspace
 
-	avoidedServers []string       // servers on which a suspect is tried: what crashes them would take new work along
-	remoteSlots    map[string]int // slots by workspace at other entries, as last heard
+	avoidedServers []string       // servers that run a suspect, which may crash them
+	remoteSlots    map[string]int // slots held at other entries, by workspace, as last reported
 	tickets        map[string]*ticket
-	entryCount     int // how many entries share the servers
-	entryIndex     int // this entry's number among them, from 0
+	entryCount     int // number of entries that share the servers
+	entryIndex     int // position of this entry among them, from 0
 
-	// Scratch space of free.
+	// Buffers that slotTotals reuses.
 	occupancies []route.Occupancy
 	entrySlots  []int
 }
 
-// entryLocation is what a lane knows of the entry it belongs to.
+// entryLocation is where the entry runs.
 type entryLocation struct {
 	zone, region string
 }
 
-// ticket is one request's place in a lane, from submit until it is granted a
-// server or refused.
+// ticket is one request's place in a lane, from submit until it is granted a server or
+// refused.
 type ticket struct {
 	request       *request.Request
 	lane          *lane
 	route         route.Request
-	failedServers []string // servers that failed this request
+	failedServers []string // servers on which an attempt failed
 	weight        int
-	decision      chan decision // receives exactly one
+	decision      chan decision // receives exactly one decision, unless the request is withdrawn
 }
 
-// decision ends a wait: a grant, or the problem that the caller gets.
+// decision ends the wait of a request with a grant or with the problem for the caller.
 type decision struct {
 	grant   *grant
 	problem *request.Problem
 }
 
-// noServerRetryDelay is when a caller should come back if no backend server is
-// known: announcements repeat each second, so two seconds bring the next ones.
+// noServerRetryDelay is sent as Retry-After if the pool has no server. Servers announce
+// themselves every second.
 const noServerRetryDelay = 2 * time.Second
 
 func newLane(key laneKey, location entryLocation, log *slog.Logger, now func() time.Time) (*lane, error) {
@@ -106,8 +107,7 @@
 	}, nil
 }
 
-// submit queues a new request and returns its ticket, or the problem with which
-// it is refused at once.
+// submit queues a request, or returns the problem with which it is refused at once.
 func (l *lane) submit(t *ticket) *request.Problem {
 	now := l.now()
 	l.mu.Lock()
@@ -133,10 +133,11 @@
 	return nil
 }
 
-// latestStart is when a request must start at the latest to be answered before
-// its deadline, as far as is learnt of this lane. Without it, a queue that has
-// stood for long starts requests just before their deadlines: each takes a slot
-// and is cut off in the middle, and the fleet works for callers that have gone.
+// latestStart returns when a request must start to be answered before its deadline, by the
+// estimated duration of its answer, but no earlier than after a tenth of the time that
+// remains. Without it, a long queue would start requests shortly before their deadlines;
+// each would be cut off half way, and the servers would work for callers that have gone.
+// The lock is held.
 func (l *lane) latestStart(r *request.Request, now time.Time) time.Time {
 	e := l.drainEstimator.Estimate(now, queue.Backlog{})
 	expected := e.FirstToken + time.Duration(r.Answer)*e.TokenInterval
@@ -144,6 +145,7 @@
 	return r.Deadline.Add(-min(expected, remaining*9/10))
 }
 
+// itemOf returns the queue item of a request.
 func itemOf(r *request.Request, weight int, now time.Time) queue.Item {
 	return queue.Item{
 		ID: string(r.ID), Workspace: r.Workspace, Service: r.Service, Class: r.Class, Weight: weight,
@@ -151,7 +153,7 @@
 	}
 }
 
-// estimate judges how a request that came now would fare.
+// estimate returns the expected wait of a request that is submitted now.
 func (l *lane) estimate(r *request.Request, weight int) admit.Estimate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,7 +162,7 @@
 	return l.drainEstimator.Estimate(now, l.starter.Backlog(now, l.queue, &item, l.slotTotals(now)))
 }
 
-// slotTotals sums up the slots of the lane's servers as this entry sees them. The lock
+// slotTotals sums up the slots of the lane's servers as this entry estimates them. The lock
 // is held.
 func (l *lane) slotTotals(now time.Time) queue.Slots {
 	rotation := l.entryIndex + int(now.Unix())
@@ -188,14 +190,16 @@
 	return request.NewProblem(request.CodeDeadlineExpired, request.NotRun, "the deadline passed before a backend server was free")
 }
 
+// queueFullProblem returns the problem of a request that the queue has no place for. The
+// lock is held.
 func (l *lane) queueFullProblem(workspace string, now time.Time) *request.Problem {
 	return request.NewProblem(request.CodeQueueFull, request.NotRun,
 		"workspace %s has too many requests waiting for %s", workspace, l.key.name).After(l.retryDelay(now))
 }
 
-// retryDelay is a refused caller's wait before it asks again: the whole queue at
-// the rate at which it drains, from one second to a minute, spread upwards by
-// half so that those refused together do not come back together.
+// retryDelay returns the Retry-After of a refused request: the time in which the whole
+// queue drains, within the bounds of admit.Config, plus jitter so that the refused callers
+// do not all return at once. The lock is held.
 func (l *lane) retryDelay(now time.Time) time.Duration {
 	cfg := admit.DefaultConfig()
 	rate, known := l.drainEstimator.Rate(now)
@@ -206,7 +210,7 @@
 	return min(max(time.Duration(wait*float64(time.Second)), cfg.MinRetryAfter), cfg.MaxRetryAfter)
 }
 
-// refuse ends a waiting request's wait with a problem. The lock is held.
+// refuse ends the wait of a request with a problem. The lock is held.
 func (l *lane) refuse(id string, p *request.Problem) {
 	t, waiting := l.tickets[id]
 	if !waiting {
@@ -216,8 +220,8 @@
 	t.decision <- decision{problem: p}
 }
 
-// dispatch grants servers to waiting requests, in the queue's order, for as long as
-// there are slots that this entry may take. The lock is held.
+// dispatch refuses expired requests and grants servers to waiting ones, in the queue's
+// order, while this entry may take slots. The lock is held.
 func (l *lane) dispatch(now time.Time) {
 	for _, item := range l.queue.Expired(now) {
 		l.refuse(item.ID, expiredProblem())
@@ -228,7 +232,8 @@
 	l.drainEstimator.SetFull(now, slots.Free <= slots.Taken || l.queue.Len() > 0)
 }
 
-// dispatchNext grants a server to the next request that may start now.
+// dispatchNext grants a server to the next request that may start, and reports whether
+// there was one. The lock is held.
 func (l *lane) dispatchNext(now time.Time) bool {
 	slots := l.slotTotals(now)
 	var chosen route.Verdict
@@ -254,7 +259,7 @@
 	return true
 }
 
-// excludedServers lists the servers that a request is not sent to.
+// excludedServers lists the servers that a request is not sent to. The lock is held.
 func (l *lane) excludedServers(t *ticket) []string {
 	switch {
 	case len(t.failedServers) == 0:
@@ -266,23 +271,23 @@
 	}
 }
 
-// setAvoidedServers tells the lane which servers get no new work while a suspect runs there.
+// setAvoidedServers sets the servers that get no new work while a suspect runs there.
 func (l *lane) setAvoidedServers(servers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.avoidedServers = servers
 }
 
-// newGrant counts a start on the verdict's server.
+// newGrant counts a start on the verdict's server and returns its grant. The lock is held.
 func (l *lane) newGrant(v *route.Verdict, item *queue.Item, now time.Time) *grant {
 	l.starter.Started(now, item)
 	l.ownSlots[item.Workspace]++
 	return &grant{lane: l, verdict: *v, attempt: l.router.Started(v, now), workspace: item.Workspace, chargedTokens: item.Cost}
 }
 
-// regrant grants a server to a request that has been granted one before and lost
-// it. It does not queue: its turn has come once, and behind a long queue its
-// caller would see the answer stop. ok is false while no server can take it.
+// regrant grants another server to a request that has lost its first one. The request does
+// not queue again, since its answer would stall behind a long queue. ok is false while no
+// server can take it.
 func (l *lane) regrant(t *ticket) (*grant, bool) {
 	now := l.now()
 	l.mu.Lock()
@@ -291,7 +296,7 @@
 	t.route.Exclude = l.excludedServers(t)
 	v := l.router.Choose(&t.route)
 	if !v.OK() && v.Reason == route.ReasonAllExcluded {
-		t.failedServers, t.route.Exclude = nil, l.avoidedServers // better a server that failed once than none
+		t.failedServers, t.route.Exclude = nil, l.avoidedServers // prefer a server that has failed to none
 		v = l.router.Choose(&t.route)
 	}
 	if !v.OK() {
@@ -303,8 +308,8 @@
 	return l.newGrant(&v, &item, now), true
 }
 
-// withdraw takes a waiting request out of the queue, because its caller left.
-// It reports false when the request has been decided meanwhile.
+// withdraw removes a waiting request from the queue. It reports false if the request has
+// been decided already.
 func (l *lane) withdraw(id request.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -316,18 +321,18 @@
 	return true
 }
 
-// tick refuses requests whose deadline has passed and grants what has room.
+// tick refuses expired requests and dispatches waiting ones.
 func (l *lane) tick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dispatch(l.now())
 }
 
-// slowHealthWeight is the part of its full share below which a server counts as eased
-// off in the log. A new server begins at a tenth and is not slow.
+// slowHealthWeight is the health weight below which a server is logged as slow. The weight
+// excludes the slow start of a new server.
 const slowHealthWeight = 0.5
 
-// logSlow logs each server that begins or ceases to be eased off.
+// logSlow logs each server that becomes slow or ceases to be.
 func (l *lane) logSlow() {
 	now := l.now()
 	l.mu.Lock()
@@ -343,7 +348,8 @@
 	}
 }
 
-// announce takes in a backend server's announcement.
+// announce applies a backend server's announcement, whose load was measured at loadAt, and
+// dispatches waiting requests.
 func (l *lane) announce(a *instance.Announcement, loadAt time.Time) {
 	now := l.now()
 	l.mu.Lock()
@@ -359,7 +365,7 @@
 	l.dispatch(now)
 }
 
-// markLeaving stops new work to a server, whatever it last said of itself.
+// markLeaving stops new work to a server, whatever state it announces.
 func (l *lane) markLeaving(id string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -367,14 +373,14 @@
 	delete(l.slots, id)
 }
 
-// restore gives work again to a server whose planned stop was cancelled. The
-// router takes a server that has begun to leave back only as a new one.
+// restore resumes work to a server whose planned stop was cancelled. The server is removed
+// first, because the router accepts one that was leaving only as a new server.
 func (l *lane) restore(a *instance.Announcement, loadAt time.Time) {
 	l.remove(a.ID)
 	l.announce(a, loadAt)
 }
 
-// remove forgets a server.
+// remove removes a server.
 func (l *lane) remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -383,7 +389,8 @@
 	delete(l.loggedSlow, id)
 }
 
-// setEntries tells how many entries share the servers and which this one is.
+// setEntries sets the number of entries that share the servers and the position of this one
+// among them.
 func (l *lane) setEntries(count, index int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -391,7 +398,7 @@
 	l.router.SetEntries(count)
 }
 
-// logRoute writes one line per routing decision, with the runners-up.
+// logRoute logs a routing decision with its runners-up.
 func (l *lane) logRoute(r *request.Request, v *route.Verdict, waited time.Duration) {
 	ctx := context.Background()
 	if !l.log.Enabled(ctx, slog.LevelInfo) {
--- a/entry/lanes.go
+++ b/entry/lanes.go
@@ -18,17 +18,17 @@
 
 	mu         sync.RWMutex
 	byKey      map[laneKey]*lane
-	entryCount int // how many entries share the servers
-	entryIndex int // this entry's number among them, from 0
-	// servers holds what was last taken from the membership, so that a lane made
-	// later, when a catalogue change names a new service, begins with them.
+	entryCount int // number of entries that share the servers
+	entryIndex int // position of this entry among them, from 0
+	// servers holds the last known state of each server. A lane that is created later, when
+	// a catalogue change adds a service, starts with it.
 	servers  map[string]*serverState
 	stopped  map[string]bool // servers that a planned stop covers
-	sequence uint64          // of the announcements given to routers
+	sequence uint64          // of the announcements passed to the lanes
 }
 
-// serverState is a server as taken from the membership, and when, on this entry's
-// clock, its load held.
+// serverState is a server's state from the membership. loadAt is when its load was
+// measured, by this entry's clock.
 type serverState struct {
 	server *instance.Server
 	loadAt time.Time
@@ -41,7 +41,7 @@
 	}
 }
 
-// get returns the lane get a pool, made at its first use.
+// get returns the lane of a pool and creates it at the first call.
 func (ls *lanes) get(key laneKey) (*lane, error) {
 	ls.mu.RLock()
 	l, known := ls.byKey[key]
@@ -52,6 +52,7 @@
 	return ls.create(key)
 }
 
+// create returns the lane of a pool, which it creates unless another goroutine has.
 func (ls *lanes) create(key laneKey) (*lane, error) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -62,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.setEntries(ls.entryCount, ls.entryIndex) // nobody else knows the new lane yet, so its lock is free
+	l.setEntries(ls.entryCount, ls.entryIndex) // does not block on the lane's lock, since the lane is not shared yet
 	for _, h := range ls.servers {
 		if slices.Contains(laneKeysOf(h.server), key) {
 			l.announce(ls.announcement(h), h.loadAt)
@@ -72,7 +73,7 @@
 	return l, nil
 }
 
-// laneKeysOf lists the pools that a server belongs to.
+// laneKeysOf returns the keys of the pools that a server belongs to.
 func laneKeysOf(a *instance.Server) []laneKey {
 	var out []laneKey
 	if a.Model != "" {
@@ -84,10 +85,9 @@
 	return out
 }
 
-// announcement is what a router is told of a server: what the membership has,
-// under a sequence of this entry's own, because the membership has put what it
-// heard in order already. A server that a planned stop covers counts as leaving
-// whatever it says of itself. The lock is held.
+// announcement returns the announcement of a server for the routers. Its sequence number is
+// this entry's own, since the membership has ordered the server's announcements already. A
+// server that a planned stop covers counts as leaving. The lock is held.
 func (ls *lanes) announcement(h *serverState) *instance.Announcement {
 	a := h.server.Announcement
 	ls.sequence++
@@ -98,9 +98,8 @@
 	return &a
 }
 
-// sync takes in the servers that serve or leave, from the membership's view. A
-// server's value there is replaced at each change, so the same pointer is the
-// same news.
+// sync updates the lanes to the servers in the membership's view. The view replaces a
+// server's value at each change, so the same pointer means no change.
 func (ls *lanes) sync(servers []*instance.Server) {
 	now := ls.now()
 	present := make(map[string]bool, len(servers))
@@ -121,6 +120,7 @@
 	}
 }
 
+// update applies the state of one server to its lanes, unless it is unchanged.
 func (ls *lanes) update(s *instance.Server, now time.Time) {
 	ls.mu.Lock()
 	old := ls.servers[s.ID]
@@ -141,8 +141,8 @@
 	}
 }
 
-// removeFromOldLanes takes a server out of the lanes that it no longer belongs to, as
-// after it loaded another model.
+// removeFromOldLanes removes a server from the lanes that it no longer belongs to, for
+// example after it has loaded another model.
 func (ls *lanes) removeFromOldLanes(old *instance.Server, keys []laneKey) {
 	for _, key := range laneKeysOf(old) {
 		if slices.Contains(keys, key) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// remove forgets a server that is gone.
+// remove removes a server that is gone.
 func (ls *lanes) remove(id string) {
 	ls.mu.Lock()
 	h, known := ls.servers[id]
@@ -168,7 +168,7 @@
 	}
 }
 
-// existing returns the lanes of these keys that exist.
+// existing returns those lanes of the keys that have been created.
 func (ls *lanes) existing(keys []laneKey) []*lane {
 	ls.mu.RLock()
 	defer ls.mu.RUnlock()
@@ -181,6 +181,7 @@
 	return out
 }
 
+// all returns all lanes.
 func (ls *lanes) all() []*lane {
 	ls.mu.RLock()
 	defer ls.mu.RUnlock()
@@ -191,8 +192,8 @@
 	return out
 }
 
-// setEntries tells every lane how many entries share the backend servers, and
-// which of them this one is.
+// setEntries sets, for every lane, the number of entries that share the backend servers and
+// the position of this one among them.
 func (ls *lanes) setEntries(count, index int) {
 	ls.mu.Lock()
 	ls.entryCount, ls.entryIndex = count, index
@@ -202,8 +203,9 @@
 	}
 }
 
-// applyPlannedStops applies the planned stops in force to every server. A server whose stop
-// was cancelled takes work again; one that leaves by its own word does not.
+// applyPlannedStops applies the planned stops to every server. covers reports whether one
+// in force covers the server. A server whose stop was cancelled gets work again, unless it
+// has announced itself that it leaves.
 func (ls *lanes) applyPlannedStops(covers func(id, zone string) bool) {
 	ls.mu.Lock()
 	var changed []*serverState
@@ -221,6 +223,7 @@
 	}
 }
 
+// applyPlannedStop stops or resumes the work to one server.
 func (ls *lanes) applyPlannedStop(h *serverState) {
 	ls.mu.Lock()
 	stop := ls.stopped[h.server.ID]
@@ -235,7 +238,7 @@
 	}
 }
 
-// tick looks after deadlines and room in every lane.
+// tick refuses expired requests and dispatches waiting ones in every lane.
 func (ls *lanes) tick() {
 	for _, l := range ls.all() {
 		l.tick()
--- a/entry/life.go
+++ b/entry/life.go
@@ -14,41 +14,42 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// phase is where an entry stands between serving and its end.
+// phase is the stage of an entry between serving and closed.
 type phase uint8
 
 const (
 	phaseServing  phase = iota
-	phaseUnlisted       // callers are no longer sent here; those who come are served
-	phaseClosed         // takes nothing new, finishes or hands over what it has
+	phaseUnlisted       // callers are no longer sent here, but are still served
+	phaseClosed         // new requests are refused; the others finish or are handed over
 )
 
-// String names the phase as status shows it.
+// String returns the name of the phase in the status.
 func (p phase) String() string {
 	return [...]string{"serving", "unlisted", "closed"}[p]
 }
 
-// lifecycle is an entry's phase. A planned stop can be cancelled, so phases go back
-// too; a leave by signal or reclaim notice does not.
+// lifecycle tracks an entry's phase. A planned stop can be cancelled, after which the entry
+// serves again. A leave by signal or reclaim notice is final.
 type lifecycle struct {
 	now func() time.Time
 
 	mu          sync.Mutex
 	phase       phase
-	unlistedAt  time.Time // when callers stopped being sent here
-	endsProcess bool      // the process will end
-	stopPlanned bool      // a planned stop covers this entry
+	unlistedAt  time.Time // when the entry was unlisted
+	endsProcess bool      // whether the process is going to end
+	stopPlanned bool      // whether a planned stop covers this entry
 }
 
 func newLifecycle(now func() time.Time) *lifecycle { return &lifecycle{now: now} }
 
+// current returns the phase.
 func (l *lifecycle) current() phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
 }
 
-// startLeaving begins a leave that ends the process.
+// startLeaving unlists the entry before the end of the process.
 func (l *lifecycle) startLeaving() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,15 +59,17 @@
 	}
 }
 
+// close moves the entry to its last phase.
 func (l *lifecycle) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.phase = phaseClosed
 }
 
-// applyPlannedStop notes whether a planned stop covers this entry and reports what is to be
-// done: begin to leave, close after every list that names it has run out, or
-// serve again after the stop was cancelled.
+// applyPlannedStop updates the phase, given whether a planned stop covers this entry, and
+// reports the change: unlisted now, closed since all lists that contain the entry have
+// expired, or resumed after the stop was cancelled. acceptUntil returns when the lists
+// expire.
 func (l *lifecycle) applyPlannedStop(stopped bool, acceptUntil func(unlisted time.Time) time.Time) (unlisting, closed, resumed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,20 +89,21 @@
 	return false, false, false
 }
 
-// acceptsRequests reports whether new requests are let in. An entry that is leaving
-// goes on acceptsRequests until every answer that named it has run out: callers keep
-// such answers and would find a closed door through no fault of theirs.
+// acceptsRequests reports whether new requests are accepted. An unlisted entry still
+// accepts them until every list that contains it has expired, since callers cache those
+// lists.
 func (e *Entry) acceptsRequests() bool { return e.lifecycle.current() != phaseClosed }
 
-// acceptsAnnouncements reports whether backend servers may go on announcing here.
+// acceptsAnnouncements reports whether backend servers may announce themselves here.
 func (e *Entry) acceptsAnnouncements() bool { return e.lifecycle.current() == phaseServing }
 
-// drainingProblem refuses a new request because this entry leaves.
+// drainingProblem returns the problem of a request that is refused because this entry is
+// leaving.
 func (e *Entry) drainingProblem() *request.Problem {
 	return request.NewProblem(request.CodeDraining, request.NotRun, "use another entry: %s", e.otherEntryAddresses()).After(time.Second)
 }
 
-// otherEntryAddresses names the entries that callers may use, for people and logs.
+// otherEntryAddresses returns the addresses of the other entries for a message.
 func (e *Entry) otherEntryAddresses() string {
 	var names []string
 	for _, m := range e.servingEntries() {
@@ -110,9 +114,9 @@
 	return strings.Join(names, ", ")
 }
 
-// applyOwnStop follows the planned stops that cover this entry. The other entries
-// know of the stop from the catalogue, as servingEntries does, and nothing is
-// spread of it: a stop ends when the catalogue says so and at no other time.
+// applyOwnStop applies the planned stops to this entry's own phase. It publishes nothing,
+// since the other entries read the stop from the catalogue, in servingEntries, and so agree
+// on its end.
 func (e *Entry) applyOwnStop(stopped bool) {
 	unlisting, closed, resumed := e.lifecycle.applyPlannedStop(stopped, func(unlisted time.Time) time.Time {
 		return e.picker.Drain(pick.DrainRequest{Now: e.deps.Now(), LeavingSince: unlisted}).AcceptUntil
@@ -128,12 +132,12 @@
 	}
 }
 
-// drainPollInterval is how often a drain looks whether it is done.
+// drainPollInterval is how often a drain checks whether it is done.
 const drainPollInterval = 50 * time.Millisecond
 
-// leave ends this entry's service within about limit, cutting off nobody: it
-// has itself unlisted, accepts until every list that names it has run out,
-// closes, lets requests finish, and hands over what has not finished in time.
+// leave drains this entry within about limit. It unlists the entry, accepts requests until
+// the lists that contain it expire, closes, lets requests finish until half of limit has
+// passed, and hands over the rest.
 func (e *Entry) leave(ctx context.Context, limit time.Duration) {
 	startedAt := e.deps.Now()
 	e.lifecycle.startLeaving()
@@ -150,7 +154,7 @@
 	event.Log(ctx, e.deps.Log, slog.LevelInfo, event.DrainDone, slog.Int("unfinished", e.unfinished()))
 }
 
-// waitUntil returns when done reports true, at the time end, or when ctx ends.
+// waitUntil returns when done returns true, at the time end, or when ctx ends.
 func (e *Entry) waitUntil(ctx context.Context, end time.Time, done func() bool) {
 	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
@@ -163,17 +167,17 @@
 	}
 }
 
-// unfinished counts the requests that have not ended.
+// unfinished returns the number of requests that have not ended.
 func (e *Entry) unfinished() int {
 	return e.registry.unfinished() + int(e.plainRunning.Load()) + e.onceCalls.len()
 }
 
-// handleLeave takes a reclaim notice for this instance:
-// POST /v1/leave?notice=20s on the operations listener.
+// handleLeave accepts a reclaim notice for this instance: POST /v1/leave?notice=20s on the
+// operations listener.
 func (e *Entry) handleLeave(w http.ResponseWriter, r *http.Request) {
 	notice, err := time.ParseDuration(r.URL.Query().Get("notice"))
 	if err != nil || notice <= 0 {
-		request.NewProblem(request.CodeBadRequest, request.NotRun, "notice is not a duration such as 20s").Write(w)
+		request.NewProblem(request.CodeBadRequest, request.NotRun, "notice must be a positive duration such as 20s").Write(w)
 		return
 	}
 	e.leaveWithin(notice)
@@ -181,15 +185,16 @@
 	fmt.Fprintln(w, "leaving")
 }
 
-// leaveWithin has this entry leave within a notice for its own instance.
+// leaveWithin makes this entry leave within the notice. A second notice has no effect.
 func (e *Entry) leaveWithin(notice time.Duration) {
 	select {
 	case e.selfNotices <- notice:
-	default: // a notice is being followed already
+	default: // an earlier notice is pending
 	}
 }
 
-// awaitNotice ends the process after a reclaim notice has been followed.
+// awaitNotice returns, which ends the process, after this entry has left by a reclaim
+// notice.
 func (e *Entry) awaitNotice(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
