--- a/entry/admission.go
+++ b/entry/admission.go
@@ -12,35 +12,35 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// leaseEvery is how often an entry reports its demand and has its parts of the
-// workspaces' limits renewed; admit.DefaultShareConfig is made for it.
-const leaseEvery = time.Second
+// leaseInterval is how often an entry reports its demand and renews its leases on shares of
+// the workspaces' limits. admit.DefaultShareConfig depends on it.
+const leaseInterval = time.Second
 
-// admissionShards spreads the workspaces over locks.
+// admissionShards is the number of locks over which the workspaces are spread.
 const admissionShards = 16
 
-// leaser is how an entry gets its parts of the limits; api.Client is one.
-type leaser interface {
+// leaseClient obtains leases on shares of the limits from the control leader. api.Client
+// implements it.
+type leaseClient interface {
 	Leases(ctx context.Context, r admit.Report) (admit.Reply, error)
 }
 
-// admission holds this entry's part of the workspaces' limits, in shards by
-// workspace.
+// admission enforces this entry's shares of the workspaces' limits, in shards by workspace.
 type admission struct {
-	entry  string // this life of this entry: a new one holds none of the old one's leases
+	entry  string // entry id and incarnation, since a restarted entry has none of its earlier leases
 	now    func() time.Time
 	seed   maphash.Seed
 	shards [admissionShards]admissionShard
 
-	// Of the reports to the control leader; only the lease loop uses them.
+	// Sent with each report to the control leader. Only leaseLoop uses them.
 	term     uint64
 	sequence uint64
 }
 
 type admissionShard struct {
-	mu       sync.Mutex
-	admitter *admit.Admitter
-	known    map[string]bool // workspaces that have limits set
+	mu         sync.Mutex
+	admitter   *admit.Admitter
+	workspaces map[string]bool // workspaces that have limits set
 }
 
 func newAdmission(entry string, now func() time.Time) (*admission, error) {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return nil, err
 		}
-		a.shards[i].admitter, a.shards[i].known = admitter, map[string]bool{}
+		a.shards[i].admitter, a.shards[i].workspaces = admitter, map[string]bool{}
 	}
 	return a, nil
 }
@@ -59,33 +59,34 @@
 	return &a.shards[maphash.String(a.seed, workspace)%admissionShards]
 }
 
-// limits takes the limits of a new catalogue version.
-func (a *admission) limits(c *catalogue) {
+// setLimits applies the limits of a new catalogue version.
+func (a *admission) setLimits(c *catalogue) {
 	now := a.now()
-	for name, w := range c.byName {
+	for name, w := range c.workspacesByName {
 		s := a.shard(name)
 		s.mu.Lock()
 		s.admitter.SetLimits(now, name, w.Limits)
-		s.known[name] = true
+		s.workspaces[name] = true
 		s.mu.Unlock()
 	}
 	for i := range a.shards {
-		a.shards[i].forget(c)
+		a.shards[i].removeMissing(c)
 	}
 }
 
-// forget drops the workspaces that the catalogue no longer has.
-func (s *admissionShard) forget(c *catalogue) {
+// removeMissing removes the workspaces that the catalogue no longer contains.
+func (s *admissionShard) removeMissing(c *catalogue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name := range s.known {
-		if _, still := c.byName[name]; !still {
+	for name := range s.workspaces {
+		if _, present := c.workspacesByName[name]; !present {
 			s.admitter.RemoveWorkspace(name)
-			delete(s.known, name)
+			delete(s.workspaces, name)
 		}
 	}
 }
 
+// decide reports whether a request is admitted, and the reason if it is not.
 func (a *admission) decide(r admit.Request) admit.Verdict {
 	s := a.shard(r.Workspace)
 	s.mu.Lock()
@@ -93,7 +94,7 @@
 	return s.admitter.Decide(a.now(), r, rand.Float64())
 }
 
-// resume counts a request that another entry had admitted.
+// resume counts a request that another entry has admitted and handed over to this one.
 func (a *admission) resume(workspace string) {
 	s := a.shard(workspace)
 	s.mu.Lock()
@@ -101,6 +102,7 @@
 	s.admitter.Resume(workspace)
 }
 
+// done records the end of an admitted request. actual is its work in tokens.
 func (a *admission) done(r *request.Request, actual int) {
 	s := a.shard(r.Workspace)
 	s.mu.Lock()
@@ -108,9 +110,9 @@
 	s.admitter.Done(a.now(), r.Workspace, int64(r.Cost), int64(actual))
 }
 
-// leaseLoop renews this entry's parts of the limits until ctx ends.
-func (a *admission) leaseLoop(ctx context.Context, control leaser) error {
-	tick := time.NewTicker(leaseEvery)
+// leaseLoop renews this entry's leases until ctx ends.
+func (a *admission) leaseLoop(ctx context.Context, control leaseClient) error {
+	tick := time.NewTicker(leaseInterval)
 	defer tick.Stop()
 	for {
 		a.renew(ctx, control)
@@ -122,22 +124,24 @@
 	}
 }
 
-// renew reports once, and a second time under the term of a new leader.
-func (a *admission) renew(ctx context.Context, control leaser) {
+// renew sends a report and, if a new leader answers it, a second one under that leader's
+// term.
+func (a *admission) renew(ctx context.Context, control leaseClient) {
 	for range 2 {
-		asked := a.now()
-		reply, err := control.Leases(ctx, a.report(asked))
+		sentAt := a.now()
+		reply, err := control.Leases(ctx, a.report(sentAt))
 		if err != nil {
-			return // what is leased runs out by itself
+			return // the leases expire unless a later report renews them
 		}
 		a.term = reply.Term
 		if reply.Status == admit.Leased {
-			a.apply(asked, reply.Leases)
+			a.apply(sentAt, reply.Leases)
 			return
 		}
 	}
 }
 
+// report returns the next report of the demands of all workspaces.
 func (a *admission) report(now time.Time) admit.Report {
 	a.sequence++
 	r := admit.Report{Entry: a.entry, Term: a.term, Sequence: a.sequence}
@@ -150,19 +154,20 @@
 	return r
 }
 
-func (a *admission) apply(asked time.Time, leases []admit.Lease) {
+// apply applies the leases that a report sent at sentAt has obtained.
+func (a *admission) apply(sentAt time.Time, leases []admit.Lease) {
 	for _, l := range leases {
 		s := a.shard(l.Workspace)
 		s.mu.Lock()
-		s.admitter.Apply(a.now(), asked, l)
+		s.admitter.Apply(a.now(), sentAt, l)
 		s.mu.Unlock()
 	}
 }
 
-// admit lets a request in by its workspace's limits and by what the queue can
-// start in time, or refuses it at once.
+// admit returns nil if the limits of the workspace and the estimated wait in the queue
+// allow the request. Otherwise it returns the problem with which the request is refused.
 func (e *Entry) admit(w *contract.Workspace, s *contract.Service, r *request.Request) *request.Problem {
-	l, err := e.lanes.of(laneOf(s))
+	l, err := e.lanes.get(laneKeyOf(s))
 	if err != nil {
 		return request.NewProblem(request.CodeInternal, request.NotRun, "%v", err)
 	}
@@ -178,6 +183,7 @@
 	return p
 }
 
+// refusalCode returns the problem code of a refusal.
 func refusalCode(r admit.Reason) request.Code {
 	switch {
 	case r.IsLimit():
@@ -191,6 +197,5 @@
 	}
 }
 
-// release gives back what an admitted request held. actual is its work in
-// tokens as it turned out.
+// release ends the admission of a request. actual is its work in tokens.
 func (e *Entry) release(r *request.Request, actual int) { e.admitter.done(r, actual) }
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -13,25 +13,24 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// Bounds of a caller's deadline.
+// Deadlines of requests, by default and at most.
 const (
 	defaultChatDeadline  = 5 * time.Minute
 	defaultPlainDeadline = 60 * time.Second
 	maxDeadline          = 30 * time.Minute
 )
 
-// maxKeyLength bounds an Idempotency-Key, which the ledger keeps for a day.
-const maxKeyLength = 255
+// maxKeyBytes bounds an Idempotency-Key, which the ledger stores for a day.
+const maxKeyBytes = 255
 
-// staleRetry is when a caller should come back to an entry that cannot confirm
-// its catalogue; meanwhile another entry may take it.
-const staleRetry = 2 * time.Second
+// staleRetryDelay is sent as Retry-After by an entry that cannot confirm its catalogue.
+// Another entry may accept the request meanwhile.
+const staleRetryDelay = 2 * time.Second
 
-// emptyRetry is when a caller should come back to a system that has just started:
-// its first catalogue arrives within a second.
-const emptyRetry = time.Second
+// emptyRetryDelay is sent as Retry-After until the first catalogue has arrived.
+const emptyRetryDelay = time.Second
 
-// call is one caller's request on its way to acceptance.
+// call is a caller's request that has been authenticated but not accepted yet.
 type call struct {
 	http      *http.Request
 	arrived   time.Time
@@ -39,19 +38,19 @@
 	workspace *contract.Workspace
 }
 
-// authenticate finds the workspace of the request's bearer key in a catalogue
-// that is surely in force.
+// authenticate finds the workspace of the request's bearer key. It refuses the request
+// unless this entry accepts requests and its catalogue is confirmed.
 func (e *Entry) authenticate(r *http.Request) (*call, *request.Problem) {
 	c := &call{http: r, arrived: e.deps.Now()}
-	if !e.accepting() {
+	if !e.acceptsRequests() {
 		return nil, e.drainingProblem()
 	}
 	if c.catalogue = e.follower.inForce(); c.catalogue == nil {
 		return nil, request.NewProblem(request.CodeCatalogueStale, request.NotRun,
-			"no majority of control replicas has confirmed this entry's catalogue; other entries: %s", e.otherEntries()).After(staleRetry)
+			"no majority of control replicas has confirmed this entry's catalogue; other entries: %s", e.otherEntryAddresses()).After(staleRetryDelay)
 	}
 	if c.catalogue.empty() {
-		return nil, request.NewProblem(request.CodeCatalogueStale, request.NotRun, "no catalogue has been accepted yet").After(emptyRetry)
+		return nil, request.NewProblem(request.CodeCatalogueStale, request.NotRun, "no catalogue has been accepted yet").After(emptyRetryDelay)
 	}
 	key, _ := request.BearerKey(r.Header)
 	var known bool
@@ -61,7 +60,8 @@
 	return c, nil
 }
 
-// service finds the service that the caller names and may call.
+// service returns the service of this name and kind if the workspace may call it and no
+// planned stop covers it.
 func (c *call) service(name string, kind contract.Kind) (*contract.Service, *request.Problem) {
 	s, known := c.catalogue.services[name]
 	switch {
@@ -69,28 +69,29 @@
 		return nil, request.NewProblem(request.CodeUnknownService, request.NotRun, "no %s service %q", kind, name)
 	case !s.Allows(c.workspace.Name):
 		return nil, request.NewProblem(request.CodeForbidden, request.NotRun, "workspace %s may not call %q", c.workspace.Name, name)
-	case c.catalogue.stopped(name, c.arrived):
-		return nil, request.NewProblem(request.CodeStopped, request.NotRun, "service %q has a planned stop", name).After(stoppedRetry)
+	case c.catalogue.serviceStopped(name, c.arrived):
+		return nil, request.NewProblem(request.CodeStopped, request.NotRun, "service %q has a planned stop", name).After(stoppedRetryDelay)
 	}
 	return s, nil
 }
 
-// stoppedRetry is when a caller of a stopped service should ask again: stops
-// last minutes, and nobody knows how many.
-const stoppedRetry = 30 * time.Second
+// stoppedRetryDelay is sent as Retry-After by a stopped service. A stop takes minutes, and
+// its end is not known.
+const stoppedRetryDelay = 30 * time.Second
 
-// request builds the part of a request that chat and plain calls share.
+// newRequest builds a request from the headers that chat and plain calls have in common.
+// fallback is the time to the deadline if the caller sets none.
 func (e *Entry) newRequest(c *call, s *contract.Service, fallback time.Duration) (*request.Request, *request.Problem) {
 	h := c.http.Header
-	deadline, p := deadlineOf(h, c.arrived, fallback)
+	deadline, p := parseDeadline(h, c.arrived, fallback)
 	if p != nil {
 		return nil, p
 	}
 	key := h.Get(request.HeaderKey)
-	if len(key) > maxKeyLength {
-		return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "%s is longer than %d bytes", request.HeaderKey, maxKeyLength)
+	if len(key) > maxKeyBytes {
+		return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "%s is longer than %d bytes", request.HeaderKey, maxKeyBytes)
 	}
-	e.shares.add(c.workspace.Name, c.arrived)
+	e.trafficShares.add(c.workspace.Name, c.arrived)
 	return &request.Request{
 		ID: request.NewID(e.cfg.Region), Workspace: c.workspace.Name, Service: s.Name,
 		Class:  c.workspace.Class.Lower(contract.Class(h.Get(request.HeaderClass))),
@@ -100,9 +101,9 @@
 	}, nil
 }
 
-// deadlineOf reads the caller's deadline, milliseconds from now. It travels
-// with the request, so that no engine works on an answer that nobody awaits.
-func deadlineOf(h http.Header, now time.Time, fallback time.Duration) (time.Time, *request.Problem) {
+// parseDeadline reads the caller's deadline, in milliseconds from now, and limits it to
+// maxDeadline. fallback applies if the caller sets none.
+func parseDeadline(h http.Header, now time.Time, fallback time.Duration) (time.Time, *request.Problem) {
 	text := h.Get(request.HeaderDeadline)
 	if text == "" {
 		return now.Add(fallback), nil
@@ -117,31 +118,31 @@
 	return now.Add(min(time.Duration(min(ms, maxDeadline.Milliseconds()))*time.Millisecond, maxDeadline)), nil
 }
 
-// readBody reads a whole request body of at most limit bytes. Nothing goes to a
-// backend server before the body is whole, so a caller that breaks off half way
-// is "not run" and no server waits for its rest.
+// readBody reads a whole request body of at most limit bytes. Nothing is sent to a backend
+// server before the body is complete, so a request whose body breaks off has not run and
+// occupies no server.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *request.Problem) {
 	if r.ContentLength > limit {
-		return nil, tooLarge(limit)
+		return nil, tooLargeProblem(limit)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
 		return body, nil
 	}
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
-		return nil, tooLarge(limit)
+	var maxBytesErr *http.MaxBytesError
+	if errors.As(err, &maxBytesErr) {
+		return nil, tooLargeProblem(limit)
 	}
-	return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "the request body broke off: %v", err)
+	return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "cannot read the request body: %v", err)
 }
 
-func tooLarge(limit int64) *request.Problem {
+func tooLargeProblem(limit int64) *request.Problem {
 	return request.NewProblem(request.CodeTooLarge, request.NotRun, "the body is larger than %d bytes", limit)
 }
 
-// refuse gives a request its final answer, at once, and logs it.
+// refuse counts, logs and writes the final problem of a request.
 func (e *Entry) refuse(w http.ResponseWriter, r *http.Request, p *request.Problem) {
-	e.metrics.ended(p.Outcome, p.Code)
+	e.metrics.requestEnded(p.Outcome, p.Code)
 	event.Log(r.Context(), e.deps.Log, slog.LevelInfo, event.RequestRefused,
 		slog.String("request", string(p.RequestID)), slog.String("method", r.Method), slog.String("path", r.URL.Path),
 		slog.String("code", string(p.Code)), slog.String("outcome", string(p.Outcome)),
@@ -149,9 +150,9 @@
 	p.Write(w)
 }
 
-// logEnd writes the one line that tells how an accepted request ended.
+// logEnd counts and logs the end of an accepted request. It is called once per request.
 func (e *Entry) logEnd(r *request.Request, o request.Outcome, c request.Code, tokens int) {
-	e.metrics.ended(o, c)
+	e.metrics.requestEnded(o, c)
 	event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.RequestEnded,
 		slog.String("request", string(r.ID)), slog.String("workspace", r.Workspace), slog.String("service", r.Service),
 		slog.String("outcome", string(o)), slog.String("code", string(c)), slog.Int("tokens", tokens),
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -15,14 +15,14 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// Estimates of a chat request's cost in tokens, used until its answer is whole.
+// Estimates and bounds of a chat request's cost in tokens.
 const (
-	bytesPerToken  = 4   // of English text, the usual rule of thumb
-	assumedAnswer  = 256 // tokens, where the caller sets no bound
-	maxAnswerBound = 128 << 10
+	bytesPerToken       = 4   // typical of English text
+	defaultAnswerTokens = 256 // if the caller sets no max_tokens
+	maxAnswerTokens     = 128 << 10
 )
 
-// handleChat takes a model call, streamed or whole.
+// handleChat accepts a chat request and sends its answer, streamed or whole.
 func (e *Entry) handleChat(w http.ResponseWriter, r *http.Request) {
 	c, p := e.authenticate(r)
 	if p != nil {
@@ -34,10 +34,10 @@
 		e.refuse(w, r, p)
 		return
 	}
-	e.follow(w, r, wk, 0)
+	e.sendAnswer(w, r, wk, 0)
 }
 
-// acceptChat turns the caller's request into work that runs, or refuses it.
+// acceptChat checks and admits a caller's request, and returns its started work.
 func (e *Entry) acceptChat(w http.ResponseWriter, c *call) (*work, *request.Problem) {
 	body, p := readBody(w, c.http, contract.MaxMaxBody)
 	if p != nil {
@@ -52,7 +52,7 @@
 		return nil, p
 	}
 	if int64(len(body)) > s.BodyLimit() {
-		return nil, tooLarge(s.BodyLimit())
+		return nil, tooLargeProblem(s.BodyLimit())
 	}
 	req, p := e.newRequest(c, s, defaultChatDeadline)
 	if p != nil {
@@ -64,28 +64,28 @@
 	return e.startChat(c, s, req, chat)
 }
 
-// decodeChat reads a chat request strictly where it matters and leniently
-// elsewhere: clients of the OpenAI API send many fields that no engine here
-// knows, and refusing them would refuse the clients.
+// decodeChat decodes a chat request. It checks only the fields that this system uses:
+// clients of the OpenAI API send many others.
 func decodeChat(body []byte) (native.ChatRequest, *request.Problem) {
 	var chat native.ChatRequest
 	dec := json.NewDecoder(bytes.NewReader(body))
 	if err := dec.Decode(&chat); err != nil {
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "the body is no chat request: %v", err)
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "the body is not a chat request: %v", err)
 	}
 	switch {
 	case chat.Model == "":
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "model is missing: it names the service")
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "model is missing; it must name a service")
 	case len(chat.Messages) == 0:
 		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "messages is empty")
-	case chat.MaxTokens < 0 || chat.MaxTokens > maxAnswerBound:
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "max_tokens %d is out of range 0..%d", chat.MaxTokens, maxAnswerBound)
+	case chat.MaxTokens < 0 || chat.MaxTokens > maxAnswerTokens:
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "max_tokens %d is out of range 0..%d", chat.MaxTokens, maxAnswerTokens)
 	case chat.Resume != nil:
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "resume is not for callers")
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "resume may not be set by callers")
 	}
 	return chat, nil
 }
 
+// promptTokens estimates the tokens of the prompt.
 func promptTokens(messages []native.Message) int {
 	n := 0
 	for _, m := range messages {
@@ -94,14 +94,15 @@
 	return n/bytesPerToken + 1
 }
 
+// answerTokens estimates the tokens of the answer.
 func answerTokens(c native.ChatRequest) int {
 	if c.MaxTokens > 0 {
 		return c.MaxTokens
 	}
-	return assumedAnswer
+	return defaultAnswerTokens
 }
 
-// startChat queues an admitted request and starts its work.
+// startChat admits, queues and launches a request.
 func (e *Entry) startChat(c *call, s *contract.Service, req *request.Request, chat native.ChatRequest) (*work, *request.Problem) {
 	if p := e.admit(c.workspace, s, req); p != nil {
 		return nil, p
@@ -121,10 +122,10 @@
 	return wk, nil
 }
 
-// newWork builds the work of a request. tokens are those that another entry
-// has received already.
+// newWork returns the work of a request. tokens are those that another entry has generated
+// already.
 func (e *Entry) newWork(s *contract.Service, req *request.Request, chat native.ChatRequest, tokens []string, weight int) (*work, error) {
-	l, err := e.lanes.of(laneOf(s))
+	l, err := e.lanes.get(laneKeyOf(s))
 	if err != nil {
 		return nil, err
 	}
@@ -139,8 +140,8 @@
 	return &work{request: req, journal: request.NewJournal(tokens), ticket: t, ctx: ctx, cancel: cancel}, nil
 }
 
-// engineRequest is what the engine is asked: the caller's request under the
-// engine's own name for the model, and the priority of the request's class.
+// engineRequest returns the request for the engine: the caller's, with the engine's name of
+// the model or adapter and the priority of the request's class.
 func (e *Entry) engineRequest(s *contract.Service, req *request.Request, chat native.ChatRequest) native.ChatRequest {
 	chat.Model = s.Model
 	if s.Adapter != "" {
@@ -150,50 +151,51 @@
 	return chat
 }
 
-// launch registers the work and runs it in a goroutine of its own: the answer
-// belongs to the request and not to one caller's connection. It reports false
-// when the request runs here already.
+// launch registers the work and runs it in its own goroutine, so that it does not end with
+// one caller's connection. If queued is set, the work first waits for the queue's decision.
+// launch reports false if the request is registered here already.
 func (e *Entry) launch(wk *work, body native.ChatRequest, queued bool) bool {
 	if _, added := e.registry.add(wk); !added {
 		wk.cancel()
 		return false
 	}
-	e.running.Go(func() {
+	e.runningRequests.Go(func() {
 		defer wk.cancel()
 		defer func() { e.release(wk.request, wk.cost()) }()
-		var first *grant
+		var granted *grant
 		if queued {
-			first = e.awaitGrant(wk)
+			granted = e.awaitGrant(wk)
 		}
 		if wk.journal.Ended() == nil {
-			e.runner.run(wk, body, first)
+			e.runner.run(wk, body, granted)
 		}
 		e.finishChat(wk)
 	})
 	return true
 }
 
-// awaitGrant waits for the queue's decision. It returns nil when the request
-// was refused, which ends its journal, or when it was taken out of the queue to
-// be handed over.
+// awaitGrant waits for the queue's decision. It returns nil if the request was refused,
+// which ends its journal, or if it was withdrawn from the queue to be handed over.
 func (e *Entry) awaitGrant(wk *work) *grant {
-	ctx, cancel := wk.arm()
+	ctx, cancel := wk.stepContext()
 	defer cancel(nil)
 	select {
 	case d := <-wk.ticket.decision:
-		return e.decided(wk, d)
+		return e.applyDecision(wk, d)
 	case <-ctx.Done():
 	}
 	if !wk.ticket.lane.withdraw(wk.request.ID) {
-		return e.decided(wk, <-wk.ticket.decision)
+		return e.applyDecision(wk, <-wk.ticket.decision)
 	}
 	if wk.ctx.Err() != nil {
-		wk.journal.Finish(request.End{Problem: request.NewProblem(request.CodeDeadlineExpired, request.NotRun, "the request was given up while it waited")})
+		wk.journal.Finish(request.End{Problem: request.NewProblem(request.CodeDeadlineExpired, request.NotRun, "the request ended while it was queued")})
 	}
 	return nil
 }
 
-func (e *Entry) decided(wk *work, d decision) *grant {
+// applyDecision returns the grant of a decision, or ends the journal with its problem and
+// returns nil.
+func (e *Entry) applyDecision(wk *work, d decision) *grant {
 	e.metrics.queueWait.UpdateDuration(wk.request.Accepted)
 	if d.problem != nil {
 		wk.journal.Finish(request.End{Problem: d.problem})
@@ -207,22 +209,23 @@
 	outcome, code := request.Answered, request.Code("")
 	switch {
 	case end.MovedTo != "":
-		wk.ended(e.deps.Now())
-		return // the entry that took it over tells how it ended
+		wk.markEnded(e.deps.Now())
+		return // the entry that took it over logs its end
 	case end.Problem != nil:
 		outcome, code = end.Problem.Outcome, end.Problem.Code
 	}
 	e.logEnd(wk.request, outcome, code, len(wk.journal.Tokens()))
-	wk.ended(e.deps.Now())
+	wk.markEnded(e.deps.Now())
 }
 
-// follow sends the answer from token number from on to one caller.
-func (e *Entry) follow(w http.ResponseWriter, r *http.Request, wk *work, from int) {
-	wk.follow()
+// sendAnswer sends the answer to one caller, from token number from on. The work is
+// cancelled when its last caller has disconnected, unless the request is to be kept.
+func (e *Entry) sendAnswer(w http.ResponseWriter, r *http.Request, wk *work, from int) {
+	wk.addFollower()
 	defer func() {
-		if wk.unfollow(e.deps.Now()) && wk.journal.Ended() == nil {
+		if wk.removeFollower(e.deps.Now()) && wk.journal.Ended() == nil {
 			event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.CallerLeft, slog.String("request", string(wk.request.ID)))
-			wk.cancel() // its only caller has left: the engine's slot goes to somebody who waits
+			wk.cancel() // frees the engine's slot for a waiting request
 		}
 	}()
 	a := &answerWriter{entry: e, w: w, work: wk, next: from}
@@ -230,27 +233,27 @@
 		a.stream(r.Context())
 		return
 	}
-	a.whole(r.Context())
+	a.sendWhole(r.Context())
 }
 
-// handleAnswer gives a caller that comes back the answer of its request, by the
-// request's id: after a redirect, with any method, or with Last-Event-ID.
+// handleAnswer sends a request's answer to a caller that reconnects with the request's id,
+// with any method: after a redirect, or with Last-Event-ID.
 func (e *Entry) handleAnswer(w http.ResponseWriter, r *http.Request) {
 	id := request.ID(r.PathValue("id"))
 	wk, known := e.registry.get(id)
 	if !known {
-		e.refuse(w, r, request.NewProblem(request.CodeNoSuchAnswer, request.Unknown, "request %s is not here", id))
+		e.refuse(w, r, request.NewProblem(request.CodeNoSuchAnswer, request.Unknown, "this entry has no request %s", id))
 		return
 	}
-	from, p := eventID(r, len(wk.journal.Tokens()))
+	from, p := parseLastEventID(r, len(wk.journal.Tokens()))
 	if p != nil {
 		e.refuse(w, r, p)
 		return
 	}
 	event.Log(r.Context(), e.deps.Log, slog.LevelInfo, event.CallerReturned,
 		slog.String("request", string(id)), slog.Int("from", from))
-	e.follow(w, r, wk, from)
+	e.sendAnswer(w, r, wk, from)
 }
 
-// answerGrace is how long an answer is held for a caller whose connection broke.
-const answerGrace = 60 * time.Second
+// answerTTL is how long a finished answer is stored for callers that reconnect.
+const answerTTL = 60 * time.Second
--- a/entry/entries.go
+++ b/entry/entries.go
@@ -16,27 +16,27 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// headerZone names the zone where a caller is, if it knows.
+// headerZone is the request header with which a caller may give its zone.
 const headerZone = "Savoryreel-Zone"
 
-// entryView is one entry as callers are told.
+// entryView is one entry in the answer to GET /v1/entries.
 type entryView struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// entriesView is the answer to GET /v1/entries: in the order to use them.
+// entriesView is the answer to GET /v1/entries, with the preferred entry first.
 type entriesView struct {
 	Entries      []entryView `json:"entries"`
 	ValidSeconds int         `json:"validSeconds"`
 }
 
-// handleEntries tells a caller which entry to use, and for how long it may keep
-// the answer. It needs no key: any entry that runs answers anybody. A caller
-// that shows its key is spread by its share of the load.
+// handleEntries answers which entries a caller should use and how long it may cache the
+// list. No key is required. If the caller sends one, its workspace's fraction of the
+// requests is taken into account.
 func (e *Entry) handleEntries(w http.ResponseWriter, r *http.Request) {
-	v := e.picker.Pick(e.pickRequest(r), e.pickable())
+	v := e.picker.Pick(e.pickRequest(r), e.pickCandidates())
 	view := entriesView{ValidSeconds: int(v.Validity.Seconds()), Entries: []entryView{}}
 	for _, p := range v.Entries {
 		view.Entries = append(view.Entries, entryView{ID: p.ID, Address: p.Address, Zone: p.Zone})
@@ -45,9 +45,11 @@
 		slog.String("caller", r.RemoteAddr), slog.String("reason", v.Reason.String()), slog.Any("entries", view.Entries))
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", fmt.Sprintf("max-age=%d", view.ValidSeconds))
-	_ = json.NewEncoder(w).Encode(view) // the caller is gone: nobody to tell
+	_ = json.NewEncoder(w).Encode(view) // an error means that the caller has disconnected
 }
 
+// pickRequest describes the caller to the pick policy, by its workspace or else by its
+// address.
 func (e *Entry) pickRequest(r *http.Request) pick.Request {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -60,14 +62,14 @@
 	c := e.follower.current.Load()
 	if key, shown := request.BearerKey(r.Header); shown && c != nil {
 		if w, known := c.workspaceOf(key); known {
-			q.Caller, q.Share = w.Name, e.shares.of(w.Name, q.Now)
+			q.Caller, q.Share = w.Name, e.trafficShares.share(w.Name, q.Now)
 		}
 	}
 	return q
 }
 
-// pickable lists the entries that may be named.
-func (e *Entry) pickable() []pick.Entry {
+// pickCandidates lists the entries that callers may be sent to.
+func (e *Entry) pickCandidates() []pick.Entry {
 	var out []pick.Entry
 	for _, m := range e.servingEntries() {
 		out = append(out, pick.Entry{
@@ -77,51 +79,54 @@
 	return out
 }
 
-// shareWindow is over what time a workspace's share of the requests is counted.
-// It is above the time for which callers keep an answer, so that a caller does
-// not look small just because it has been sent elsewhere.
+// shareWindow is the period over which a workspace's requests are counted. It is longer
+// than callers cache a list of entries by default, so that a caller that was just sent to
+// another entry is still counted here.
 const shareWindow = time.Minute
 
-// shares counts each workspace's part of the requests at this entry, over this
-// window and the last. Callers spread over entries, so the part here is about
-// the part everywhere.
-type shares struct {
-	mu     sync.Mutex
-	began  time.Time
-	counts map[string]int
-	before map[string]int
-	total  int
-	last   int
+// trafficShares counts requests per workspace at this entry, over the current and the
+// previous window. Since callers are distributed over the entries, a workspace's fraction
+// here is close to its fraction of all requests.
+type trafficShares struct {
+	mu            sync.Mutex
+	windowStart   time.Time
+	current       map[string]int
+	previous      map[string]int
+	currentTotal  int
+	previousTotal int
 }
 
-func newShares() *shares { return &shares{counts: map[string]int{}, before: map[string]int{}} }
+func newTrafficShares() *trafficShares {
+	return &trafficShares{current: map[string]int{}, previous: map[string]int{}}
+}
 
 // add counts one request.
-func (s *shares) add(workspace string, now time.Time) {
+func (s *trafficShares) add(workspace string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	s.counts[workspace]++
-	s.total++
+	s.rotateWindow(now)
+	s.current[workspace]++
+	s.currentTotal++
 }
 
-// of returns a workspace's part of the requests lately, 0..1.
-func (s *shares) of(workspace string, now time.Time) float64 {
+// share returns a workspace's fraction of the recent requests, 0 to 1.
+func (s *trafficShares) share(workspace string, now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	total := s.total + s.last
+	s.rotateWindow(now)
+	total := s.currentTotal + s.previousTotal
 	if total == 0 {
 		return 0
 	}
-	return float64(s.counts[workspace]+s.before[workspace]) / float64(total)
+	return float64(s.current[workspace]+s.previous[workspace]) / float64(total)
 }
 
-func (s *shares) turn(now time.Time) {
-	if now.Sub(s.began) < shareWindow {
+// rotateWindow starts a new window if the current one is over. The lock is held.
+func (s *trafficShares) rotateWindow(now time.Time) {
+	if now.Sub(s.windowStart) < shareWindow {
 		return
 	}
-	s.before, s.last = s.counts, s.total
-	s.counts, s.total = map[string]int{}, 0
-	s.began = now
+	s.previous, s.previousTotal = s.current, s.currentTotal
+	s.current, s.currentTotal = map[string]int{}, 0
+	s.windowStart = now
 }
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -15,33 +15,34 @@
 // methodTakeOver hands a request over to another entry.
 const methodTakeOver = "entry.take_over"
 
-// takeOverTimeout bounds one hand-over of one request.
+// takeOverTimeout bounds one offer of one request to one entry.
 const takeOverTimeout = time.Second
 
-// handOverWidth bounds the hand-overs in flight: a few hundred requests then
-// take well under a second, and one peer is not flooded.
-const handOverWidth = 32
+// maxConcurrentHandOvers limits the load on the peers. A few hundred requests still take
+// well under a second.
+const maxConcurrentHandOvers = 32
 
-// takeOverRequest is a request with its journal: all that another entry needs
-// to answer it. Weight is the workspace's share.
+// takeOverRequest carries a request and its journal, which is all that another entry needs
+// to continue the answer. Weight is the workspace's weight in the queue.
 type takeOverRequest struct {
 	Request request.Request `msgpack:"req"`
 	Tokens  []string        `msgpack:"tok"`
 	Weight  int             `msgpack:"w"`
 }
 
-// takeOverReply says where the caller finds the answer now.
+// takeOverReply returns the address at which callers reach the entry that has taken the
+// request over.
 type takeOverReply struct {
 	CallerAddr string `msgpack:"addr"`
 }
 
-// handOverAll gives every unfinished chat request to other entries.
+// handOverAll hands every unfinished chat request over to other entries.
 func (e *Entry) handOverAll(ctx context.Context) {
 	peers := e.handOverPeers()
 	if len(peers) == 0 {
 		return
 	}
-	slots := make(chan struct{}, handOverWidth)
+	slots := make(chan struct{}, maxConcurrentHandOvers)
 	var wg sync.WaitGroup
 	for i, wk := range e.registry.all() {
 		if wk.journal.Ended() != nil {
@@ -56,34 +57,35 @@
 	wg.Wait()
 }
 
-// rotate spreads the requests over the peers.
-func rotate(peers []*instance.Member, by int) []*instance.Member {
-	n := by % len(peers)
+// rotate returns peers rotated by offset, so that consecutive requests go to different
+// peers.
+func rotate(peers []*instance.Member, offset int) []*instance.Member {
+	n := offset % len(peers)
 	return append(append([]*instance.Member{}, peers[n:]...), peers[:n]...)
 }
 
-// handOverPeers lists the entries that can take requests, other zones first: a
-// reclaim takes a zone whole, so a peer in this zone is likely to go next.
+// handOverPeers lists the entries that can take requests, those of other zones first:
+// reclaims often affect a whole zone.
 func (e *Entry) handOverPeers() []*instance.Member {
-	var far, near []*instance.Member
+	var otherZones, sameZone []*instance.Member
 	for _, m := range e.servingEntries() {
 		switch {
 		case m.ID == e.cfg.ID:
 		case m.Zone != e.cfg.Zone:
-			far = append(far, m)
+			otherZones = append(otherZones, m)
 		default:
-			near = append(near, m)
+			sameZone = append(sameZone, m)
 		}
 	}
-	return append(far, near...)
+	return append(otherZones, sameZone...)
 }
 
-// handOver gives one request to the first peer that takes it. Its attempt here
-// is stopped before its journal is copied: a token that came in afterwards
-// would be sent to the caller here and generated again there.
+// handOver hands one request over to the first peer that accepts it. The attempt is paused
+// before the journal is copied. Otherwise a later token would be sent to the caller here
+// and be generated again there.
 func (e *Entry) handOver(ctx context.Context, wk *work, peers []*instance.Member) {
 	if !wk.pause() {
-		return // ended meanwhile
+		return // it has ended
 	}
 	msg := takeOverRequest{Request: *wk.request, Tokens: wk.journal.Tokens(), Weight: wk.ticket.weight}
 	for _, m := range peers {
@@ -100,19 +102,20 @@
 		wk.cancel()
 		return
 	}
-	wk.resume() // nobody took it: it goes on here for as long as it can
+	wk.resume() // no peer accepted it, so it continues here
 }
 
+// offer asks one peer to take a request over.
 func (e *Entry) offer(ctx context.Context, m *instance.Member, msg takeOverRequest) (takeOverReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, takeOverTimeout)
 	defer cancel()
 	return link.Call[takeOverReply](ctx, e.pool, m.LinkAddress, methodTakeOver, msg)
 }
 
-// takeOver accepts a request from an entry that leaves, and goes on with its
-// answer. A second offer of the same request, after a lost reply, finds the first.
-func (e *Entry) takeOver(ctx context.Context, from link.PeerInfo, msg takeOverRequest) (takeOverReply, error) {
-	if !e.accepting() {
+// handleTakeOver accepts a request from an entry that leaves and continues its answer. It
+// accepts a repeated offer, as after a lost reply, without starting the request twice.
+func (e *Entry) handleTakeOver(ctx context.Context, from link.PeerInfo, msg takeOverRequest) (takeOverReply, error) {
+	if !e.acceptsRequests() {
 		return takeOverReply{}, e.drainingProblem()
 	}
 	c := e.follower.current.Load()
@@ -123,8 +126,8 @@
 	if !known {
 		return takeOverReply{}, request.NewProblem(request.CodeUnknownService, request.NotRun, "no service %q", msg.Request.Service)
 	}
-	reply := takeOverReply{CallerAddr: e.cfg.advertised()}
-	if _, held := e.registry.get(msg.Request.ID); held {
+	reply := takeOverReply{CallerAddr: e.cfg.advertisedAddress()}
+	if _, registered := e.registry.get(msg.Request.ID); registered {
 		return reply, nil
 	}
 	chat, p := decodeChat(msg.Request.Body)
@@ -136,7 +139,7 @@
 	if err != nil {
 		return takeOverReply{}, err
 	}
-	wk.taken, wk.lastLeft = true, e.deps.Now()
+	wk.takenOver, wk.lastFollowerLeft = true, e.deps.Now()
 	if !e.launch(wk, e.engineRequest(s, &req, chat), false) {
 		return reply, nil
 	}
--- a/entry/lanes.go
+++ b/entry/lanes.go
@@ -12,59 +12,60 @@
 
 // lanes holds the lane of each pool of backend servers.
 type lanes struct {
-	self laneSelf
-	log  *slog.Logger
-	now  func() time.Time
-
-	mu      sync.RWMutex
-	byKey   map[laneKey]*lane
-	entries int // how many entries share the servers
-	number  int // this entry's number among them, from 0
-	// servers holds what was last taken from the membership, so that a lane made
-	// later, when a catalogue change names a new service, begins with them.
-	servers  map[string]*heard
+	location entryLocation
+	log      *slog.Logger
+	now      func() time.Time
+
+	mu         sync.RWMutex
+	byKey      map[laneKey]*lane
+	entryCount int // number of entries that share the servers
+	entryIndex int // position of this entry among them, from 0
+	// servers holds the last known state of each server. A lane that is created later, when
+	// a catalogue change adds a service, starts with it.
+	servers  map[string]*serverState
 	stopped  map[string]bool // servers that a planned stop covers
-	sequence uint64          // of the announcements given to routers
+	sequence uint64          // of the announcements passed to the lanes
 }
 
-// heard is a server as taken from the membership, and when, on this entry's
-// clock, its load held.
-type heard struct {
+// serverState is a server's state from the membership. loadAt is when its load was
+// measured, by this entry's clock.
+type serverState struct {
 	server *instance.Server
 	loadAt time.Time
 }
 
-func newLanes(self laneSelf, log *slog.Logger, now func() time.Time) *lanes {
+func newLanes(location entryLocation, log *slog.Logger, now func() time.Time) *lanes {
 	return &lanes{
-		self: self, log: log, now: now, entries: 1,
-		byKey: map[laneKey]*lane{}, servers: map[string]*heard{}, stopped: map[string]bool{},
+		location: location, log: log, now: now, entryCount: 1,
+		byKey: map[laneKey]*lane{}, servers: map[string]*serverState{}, stopped: map[string]bool{},
 	}
 }
 
-// of returns the lane of a pool, made at its first use.
-func (ls *lanes) of(key laneKey) (*lane, error) {
+// get returns the lane of a pool and creates it at the first call.
+func (ls *lanes) get(key laneKey) (*lane, error) {
 	ls.mu.RLock()
 	l, known := ls.byKey[key]
 	ls.mu.RUnlock()
 	if known {
 		return l, nil
 	}
-	return ls.make(key)
+	return ls.create(key)
 }
 
-func (ls *lanes) make(key laneKey) (*lane, error) {
+// create returns the lane of a pool, which it creates unless another goroutine has.
+func (ls *lanes) create(key laneKey) (*lane, error) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	if l, known := ls.byKey[key]; known {
 		return l, nil
 	}
-	l, err := newLane(key, ls.self, ls.log, ls.now)
+	l, err := newLane(key, ls.location, ls.log, ls.now)
 	if err != nil {
 		return nil, err
 	}
-	l.setEntries(ls.entries, ls.number) // nobody else knows the new lane yet, so its lock is free
+	l.setEntries(ls.entryCount, ls.entryIndex) // does not block on the lane's lock, since the lane is not shared yet
 	for _, h := range ls.servers {
-		if slices.Contains(keysOf(h.server), key) {
+		if slices.Contains(laneKeysOf(h.server), key) {
 			l.announce(ls.announcement(h), h.loadAt)
 		}
 	}
@@ -72,8 +73,8 @@
 	return l, nil
 }
 
-// keysOf lists the pools that a server belongs to.
-func keysOf(a *instance.Server) []laneKey {
+// laneKeysOf returns the keys of the pools that a server belongs to.
+func laneKeysOf(a *instance.Server) []laneKey {
 	var out []laneKey
 	if a.Model != "" {
 		out = append(out, laneKey{kind: contract.KindModel, name: a.Model})
@@ -84,11 +85,10 @@
 	return out
 }
 
-// announcement is what a router is told of a server: what the membership has,
-// under a sequence of this entry's own, because the membership has put what it
-// heard in order already. A server that a planned stop covers counts as leaving
-// whatever it says of itself. The lock is held.
-func (ls *lanes) announcement(h *heard) *instance.Announcement {
+// announcement returns the announcement of a server for the routers. Its sequence number is
+// this entry's own, since the membership has ordered the server's announcements already. A
+// server that a planned stop covers counts as leaving. The lock is held.
+func (ls *lanes) announcement(h *serverState) *instance.Announcement {
 	a := h.server.Announcement
 	ls.sequence++
 	a.Sequence = ls.sequence
@@ -98,63 +98,63 @@
 	return &a
 }
 
-// sync takes in the servers that serve or leave, from the membership's view. A
-// server's value there is replaced at each change, so the same pointer is the
-// same news.
+// sync updates the lanes to the servers in the membership's view. The view replaces a
+// server's value at each change, so the same pointer means no change.
 func (ls *lanes) sync(servers []*instance.Server) {
 	now := ls.now()
 	present := make(map[string]bool, len(servers))
 	for _, s := range servers {
 		present[s.ID] = true
-		ls.take(s, now)
+		ls.update(s, now)
 	}
 	ls.mu.RLock()
-	var gone []string
+	var missing []string
 	for id := range ls.servers {
 		if !present[id] {
-			gone = append(gone, id)
+			missing = append(missing, id)
 		}
 	}
 	ls.mu.RUnlock()
-	for _, id := range gone {
+	for _, id := range missing {
 		ls.remove(id)
 	}
 }
 
-func (ls *lanes) take(s *instance.Server, now time.Time) {
+// update applies the state of one server to its lanes, unless it is unchanged.
+func (ls *lanes) update(s *instance.Server, now time.Time) {
 	ls.mu.Lock()
 	old := ls.servers[s.ID]
 	if old != nil && old.server == s {
 		ls.mu.Unlock()
 		return
 	}
-	h := &heard{server: s, loadAt: loadTime(&s.Announcement, now)}
+	h := &serverState{server: s, loadAt: loadMeasuredAt(&s.Announcement, now)}
 	ls.servers[s.ID] = h
 	a := ls.announcement(h)
 	ls.mu.Unlock()
-	keys := keysOf(s)
-	for _, l := range ls.some(keys) {
+	keys := laneKeysOf(s)
+	for _, l := range ls.existing(keys) {
 		l.announce(a, h.loadAt)
 	}
 	if old != nil {
-		ls.leaveOthers(old.server, keys)
+		ls.removeFromOldLanes(old.server, keys)
 	}
 }
 
-// leaveOthers takes a server out of the lanes that it no longer belongs to, as
-// after it loaded another model.
-func (ls *lanes) leaveOthers(old *instance.Server, keys []laneKey) {
-	for _, key := range keysOf(old) {
+// removeFromOldLanes removes a server from the lanes that it no longer belongs to, for
+// example after it has loaded another model.
+func (ls *lanes) removeFromOldLanes(old *instance.Server, keys []laneKey) {
+	for _, key := range laneKeysOf(old) {
 		if slices.Contains(keys, key) {
 			continue
 		}
-		for _, l := range ls.some([]laneKey{key}) {
+		for _, l := range ls.existing([]laneKey{key}) {
 			l.remove(old.ID)
 		}
 	}
 }
 
-// remove forgets a server that is gone.
+// remove removes a server that is gone.
 func (ls *lanes) remove(id string) {
 	ls.mu.Lock()
 	h, known := ls.servers[id]
@@ -163,13 +163,13 @@
 	if !known {
 		return
 	}
-	for _, l := range ls.some(keysOf(h.server)) {
+	for _, l := range ls.existing(laneKeysOf(h.server)) {
 		l.remove(id)
 	}
 }
 
-// some returns the lanes of these keys that exist.
-func (ls *lanes) some(keys []laneKey) []*lane {
+// existing returns those lanes of the keys that have been created.
+func (ls *lanes) existing(keys []laneKey) []*lane {
 	ls.mu.RLock()
 	defer ls.mu.RUnlock()
 	var out []*lane
@@ -181,6 +181,7 @@
 	return out
 }
 
+// all returns all lanes.
 func (ls *lanes) all() []*lane {
 	ls.mu.RLock()
 	defer ls.mu.RUnlock()
@@ -191,22 +192,23 @@
 	return out
 }
 
-// setEntries tells every lane how many entries share the backend servers, and
-// which of them this one is.
-func (ls *lanes) setEntries(n, number int) {
+// setEntries sets, for every lane, the number of entries that share the backend servers and
+// the position of this one among them.
+func (ls *lanes) setEntries(count, index int) {
 	ls.mu.Lock()
-	ls.entries, ls.number = n, number
+	ls.entryCount, ls.entryIndex = count, index
 	ls.mu.Unlock()
 	for _, l := range ls.all() {
-		l.setEntries(n, number)
+		l.setEntries(count, index)
 	}
 }
 
-// plan applies the planned stops in force to every server. A server whose stop
-// was cancelled takes work again; one that leaves by its own word does not.
-func (ls *lanes) plan(covers func(id, zone string) bool) {
+// applyPlannedStops applies the planned stops to every server. covers reports whether one
+// in force covers the server. A server whose stop was cancelled gets work again, unless it
+// has announced itself that it leaves.
+func (ls *lanes) applyPlannedStops(covers func(id, zone string) bool) {
 	ls.mu.Lock()
-	var changed []*heard
+	var changed []*serverState
 	for id, h := range ls.servers {
 		stop := covers(id, h.server.Zone)
 		if stop == ls.stopped[id] {
@@ -217,25 +219,26 @@
 	}
 	ls.mu.Unlock()
 	for _, h := range changed {
-		ls.replan(h)
+		ls.applyPlannedStop(h)
 	}
 }
 
-func (ls *lanes) replan(h *heard) {
+// applyPlannedStop stops or resumes the work to one server.
+func (ls *lanes) applyPlannedStop(h *serverState) {
 	ls.mu.Lock()
 	stop := ls.stopped[h.server.ID]
 	a := ls.announcement(h)
 	ls.mu.Unlock()
-	for _, l := range ls.some(keysOf(h.server)) {
+	for _, l := range ls.existing(laneKeysOf(h.server)) {
 		if stop {
-			l.leave(a.ID, a.Incarnation)
+			l.markLeaving(a.ID, a.Incarnation)
 			continue
 		}
 		l.restore(a, h.loadAt)
 	}
 }
 
-// tick looks after deadlines and room in every lane.
+// tick refuses expired requests and dispatches waiting ones in every lane.
 func (ls *lanes) tick() {
 	for _, l := range ls.all() {
 		l.tick()
--- a/entry/life.go
+++ b/entry/life.go
@@ -14,93 +14,97 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// phase is where an entry stands between serving and its end.
+// phase is the stage of an entry between serving and closed.
 type phase uint8
 
 const (
 	phaseServing  phase = iota
-	phaseUnlisted       // callers are no longer sent here; those who come are served
-	phaseClosed         // takes nothing new, finishes or hands over what it has
+	phaseUnlisted       // callers are no longer sent here, but are still served
+	phaseClosed         // new requests are refused; the others finish or are handed over
 )
 
-// String names the phase as status shows it.
+// String returns the name of the phase in the status.
 func (p phase) String() string {
 	return [...]string{"serving", "unlisted", "closed"}[p]
 }
 
-// life is an entry's phase. A planned stop can be cancelled, so phases go back
-// too; a leave by signal or reclaim notice does not.
-type life struct {
+// lifecycle tracks an entry's phase. A planned stop can be cancelled, after which the entry
+// serves again. A leave by signal or reclaim notice is final.
+type lifecycle struct {
 	now func() time.Time
 
-	mu       sync.Mutex
-	phase    phase
-	unlisted time.Time // when callers stopped being sent here
-	final    bool      // the process will end
-	planned  bool      // a planned stop covers this entry
+	mu          sync.Mutex
+	phase       phase
+	unlistedAt  time.Time // when the entry was unlisted
+	endsProcess bool      // whether the process is going to end
+	stopPlanned bool      // whether a planned stop covers this entry
 }
 
-func newLife(now func() time.Time) *life { return &life{now: now} }
+func newLifecycle(now func() time.Time) *lifecycle { return &lifecycle{now: now} }
 
-func (l *life) is() phase {
+// current returns the phase.
+func (l *lifecycle) current() phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase
 }
 
-// unlist begins a leave that ends the process.
-func (l *life) unlist() {
+// startLeaving unlists the entry before the end of the process.
+func (l *lifecycle) startLeaving() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.final = true
+	l.endsProcess = true
 	if l.phase == phaseServing {
-		l.phase, l.unlisted = phaseUnlisted, l.now()
+		l.phase, l.unlistedAt = phaseUnlisted, l.now()
 	}
 }
 
-func (l *life) close() {
+// close moves the entry to its last phase.
+func (l *lifecycle) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.phase = phaseClosed
 }
 
-// plan notes whether a planned stop covers this entry and reports what is to be
-// done: begin to leave, close after every list that names it has run out, or
-// serve again after the stop was cancelled.
-func (l *life) plan(covered bool, accept func(unlisted time.Time) time.Time) (begin, closed, back bool) {
+// applyPlannedStop updates the phase, given whether a planned stop covers this entry, and
+// reports the change: unlisted now, closed since all lists that contain the entry have
+// expired, or resumed after the stop was cancelled. acceptUntil returns when the lists
+// expire.
+func (l *lifecycle) applyPlannedStop(stopped bool, acceptUntil func(unlisted time.Time) time.Time) (unlisting, closed, resumed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.final:
+	case l.endsProcess:
 		return false, false, false
-	case covered && l.phase == phaseServing:
-		l.phase, l.unlisted, l.planned = phaseUnlisted, l.now(), true
+	case stopped && l.phase == phaseServing:
+		l.phase, l.unlistedAt, l.stopPlanned = phaseUnlisted, l.now(), true
 		return true, false, false
-	case covered && l.phase == phaseUnlisted && !l.now().Before(accept(l.unlisted)):
+	case stopped && l.phase == phaseUnlisted && !l.now().Before(acceptUntil(l.unlistedAt)):
 		l.phase = phaseClosed
 		return false, true, false
-	case !covered && l.planned:
-		l.phase, l.planned = phaseServing, false
+	case !stopped && l.stopPlanned:
+		l.phase, l.stopPlanned = phaseServing, false
 		return false, false, true
 	}
 	return false, false, false
 }
 
-// accepting reports whether new requests are let in. An entry that is leaving
-// goes on accepting until every answer that named it has run out: callers keep
-// such answers and would find a closed door through no fault of theirs.
-func (e *Entry) accepting() bool { return e.life.is() != phaseClosed }
+// acceptsRequests reports whether new requests are accepted. An unlisted entry still
+// accepts them until every list that contains it has expired, since callers cache those
+// lists.
+func (e *Entry) acceptsRequests() bool { return e.lifecycle.current() != phaseClosed }
 
-// listening reports whether backend servers may go on announcing here.
-func (e *Entry) listening() bool { return e.life.is() == phaseServing }
+// acceptsAnnouncements reports whether backend servers may announce themselves here.
+func (e *Entry) acceptsAnnouncements() bool { return e.lifecycle.current() == phaseServing }
 
-// drainingProblem refuses a new request because this entry leaves.
+// drainingProblem returns the problem of a request that is refused because this entry is
+// leaving.
 func (e *Entry) drainingProblem() *request.Problem {
-	return request.NewProblem(request.CodeDraining, request.NotRun, "use another entry: %s", e.otherEntries()).After(time.Second)
+	return request.NewProblem(request.CodeDraining, request.NotRun, "use another entry: %s", e.otherEntryAddresses()).After(time.Second)
 }
 
-// otherEntries names the entries that callers may use, for people and logs.
-func (e *Entry) otherEntries() string {
+// otherEntryAddresses returns the addresses of the other entries for a message.
+func (e *Entry) otherEntryAddresses() string {
 	var names []string
 	for _, m := range e.servingEntries() {
 		if m.ID != e.cfg.ID {
@@ -110,49 +114,49 @@
 	return strings.Join(names, ", ")
 }
 
-// planSelf follows the planned stops that cover this entry. The other entries
-// know of the stop from the catalogue, as servingEntries does, and nothing is
-// spread of it: a stop ends when the catalogue says so and at no other time.
-func (e *Entry) planSelf(covered bool) {
-	begin, closed, back := e.life.plan(covered, func(unlisted time.Time) time.Time {
+// applyOwnStop applies the planned stops to this entry's own phase. It publishes nothing,
+// since the other entries read the stop from the catalogue, in servingEntries, and so agree
+// on its end.
+func (e *Entry) applyOwnStop(stopped bool) {
+	unlisting, closed, resumed := e.lifecycle.applyPlannedStop(stopped, func(unlisted time.Time) time.Time {
 		return e.picker.Drain(pick.DrainRequest{Now: e.deps.Now(), LeavingSince: unlisted}).AcceptUntil
 	})
 	switch {
-	case begin:
+	case unlisting:
 		event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.StopBegun, slog.String("id", e.cfg.ID))
 		event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.DrainBegun, slog.String("cause", "planned stop"))
 	case closed:
 		event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.DrainDone, slog.Int("unfinished", e.unfinished()))
-	case back:
+	case resumed:
 		event.Log(e.ctx, e.deps.Log, slog.LevelInfo, event.MemberChanged, slog.String("id", e.cfg.ID), slog.String("state", "serving"))
 	}
 }
 
-// drainPoll is how often a drain looks whether it is done.
-const drainPoll = 50 * time.Millisecond
+// drainPollInterval is how often a drain checks whether it is done.
+const drainPollInterval = 50 * time.Millisecond
 
-// leave ends this entry's service within about limit, cutting off nobody: it
-// has itself unlisted, accepts until every list that names it has run out,
-// closes, lets requests finish, and hands over what has not finished in time.
+// leave drains this entry within about limit. It unlists the entry, accepts requests until
+// the lists that contain it expire, closes, lets requests finish until half of limit has
+// passed, and hands over the rest.
 func (e *Entry) leave(ctx context.Context, limit time.Duration) {
-	begun := e.deps.Now()
-	e.life.unlist()
-	e.tellLeaving()
+	startedAt := e.deps.Now()
+	e.lifecycle.startLeaving()
+	e.publishLeaving()
 	event.Log(ctx, e.deps.Log, slog.LevelInfo, event.DrainBegun,
 		slog.String("cause", "leave"), slog.Duration("limit", limit), slog.Int("unfinished", e.unfinished()))
-	until := e.picker.Drain(pick.DrainRequest{Now: begun, LeavingSince: begun, ReclaimedAt: begun.Add(limit / 3)})
-	e.waitUntil(ctx, until.AcceptUntil, func() bool { return false })
-	e.life.close()
-	finishBy := begun.Add(limit / 2)
+	drain := e.picker.Drain(pick.DrainRequest{Now: startedAt, LeavingSince: startedAt, ReclaimedAt: startedAt.Add(limit / 3)})
+	e.waitUntil(ctx, drain.AcceptUntil, func() bool { return false })
+	e.lifecycle.close()
+	finishBy := startedAt.Add(limit / 2)
 	e.waitUntil(ctx, finishBy, func() bool { return e.unfinished() == 0 })
 	e.handOverAll(ctx)
-	e.waitUntil(ctx, begun.Add(limit), func() bool { return e.unfinished() == 0 && e.registry.followed() == 0 })
+	e.waitUntil(ctx, startedAt.Add(limit), func() bool { return e.unfinished() == 0 && e.registry.followerCount() == 0 })
 	event.Log(ctx, e.deps.Log, slog.LevelInfo, event.DrainDone, slog.Int("unfinished", e.unfinished()))
 }
 
-// waitUntil returns when done reports true, at the time end, or when ctx ends.
+// waitUntil returns when done returns true, at the time end, or when ctx ends.
 func (e *Entry) waitUntil(ctx context.Context, end time.Time, done func() bool) {
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for !done() && e.deps.Now().Before(end) {
 		select {
@@ -163,38 +167,39 @@
 	}
 }
 
-// unfinished counts the requests that have not ended.
+// unfinished returns the number of requests that have not ended.
 func (e *Entry) unfinished() int {
-	return e.registry.unfinished() + int(e.plainRunning.Load()) + e.onces.len()
+	return e.registry.unfinished() + int(e.plainRunning.Load()) + e.onceCalls.len()
 }
 
-// handleLeave takes a reclaim notice for this instance:
-// POST /v1/leave?notice=20s on the operations listener.
+// handleLeave accepts a reclaim notice for this instance: POST /v1/leave?notice=20s on the
+// operations listener.
 func (e *Entry) handleLeave(w http.ResponseWriter, r *http.Request) {
 	notice, err := time.ParseDuration(r.URL.Query().Get("notice"))
 	if err != nil || notice <= 0 {
-		request.NewProblem(request.CodeBadRequest, request.NotRun, "notice is not a duration such as 20s").Write(w)
+		request.NewProblem(request.CodeBadRequest, request.NotRun, "notice must be a positive duration such as 20s").Write(w)
 		return
 	}
-	e.reclaimed(notice)
+	e.leaveWithin(notice)
 	w.WriteHeader(http.StatusAccepted)
 	fmt.Fprintln(w, "leaving")
 }
 
-// reclaimed has this entry leave within a notice for its own instance.
-func (e *Entry) reclaimed(notice time.Duration) {
+// leaveWithin makes this entry leave within the notice. A second notice has no effect.
+func (e *Entry) leaveWithin(notice time.Duration) {
 	select {
-	case e.notices <- notice:
-	default: // a notice is being followed already
+	case e.selfNotices <- notice:
+	default: // an earlier notice is pending
 	}
 }
 
-// awaitNotice ends the process after a reclaim notice has been followed.
+// awaitNotice returns, which ends the process, after this entry has left by a reclaim
+// notice.
 func (e *Entry) awaitNotice(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case notice := <-e.notices:
+	case notice := <-e.selfNotices:
 		e.leave(ctx, notice)
 		return nil
 	}
