--- a/cmd/savoryreel/status.go
+++ b/cmd/savoryreel/status.go
@@ -39,7 +39,7 @@
 			fmt.Fprintf(w, "%s\tno answer: %s\n", r.ID, firstLine(r.Error))
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\n", r.ID, r.Role, r.Term, r.Leader, r.Last, r.Commit, r.Applied, r.Catalogue, r.Ledger)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\n", r.ID, r.Role, r.Term, r.Leader, r.LastIndex, r.CommitIndex, r.AppliedIndex, r.CatalogueVersion, r.LedgerRecords)
 	}
 	for _, e := range v.Entries {
 		v.entry(w, e)
--- a/control/api/api.go
+++ b/control/api/api.go
@@ -36,11 +36,11 @@
 
 // Error codes of a control replica's answers.
 const (
-	CodeNoLeader = "no_leader"       // surely not appended
-	CodeUnknown  = "outcome_unknown" // it may yet be committed
-	CodeBusy     = "busy"            // surely not appended
-	CodeInvalid  = "invalid"
-	CodeBehind   = "not_caught_up" // the learner lacks too much to be promoted; nothing was done
+	CodeNoLeader       = "no_leader"       // surely not appended
+	CodeOutcomeUnknown = "outcome_unknown" // it may yet be committed
+	CodeBusy           = "busy"            // surely not appended
+	CodeInvalid        = "invalid"
+	CodeNotCaughtUp    = "not_caught_up" // the learner lacks too much to be promoted; nothing was done
 )
 
 // VersionRequest asks a replica how far its log goes.
@@ -68,14 +68,14 @@
 // VotersReply names the voters that a replica has in force. Members is the log
 // index of that set and Term the term of the log's last entry.
 type VotersReply struct {
-	Term    uint64           `msgpack:"term"`
-	Members uint64           `msgpack:"mem"`
-	Voters  []ReplicaAddress `msgpack:"voters"`
+	Term        uint64           `msgpack:"term"`
+	VotersIndex uint64           `msgpack:"mem"`
+	Voters      []ReplicaAddress `msgpack:"voters"`
 }
 
 // CatalogueRequest asks for the catalogue in force unless Have is its index.
 type CatalogueRequest struct {
-	Have uint64 `msgpack:"have"`
+	KnownIndex uint64 `msgpack:"have"`
 }
 
 // CatalogueReply is the catalogue as one replica has applied it. Unchanged says
@@ -118,16 +118,16 @@
 
 // ReplicaStatus is one replica as status shows it.
 type ReplicaStatus struct {
-	ID        string   `json:"id" msgpack:"id"`
-	Role      string   `json:"role" msgpack:"role"`
-	Term      uint64   `json:"term" msgpack:"term"`
-	Leader    string   `json:"leader" msgpack:"leader"`
-	Last      uint64   `json:"lastIndex" msgpack:"last"`
-	Commit    uint64   `json:"commitIndex" msgpack:"commit"`
-	Applied   uint64   `json:"appliedIndex" msgpack:"applied"`
-	Catalogue uint64   `json:"catalogueVersion" msgpack:"cat"`
-	Ledger    int      `json:"ledgerRecords" msgpack:"ledger"`
-	Voters    []uint64 `json:"voters" msgpack:"voters"`
-	Learners  []uint64 `json:"learners,omitempty" msgpack:"learners"`
-	Error     string   `json:"error,omitempty" msgpack:"-"`
+	ID               string   `json:"id" msgpack:"id"`
+	Role             string   `json:"role" msgpack:"role"`
+	Term             uint64   `json:"term" msgpack:"term"`
+	Leader           string   `json:"leader" msgpack:"leader"`
+	LastIndex        uint64   `json:"lastIndex" msgpack:"last"`
+	CommitIndex      uint64   `json:"commitIndex" msgpack:"commit"`
+	AppliedIndex     uint64   `json:"appliedIndex" msgpack:"applied"`
+	CatalogueVersion uint64   `json:"catalogueVersion" msgpack:"cat"`
+	LedgerRecords    int      `json:"ledgerRecords" msgpack:"ledger"`
+	Voters           []uint64 `json:"voters" msgpack:"voters"`
+	Learners         []uint64 `json:"learners,omitempty" msgpack:"learners"`
+	Error            string   `json:"error,omitempty" msgpack:"-"`
 }
--- a/control/api/client.go
+++ b/control/api/client.go
@@ -23,20 +23,20 @@
 
 // retryPause is the wait between two rounds over all replicas. An election
 // takes a few of them.
-const retryPause = 60 * time.Millisecond
+const retryInterval = 60 * time.Millisecond
 
 // ErrNoMajority says that too few control replicas answered.
 var ErrNoMajority = errors.New("no majority of control replicas answered")
 
 // Client calls the control replicas. It is safe for concurrent use.
 type Client struct {
-	pool    *link.Pool
-	founded []string // link addresses of the settings
-	own     uint64   // decides where this client begins to look for a newer catalogue
+	pool            *link.Pool
+	initialReplicas []string // link addresses of the settings
+	idHash          uint64   // decides where this client begins to look for a newer catalogue
 
-	mu       sync.Mutex
-	replicas []string // link addresses of the voters, as last learnt; empty: not known
-	last     int      // the replica that answered last, tried first
+	mu        sync.Mutex
+	replicas  []string // link addresses of the voters, as last learnt; empty: not known
+	preferred int      // the replica that answered last, tried first
 }
 
 // NewClient returns a client that knows the replicas at these link addresses and
@@ -45,8 +45,8 @@
 // from the same one.
 func NewClient(pool *link.Pool, replicas []string, id string) *Client {
 	return &Client{
-		pool: pool, founded: slices.Clone(replicas), replicas: slices.Clone(replicas),
-		own: xxhash.Sum64String(id),
+		pool: pool, initialReplicas: slices.Clone(replicas), replicas: slices.Clone(replicas),
+		idHash: xxhash.Sum64String(id),
 	}
 }
 
@@ -57,10 +57,10 @@
 	return slices.Clone(c.replicas)
 }
 
-func (c *Client) adopt(replicas []string) {
+func (c *Client) setReplicas(replicas []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.replicas, c.last = replicas, 0
+	c.replicas, c.preferred = replicas, 0
 }
 
 // Confirmation is what a majority of replicas said of the catalogue.
@@ -89,69 +89,69 @@
 func (c *Client) Confirm(ctx context.Context) (Confirmation, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	asked := c.Replicas()
-	for range maxSets {
-		answers := ask[VersionReply](ctx, c.pool, asked, MethodVersion, VersionRequest{})
-		if agreed(answers, SetOf(asked)) {
-			return confirmation(answers, len(asked))
+	replicas := c.Replicas()
+	for range maxVoterSets {
+		replies := callAll[VersionReply](ctx, c.pool, replicas, MethodVersion, VersionRequest{})
+		if allHaveVoters(replies, VotersHash(replicas)) {
+			return confirmation(replies, len(replicas))
 		}
-		sets := ask[VotersReply](ctx, c.pool, asked, MethodVoters, VotersRequest{})
-		voters := newestVoters(sets)
+		votersReplies := callAll[VotersReply](ctx, c.pool, replicas, MethodVoters, VotersRequest{})
+		voters := newestVoters(votersReplies)
 		switch {
 		case len(voters) == 0:
-			c.adopt(slices.Clone(c.founded)) // all it knew are gone: back to the settings
+			c.setReplicas(slices.Clone(c.initialReplicas)) // all it knew are gone: back to the settings
 			return Confirmation{}, trace.Wrap(ErrNoMajority)
-		case sameReplicas(voters, asked) && len(sets) > len(asked)/2:
-			return confirmation(answers, len(voters))
+		case sameAddresses(voters, replicas) && len(votersReplies) > len(replicas)/2:
+			return confirmation(replies, len(voters))
 		}
-		asked = voters
-		c.adopt(voters)
+		replicas = voters
+		c.setReplicas(voters)
 	}
 	return Confirmation{}, trace.Wrap(ErrNoMajority)
 }
 
 // agreed reports whether all that answered have this set of voters.
-func agreed(answers []VersionReply, set uint64) bool {
-	return len(answers) > 0 && !slices.ContainsFunc(answers, func(a VersionReply) bool { return a.Set != set })
+func allHaveVoters(replies []VersionReply, votersHash uint64) bool {
+	return len(replies) > 0 && !slices.ContainsFunc(replies, func(a VersionReply) bool { return a.Set != votersHash })
 }
 
 // maxSets bounds the replica sets that one confirmation follows.
-const maxSets = 8
+const maxVoterSets = 8
 
 // ask asks the replicas the same and returns the answers that came.
-func ask[Resp any](ctx context.Context, p *link.Pool, replicas []string, method string, req any) []Resp {
-	answers := make(chan *Resp, len(replicas))
+func callAll[Resp any](ctx context.Context, p *link.Pool, replicas []string, method string, req any) []Resp {
+	replies := make(chan *Resp, len(replicas))
 	for _, addr := range replicas {
 		go func() {
 			if addr == "" {
-				answers <- nil // not known to the replica that named this voter
+				replies <- nil // not known to the replica that named this voter
 				return
 			}
 			reply, err := link.Call[Resp](ctx, p, addr, method, req)
 			if err != nil {
-				answers <- nil
+				replies <- nil
 				return
 			}
-			answers <- &reply
+			replies <- &reply
 		}()
 	}
-	return collect(ctx, answers, len(replicas))
+	return collectReplies(ctx, replies, len(replicas))
 }
 
 // confirmGrace is how long a question to all waits for the rest of the replicas
 // once a majority has answered. The rest may name a newer index, which saves a
 // round; a frozen one would otherwise hold up each confirmation for the whole
 // timeout.
-const confirmGrace = 20 * time.Millisecond
+const majorityGrace = 20 * time.Millisecond
 
 // collect gathers the answers of the replicas asked until all are in, or the
 // grace after a majority is over.
-func collect[Resp any](ctx context.Context, answers <-chan *Resp, asked int) []Resp {
+func collectReplies[Resp any](ctx context.Context, replies <-chan *Resp, called int) []Resp {
 	var out []Resp
 	var grace <-chan time.Time
-	for range asked {
+	for range called {
 		select {
-		case reply := <-answers:
+		case reply := <-replies:
 			if reply != nil {
 				out = append(out, *reply)
 			}
@@ -160,8 +160,8 @@
 		case <-ctx.Done():
 			return out
 		}
-		if len(out) > asked/2 && grace == nil {
-			grace = time.After(confirmGrace)
+		if len(out) > called/2 && grace == nil {
+			grace = time.After(majorityGrace)
 		}
 	}
 	return out
@@ -169,28 +169,28 @@
 
 // newestVoters returns the addresses of the latest set of voters that an answer
 // names; an address that is not known is empty.
-func newestVoters(answers []VotersReply) []string {
+func newestVoters(replies []VotersReply) []string {
 	var newest VotersReply
-	for _, a := range answers {
-		later := cmp.Or(cmp.Compare(a.Term, newest.Term), cmp.Compare(a.Members, newest.Members)) > 0
-		if len(a.Voters) > 0 && (len(newest.Voters) == 0 || later) {
+	for _, a := range replies {
+		isLater := cmp.Or(cmp.Compare(a.Term, newest.Term), cmp.Compare(a.VotersIndex, newest.VotersIndex)) > 0
+		if len(a.Voters) > 0 && (len(newest.Voters) == 0 || isLater) {
 			newest = a
 		}
 	}
-	return AddressesOf(newest.Voters)
+	return Addresses(newest.Voters)
 }
 
-func sameReplicas(a, b []string) bool {
+func sameAddresses(a, b []string) bool {
 	return slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
 
-func confirmation(answers []VersionReply, voters int) (Confirmation, error) {
+func confirmation(replies []VersionReply, voters int) (Confirmation, error) {
 	majority := voters/2 + 1
-	if len(answers) < majority {
+	if len(replies) < majority {
 		return Confirmation{}, trace.Wrap(ErrNoMajority)
 	}
-	indexes := make([]uint64, 0, len(answers))
-	for _, a := range answers {
+	indexes := make([]uint64, 0, len(replies))
+	for _, a := range replies {
 		indexes = append(indexes, a.Index)
 	}
 	slices.Sort(indexes)
@@ -199,13 +199,13 @@
 
 // Catalogue fetches the catalogue from the first replica that has one newer
 // than index have. It returns a reply marked Unchanged when none has.
-func (c *Client) Catalogue(ctx context.Context, have uint64) (CatalogueReply, error) {
+func (c *Client) Catalogue(ctx context.Context, knownIndex uint64) (CatalogueReply, error) {
 	var lastErr error
 	unchanged := false
-	replicas := known(c.Replicas())
-	begin := int(c.own % uint64(max(1, len(replicas))))
-	for _, addr := range rotated(replicas, begin) {
-		reply, err := callOnce[CatalogueReply](ctx, c.pool, addr, MethodCatalogue, CatalogueRequest{Have: have})
+	replicas := withoutUnknown(c.Replicas())
+	start := int(c.idHash % uint64(max(1, len(replicas))))
+	for _, addr := range rotated(replicas, start) {
+		reply, err := callReplica[CatalogueReply](ctx, c.pool, addr, MethodCatalogue, CatalogueRequest{KnownIndex: knownIndex})
 		if err != nil {
 			lastErr = err
 			continue
@@ -216,7 +216,7 @@
 		unchanged = true
 	}
 	if unchanged {
-		return CatalogueReply{Unchanged: true, Index: have}, nil
+		return CatalogueReply{Unchanged: true, Index: knownIndex}, nil
 	}
 	return CatalogueReply{}, trace.Wrap(lastErr, "step=fetch catalogue")
 }
@@ -240,21 +240,21 @@
 	req := ProposeRequest{Kind: kind, Data: data}
 	for {
 		var lastErr error
-		for _, addr := range c.order() {
-			reply, err := callOnce[ProposeReply](ctx, c.pool, addr, MethodPropose, req)
+		for _, addr := range c.callOrder() {
+			reply, err := callReplica[ProposeReply](ctx, c.pool, addr, MethodPropose, req)
 			if err == nil {
-				c.remember(addr)
+				c.preferReplica(addr)
 				return trace.Wrap(msgpack.Unmarshal(reply.Result, out), "step=decode result peer=%s", addr)
 			}
 			lastErr = err
-			if final(err) || ctx.Err() != nil {
+			if isPermanent(err) || ctx.Err() != nil {
 				return trace.Wrap(lastErr, "step=propose")
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return trace.Wrap(lastErr, "step=propose")
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
@@ -263,10 +263,10 @@
 // its leases. It asks each replica once.
 func (c *Client) Leases(ctx context.Context, r admit.Report) (admit.Reply, error) {
 	var lastErr error
-	for _, addr := range c.order() {
-		reply, err := callOnce[admit.Reply](ctx, c.pool, addr, MethodLeases, r)
+	for _, addr := range c.callOrder() {
+		reply, err := callReplica[admit.Reply](ctx, c.pool, addr, MethodLeases, r)
 		if err == nil {
-			c.remember(addr)
+			c.preferReplica(addr)
 			return reply, nil
 		}
 		lastErr = err
@@ -275,7 +275,7 @@
 }
 
 // final reports whether no replica would answer otherwise.
-func final(err error) bool {
+func isPermanent(err error) bool {
 	var remote *link.RemoteError
 	return errors.As(err, &remote) && remote.Code == CodeInvalid
 }
@@ -288,7 +288,7 @@
 	var wg sync.WaitGroup
 	for i, addr := range replicas {
 		wg.Go(func() {
-			s, err := callOnce[ReplicaStatus](ctx, c.pool, addr, MethodStatus, StatusRequest{})
+			s, err := callReplica[ReplicaStatus](ctx, c.pool, addr, MethodStatus, StatusRequest{})
 			if err != nil {
 				s = ReplicaStatus{ID: addr, Error: err.Error()}
 			}
@@ -299,31 +299,31 @@
 	return out
 }
 
-func callOnce[Resp any](ctx context.Context, p *link.Pool, addr, method string, req any) (Resp, error) {
+func callReplica[Resp any](ctx context.Context, p *link.Pool, addr, method string, req any) (Resp, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return link.Call[Resp](ctx, p, addr, method, req)
 }
 
 // order returns the replicas, the one that answered last first.
-func (c *Client) order() []string {
+func (c *Client) callOrder() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return known(rotated(c.replicas, c.last))
+	return withoutUnknown(rotated(c.replicas, c.preferred))
 }
 
 // known leaves out the addresses that are not known.
-func known(list []string) []string {
-	return slices.DeleteFunc(list, func(addr string) bool { return addr == "" })
+func withoutUnknown(addresses []string) []string {
+	return slices.DeleteFunc(addresses, func(addr string) bool { return addr == "" })
 }
 
 // rotated returns a copy of the list begun at from.
-func rotated(list []string, from int) []string {
-	return append(slices.Clone(list[from:]), list[:from]...)
+func rotated(addresses []string, start int) []string {
+	return append(slices.Clone(addresses[start:]), addresses[:start]...)
 }
 
-func (c *Client) remember(addr string) {
+func (c *Client) preferReplica(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = max(0, slices.Index(c.replicas, addr))
+	c.preferred = max(0, slices.Index(c.replicas, addr))
 }
--- a/control/api/client_test.go
+++ b/control/api/client_test.go
@@ -14,12 +14,12 @@
 )
 
 // answersOf are the answers of replicas with these indexes.
-func answersOf(indexes []uint64) []VersionReply {
-	out := make([]VersionReply, len(indexes))
+func versionReplies(indexes []uint64) []VersionReply {
+	replies := make([]VersionReply, len(indexes))
 	for i, index := range indexes {
-		out[i].Index = index
+		replies[i].Index = index
 	}
-	return out
+	return replies
 }
 
 func TestMain(m *testing.M) { testutil.Main(m) }
@@ -31,7 +31,7 @@
 	accepted uint64 // the newest change that is in the logs of a majority
 }
 
-func drawLogs(t *rapid.T) replicaLogs {
+func drawReplicaLogs(t *rapid.T) replicaLogs {
 	n := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "replicas")
 	m := replicaLogs{newest: make([]uint64, n)}
 	for index := range uint64(rapid.IntRange(0, 12).Draw(t, "changes")) {
@@ -53,15 +53,15 @@
 // taking indexes[0] in confirmation.
 func TestConfirmationCoversEveryAcceptedChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawLogs(t)
+		m := drawReplicaLogs(t)
 		n := len(m.newest)
-		answered := rapid.SliceOfNDistinct(rapid.IntRange(0, n-1), 0, n, rapid.ID[int]).Draw(t, "answered")
+		replied := rapid.SliceOfNDistinct(rapid.IntRange(0, n-1), 0, n, rapid.ID[int]).Draw(t, "answered")
 		var indexes []uint64
-		for _, r := range answered {
+		for _, r := range replied {
 			indexes = append(indexes, m.newest[r])
 		}
-		c, err := confirmation(answersOf(indexes), n)
-		if len(answered) <= n/2 {
+		c, err := confirmation(versionReplies(indexes), n)
+		if len(replied) <= n/2 {
 			require.ErrorIs(t, err, ErrNoMajority)
 			return
 		}
@@ -75,7 +75,7 @@
 // answer alone must not make every entry's catalogue stale: they would refuse
 // all requests until the network heals. Broken by taking the highest index in
 // confirmation.
-func TestConfirmationPassesOverACutOffLeader(t *testing.T) {
+func TestConfirmationIgnoresUncommittedChangeOfOldLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "replicas")
 		current := rapid.Uint64Range(1, 100).Draw(t, "current")
@@ -84,7 +84,7 @@
 			indexes[i] = rapid.Uint64Range(0, current).Draw(t, "index")
 		}
 		indexes[rapid.IntRange(0, len(indexes)-1).Draw(t, "old leader")] = current + 1
-		c, err := confirmation(answersOf(indexes), n)
+		c, err := confirmation(versionReplies(indexes), n)
 		require.NoError(t, err)
 		require.LessOrEqual(t, c.Needed, current)
 	})
@@ -94,33 +94,33 @@
 // confirmation would wait for it until the call times out, and the catalogue of
 // every entry would near the end of its freshness. Broken by removing the grace
 // in collect.
-func TestCollectLeavesASilentReplicaBehind(t *testing.T) {
+func TestCollectDoesNotWaitForUnresponsiveReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		answers := make(chan *VersionReply, 3)
-		answers <- &VersionReply{Index: 4}
-		answers <- &VersionReply{Index: 7}
+		replies := make(chan *VersionReply, 3)
+		replies <- &VersionReply{Index: 4}
+		replies <- &VersionReply{Index: 7}
 		ctx, cancel := context.WithTimeout(t.Context(), attemptTimeout)
 		defer cancel()
-		began := time.Now()
-		require.Equal(t, answersOf([]uint64{4, 7}), collect(ctx, answers, 3))
-		require.Equal(t, confirmGrace, time.Since(began))
+		start := time.Now()
+		require.Equal(t, versionReplies([]uint64{4, 7}), collectReplies(ctx, replies, 3))
+		require.Equal(t, majorityGrace, time.Since(start))
 	})
 }
 
 // Two of three replicas fail at once. The one answer left must not pass for a
 // majority, and the question ends as soon as all are in or its time is over.
 // Broken by the majority check in confirmation.
-func TestCollectWithoutAMajority(t *testing.T) {
+func TestNoConfirmationWithoutMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		answers := make(chan *VersionReply, 3)
-		answers <- nil
-		answers <- &VersionReply{Index: 7}
+		replies := make(chan *VersionReply, 3)
+		replies <- nil
+		replies <- &VersionReply{Index: 7}
 		ctx, cancel := context.WithTimeout(t.Context(), attemptTimeout)
 		defer cancel()
-		began := time.Now()
-		got := collect(ctx, answers, 3)
-		require.Equal(t, attemptTimeout, time.Since(began))
-		_, err := confirmation(got, 3)
+		start := time.Now()
+		collected := collectReplies(ctx, replies, 3)
+		require.Equal(t, attemptTimeout, time.Since(start))
+		_, err := confirmation(collected, 3)
 		require.ErrorIs(t, err, ErrNoMajority)
 	})
 }
@@ -131,12 +131,12 @@
 // current, and a key that was taken away would open the door again.
 //
 // It breaks without Term in the comparison of newestVoters.
-func TestVotersOfTheNewestLogCount(t *testing.T) {
-	left := VotersReply{Term: 2, Members: 50, Voters: []ReplicaAddress{{ID: 1, Address: "a"}, {ID: 2, Address: "b"}, {ID: 3, Address: "c"}, {ID: 4, Address: "d"}}}
-	later := VotersReply{Term: 3, Members: 40, Voters: []ReplicaAddress{{ID: 1, Address: "a"}, {ID: 2, Address: "b"}, {ID: 3, Address: "c"}}}
-	joining := VotersReply{Term: 9}
-	require.Equal(t, []string{"a", "b", "c"}, newestVoters([]VotersReply{left, later, joining}))
-	require.Equal(t, []string{"a", "b", "c"}, newestVoters([]VotersReply{joining, later, left}))
+func TestNewestVotersAreThoseOfHighestTerm(t *testing.T) {
+	uncommitted := VotersReply{Term: 2, VotersIndex: 50, Voters: []ReplicaAddress{{ID: 1, Address: "a"}, {ID: 2, Address: "b"}, {ID: 3, Address: "c"}, {ID: 4, Address: "d"}}}
+	committed := VotersReply{Term: 3, VotersIndex: 40, Voters: []ReplicaAddress{{ID: 1, Address: "a"}, {ID: 2, Address: "b"}, {ID: 3, Address: "c"}}}
+	withoutVoters := VotersReply{Term: 9}
+	require.Equal(t, []string{"a", "b", "c"}, newestVoters([]VotersReply{uncommitted, committed, withoutVoters}))
+	require.Equal(t, []string{"a", "b", "c"}, newestVoters([]VotersReply{withoutVoters, committed, uncommitted}))
 	_, err := confirmation([]VersionReply{{Index: 7}}, 3)
 	require.ErrorIs(t, err, ErrNoMajority)
 }
--- a/control/api/replica.go
+++ b/control/api/replica.go
@@ -51,15 +51,15 @@
 
 // SetOf returns a number for a set of voters, by their link addresses in any
 // order. It keeps the answers to an asker that knows the set short.
-func SetOf(addresses []string) uint64 {
+func VotersHash(addresses []string) uint64 {
 	return xxhash.Sum64String(strings.Join(slices.Sorted(slices.Values(addresses)), ","))
 }
 
 // AddressesOf lists the addresses of replicas.
-func AddressesOf(replicas []ReplicaAddress) []string {
-	out := make([]string, 0, len(replicas))
+func Addresses(replicas []ReplicaAddress) []string {
+	addresses := make([]string, 0, len(replicas))
 	for _, r := range replicas {
-		out = append(out, r.Address)
+		addresses = append(addresses, r.Address)
 	}
-	return out
+	return addresses
 }
--- a/control/config.go
+++ b/control/config.go
@@ -12,28 +12,28 @@
 
 // Config holds a control replica's settings.
 type Config struct {
-	ID            int
-	Region        string
-	Zone          string
-	DataDir       string
-	LinkListen    string
-	OperatorAddr  string
-	OpsAddr       string
-	Replicas      []string // "id=ip:port" of the replicas that found the group; without this one if it is added later
-	Entries       []string // link addresses of entries to meet first; may be empty
-	ClusterKey    string
-	OperatorKey   string
-	LogLevel      string
-	TickInterval  time.Duration
-	SnapshotEvery int
-	Cloud         string // address of the cloud API; empty: the fleet is not managed
-	CloudSite     string
-	CloudZones    []string // "zone=region/data-centre"
-	CloudClasses  []string // "class=tokens a second"
-	FleetEvery    time.Duration
-	WeightRate    int // megabytes a second; 0: servers are not ordered to load models
-	LoadRate      int // megabytes a second
-	MaxEntries    int // entries that may hold a part of the limits at a time
+	ID                     int
+	Region                 string
+	Zone                   string
+	DataDir                string
+	LinkListen             string
+	OperatorAddr           string
+	OpsAddr                string
+	Replicas               []string // "id=ip:port" of the replicas that found the group; without this one if it is added later
+	Entries                []string // link addresses of entries to meet first; may be empty
+	ClusterKey             string
+	OperatorKey            string
+	LogLevel               string
+	TickInterval           time.Duration
+	SnapshotEvery          int
+	Cloud                  string // address of the cloud API; empty: the fleet is not managed
+	CloudSite              string
+	CloudZones             []string // "zone=region/data-centre"
+	CloudClasses           []string // "class=tokens a second"
+	FleetInterval          time.Duration
+	WeightStoreMBPerSecond int // megabytes a second; 0: servers are not ordered to load models
+	MinLoadMBPerSecond     int // megabytes a second
+	MaxEntries             int // entries that may hold a part of the limits at a time
 }
 
 // Declare declares the settings on s.
@@ -45,7 +45,7 @@
 	s.String(&c.LinkListen, "link-listen", "127.0.0.1:7101", "address for links of other processes", settings.HostPort)
 	s.String(&c.OperatorAddr, "operator-listen", "127.0.0.1:7102", "address of the operators' API", settings.HostPort)
 	s.String(&c.OpsAddr, "ops-listen", "127.0.0.1:7103", "address of health, metrics and profiles", settings.HostPort)
-	s.Strings(&c.Replicas, "replicas", []string{"1=127.0.0.1:7101"}, "the control replicas that found the group, as id=ip:port; one that is added later is not among them", replicaList)
+	s.Strings(&c.Replicas, "replicas", []string{"1=127.0.0.1:7101"}, "the control replicas that found the group, as id=ip:port; one that is added later is not among them", validateReplicas)
 	s.Strings(&c.Entries, "entries", nil, "link addresses of some entries", settings.HostPorts)
 	s.Secret(&c.ClusterKey, "cluster-key", "key that the system's own processes share", settings.Required)
 	s.Secret(&c.OperatorKey, "operator-key", "bearer key of the operators", settings.Required)
@@ -53,16 +53,16 @@
 	s.Duration(&c.TickInterval, "tick", 10*time.Millisecond, "time unit of elections and heartbeats", settings.Between(time.Millisecond, time.Second))
 	s.String(&c.Cloud, "cloud", "", "address of the cloud API; without it, the fleet is not managed", settings.Optional(settings.HostPort))
 	s.String(&c.CloudSite, "cloud-site", "savoryreel", "begins the client tokens; differs between sites with one cloud account", settings.Required)
-	s.Strings(&c.CloudZones, "cloud-zones", nil, "zones of this region where instances may start, as zone=region/data-centre", zoneList)
-	s.Strings(&c.CloudClasses, "cloud-classes", nil, "machine classes and what each serves within the latency target, as class=tokens a second", classList)
-	s.Duration(&c.FleetEvery, "fleet-every", time.Minute, "time between two decisions on the fleet", settings.Between(time.Second, time.Hour))
-	s.Int(&c.WeightRate, "weight-rate", 0, "megabytes a second that the weight store delivers in all; 0: servers are not ordered to load models", settings.Between(0, 1_000_000))
-	s.Int(&c.LoadRate, "load-rate", 100, "least megabytes a second at which one model load is worth starting", settings.Between(1, 1_000_000))
+	s.Strings(&c.CloudZones, "cloud-zones", nil, "zones of this region where instances may start, as zone=region/data-centre", validateZones)
+	s.Strings(&c.CloudClasses, "cloud-classes", nil, "machine classes and what each serves within the latency target, as class=tokens a second", validateClasses)
+	s.Duration(&c.FleetInterval, "fleet-every", time.Minute, "time between two decisions on the fleet", settings.Between(time.Second, time.Hour))
+	s.Int(&c.WeightStoreMBPerSecond, "weight-rate", 0, "megabytes a second that the weight store delivers in all; 0: servers are not ordered to load models", settings.Between(0, 1_000_000))
+	s.Int(&c.MinLoadMBPerSecond, "load-rate", 100, "least megabytes a second at which one model load is worth starting", settings.Between(1, 1_000_000))
 	s.Int(&c.MaxEntries, "max-entries", 16, "entries that share the workspaces' limits", settings.Between(1, 10_000))
 	s.Int(&c.SnapshotEvery, "snapshot-every", 10_000, "log entries between snapshots", settings.Between(10, 10_000_000))
 }
 
-func replicaList(list []string) error {
+func validateReplicas(list []string) error {
 	if len(list) == 0 {
 		return fmt.Errorf("missing")
 	}
@@ -72,7 +72,7 @@
 
 // parseReplicas reads "id=ip:port" items.
 func parseReplicas(list []string) (map[uint64]string, error) {
-	out := make(map[uint64]string, len(list))
+	addresses := make(map[uint64]string, len(list))
 	for _, item := range list {
 		id, addr, found := strings.Cut(item, "=")
 		n, err := strconv.ParseUint(id, 10, 64)
@@ -82,12 +82,12 @@
 		if err := settings.HostPort(addr); err != nil {
 			return nil, err
 		}
-		if _, dup := out[n]; dup {
+		if _, dup := addresses[n]; dup {
 			return nil, fmt.Errorf("replica %d is listed twice", n)
 		}
-		out[n] = addr
+		addresses[n] = addr
 	}
-	return out, nil
+	return addresses, nil
 }
 
 func (c *Config) operatorKeyHash() contract.KeyHash { return contract.HashKey(c.OperatorKey) }
--- a/control/control.go
+++ b/control/control.go
@@ -41,7 +41,7 @@
 	pool    *link.Pool
 	service *service
 	leases  *limitLeases
-	folder  *storage.Log
+	storage *storage.Log
 	members *membership.Node
 	cloud   *native.CloudClient // nil: the fleet is not managed
 	fleet   *fleet.Manager
@@ -60,31 +60,31 @@
 		return nil, trace.Wrap(err, "step=read replicas")
 	}
 	c := &Control{cfg: cfg, log: deps.Log, now: deps.Now, metrics: metrics.NewSet()}
-	book := roster.NewAddressBook(peers)
-	c.machine = NewMachine(c.catalogueChanged, book.SetMembers)
+	addresses := roster.NewAddressBook(peers)
+	c.machine = NewMachine(c.catalogueChanged, addresses.SetMembers)
 	c.traffic = link.NewTraffic(c.metrics)
 	c.pool = link.NewPool(link.PoolConfig{Self: c.peerInfo(), ClusterKey: []byte(cfg.ClusterKey)},
 		link.PoolDeps{Log: deps.Log, Traffic: c.traffic})
-	if c.folder, err = storage.Open(storage.Config{Dir: cfg.DataDir, Replica: uint64(cfg.ID)}, storage.OS{}); err != nil {
+	if c.storage, err = storage.Open(storage.Config{Dir: cfg.DataDir, Replica: uint64(cfg.ID)}, storage.OS{}); err != nil {
 		c.pool.Close()
 		return nil, trace.Wrap(err, "step=open data folder")
 	}
 	c.host, err = host.New(c.hostConfig(peers), host.Deps{
-		Storage: c.folder, Transport: &roster.Transport{Pool: c.pool, Method: api.MethodReplica, Peers: book}, Machine: c.machine,
+		Storage: c.storage, Transport: &roster.Transport{Pool: c.pool, Method: api.MethodReplica, Peers: addresses}, Machine: c.machine,
 		Logger: deps.Log, Now: deps.Now, Rand: rand.Int64N,
 	})
 	if err != nil {
 		c.pool.Close()
-		_ = c.folder.Close() // the error of New counts
+		_ = c.storage.Close() // the error of New counts
 		return nil, trace.Wrap(err, "step=start replica")
 	}
-	if err := errors.Join(c.join(), c.manage()); err != nil {
+	if err := errors.Join(c.initMembership(), c.initFleetManager()); err != nil {
 		c.pool.Close()
-		_ = c.folder.Close() // the error of join or manage counts
+		_ = c.storage.Close() // the error of join or manage counts
 		return nil, trace.Wrap(err, "step=join")
 	}
-	c.leases = &limitLeases{leader: c.host, machine: c.machine, entries: cfg.MaxEntries, now: deps.Now}
-	c.service = &service{log: c.host, machine: c.machine, pool: c.pool, peers: book, now: deps.Now}
+	c.leases = &limitLeases{leader: c.host, machine: c.machine, maxEntries: cfg.MaxEntries, now: deps.Now}
+	c.service = &service{log: c.host, machine: c.machine, pool: c.pool, peers: addresses, now: deps.Now}
 	return c, nil
 }
 
@@ -108,10 +108,10 @@
 
 // Run serves until ctx ends, a signal comes or a component fails.
 func (c *Control) Run(ctx context.Context) error {
-	defer c.folder.Close()
+	defer c.storage.Close()
 	defer c.pool.Close()
 	var g run.Group
-	if err := c.actors(ctx, &g); err != nil {
+	if err := c.addActors(ctx, &g); err != nil {
 		return err
 	}
 	event.Log(ctx, c.log, slog.LevelInfo, event.ProcessStarted,
@@ -121,7 +121,7 @@
 	return err
 }
 
-func (c *Control) actors(ctx context.Context, g *run.Group) error {
+func (c *Control) addActors(ctx context.Context, g *run.Group) error {
 	links, err := daemon.Listen(ctx, c.log, "link", c.cfg.LinkListen)
 	if err != nil {
 		return err
@@ -138,7 +138,7 @@
 	c.service.register(srv)
 	link.Handle(srv, api.MethodLeases, c.leases.report)
 	c.members.Register(srv)
-	operatorsAPI := &operatorAPI{service: c.service, log: c.log, key: c.cfg.operatorKeyHash()}
+	operatorsAPI := &operatorAPI{service: c.service, log: c.log, keyHash: c.cfg.operatorKeyHash()}
 	daemon.Actor(g, func(actorCtx context.Context) error { return srv.Serve(actorCtx, links) })
 	daemon.Actor(g, c.runReplica)
 	daemon.Actor(g, c.watchLeader)
@@ -167,7 +167,7 @@
 // watchLeader logs each change of leader.
 func (c *Control) watchLeader(ctx context.Context) error {
 	var last uint64
-	return daemon.Every(ctx, watchEvery, func() {
+	return daemon.Every(ctx, leaderPollInterval, func() {
 		st := c.host.Status()
 		if st.Leader == last {
 			return
@@ -179,7 +179,7 @@
 }
 
 // watchEvery is how often a replica looks who leads.
-const watchEvery = 200 * time.Millisecond
+const leaderPollInterval = 200 * time.Millisecond
 
 // handOverLeadership moves the leadership elsewhere before this replica stops,
 // so that a planned stop costs no election.
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -24,11 +24,11 @@
 )
 
 // noticePoll is how long one question for reclaim notices waits at the cloud.
-const noticePoll = time.Second
+const noticePollTimeout = time.Second
 
 // join builds this replica's part in the membership, through which the leader
 // sees the backend servers.
-func (c *Control) join() error {
+func (c *Control) initMembership() error {
 	self := c.peerInfo()
 	var err error
 	c.members, err = membership.New(membership.Config{
@@ -42,7 +42,7 @@
 }
 
 // manage builds the manager of the fleet, unless no cloud is set.
-func (c *Control) manage() error {
+func (c *Control) initFleetManager() error {
 	if c.cfg.Cloud == "" {
 		return nil
 	}
@@ -59,8 +59,8 @@
 	c.cloud = native.NewCloud(native.CloudConfig{Address: c.cfg.Cloud})
 	c.fleet, err = fleet.NewManager(fleet.Config{
 		Site: c.cfg.CloudSite, Zones: zones, Classes: classes, Scale: scale.DefaultConfig(),
-		Every: c.cfg.FleetEvery, Poll: noticePoll,
-		WeightRate: float64(c.cfg.WeightRate) * megabyte, LoadRate: float64(c.cfg.LoadRate) * megabyte,
+		Every: c.cfg.FleetInterval, Poll: noticePollTimeout,
+		WeightRate: float64(c.cfg.WeightStoreMBPerSecond) * megabyte, LoadRate: float64(c.cfg.MinLoadMBPerSecond) * megabyte,
 	}, fleet.Deps{
 		Cloud: c.cloud, Log: fleetLog{log: c.host, machine: c.machine}, Members: c.members, Orders: orders, Models: c.machine.models,
 		Lease: c.host, Logger: c.log, Now: c.now,
@@ -75,15 +75,15 @@
 func (m *Machine) models() []fleet.Model {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	var out []fleet.Model
-	services := m.book.Catalogue().Services
+	var models []fleet.Model
+	services := m.catalogueState.Catalogue().Services
 	for i := range services {
 		model := fleet.Model{Name: services[i].Model, Version: services[i].Version}
-		if services[i].Kind == contract.KindModel && !slices.Contains(out, model) {
-			out = append(out, model)
+		if services[i].Kind == contract.KindModel && !slices.Contains(models, model) {
+			models = append(models, model)
 		}
 	}
-	return out
+	return models
 }
 
 // runFleet runs the manager until ctx ends.
@@ -142,38 +142,38 @@
 
 // parseZones reads "zone=region/data-centre" items.
 func parseZones(list []string) ([]zone.Zone, error) {
-	var out []zone.Zone
+	var zones []zone.Zone
 	for _, item := range list {
-		name, place, found := strings.Cut(item, "=")
-		region, centre, both := strings.Cut(place, "/")
-		if !found || !both {
+		name, location, found := strings.Cut(item, "=")
+		region, dataCentre, hasCentre := strings.Cut(location, "/")
+		if !found || !hasCentre {
 			return nil, fmt.Errorf("%q is not zone=region/data-centre", item)
 		}
-		out = append(out, zone.Zone{Name: name, Region: region, DataCentre: centre})
+		zones = append(zones, zone.Zone{Name: name, Region: region, DataCentre: dataCentre})
 	}
-	return out, zone.Validate(out)
+	return zones, zone.Validate(zones)
 }
 
 // parseClasses reads "class=capacity" items, the capacity in tokens a second.
 func parseClasses(list []string) ([]scale.Class, error) {
-	var out []scale.Class
+	var classes []scale.Class
 	for _, item := range list {
-		name, text, found := strings.Cut(item, "=")
-		capacity, err := strconv.ParseFloat(text, 64)
+		name, capacityText, found := strings.Cut(item, "=")
+		capacity, err := strconv.ParseFloat(capacityText, 64)
 		if !found || name == "" || err != nil || capacity <= 0 {
 			return nil, fmt.Errorf("%q is not class=tokens a second", item)
 		}
-		out = append(out, scale.Class{Name: name, Capacity: capacity})
+		classes = append(classes, scale.Class{Name: name, Capacity: capacity})
 	}
-	return out, nil
+	return classes, nil
 }
 
-func zoneList(list []string) error {
+func validateZones(list []string) error {
 	_, err := parseZones(list)
 	return err
 }
 
-func classList(list []string) error {
+func validateClasses(list []string) error {
 	_, err := parseClasses(list)
 	return err
 }
--- a/control/leases.go
+++ b/control/leases.go
@@ -21,16 +21,16 @@
 // replica leads. The state is the leader's memory only: a new leader learns it
 // from the entries' reports.
 type limitLeases struct {
-	leader  leaderLease
-	machine *Machine
-	entries int
-	now     func() time.Time
+	leader     leaderLease
+	machine    *Machine
+	maxEntries int
+	now        func() time.Time
 
-	mu      sync.Mutex
-	shares  *admit.Shares // of term; nil before this replica has led
-	term    uint64
-	version uint64          // catalogue version whose limits are set
-	known   map[string]bool // workspaces with limits set
+	mu               sync.Mutex
+	shares           *admit.Shares // of term; nil before this replica has led
+	term             uint64
+	catalogueVersion uint64          // catalogue version whose limits are set
+	workspaces       map[string]bool // workspaces with limits set
 }
 
 var errNotLeader = &codedError{code: api.CodeNoLeader, err: trace.ConnectionProblem(nil, "this replica does not lead")}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return admit.Reply{}, err
 	}
-	if after, _, ok := l.leader.HoldsLease(); !ok || after != term {
+	if termAfter, _, ok := l.leader.HoldsLease(); !ok || termAfter != term {
 		return admit.Reply{}, errNotLeader
 	}
 	return reply, nil
@@ -58,14 +58,14 @@
 	defer l.mu.Unlock()
 	now := l.now()
 	if l.shares == nil || l.term != term {
-		shares, err := admit.NewShares(admit.DefaultShareConfig(l.entries), term, now)
+		shares, err := admit.NewShares(admit.DefaultShareConfig(l.maxEntries), term, now)
 		if err != nil {
 			return admit.Reply{}, trace.Wrap(err)
 		}
-		if l.machine.FirstTerm() == term {
+		if l.machine.FirstCatalogueTerm() == term {
 			shares.NoPredecessor() // earlier leaders knew no workspace, so they gave out nothing
 		}
-		l.shares, l.term, l.version, l.known = shares, term, 0, map[string]bool{}
+		l.shares, l.term, l.catalogueVersion, l.workspaces = shares, term, 0, map[string]bool{}
 	}
 	l.setLimits(now)
 	return l.shares.Lease(now, r), nil
@@ -74,20 +74,20 @@
 // setLimits follows the catalogue as this replica has applied it.
 func (l *limitLeases) setLimits(now time.Time) {
 	c := l.machine.Catalogue(0)
-	if c.Version == l.version {
+	if c.Version == l.catalogueVersion {
 		return
 	}
-	l.version = c.Version
-	still := map[string]bool{}
+	l.catalogueVersion = c.Version
+	current := map[string]bool{}
 	for i := range c.Catalogue.Workspaces {
 		w := &c.Catalogue.Workspaces[i]
 		l.shares.SetLimits(now, w.Name, w.Limits)
-		still[w.Name] = true
+		current[w.Name] = true
 	}
-	for name := range l.known {
-		if !still[name] {
+	for name := range l.workspaces {
+		if !current[name] {
 			l.shares.RemoveWorkspace(name)
 		}
 	}
-	l.known = still
+	l.workspaces = current
 }
--- a/control/machine.go
+++ b/control/machine.go
@@ -19,13 +19,13 @@
 // Machine is the replicated state: what the log's entries build up. Apply is
 // called by one goroutine; the readers may be called from any.
 type Machine struct {
-	mu        sync.RWMutex
-	book      *contract.State
-	ledger    *ledger.Ledger
-	catalogue uint64 // log index of the last catalogue entry applied
-	firstTerm uint64 // term of the first catalogue entry; 0: there is none
-	replicas  replicaTable
-	fleet     fleet.State
+	mu                 sync.RWMutex
+	catalogueState     *contract.State
+	ledger             *ledger.Ledger
+	catalogueIndex     uint64 // log index of the last catalogue entry applied
+	firstCatalogueTerm uint64 // term of the first catalogue entry; 0: there is none
+	replicas           replicaTable
+	fleet              fleet.State
 
 	onCatalogue func(api.CatalogueReply)
 	onReplicas  func([]api.ReplicaAddress)
@@ -42,7 +42,7 @@
 		onReplicas = func([]api.ReplicaAddress) {}
 	}
 	return &Machine{
-		book: contract.NewState(), ledger: ledger.New(ledger.MaxRecords),
+		catalogueState: contract.NewState(), ledger: ledger.New(ledger.MaxRecords),
 		onCatalogue: onCatalogue, onReplicas: onReplicas,
 	}
 }
@@ -53,7 +53,7 @@
 func (m *Machine) Apply(e replica.Entry) (any, error) {
 	switch api.ProposalKind(e.Kind) {
 	case api.KindCatalogue:
-		return m.applyChange(e)
+		return m.applyCatalogueChange(e)
 	case api.KindLedger:
 		return m.applyLedger(e)
 	case api.KindReplica:
@@ -65,17 +65,17 @@
 	}
 }
 
-func (m *Machine) applyChange(e replica.Entry) (any, error) {
+func (m *Machine) applyCatalogueChange(e replica.Entry) (any, error) {
 	var c contract.Change
 	if err := msgpack.Unmarshal(e.Data, &c); err != nil {
-		m.passCatalogueEntry(e.Index)
+		m.advanceCatalogueIndex(e.Index)
 		return nil, trace.Wrap(err, "step=apply change")
 	}
 	m.mu.Lock()
-	result := m.book.Apply(c)
-	m.catalogue = e.Index
-	if m.firstTerm == 0 {
-		m.firstTerm = e.Term
+	result := m.catalogueState.Apply(c)
+	m.catalogueIndex = e.Index
+	if m.firstCatalogueTerm == 0 {
+		m.firstCatalogueTerm = e.Term
 	}
 	m.mu.Unlock()
 	if result.Code == contract.CodeAccepted {
@@ -86,10 +86,10 @@
 
 // passCatalogueEntry counts an entry that changed nothing: entries wait until
 // their catalogue has reached the index of the newest catalogue entry.
-func (m *Machine) passCatalogueEntry(index uint64) {
+func (m *Machine) advanceCatalogueIndex(index uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.catalogue = index
+	m.catalogueIndex = index
 }
 
 func (m *Machine) applyLedger(e replica.Entry) (any, error) {
@@ -103,15 +103,15 @@
 }
 
 // Catalogue returns what is in force here, or Unchanged if its index is have.
-func (m *Machine) Catalogue(have uint64) api.CatalogueReply {
+func (m *Machine) Catalogue(knownIndex uint64) api.CatalogueReply {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if m.catalogue <= have && have > 0 {
-		return api.CatalogueReply{Unchanged: true, Index: m.catalogue}
+	if m.catalogueIndex <= knownIndex && knownIndex > 0 {
+		return api.CatalogueReply{Unchanged: true, Index: m.catalogueIndex}
 	}
 	return api.CatalogueReply{
-		Index: m.catalogue, Version: m.book.Version(),
-		Catalogue: m.book.Catalogue(), Stops: m.book.Stops(),
+		Index: m.catalogueIndex, Version: m.catalogueState.Version(),
+		Catalogue: m.catalogueState.Catalogue(), Stops: m.catalogueState.Stops(),
 	}
 }
 
@@ -119,29 +119,29 @@
 func (m *Machine) History(n int) []contract.Entry {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.book.History(n)
+	return m.catalogueState.History(n)
 }
 
 // FirstTerm is the term in which the first catalogue change was committed, 0
 // before that. No leader of an earlier term knew any workspace.
-func (m *Machine) FirstTerm() uint64 {
+func (m *Machine) FirstCatalogueTerm() uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.firstTerm
+	return m.firstCatalogueTerm
 }
 
 // Counts returns the catalogue's version and the number of ledger records.
 func (m *Machine) Counts() (version uint64, records int) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.book.Version(), m.ledger.Len()
+	return m.catalogueState.Version(), m.ledger.Len()
 }
 
 type machineSnapshot struct {
-	Book      []byte `msgpack:"book"`
-	Ledger    []byte `msgpack:"ledger"`
-	Catalogue uint64 `msgpack:"index"`
-	FirstTerm uint64 `msgpack:"first"`
+	CatalogueState     []byte `msgpack:"book"`
+	Ledger             []byte `msgpack:"ledger"`
+	CatalogueIndex     uint64 `msgpack:"index"`
+	FirstCatalogueTerm uint64 `msgpack:"first"`
 
 	Replicas replicaTable `msgpack:"replicas"`
 	Fleet    fleet.State  `msgpack:"fleet"`
@@ -151,7 +151,7 @@
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	book, err := m.book.Snapshot()
+	catalogueState, err := m.catalogueState.Snapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, err
 	}
-	enc, err := msgpack.Marshal(&machineSnapshot{Book: book, Ledger: records, Catalogue: m.catalogue, FirstTerm: m.firstTerm, Replicas: m.replicas, Fleet: m.fleet})
+	enc, err := msgpack.Marshal(&machineSnapshot{CatalogueState: catalogueState, Ledger: records, CatalogueIndex: m.catalogueIndex, FirstCatalogueTerm: m.firstCatalogueTerm, Replicas: m.replicas, Fleet: m.fleet})
 	return enc, trace.Wrap(err, "step=snapshot")
 }
 
@@ -169,7 +169,7 @@
 	if err := msgpack.Unmarshal(enc, &s); err != nil {
 		return trace.Wrap(err, "step=restore")
 	}
-	book, err := contract.RestoreState(s.Book)
+	catalogueState, err := contract.RestoreState(s.CatalogueState)
 	if err != nil {
 		return err
 	}
@@ -178,7 +178,7 @@
 		return err
 	}
 	m.mu.Lock()
-	m.book, m.ledger, m.catalogue, m.firstTerm = book, records, s.Catalogue, s.FirstTerm
+	m.catalogueState, m.ledger, m.catalogueIndex, m.firstCatalogueTerm = catalogueState, records, s.CatalogueIndex, s.FirstCatalogueTerm
 	m.replicas, m.fleet = s.Replicas, s.Fleet
 	m.mu.Unlock()
 	m.onCatalogue(m.Catalogue(0))
--- a/control/machine_test.go
+++ b/control/machine_test.go
@@ -57,16 +57,16 @@
 	m := filledMachine(t)
 	enc, err := m.Snapshot()
 	require.NoError(t, err)
-	var told []uint64
-	restored := NewMachine(func(r api.CatalogueReply) { told = append(told, r.Index) }, nil)
+	var notified []uint64
+	restored := NewMachine(func(r api.CatalogueReply) { notified = append(notified, r.Index) }, nil)
 	require.NoError(t, restored.Restore(enc))
 	require.Equal(t, m.Catalogue(0), restored.Catalogue(0))
 	require.Equal(t, m.History(9), restored.History(9))
-	require.Equal(t, m.FirstTerm(), restored.FirstTerm())
-	require.Equal(t, []uint64{4}, told)
-	again, err := restored.Snapshot()
+	require.Equal(t, m.FirstCatalogueTerm(), restored.FirstCatalogueTerm())
+	require.Equal(t, []uint64{4}, notified)
+	encAgain, err := restored.Snapshot()
 	require.NoError(t, err)
-	require.Equal(t, enc, again)
+	require.Equal(t, enc, encAgain)
 	_, records := restored.Counts()
 	require.Equal(t, 1, records)
 }
@@ -76,7 +76,7 @@
 // changes nothing but the catalogue's index, for which entries wait: without
 // that, one bad entry would leave every catalogue unconfirmed. Broken by leaving
 // out passCatalogueEntry in applyChange.
-func TestBadEntriesChangeNothing(t *testing.T) {
+func TestInvalidEntriesChangeOnlyCatalogueIndex(t *testing.T) {
 	m := filledMachine(t)
 	before, err := m.Snapshot()
 	require.NoError(t, err)
@@ -118,10 +118,10 @@
 // both would add up to more than a workspace's limit. The old one must refuse,
 // also when it lost its lease while it decided. Broken by removing either check
 // in limitLeases.report.
-func TestLeasesNeedTheLeadersLease(t *testing.T) {
+func TestLimitLeasesRequireLeaderLease(t *testing.T) {
 	for _, c := range []struct {
-		terms []int64
-		given bool
+		terms   []int64
+		granted bool
 	}{
 		{[]int64{2}, true},
 		{[]int64{-2}, false},
@@ -129,9 +129,9 @@
 		{[]int64{2, 3}, false},
 		{[]int64{-2, 2}, false},
 	} {
-		l := &limitLeases{leader: &fakeLease{terms: c.terms}, machine: filledMachine(t), entries: 3, now: func() time.Time { return time.Unix(1_800_000_000, 0) }}
+		l := &limitLeases{leader: &fakeLease{terms: c.terms}, machine: filledMachine(t), maxEntries: 3, now: func() time.Time { return time.Unix(1_800_000_000, 0) }}
 		reply, err := l.report(context.Background(), link.PeerInfo{}, admit.Report{Entry: "e1", Term: 2, Sequence: 1})
-		if c.given {
+		if c.granted {
 			require.NoError(t, err)
 			require.Equal(t, uint64(2), reply.Term)
 			continue
@@ -144,7 +144,7 @@
 // replica can read, for good; and a length that is not true would take all of
 // this replica's memory. Whatever is let through can be applied, and bears this
 // replica's time. Broken by msgpack.Unmarshal in place of link.Unmarshal in stamp.
-func FuzzStamp(f *testing.F) {
+func FuzzValidateAndStamp(f *testing.F) {
 	change, command := encoded(f, testChange()), encoded(f, testCommand())
 	f.Add(uint8(api.KindCatalogue), change)
 	f.Add(uint8(api.KindLedger), command)
@@ -159,7 +159,7 @@
 	now := time.Unix(1_900_000_000, 0)
 	f.Fuzz(func(t *testing.T, kind uint8, data []byte) {
 		s := &service{now: func() time.Time { return now }}
-		enc, err := s.stamp(api.ProposeRequest{Kind: api.ProposalKind(kind), Data: data})
+		enc, err := s.validateAndStamp(api.ProposeRequest{Kind: api.ProposalKind(kind), Data: data})
 		if err != nil {
 			return
 		}
--- a/control/operator.go
+++ b/control/operator.go
@@ -24,33 +24,33 @@
 const operatorTimeout = 5 * time.Second
 
 // defaultHistory is how many changes the history shows where none is asked for.
-const defaultHistory = 20
+const defaultHistoryLength = 20
 
 // operatorAPI serves operators over HTTP and JSON. Every replica takes every
 // call; the log finds the leader.
 type operatorAPI struct {
 	service *service
 	log     *slog.Logger
-	key     contract.KeyHash // of the operators' bearer key
+	keyHash contract.KeyHash // of the operators' bearer key
 }
 
 func (o *operatorAPI) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/catalogue", o.get)
-	mux.HandleFunc("PUT /v1/catalogue", o.apply)
-	mux.HandleFunc("GET /v1/history", o.history)
-	mux.HandleFunc("GET /v1/stops", o.stops)
+	mux.HandleFunc("GET /v1/catalogue", o.getCatalogue)
+	mux.HandleFunc("PUT /v1/catalogue", o.putCatalogue)
+	mux.HandleFunc("GET /v1/history", o.getHistory)
+	mux.HandleFunc("GET /v1/stops", o.getStops)
 	mux.HandleFunc("POST /v1/stops", o.planStop)
 	mux.HandleFunc("DELETE /v1/stops/{id}", o.cancelStop)
-	mux.HandleFunc("GET /v1/replica", o.replica)
+	mux.HandleFunc("GET /v1/replica", o.getReplica)
 	mux.HandleFunc("POST /v1/replicas", o.changeReplicas)
-	return o.authenticated(mux)
+	return o.authenticate(mux)
 }
 
-func (o *operatorAPI) authenticated(next http.Handler) http.Handler {
+func (o *operatorAPI) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := request.BearerKey(r.Header)
-		if !contract.HashKey(key).Equal(o.key) {
+		if !contract.HashKey(key).Equal(o.keyHash) {
 			request.NewProblem(request.CodeUnauthorized, request.NotRun, "the operators' key is missing or wrong").Write(w)
 			return
 		}
@@ -63,16 +63,16 @@
 // current waits until this replica has applied everything that was accepted
 // before the call. Without it, an operator who asks a replica that lags would
 // edit an old catalogue and believe a change lost.
-func (o *operatorAPI) current(w http.ResponseWriter, r *http.Request) (api.CatalogueReply, bool) {
-	if err := o.service.barrier(r.Context()); err != nil {
-		noLeader(w, err)
+func (o *operatorAPI) currentCatalogue(w http.ResponseWriter, r *http.Request) (api.CatalogueReply, bool) {
+	if err := o.service.readBarrier(r.Context()); err != nil {
+		writeNoLeader(w, err)
 		return api.CatalogueReply{}, false
 	}
 	return o.service.machine.Catalogue(0), true
 }
 
-func (o *operatorAPI) get(w http.ResponseWriter, r *http.Request) {
-	c, ok := o.current(w, r)
+func (o *operatorAPI) getCatalogue(w http.ResponseWriter, r *http.Request) {
+	c, ok := o.currentCatalogue(w, r)
 	if !ok {
 		return
 	}
@@ -90,11 +90,11 @@
 	_, _ = w.Write(doc) // the operator's connection is gone: nobody to tell
 }
 
-func (o *operatorAPI) history(w http.ResponseWriter, r *http.Request) {
-	if _, ok := o.current(w, r); !ok {
+func (o *operatorAPI) getHistory(w http.ResponseWriter, r *http.Request) {
+	if _, ok := o.currentCatalogue(w, r); !ok {
 		return
 	}
-	n := defaultHistory
+	n := defaultHistoryLength
 	if text := r.URL.Query().Get("n"); text != "" {
 		var err error
 		if n, err = strconv.Atoi(text); err != nil || n < 1 {
@@ -105,17 +105,17 @@
 	writeJSON(w, http.StatusOK, o.service.machine.History(n))
 }
 
-func (o *operatorAPI) stops(w http.ResponseWriter, r *http.Request) {
-	if c, ok := o.current(w, r); ok {
+func (o *operatorAPI) getStops(w http.ResponseWriter, r *http.Request) {
+	if c, ok := o.currentCatalogue(w, r); ok {
 		writeJSON(w, http.StatusOK, c.Stops)
 	}
 }
 
-func (o *operatorAPI) replica(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, o.service.describe())
+func (o *operatorAPI) getReplica(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, o.service.replicaStatus())
 }
 
-func (o *operatorAPI) apply(w http.ResponseWriter, r *http.Request) {
+func (o *operatorAPI) putCatalogue(w http.ResponseWriter, r *http.Request) {
 	doc, err := io.ReadAll(http.MaxBytesReader(w, r.Body, contract.MaxDocument))
 	if err != nil {
 		request.NewProblem(request.CodeTooLarge, request.NotRun, "%v", err).Write(w)
@@ -131,7 +131,7 @@
 		request.NewProblem(request.CodeRefusedCatalogue, request.NotRun, "%v", err).Write(w)
 		return
 	}
-	o.change(w, r, contract.Change{Kind: contract.ChangeApply, Base: base, Catalogue: &c})
+	o.commitChange(w, r, contract.Change{Kind: contract.ChangeApply, Base: base, Catalogue: &c})
 }
 
 // readDocument decodes the body into v, which is a pointer. On false the caller has
@@ -154,22 +154,22 @@
 	if s.From.IsZero() {
 		s.From = o.service.now().UTC()
 	}
-	o.change(w, r, contract.Change{Kind: contract.ChangeStopPlan, Stop: &s})
+	o.commitChange(w, r, contract.Change{Kind: contract.ChangeStopPlan, Stop: &s})
 }
 
 func (o *operatorAPI) cancelStop(w http.ResponseWriter, r *http.Request) {
 	s := contract.Stop{ID: r.PathValue("id")}
-	o.change(w, r, contract.Change{Kind: contract.ChangeStopCancel, Stop: &s})
+	o.commitChange(w, r, contract.Change{Kind: contract.ChangeStopCancel, Stop: &s})
 }
 
 // change commits one change and answers with its result.
-func (o *operatorAPI) change(w http.ResponseWriter, r *http.Request, c contract.Change) {
+func (o *operatorAPI) commitChange(w http.ResponseWriter, r *http.Request, c contract.Change) {
 	c.ID, c.By = r.Header.Get(api.HeaderChangeID), r.Header.Get(api.HeaderOperator)
 	if c.ID == "" {
 		request.NewProblem(request.CodeBadRequest, request.NotRun, "header %s is missing", api.HeaderChangeID).Write(w)
 		return
 	}
-	result, err := o.commit(r.Context(), c)
+	result, err := o.proposeChange(r.Context(), c)
 	if err != nil {
 		proposeProblem(err).Write(w)
 		return
@@ -178,10 +178,10 @@
 		event.Log(r.Context(), o.log, slog.LevelWarn, event.CatalogueRefused, slog.String("changeId", c.ID),
 			slog.String("by", c.By), slog.String("code", string(result.Code)), slog.String("reason", result.Reason))
 	}
-	writeJSON(w, resultStatus(result.Code), result)
+	writeJSON(w, httpStatus(result.Code), result)
 }
 
-func (o *operatorAPI) commit(ctx context.Context, c contract.Change) (contract.Result, error) {
+func (o *operatorAPI) proposeChange(ctx context.Context, c contract.Change) (contract.Result, error) {
 	data, err := msgpack.Marshal(&c)
 	if err != nil {
 		return contract.Result{}, trace.Wrap(err, "step=encode change")
@@ -195,7 +195,7 @@
 		select { // a change carries its id, so it may be proposed again
 		case <-ctx.Done():
 			return contract.Result{}, err
-		case <-time.After(operatorPause):
+		case <-time.After(operatorRetryInterval):
 		}
 	}
 }
@@ -203,12 +203,12 @@
 // changeReplicas changes the replica set and answers with the leader's state.
 // A change names its end and not a step, so it is made again after a lost answer.
 func (o *operatorAPI) changeReplicas(w http.ResponseWriter, r *http.Request) {
-	var ch api.ReplicaChange
-	if !readDocument(w, r, &ch) {
+	var change api.ReplicaChange
+	if !readDocument(w, r, &change) {
 		return
 	}
 	for {
-		status, err := o.service.change(r.Context(), link.PeerInfo{}, ch)
+		status, err := o.service.changeReplicas(r.Context(), link.PeerInfo{}, change)
 		if err == nil {
 			writeJSON(w, http.StatusOK, status)
 			return
@@ -221,7 +221,7 @@
 		case <-r.Context().Done():
 			proposeProblem(err).Write(w)
 			return
-		case <-time.After(operatorPause):
+		case <-time.After(operatorRetryInterval):
 		}
 	}
 }
@@ -232,7 +232,7 @@
 	switch errorCode(err) {
 	case api.CodeInvalid:
 		return request.NewProblem(request.CodeReplicaRefused, request.NotRun, "%v", err)
-	case api.CodeBehind:
+	case api.CodeNotCaughtUp:
 		return request.NewProblem(request.CodeReplicaBehind, request.NotRun, "%v", err).After(time.Second)
 	default:
 		return nil
@@ -254,9 +254,9 @@
 }
 
 // operatorPause is the wait between two tries to reach a leader.
-const operatorPause = 100 * time.Millisecond
+const operatorRetryInterval = 100 * time.Millisecond
 
-func resultStatus(c contract.Code) int {
+func httpStatus(c contract.Code) int {
 	switch c {
 	case contract.CodeAccepted:
 		return http.StatusOK
@@ -274,8 +274,8 @@
 	var remote *link.RemoteError
 	var coded *codedError
 	unknown := errors.Is(err, link.ErrOutcomeUnknown) ||
-		errors.As(err, &remote) && remote.Code == api.CodeUnknown ||
-		errors.As(err, &coded) && coded.code == api.CodeUnknown
+		errors.As(err, &remote) && remote.Code == api.CodeOutcomeUnknown ||
+		errors.As(err, &coded) && coded.code == api.CodeOutcomeUnknown
 	outcome := request.NotRun
 	if unknown {
 		outcome = request.Unknown
@@ -283,7 +283,7 @@
 	return request.NewProblem(request.CodeNotLeader, outcome, "%v", err).After(time.Second)
 }
 
-func noLeader(w http.ResponseWriter, err error) {
+func writeNoLeader(w http.ResponseWriter, err error) {
 	request.NewProblem(request.CodeNotLeader, request.NotRun, "%v", err).After(time.Second).Write(w)
 }
 
--- a/control/replicas.go
+++ b/control/replicas.go
@@ -26,25 +26,25 @@
 	// Highest is the highest id that was ever added or removed here. A replica that
 	// lost its disk has forgotten which entries it acknowledged and whom it voted
 	// for; under its old id others would count on both. So no id is used twice.
-	Highest uint64 `msgpack:"highest"`
+	HighestID uint64 `msgpack:"highest"`
 }
 
 func (t *replicaTable) apply(c api.ReplicaCommand) api.ReplicaResult {
-	at, known := slices.BinarySearchFunc(t.Replicas, c.ID, func(r api.ReplicaAddress, id uint64) int { return cmp.Compare(r.ID, id) })
+	pos, found := slices.BinarySearchFunc(t.Replicas, c.ID, func(r api.ReplicaAddress, id uint64) int { return cmp.Compare(r.ID, id) })
 	switch {
 	case c.Address == "":
-		t.Highest = max(t.Highest, c.ID)
-		if known {
-			t.Replicas = slices.Delete(slices.Clone(t.Replicas), at, at+1)
+		t.HighestID = max(t.HighestID, c.ID)
+		if found {
+			t.Replicas = slices.Delete(slices.Clone(t.Replicas), pos, pos+1)
 		}
-	case known && t.Replicas[at].Address == c.Address:
-	case c.ID <= t.Highest:
-		return api.ReplicaResult{Refused: fmt.Sprintf("id %d is not above %d: an id is never used twice", c.ID, t.Highest)}
+	case found && t.Replicas[pos].Address == c.Address:
+	case c.ID <= t.HighestID:
+		return api.ReplicaResult{Refused: fmt.Sprintf("id %d is not above %d: an id is never used twice", c.ID, t.HighestID)}
 	case len(t.Replicas) >= api.MaxReplicas:
 		return api.ReplicaResult{Refused: fmt.Sprintf("%d replicas are known: remove one first", len(t.Replicas))}
 	default:
-		t.Highest = c.ID
-		t.Replicas = slices.Insert(slices.Clone(t.Replicas), at, api.ReplicaAddress(c))
+		t.HighestID = c.ID
+		t.Replicas = slices.Insert(slices.Clone(t.Replicas), pos, api.ReplicaAddress(c))
 	}
 	return api.ReplicaResult{}
 }
@@ -53,49 +53,49 @@
 func (s *service) version(context.Context, link.PeerInfo, api.VersionRequest) (api.VersionReply, error) {
 	index := s.log.LastIndexOf(uint8(api.KindCatalogue))
 	members := s.peers.Members(s.log.Voters().IDs)
-	return api.VersionReply{Replica: s.self(), Index: index, Set: api.SetOf(api.AddressesOf(members))}, nil
+	return api.VersionReply{Replica: s.replicaID(), Index: index, Set: api.VotersHash(api.Addresses(members))}, nil
 }
 
 // voters names the voters that this replica has in force.
 func (s *service) voters(context.Context, link.PeerInfo, api.VotersRequest) (api.VotersReply, error) {
 	v := s.log.Voters()
-	return api.VotersReply{Term: v.Term, Members: v.Index, Voters: s.peers.Members(v.IDs)}, nil
+	return api.VotersReply{Term: v.Term, VotersIndex: v.Index, Voters: s.peers.Members(v.IDs)}, nil
 }
 
 // checkChange refuses what makes no sense, whatever the state.
-func checkChange(r api.ReplicaChange) error {
+func validateChange(r api.ReplicaChange) error {
 	switch {
 	case r.ID == 0:
-		return invalid("id 0 stands for no replica")
+		return invalidf("id 0 stands for no replica")
 	case r.Action == api.ReplicaAdd:
 		if err := settings.HostPort(r.Address); err != nil {
-			return invalid("address: %v", err)
+			return invalidf("address: %v", err)
 		}
 		return nil
 	case r.Action == api.ReplicaPromote || r.Action == api.ReplicaRemove:
 		return nil
 	default:
-		return invalid("action %q is not add, promote or remove", r.Action)
+		return invalidf("action %q is not add, promote or remove", r.Action)
 	}
 }
 
-func invalid(format string, args ...any) error {
+func invalidf(format string, args ...any) error {
 	return &codedError{code: api.CodeInvalid, err: trace.BadParameter(format, args...)}
 }
 
 // change makes one change of the replica set here, or at the leader.
-func (s *service) change(ctx context.Context, _ link.PeerInfo, r api.ReplicaChange) (api.ReplicaStatus, error) {
-	if err := checkChange(r); err != nil {
+func (s *service) changeReplicas(ctx context.Context, _ link.PeerInfo, r api.ReplicaChange) (api.ReplicaStatus, error) {
+	if err := validateChange(r); err != nil {
 		return api.ReplicaStatus{}, err
 	}
 	st := s.log.Status()
 	if st.Role != replica.Leader {
 		return s.forwardChange(ctx, r, st.Leader)
 	}
-	if err := s.changeHere(ctx, st, r); err != nil {
-		return api.ReplicaStatus{}, changeError(err)
+	if err := s.changeAsLeader(ctx, st, r); err != nil {
+		return api.ReplicaStatus{}, codedChangeError(err)
 	}
-	return s.describe(), nil
+	return s.replicaStatus(), nil
 }
 
 func (s *service) forwardChange(ctx context.Context, r api.ReplicaChange, leader uint64) (api.ReplicaStatus, error) {
@@ -109,53 +109,53 @@
 }
 
 // changeError gives an error the code by which an operator's call goes on.
-func changeError(err error) error {
+func codedChangeError(err error) error {
 	var coded *codedError
 	code := api.CodeNoLeader
 	switch {
 	case errors.As(err, &coded):
 		return err
 	case errors.Is(err, replica.ErrNotCaughtUp):
-		code = api.CodeBehind
+		code = api.CodeNotCaughtUp
 	case errors.Is(err, replica.ErrBadChange):
 		code = api.CodeInvalid
 	case errors.Is(err, host.ErrOutcomeUnknown):
-		code = api.CodeUnknown
+		code = api.CodeOutcomeUnknown
 	case errors.Is(err, host.ErrBusy) || errors.Is(err, replica.ErrChangePending):
 		code = api.CodeBusy
 	}
 	return &codedError{code: code, err: err}
 }
 
-func (s *service) changeHere(ctx context.Context, st host.Status, r api.ReplicaChange) error {
-	voter, learner := slices.Contains(st.Voters, r.ID), slices.Contains(st.Learners, r.ID)
+func (s *service) changeAsLeader(ctx context.Context, st host.Status, r api.ReplicaChange) error {
+	isVoter, isLearner := slices.Contains(st.Voters, r.ID), slices.Contains(st.Learners, r.ID)
 	switch r.Action {
 	case api.ReplicaAdd:
-		return s.addReplica(ctx, st, r, voter || learner)
+		return s.addReplica(ctx, st, r, isVoter || isLearner)
 	case api.ReplicaPromote:
-		if voter {
+		if isVoter {
 			return nil
 		}
 		return s.log.ChangeMembers(ctx, replica.Change{Kind: replica.Promote, ID: r.ID})
 	default:
-		return s.removeReplica(ctx, st, r.ID, voter || learner)
+		return s.removeReplica(ctx, st, r.ID, isVoter || isLearner)
 	}
 }
 
 // addReplica commits the address first. A leader that died between the two
 // steps leaves an address that nobody uses; the other way round it would leave a
 // replica that no later leader can reach.
-func (s *service) addReplica(ctx context.Context, st host.Status, r api.ReplicaChange, member bool) error {
-	if member {
+func (s *service) addReplica(ctx context.Context, st host.Status, r api.ReplicaChange, isMember bool) error {
+	if isMember {
 		if addr, _ := s.peers.Address(r.ID); addr != r.Address {
-			return invalid("replica %d is a member under address %q", r.ID, addr)
+			return invalidf("replica %d is a member under address %q", r.ID, addr)
 		}
 		return nil
 	}
 	if highest := slices.Max(slices.Concat(st.Voters, st.Learners)); r.ID < highest {
-		return invalid("id %d is not above %d: an id is never used twice", r.ID, highest)
+		return invalidf("id %d is not above %d: an id is never used twice", r.ID, highest)
 	}
-	if err := s.noteReplica(ctx, api.ReplicaCommand{ID: r.ID, Address: r.Address}); err != nil {
+	if err := s.commitReplicaCommand(ctx, api.ReplicaCommand{ID: r.ID, Address: r.Address}); err != nil {
 		return err
 	}
 	return s.log.ChangeMembers(ctx, replica.Change{Kind: replica.AddLearner, ID: r.ID})
@@ -163,11 +163,11 @@
 
 // removeReplica hands the leadership over first if this replica is to go; the
 // operator's call is then made again at the new leader.
-func (s *service) removeReplica(ctx context.Context, st host.Status, id uint64, member bool) error {
+func (s *service) removeReplica(ctx context.Context, st host.Status, id uint64, isMember bool) error {
 	if id == st.ID {
 		return s.stepDown(ctx, st)
 	}
-	if member {
+	if isMember {
 		if err := s.checkMajority(ctx, st, id); err != nil {
 			return err
 		}
@@ -175,7 +175,7 @@
 			return err
 		}
 	}
-	return s.noteReplica(ctx, api.ReplicaCommand{ID: id})
+	return s.commitReplicaCommand(ctx, api.ReplicaCommand{ID: id})
 }
 
 func (s *service) stepDown(ctx context.Context, st host.Status) error {
@@ -189,7 +189,7 @@
 			return errNoLeader
 		}
 	}
-	return invalid("replica %d leads, and no other voter can take over", st.ID)
+	return invalidf("replica %d leads, and no other voter can take over", st.ID)
 }
 
 // checkMajority refuses a removal after which too few of the voters answer. The
@@ -199,40 +199,40 @@
 	if !slices.Contains(st.Voters, id) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, voterCheckTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	answered := make([]bool, len(st.Voters))
+	replied := make([]bool, len(st.Voters))
 	for i, voter := range st.Voters {
 		addr, known := s.peers.Address(voter)
 		switch {
 		case voter == id || !known:
 		case voter == st.ID:
-			answered[i] = true
+			replied[i] = true
 		default:
 			wg.Go(func() {
 				_, err := link.Call[api.ReplicaStatus](ctx, s.pool, addr, api.MethodStatus, api.StatusRequest{})
-				answered[i] = err == nil
+				replied[i] = err == nil
 			})
 		}
 	}
 	wg.Wait()
-	alive := 0
-	for _, ok := range answered {
+	reachable := 0
+	for _, ok := range replied {
 		if ok {
-			alive++
+			reachable++
 		}
 	}
-	if left := len(st.Voters) - 1; alive < left/2+1 {
-		return invalid("only %d of the %d voters left would answer: add and promote a replica first", alive, left)
+	if remaining := len(st.Voters) - 1; reachable < remaining/2+1 {
+		return invalidf("only %d of the %d voters left would answer: add and promote a replica first", reachable, remaining)
 	}
 	return nil
 }
 
 // aliveTimeout bounds the question which voters answer.
-const aliveTimeout = time.Second
+const voterCheckTimeout = time.Second
 
-func (s *service) noteReplica(ctx context.Context, c api.ReplicaCommand) error {
+func (s *service) commitReplicaCommand(ctx context.Context, c api.ReplicaCommand) error {
 	data, err := msgpack.Marshal(&c)
 	if err != nil {
 		return trace.Wrap(err, "step=encode replica command")
@@ -242,7 +242,7 @@
 		return err
 	}
 	if r, ok := result.(api.ReplicaResult); ok && r.Refused != "" {
-		return invalid("%s", r.Refused)
+		return invalidf("%s", r.Refused)
 	}
 	return nil
 }
--- a/control/replicas_test.go
+++ b/control/replicas_test.go
@@ -12,7 +12,7 @@
 	"savoryreel.example/savoryreel/replica/roster"
 )
 
-func entryOf(t *testing.T, kind api.ProposalKind, v any) replica.Entry {
+func testEntry(t *testing.T, kind api.ProposalKind, v any) replica.Entry {
 	data, err := msgpack.Marshal(v)
 	require.NoError(t, err)
 	return replica.Entry{Kind: uint8(kind), Data: data}
@@ -24,27 +24,27 @@
 // under way, it would start them twice.
 //
 // It breaks without the fields Replicas and Fleet of machineSnapshot.
-func TestSnapshotKeepsReplicasAndFleet(t *testing.T) {
-	from := NewMachine(nil, nil)
+func TestSnapshotContainsReplicasAndFleet(t *testing.T) {
+	source := NewMachine(nil, nil)
 	state := fleet.State{Starts: []fleet.Start{{Token: "site/z1/g1/reclaimable/0"}}, Notice: 7}
 	for _, e := range []replica.Entry{
-		entryOf(t, api.KindReplica, api.ReplicaCommand{ID: 4, Address: "127.0.0.1:7140"}),
-		entryOf(t, api.KindReplica, api.ReplicaCommand{ID: 9}),
-		entryOf(t, api.KindFleet, fleet.Command{Next: state}),
+		testEntry(t, api.KindReplica, api.ReplicaCommand{ID: 4, Address: "127.0.0.1:7140"}),
+		testEntry(t, api.KindReplica, api.ReplicaCommand{ID: 9}),
+		testEntry(t, api.KindFleet, fleet.Command{Next: state}),
 	} {
-		_, err := from.Apply(e)
+		_, err := source.Apply(e)
 		require.NoError(t, err)
 	}
-	enc, err := from.Snapshot()
+	enc, err := source.Snapshot()
 	require.NoError(t, err)
-	book := roster.NewAddressBook(nil)
-	to := NewMachine(nil, book.SetMembers)
-	require.NoError(t, to.Restore(enc))
-	require.Equal(t, from.Fleet(), to.Fleet())
-	require.Equal(t, uint64(1), to.Fleet().Version)
-	addr, _ := book.Address(4)
+	addresses := roster.NewAddressBook(nil)
+	restored := NewMachine(nil, addresses.SetMembers)
+	require.NoError(t, restored.Restore(enc))
+	require.Equal(t, source.Fleet(), restored.Fleet())
+	require.Equal(t, uint64(1), restored.Fleet().Version)
+	addr, _ := addresses.Address(4)
 	require.Equal(t, "127.0.0.1:7140", addr)
-	result, err := to.Apply(entryOf(t, api.KindReplica, api.ReplicaCommand{ID: 9, Address: "127.0.0.1:7190"}))
+	result, err := restored.Apply(testEntry(t, api.KindReplica, api.ReplicaCommand{ID: 9, Address: "127.0.0.1:7190"}))
 	require.NoError(t, err)
 	require.NotEmpty(t, result.(api.ReplicaResult).Refused)
 }
@@ -55,12 +55,12 @@
 // not answer, and there would be no leader.
 //
 // It breaks without AddressBook.Observe.
-func TestAddressIsHeardBeforeItIsLearnt(t *testing.T) {
-	book := roster.NewAddressBook(map[uint64]string{1: "127.0.0.1:1"})
-	book.Observe(1, "127.0.0.1:9")
-	book.Observe(4, "127.0.0.1:4")
-	require.Equal(t, []api.ReplicaAddress{{ID: 1, Address: "127.0.0.1:1"}, {ID: 4, Address: "127.0.0.1:4"}, {ID: 5}}, book.Members([]uint64{1, 4, 5}))
-	book.SetMembers([]api.ReplicaAddress{{ID: 4, Address: "127.0.0.1:44"}})
-	addr, _ := book.Address(4)
+func TestObservedAddressIsUsedUntilLogHasAnother(t *testing.T) {
+	addresses := roster.NewAddressBook(map[uint64]string{1: "127.0.0.1:1"})
+	addresses.Observe(1, "127.0.0.1:9")
+	addresses.Observe(4, "127.0.0.1:4")
+	require.Equal(t, []api.ReplicaAddress{{ID: 1, Address: "127.0.0.1:1"}, {ID: 4, Address: "127.0.0.1:4"}, {ID: 5}}, addresses.Members([]uint64{1, 4, 5}))
+	addresses.SetMembers([]api.ReplicaAddress{{ID: 4, Address: "127.0.0.1:44"}})
+	addr, _ := addresses.Address(4)
 	require.Equal(t, "127.0.0.1:44", addr, "the log counts for more")
 }
--- a/control/service.go
+++ b/control/service.go
@@ -56,7 +56,7 @@
 	link.Handle(srv, api.MethodCatalogue, s.catalogue)
 	link.Handle(srv, api.MethodPropose, s.propose)
 	link.Handle(srv, api.MethodStatus, s.status)
-	link.Handle(srv, api.MethodChange, s.change)
+	link.Handle(srv, api.MethodChange, s.changeReplicas)
 	link.Handle(srv, api.MethodBarrier, s.leaderBarrier)
 	link.HandleNotice(srv, api.MethodReplica, func(_ context.Context, from link.PeerInfo, m replica.Message) {
 		s.peers.Observe(m.From, from.Address)
@@ -65,39 +65,39 @@
 }
 
 func (s *service) catalogue(_ context.Context, _ link.PeerInfo, r api.CatalogueRequest) (api.CatalogueReply, error) {
-	return s.machine.Catalogue(r.Have), nil
+	return s.machine.Catalogue(r.KnownIndex), nil
 }
 
 func (s *service) status(context.Context, link.PeerInfo, api.StatusRequest) (api.ReplicaStatus, error) {
-	return s.describe(), nil
+	return s.replicaStatus(), nil
 }
 
-func (s *service) self() string { return strconv.FormatUint(s.log.Status().ID, 10) }
+func (s *service) replicaID() string { return strconv.FormatUint(s.log.Status().ID, 10) }
 
-func (s *service) describe() api.ReplicaStatus {
+func (s *service) replicaStatus() api.ReplicaStatus {
 	st := s.log.Status()
 	version, records := s.machine.Counts()
 	return api.ReplicaStatus{
 		ID: strconv.FormatUint(st.ID, 10), Role: st.Role.String(), Term: st.Term,
-		Leader: strconv.FormatUint(st.Leader, 10),
-		Last:   st.Last, Commit: st.Commit, Applied: st.Applied,
-		Catalogue: version, Ledger: records, Voters: st.Voters, Learners: st.Learners,
+		Leader:    strconv.FormatUint(st.Leader, 10),
+		LastIndex: st.Last, CommitIndex: st.Commit, AppliedIndex: st.Applied,
+		CatalogueVersion: version, LedgerRecords: records, Voters: st.Voters, Learners: st.Learners,
 	}
 }
 
 // propose commits here, or at the leader when this replica follows.
 func (s *service) propose(ctx context.Context, _ link.PeerInfo, r api.ProposeRequest) (api.ProposeReply, error) {
-	data, err := s.stamp(r)
+	data, err := s.validateAndStamp(r)
 	if err != nil {
 		return api.ProposeReply{}, &codedError{code: api.CodeInvalid, err: err}
 	}
 	result, err := s.log.Propose(ctx, uint8(r.Kind), data)
 	var notLeader *host.NotLeaderError
 	if errors.As(err, &notLeader) {
-		return s.forward(ctx, r, notLeader.Leader)
+		return s.forwardProposal(ctx, r, notLeader.Leader)
 	}
 	if err != nil {
-		return api.ProposeReply{}, &codedError{code: proposeCode(err), err: err}
+		return api.ProposeReply{}, &codedError{code: proposalErrorCode(err), err: err}
 	}
 	enc, err := msgpack.Marshal(result)
 	if err != nil {
@@ -106,12 +106,12 @@
 	return api.ProposeReply{Result: enc}, nil
 }
 
-func proposeCode(err error) string {
+func proposalErrorCode(err error) string {
 	switch {
 	case errors.Is(err, host.ErrBusy):
 		return api.CodeBusy
 	case errors.Is(err, host.ErrOutcomeUnknown):
-		return api.CodeUnknown
+		return api.CodeOutcomeUnknown
 	default:
 		return api.CodeNoLeader
 	}
@@ -120,7 +120,7 @@
 var errNoLeader = &codedError{code: api.CodeNoLeader, err: trace.ConnectionProblem(nil, "no leader is known")}
 
 // forward passes a proposal on to the leader, once.
-func (s *service) forward(ctx context.Context, r api.ProposeRequest, leader uint64) (api.ProposeReply, error) {
+func (s *service) forwardProposal(ctx context.Context, r api.ProposeRequest, leader uint64) (api.ProposeReply, error) {
 	addr, known := s.peers.Address(leader)
 	if r.Forwarded || !known {
 		return api.ProposeReply{}, errNoLeader
@@ -132,7 +132,7 @@
 
 // stamp decodes a proposal, so that nothing malformed enters the log, and gives
 // it this replica's time: entries' clocks are many and need not agree.
-func (s *service) stamp(r api.ProposeRequest) ([]byte, error) {
+func (s *service) validateAndStamp(r api.ProposeRequest) ([]byte, error) {
 	switch r.Kind {
 	case api.KindCatalogue:
 		var c contract.Change
@@ -163,11 +163,11 @@
 }
 
 // barrierPoll is how often a follower looks whether it has caught up.
-const barrierPoll = 5 * time.Millisecond
+const applyPollInterval = 5 * time.Millisecond
 
 // barrier returns once this replica has applied everything that was accepted
 // before the call, whether it leads or follows.
-func (s *service) barrier(ctx context.Context) error {
+func (s *service) readBarrier(ctx context.Context) error {
 	err := s.log.ReadBarrier(ctx)
 	var notLeader *host.NotLeaderError
 	if !errors.As(err, &notLeader) {
@@ -181,7 +181,7 @@
 	if err != nil {
 		return trace.Wrap(err, "step=read barrier peer=%s", addr)
 	}
-	tick := time.NewTicker(barrierPoll)
+	tick := time.NewTicker(applyPollInterval)
 	defer tick.Stop()
 	for s.log.Status().Applied < reply.Index {
 		select {
--- a/e2e/fault_test.go
+++ b/e2e/fault_test.go
@@ -143,8 +143,8 @@
 	began := time.Now()
 	s.eventually("the replica has caught up", func() error {
 		r := s.operator().Replicas(t.Context())[2]
-		if r.Catalogue < 301 {
-			return fmt.Errorf("version %d %s", r.Catalogue, r.Error)
+		if r.CatalogueVersion < 301 {
+			return fmt.Errorf("version %d %s", r.CatalogueVersion, r.Error)
 		}
 		return nil
 	})
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -69,7 +69,7 @@
 	wg.Go(func() { _, _ = s.credit(ctx, 1, "credit-9") })
 	s.eventually("the credit is recorded", func() error {
 		for _, r := range s.operator().Replicas(t.Context()) {
-			if r.Ledger > 2 { // two were left by the checks of readiness
+			if r.LedgerRecords > 2 { // two were left by the checks of readiness
 				return nil
 			}
 		}
--- a/entry/catalogue.go
+++ b/entry/catalogue.go
@@ -124,7 +124,7 @@
 	})
 	link.Handle(s, methodCatalogue, func(_ context.Context, _ link.PeerInfo, r api.CatalogueRequest) (api.CatalogueReply, error) {
 		c := f.current.Load()
-		if c == nil || c.reply.Index <= r.Have {
+		if c == nil || c.reply.Index <= r.KnownIndex {
 			return api.CatalogueReply{Unchanged: true}, nil
 		}
 		return c.reply, nil
@@ -195,7 +195,7 @@
 			continue
 		}
 		if f.index() < reply.Index {
-			cat, err := link.Call[api.CatalogueReply](ctx, f.pool, addr, methodCatalogue, api.CatalogueRequest{Have: f.index()})
+			cat, err := link.Call[api.CatalogueReply](ctx, f.pool, addr, methodCatalogue, api.CatalogueRequest{KnownIndex: f.index()})
 			if err != nil {
 				continue
 			}
