--- a/control/api/api.go
+++ b/control/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds what control replicas and their clients say to each other
-// over a link: the methods, the messages, and a client that finds its way to
+// Package api defines the methods and messages that control replicas and their
+// clients exchange over a link, the operators' HTTP API, and a client that finds
 // the leader.
 package api
 
@@ -17,13 +17,13 @@
 	MethodPropose   = "control.propose"
 	MethodStatus    = "control.status"
 	MethodBarrier   = "control.barrier"
-	MethodLeases    = "control.leases"  // admit.Report to the leader, admit.Reply back
-	MethodReplica   = "control.replica" // notices between replicas
-	MethodChange    = "control.change"  // ReplicaChange to the leader, ReplicaStatus back
+	MethodLeases    = "control.leases"  // admit.Report to the leader, returns an admit.Reply
+	MethodReplica   = "control.replica" // replica.Message between replicas, as a notice
+	MethodChange    = "control.change"  // ReplicaChange to the leader, returns a ReplicaStatus
 )
 
-// ProposalKind says which state machine a proposal is for. The numbers are
-// those of the replicated log's entries.
+// ProposalKind names the state machine that a proposal is for. Its values are
+// stored as the kinds of the replicated log's entries.
 type ProposalKind uint8
 
 // The kinds of proposal.
@@ -31,28 +31,29 @@
 	KindCatalogue ProposalKind = 16 // a contract.Change
 	KindLedger    ProposalKind = 17 // a ledger.Command
 	KindReplica   ProposalKind = 18 // a ReplicaCommand
-	KindFleet     ProposalKind = 19 // a fleet.Command; by the leader itself, not over a link
+	KindFleet     ProposalKind = 19 // a fleet.Command; proposed by the leader itself, not over a link
 )
 
-// Error codes of a control replica's answers.
+// Error codes of a control replica's replies.
 const (
-	CodeNoLeader       = "no_leader"       // surely not appended
-	CodeOutcomeUnknown = "outcome_unknown" // it may yet be committed
-	CodeBusy           = "busy"            // surely not appended
-	CodeInvalid        = "invalid"
-	CodeNotCaughtUp    = "not_caught_up" // the learner lacks too much to be promoted; nothing was done
+	CodeNoLeader       = "no_leader"       // no leader was reached; the proposal was not appended
+	CodeOutcomeUnknown = "outcome_unknown" // the proposal may be committed already or later
+	CodeBusy           = "busy"            // too many proposals, or a change of replicas, pending; not appended
+	CodeInvalid        = "invalid"         // malformed or refused; a retry gets the same reply
+	CodeNotCaughtUp    = "not_caught_up"   // the learner is too far behind to be promoted; nothing changed
 )
 
-// VersionRequest asks a replica how far its log goes.
+// VersionRequest requests the index of a replica's newest catalogue change.
 type VersionRequest struct{}
 
-// VersionReply says how far a replica's log goes. Index is the log index of its
-// newest catalogue change, committed or not: an accepted change is in the log
-// of a majority, so among any majority one replica names its index or a later one.
+// VersionReply describes a replica's log. Index is the log index of its newest
+// catalogue change, committed or not. An accepted change is in the logs of a
+// majority, so in any majority at least one replica reports its index or a later
+// one.
 //
-// Set is the SetOf the voters that this replica has in force: who asks learns of
-// a change of them from any replica that has it. It goes out as an array, since
-// every entry gets one of these from every replica each second.
+// Set is the VotersHash of the replica's current voters; a client compares it with
+// the voters that it has called. The reply is encoded as an array to keep it small:
+// each replica sends one to every entry once a second.
 type VersionReply struct {
 	//lint:ignore U1000 the codec reads the tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -62,24 +63,25 @@
 	Set     uint64
 }
 
-// VotersRequest asks a replica for its voters.
+// VotersRequest requests a replica's current voters.
 type VotersRequest struct{}
 
-// VotersReply names the voters that a replica has in force. Members is the log
-// index of that set and Term the term of the log's last entry.
+// VotersReply lists a replica's current voters. VotersIndex is the log index of
+// the entry that set them, and Term the term of the log's last entry.
 type VotersReply struct {
 	Term        uint64           `msgpack:"term"`
 	VotersIndex uint64           `msgpack:"mem"`
 	Voters      []ReplicaAddress `msgpack:"voters"`
 }
 
-// CatalogueRequest asks for the catalogue in force unless Have is its index.
+// CatalogueRequest requests the catalogue if its index is above KnownIndex,
+// or in any case if KnownIndex is 0.
 type CatalogueRequest struct {
 	KnownIndex uint64 `msgpack:"have"`
 }
 
-// CatalogueReply is the catalogue as one replica has applied it. Unchanged says
-// that it has nothing newer than the index asked with.
+// CatalogueReply is the catalogue as one replica has applied it. If Unchanged is
+// set, the replica has none newer than the requested index, and only Index is set.
 type CatalogueReply struct {
 	Unchanged bool               `msgpack:"same"`
 	Index     uint64             `msgpack:"idx"`
@@ -88,35 +90,36 @@
 	Stops     []contract.Stop    `msgpack:"stops"`
 }
 
-// ProposeRequest asks for a change of the replicated state. Forwarded marks a
-// request that a replica has passed on once; it is not passed on again, so that
-// two replicas that each take the other for the leader cannot send it in a circle.
+// ProposeRequest proposes a change of the replicated state. Forwarded is set once a
+// replica has forwarded the request. It is forwarded at most once: otherwise two
+// replicas that each take the other for the leader would send it back and forth.
 type ProposeRequest struct {
 	Kind      ProposalKind       `msgpack:"kind"`
 	Data      msgpack.RawMessage `msgpack:"data"`
 	Forwarded bool               `msgpack:"fwd"`
 }
 
-// ProposeReply carries the state machine's result, msgpack-encoded: a
+// ProposeReply contains the state machine's result, msgpack-encoded: a
 // contract.Result or a ledger.Result.
 type ProposeReply struct {
 	Result msgpack.RawMessage `msgpack:"res"`
 }
 
-// BarrierRequest asks the leader for a point up to which a follower must have
-// applied the log before it may answer a read.
+// BarrierRequest requests from the leader the log index up to which a follower must
+// have applied the log before it may serve a read.
 type BarrierRequest struct{}
 
-// BarrierReply names that point: everything accepted before the request is at or
-// before Index.
+// BarrierReply contains that log index: every change accepted before the request is
+// at Index or below.
 type BarrierReply struct {
 	Index uint64 `msgpack:"idx"`
 }
 
-// StatusRequest asks a replica for its state.
+// StatusRequest requests a replica's status.
 type StatusRequest struct{}
 
-// ReplicaStatus is one replica as status shows it.
+// ReplicaStatus is the state of one replica, as the status command shows it. Error
+// is set if the replica could not be reached; ID is then its address.
 type ReplicaStatus struct {
 	ID               string   `json:"id" msgpack:"id"`
 	Role             string   `json:"role" msgpack:"role"`
--- a/control/api/client.go
+++ b/control/api/client.go
@@ -17,32 +17,32 @@
 	"savoryreel.example/savoryreel/policy/admit"
 )
 
-// attemptTimeout bounds one call to one replica, so that a replica that has
-// frozen costs a client this long and not its whole deadline.
+// attemptTimeout bounds one call to one replica, so that an unresponsive replica
+// does not use up the caller's whole deadline.
 const attemptTimeout = 900 * time.Millisecond
 
-// retryPause is the wait between two rounds over all replicas. An election
-// takes a few of them.
+// retryInterval is the wait between two rounds of calls to all replicas. It is
+// shorter than an election, so that a new leader is found soon.
 const retryInterval = 60 * time.Millisecond
 
-// ErrNoMajority says that too few control replicas answered.
+// ErrNoMajority means that fewer than a majority of the control replicas replied.
 var ErrNoMajority = errors.New("no majority of control replicas answered")
 
 // Client calls the control replicas. It is safe for concurrent use.
 type Client struct {
 	pool            *link.Pool
-	initialReplicas []string // link addresses of the settings
-	idHash          uint64   // decides where this client begins to look for a newer catalogue
+	initialReplicas []string // link addresses from the settings
+	idHash          uint64   // selects the replica from which Catalogue fetches first
 
 	mu        sync.Mutex
-	replicas  []string // link addresses of the voters, as last learnt; empty: not known
-	preferred int      // the replica that answered last, tried first
+	replicas  []string // link addresses of the voters, as last reported; "" if unknown
+	preferred int      // index in replicas of the one that replied last; called first
 }
 
-// NewClient returns a client that knows the replicas at these link addresses and
-// learns of later ones from them. id names the instance that asks; it decides at
-// which replica it fetches a catalogue, so that not all instances fetch a change
-// from the same one.
+// NewClient returns a client that starts with the replicas at these link addresses
+// and takes over changes of the replica set that they report. id is the id of the
+// calling instance. Its hash selects the replica from which Catalogue fetches first,
+// which spreads the instances' fetches over the replicas.
 func NewClient(pool *link.Pool, replicas []string, id string) *Client {
 	return &Client{
 		pool: pool, initialReplicas: slices.Clone(replicas), replicas: slices.Clone(replicas),
@@ -50,7 +50,8 @@
 	}
 }
 
-// Replicas returns the link addresses of the control replicas.
+// Replicas returns the link addresses of the control replicas that vote, with "" for
+// each that is unknown.
 func (c *Client) Replicas() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,29 +64,31 @@
 	c.replicas, c.preferred = replicas, 0
 }
 
-// Confirmation is what a majority of replicas said of the catalogue.
+// Confirmation contains the log indexes of catalogue changes that a majority of
+// replicas reported.
 type Confirmation struct {
-	// Needed is an index that a catalogue must have reached to be current: no
-	// change beyond it had been accepted when the question was asked.
+	// Needed is the index that a catalogue must have reached to be current: no
+	// change above it had been accepted when Confirm was called.
 	Needed uint64
-	// Newest is the highest index that any replica named.
+	// Newest is the highest index that any replica reported.
 	Newest uint64
 }
 
-// Confirm asks every voter for the index of its newest catalogue change and
-// returns once all have answered or their time is over.
+// Confirm calls every voter for the index of its newest catalogue change. It
+// returns once all have replied, majorityGrace after a majority has, or after
+// attemptTimeout. It returns ErrNoMajority if too few have replied.
 //
-// A change counts as accepted once it is in the logs of a majority. Any
-// majority of answers shares a replica with that one, so the smallest index
-// that covers a majority of answers is at least the index of every accepted
-// change; what a cut-off old leader has in its log beyond that was not accepted.
+// A change is accepted once it is in the logs of a majority. Any majority of
+// replies includes a replica of that majority. So the smallest index that the
+// replies of a majority do not exceed is at least the index of every accepted
+// change. A change that only a replaced leader has in its log was not accepted.
 //
-// That holds for the voters in force only, so it asks again as long as an answer
-// names other voters than those asked. It ends with the right ones: a set
-// differs from the next by one replica, so a majority of one shares a replica
-// with the majority that committed the next, and that replica names it. A set
-// that a replaced leader left in one log and never committed is told by that
-// log's older term, as in an election.
+// This holds for the current voters only, so Confirm calls again if a reply reports
+// other voters than those called. It arrives at the current ones: two successive
+// sets differ by one replica, so any majority of one includes a replica of the
+// majority that committed the next, and that replica reports the next. A set that a
+// replaced leader appended and never committed loses by the older term of that log,
+// as in an election.
 func (c *Client) Confirm(ctx context.Context) (Confirmation, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -99,7 +102,7 @@
 		voters := newestVoters(votersReplies)
 		switch {
 		case len(voters) == 0:
-			c.setReplicas(slices.Clone(c.initialReplicas)) // all it knew are gone: back to the settings
+			c.setReplicas(slices.Clone(c.initialReplicas)) // no known replica replied: start again from the settings
 			return Confirmation{}, trace.Wrap(ErrNoMajority)
 		case sameAddresses(voters, replicas) && len(votersReplies) > len(replicas)/2:
 			return confirmation(replies, len(voters))
@@ -110,21 +113,22 @@
 	return Confirmation{}, trace.Wrap(ErrNoMajority)
 }
 
-// agreed reports whether all that answered have this set of voters.
+// allHaveVoters reports whether there are replies and all have these voters.
 func allHaveVoters(replies []VersionReply, votersHash uint64) bool {
 	return len(replies) > 0 && !slices.ContainsFunc(replies, func(a VersionReply) bool { return a.Set != votersHash })
 }
 
-// maxSets bounds the replica sets that one confirmation follows.
+// maxVoterSets bounds the sets of voters that one Confirm calls.
 const maxVoterSets = 8
 
-// ask asks the replicas the same and returns the answers that came.
+// callAll sends one request to all replicas and returns the replies, in order of
+// arrival. It skips empty addresses.
 func callAll[Resp any](ctx context.Context, p *link.Pool, replicas []string, method string, req any) []Resp {
 	replies := make(chan *Resp, len(replicas))
 	for _, addr := range replicas {
 		go func() {
 			if addr == "" {
-				replies <- nil // not known to the replica that named this voter
+				replies <- nil // unknown to the replica that reported this voter
 				return
 			}
 			reply, err := link.Call[Resp](ctx, p, addr, method, req)
@@ -138,14 +142,14 @@
 	return collectReplies(ctx, replies, len(replicas))
 }
 
-// confirmGrace is how long a question to all waits for the rest of the replicas
-// once a majority has answered. The rest may name a newer index, which saves a
-// round; a frozen one would otherwise hold up each confirmation for the whole
-// timeout.
+// majorityGrace is how long callAll waits for the remaining replicas once a
+// majority has replied. They may report a newer index; an unresponsive one must not
+// delay each confirmation until attemptTimeout.
 const majorityGrace = 20 * time.Millisecond
 
-// collect gathers the answers of the replicas asked until all are in, or the
-// grace after a majority is over.
+// collectReplies receives the replies of called replicas, nil for a failed call,
+// and returns the others. It returns early majorityGrace after a majority has
+// replied, or when ctx ends.
 func collectReplies[Resp any](ctx context.Context, replies <-chan *Resp, called int) []Resp {
 	var out []Resp
 	var grace <-chan time.Time
@@ -167,8 +171,8 @@
 	return out
 }
 
-// newestVoters returns the addresses of the latest set of voters that an answer
-// names; an address that is not known is empty.
+// newestVoters returns the addresses of the latest voters in the replies, by the
+// log's term and then by index. An unknown address is empty.
 func newestVoters(replies []VotersReply) []string {
 	var newest VotersReply
 	for _, a := range replies {
@@ -197,8 +201,9 @@
 	return Confirmation{Needed: indexes[majority-1], Newest: indexes[len(indexes)-1]}, nil
 }
 
-// Catalogue fetches the catalogue from the first replica that has one newer
-// than index have. It returns a reply marked Unchanged when none has.
+// Catalogue returns the catalogue of the first replica that has one above index
+// knownIndex. The reply is marked Unchanged if no replica has one and at least one
+// replied.
 func (c *Client) Catalogue(ctx context.Context, knownIndex uint64) (CatalogueReply, error) {
 	var lastErr error
 	unchanged := false
@@ -221,17 +226,18 @@
 	return CatalogueReply{}, trace.Wrap(lastErr, "step=fetch catalogue")
 }
 
-// Ledger commits one command and returns its result. Commands are idempotent,
-// so it repeats a command whose answer was lost, at another replica, until ctx
-// ends. After an error the command may or may not have been committed.
+// Ledger commits one command and returns its result. Commands are idempotent, so a
+// failed call is repeated at other replicas until ctx ends. After an error the
+// command may or may not have been committed.
 func (c *Client) Ledger(ctx context.Context, cmd ledger.Command) (ledger.Result, error) {
 	var out ledger.Result
 	err := c.Propose(ctx, KindLedger, &cmd, &out)
 	return out, err
 }
 
-// Propose commits a proposal, msgpack-encoded from v, and decodes its result.
-// It is repeated until ctx ends: v must be idempotent.
+// Propose commits v, msgpack-encoded, and decodes the result into out, a pointer.
+// It repeats failed calls until ctx ends, so v must be idempotent. After an error
+// v may or may not have been committed.
 func (c *Client) Propose(ctx context.Context, kind ProposalKind, v, out any) error {
 	data, err := msgpack.Marshal(v)
 	if err != nil {
@@ -259,8 +265,8 @@
 	}
 }
 
-// Leases reports an entry's demand to the leader, wherever it is, and returns
-// its leases. It asks each replica once.
+// Leases reports an entry's demand to the leader and returns the entry's leases. It
+// calls each replica at most once until one replies.
 func (c *Client) Leases(ctx context.Context, r admit.Report) (admit.Reply, error) {
 	var lastErr error
 	for _, addr := range c.callOrder() {
@@ -274,14 +280,14 @@
 	return admit.Reply{}, trace.Wrap(lastErr, "step=report demand")
 }
 
-// final reports whether no replica would answer otherwise.
+// isPermanent reports whether every replica would return this error.
 func isPermanent(err error) bool {
 	var remote *link.RemoteError
 	return errors.As(err, &remote) && remote.Code == CodeInvalid
 }
 
-// Status asks every replica for its state; one that does not answer is shown
-// with its error.
+// Status returns the status of every replica. One that cannot be reached has only
+// its address, as ID, and Error.
 func (c *Client) Status(ctx context.Context) []ReplicaStatus {
 	replicas := c.Replicas()
 	out := make([]ReplicaStatus, len(replicas))
@@ -305,19 +311,20 @@
 	return link.Call[Resp](ctx, p, addr, method, req)
 }
 
-// order returns the replicas, the one that answered last first.
+// callOrder returns the known addresses of the replicas, starting with the one that
+// replied last.
 func (c *Client) callOrder() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return withoutUnknown(rotated(c.replicas, c.preferred))
 }
 
-// known leaves out the addresses that are not known.
+// withoutUnknown removes the empty addresses, in place.
 func withoutUnknown(addresses []string) []string {
 	return slices.DeleteFunc(addresses, func(addr string) bool { return addr == "" })
 }
 
-// rotated returns a copy of the list begun at from.
+// rotated returns a copy of addresses that begins at index start and wraps around.
 func rotated(addresses []string, start int) []string {
 	return append(slices.Clone(addresses[start:]), addresses[:start]...)
 }
--- a/control/api/replica.go
+++ b/control/api/replica.go
@@ -9,17 +9,17 @@
 	"savoryreel.example/savoryreel/replica/roster"
 )
 
-// MaxReplicas bounds the replicas whose addresses the state holds.
+// MaxReplicas is the maximum number of replica addresses in the replicated state.
 const MaxReplicas = roster.MaxReplicas
 
-// ReplicaAddress is where a control replica takes links.
+// ReplicaAddress is the id and link address of a control replica.
 type ReplicaAddress = roster.Member
 
-// ReplicaAction names a change of the replica set.
+// ReplicaAction is the kind of a change of the replica set.
 type ReplicaAction string
 
-// The actions. A replica is added as a learner, which counts for nothing, and is
-// promoted once it has caught up.
+// The actions. A replica is added as a learner, which does not vote, and can be
+// promoted to a voter once it has caught up.
 const (
 	ReplicaAdd     ReplicaAction = "add"
 	ReplicaPromote ReplicaAction = "promote"
@@ -27,35 +27,35 @@
 )
 
 // ReplicaChange is the body of POST /v1/replicas: one change of the replica set.
-// Address goes with ReplicaAdd. A change that is in force already is answered
-// like one that was made, so it may be sent again.
+// Address is used with ReplicaAdd only. A change that is in force already succeeds,
+// so that it may be retried.
 type ReplicaChange struct {
 	ID        uint64        `json:"id" msgpack:"id"`
 	Address   string        `json:"address,omitempty" msgpack:"addr"` // ip:port
 	Action    ReplicaAction `json:"action" msgpack:"act"`
-	Forwarded bool          `json:"-" msgpack:"fwd"` // passed on once, by a replica that does not lead
+	Forwarded bool          `json:"-" msgpack:"fwd"` // a follower has forwarded it; it is not forwarded again
 }
 
-// ReplicaCommand notes a replica's address in the replicated state before it is
-// added, or that its id is not to be used again.
+// ReplicaCommand records a replica's address in the replicated state before the
+// replica is added, or removes the address and retires the id.
 type ReplicaCommand struct {
 	ID      uint64 `msgpack:"id"`
 	Address string `msgpack:"addr"` // empty: the replica is removed
 }
 
-// ReplicaResult is the state machine's answer to a ReplicaCommand. Refused is
-// empty if the command took hold.
+// ReplicaResult is the state machine's result of a ReplicaCommand. Refused is the
+// reason why the command was refused, or empty.
 type ReplicaResult struct {
 	Refused string `msgpack:"refused"`
 }
 
-// SetOf returns a number for a set of voters, by their link addresses in any
-// order. It keeps the answers to an asker that knows the set short.
+// VotersHash returns a hash of the voters' link addresses, independent of their
+// order. A VersionReply contains it in place of the addresses, to stay small.
 func VotersHash(addresses []string) uint64 {
 	return xxhash.Sum64String(strings.Join(slices.Sorted(slices.Values(addresses)), ","))
 }
 
-// AddressesOf lists the addresses of replicas.
+// Addresses returns the link addresses of replicas, in their order.
 func Addresses(replicas []ReplicaAddress) []string {
 	addresses := make([]string, 0, len(replicas))
 	for _, r := range replicas {
--- a/control/config.go
+++ b/control/config.go
@@ -19,8 +19,8 @@
 	LinkListen             string
 	OperatorAddr           string
 	OpsAddr                string
-	Replicas               []string // "id=ip:port" of the replicas that found the group; without this one if it is added later
-	Entries                []string // link addresses of entries to meet first; may be empty
+	Replicas               []string // "id=ip:port" of the group's initial replicas; does not list one that is added later
+	Entries                []string // link addresses of entries through which this replica joins the membership; may be empty
 	ClusterKey             string
 	OperatorKey            string
 	LogLevel               string
@@ -29,37 +29,37 @@
 	Cloud                  string // address of the cloud API; empty: the fleet is not managed
 	CloudSite              string
 	CloudZones             []string // "zone=region/data-centre"
-	CloudClasses           []string // "class=tokens a second"
+	CloudClasses           []string // "class=tokens per second"
 	FleetInterval          time.Duration
-	WeightStoreMBPerSecond int // megabytes a second; 0: servers are not ordered to load models
-	MinLoadMBPerSecond     int // megabytes a second
-	MaxEntries             int // entries that may hold a part of the limits at a time
+	WeightStoreMBPerSecond int // total throughput of the weight store; 0: servers are not ordered to load models
+	MinLoadMBPerSecond     int // minimum throughput at which a model load is started
+	MaxEntries             int // entries that may hold a share of the limits at the same time
 }
 
-// Declare declares the settings on s.
+// Declare adds the settings, with defaults, help texts and checks, to s.
 func (c *Config) Declare(s *settings.Set) {
-	s.Int(&c.ID, "id", 1, "number of this control replica; a replica that lost its disk comes back under a new one", settings.Between(1, 1<<30))
+	s.Int(&c.ID, "id", 1, "id of this control replica; a replica that lost its disk needs a new one", settings.Between(1, 1<<30))
 	s.String(&c.Region, "region", "r1", "region of this instance", settings.Required)
 	s.String(&c.Zone, "zone", "z1", "zone of this instance", settings.Required)
-	s.String(&c.DataDir, "data", "", "data folder", settings.Required)
-	s.String(&c.LinkListen, "link-listen", "127.0.0.1:7101", "address for links of other processes", settings.HostPort)
+	s.String(&c.DataDir, "data", "", "data directory", settings.Required)
+	s.String(&c.LinkListen, "link-listen", "127.0.0.1:7101", "address on which this process accepts links of other processes", settings.HostPort)
 	s.String(&c.OperatorAddr, "operator-listen", "127.0.0.1:7102", "address of the operators' API", settings.HostPort)
 	s.String(&c.OpsAddr, "ops-listen", "127.0.0.1:7103", "address of health, metrics and profiles", settings.HostPort)
-	s.Strings(&c.Replicas, "replicas", []string{"1=127.0.0.1:7101"}, "the control replicas that found the group, as id=ip:port; one that is added later is not among them", validateReplicas)
-	s.Strings(&c.Entries, "entries", nil, "link addresses of some entries", settings.HostPorts)
-	s.Secret(&c.ClusterKey, "cluster-key", "key that the system's own processes share", settings.Required)
+	s.Strings(&c.Replicas, "replicas", []string{"1=127.0.0.1:7101"}, "the initial control replicas, as id=ip:port; does not list replicas that are added later", validateReplicas)
+	s.Strings(&c.Entries, "entries", nil, "link addresses of some entries, through which this replica joins the membership", settings.HostPorts)
+	s.Secret(&c.ClusterKey, "cluster-key", "key by which the system's processes authenticate each other", settings.Required)
 	s.Secret(&c.OperatorKey, "operator-key", "bearer key of the operators", settings.Required)
 	s.String(&c.LogLevel, "log-level", "info", "debug, info, warn or error", settings.LogLevel)
-	s.Duration(&c.TickInterval, "tick", 10*time.Millisecond, "time unit of elections and heartbeats", settings.Between(time.Millisecond, time.Second))
+	s.Duration(&c.TickInterval, "tick", 10*time.Millisecond, "tick, the time unit of elections and heartbeats", settings.Between(time.Millisecond, time.Second))
 	s.String(&c.Cloud, "cloud", "", "address of the cloud API; without it, the fleet is not managed", settings.Optional(settings.HostPort))
-	s.String(&c.CloudSite, "cloud-site", "savoryreel", "begins the client tokens; differs between sites with one cloud account", settings.Required)
+	s.String(&c.CloudSite, "cloud-site", "savoryreel", "prefix of the client tokens at the cloud; must differ between sites that share a cloud account", settings.Required)
 	s.Strings(&c.CloudZones, "cloud-zones", nil, "zones of this region where instances may start, as zone=region/data-centre", validateZones)
-	s.Strings(&c.CloudClasses, "cloud-classes", nil, "machine classes and what each serves within the latency target, as class=tokens a second", validateClasses)
-	s.Duration(&c.FleetInterval, "fleet-every", time.Minute, "time between two decisions on the fleet", settings.Between(time.Second, time.Hour))
-	s.Int(&c.WeightStoreMBPerSecond, "weight-rate", 0, "megabytes a second that the weight store delivers in all; 0: servers are not ordered to load models", settings.Between(0, 1_000_000))
-	s.Int(&c.MinLoadMBPerSecond, "load-rate", 100, "least megabytes a second at which one model load is worth starting", settings.Between(1, 1_000_000))
-	s.Int(&c.MaxEntries, "max-entries", 16, "entries that share the workspaces' limits", settings.Between(1, 10_000))
-	s.Int(&c.SnapshotEvery, "snapshot-every", 10_000, "log entries between snapshots", settings.Between(10, 10_000_000))
+	s.Strings(&c.CloudClasses, "cloud-classes", nil, "machine classes and the throughput of each within the latency target, as class=tokens per second", validateClasses)
+	s.Duration(&c.FleetInterval, "fleet-every", time.Minute, "interval of the decisions on the fleet", settings.Between(time.Second, time.Hour))
+	s.Int(&c.WeightStoreMBPerSecond, "weight-rate", 0, "total throughput of the weight store in megabytes per second; 0: servers are not ordered to load models", settings.Between(0, 1_000_000))
+	s.Int(&c.MinLoadMBPerSecond, "load-rate", 100, "minimum throughput at which a model load is started, in megabytes per second", settings.Between(1, 1_000_000))
+	s.Int(&c.MaxEntries, "max-entries", 16, "maximum number of entries that share the workspaces' limits", settings.Between(1, 10_000))
+	s.Int(&c.SnapshotEvery, "snapshot-every", 10_000, "number of log entries between snapshots", settings.Between(10, 10_000_000))
 }
 
 func validateReplicas(list []string) error {
@@ -70,7 +70,7 @@
 	return err
 }
 
-// parseReplicas reads "id=ip:port" items.
+// parseReplicas parses "id=ip:port" items and returns the addresses by id.
 func parseReplicas(list []string) (map[uint64]string, error) {
 	addresses := make(map[uint64]string, len(list))
 	for _, item := range list {
--- a/control/control.go
+++ b/control/control.go
@@ -28,7 +28,7 @@
 	"savoryreel.example/savoryreel/replica/storage"
 )
 
-// Control is one control replica.
+// Control is one control replica. Create it with New and call Run once.
 type Control struct {
 	cfg     Config
 	log     *slog.Logger
@@ -47,13 +47,14 @@
 	fleet   *fleet.Manager
 }
 
-// Deps is what a Control works with.
+// Deps contains the dependencies of a Control.
 type Deps struct {
 	Log *slog.Logger
-	Now func() time.Time // must carry a monotonic reading
+	Now func() time.Time // must include a monotonic clock reading
 }
 
-// New opens the data folder and builds the replica. Close or Run releases it.
+// New opens the data directory and builds the replica. Run must be called; it releases
+// the resources when it returns.
 func New(cfg Config, deps Deps) (*Control, error) {
 	peers, err := parseReplicas(cfg.Replicas)
 	if err != nil {
@@ -75,12 +76,12 @@
 	})
 	if err != nil {
 		c.pool.Close()
-		_ = c.storage.Close() // the error of New counts
+		_ = c.storage.Close() // the error of host.New is returned
 		return nil, trace.Wrap(err, "step=start replica")
 	}
 	if err := errors.Join(c.initMembership(), c.initFleetManager()); err != nil {
 		c.pool.Close()
-		_ = c.storage.Close() // the error of join or manage counts
+		_ = c.storage.Close() // the earlier error is returned
 		return nil, trace.Wrap(err, "step=join")
 	}
 	c.leases = &limitLeases{leader: c.host, machine: c.machine, maxEntries: cfg.MaxEntries, now: deps.Now}
@@ -106,7 +107,8 @@
 		slog.Uint64("version", r.Version), slog.Uint64("index", r.Index))
 }
 
-// Run serves until ctx ends, a signal comes or a component fails.
+// Run serves until ctx ends, a signal arrives or a component fails, and then releases
+// the replica's resources.
 func (c *Control) Run(ctx context.Context) error {
 	defer c.storage.Close()
 	defer c.pool.Close()
@@ -153,9 +155,8 @@
 	return nil
 }
 
-// runReplica runs the replicated log. It ends with an error when the disk has
-// failed, and the process must end with it: what the disk holds is not known any
-// more.
+// runReplica runs the replicated log. It returns an error if the disk has failed.
+// The process must then end, because the contents of the disk are unknown.
 func (c *Control) runReplica(ctx context.Context) error {
 	err := c.host.Run(ctx)
 	if err != nil && ctx.Err() == nil {
@@ -178,11 +179,11 @@
 	})
 }
 
-// watchEvery is how often a replica looks who leads.
+// leaderPollInterval is how often watchLeader reads the current leader.
 const leaderPollInterval = 200 * time.Millisecond
 
-// handOverLeadership moves the leadership elsewhere before this replica stops,
-// so that a planned stop costs no election.
+// handOverLeadership announces that this replica leaves and transfers the leadership,
+// if it holds it, to another voter. A planned stop then needs no election timeout.
 func (c *Control) handOverLeadership(ctx context.Context) {
 	c.members.SetSelf(func(m *instance.Member) { m.State = instance.StateLeaving })
 	st := c.host.Status()
@@ -201,10 +202,10 @@
 	}
 }
 
-// handOverTimeout bounds the search for a successor at a planned stop.
+// handOverTimeout bounds the attempts to transfer the leadership at a planned stop.
 const handOverTimeout = 2 * time.Second
 
-// ready reports whether this replica knows a leader.
+// ready returns an error if this replica knows no leader.
 func (c *Control) ready() error {
 	if c.host.Status().Leader == 0 {
 		return trace.ConnectionProblem(nil, "no leader is known")
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -23,11 +23,11 @@
 	"savoryreel.example/savoryreel/zone"
 )
 
-// noticePoll is how long one question for reclaim notices waits at the cloud.
+// noticePollTimeout is how long one request for reclaim notices waits at the cloud.
 const noticePollTimeout = time.Second
 
-// join builds this replica's part in the membership, through which the leader
-// sees the backend servers.
+// initMembership sets up this replica's membership node, through which the leader
+// knows the backend servers.
 func (c *Control) initMembership() error {
 	self := c.peerInfo()
 	var err error
@@ -41,7 +41,7 @@
 	return err
 }
 
-// manage builds the manager of the fleet, unless no cloud is set.
+// initFleetManager sets up the fleet manager if a cloud is configured.
 func (c *Control) initFleetManager() error {
 	if c.cfg.Cloud == "" {
 		return nil
@@ -68,10 +68,10 @@
 	return err
 }
 
-// megabyte is the unit of the settings of rates, in bytes.
+// megabyte is the number of bytes in the megabyte of the settings.
 const megabyte = 1_000_000
 
-// models lists the models that the catalogue's services use, each once.
+// models returns the models of the catalogue's services, without duplicates.
 func (m *Machine) models() []fleet.Model {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -86,19 +86,20 @@
 	return models
 }
 
-// runFleet runs the manager until ctx ends.
+// runFleet runs the fleet manager until ctx ends.
 func (c *Control) runFleet(ctx context.Context) error {
 	defer c.cloud.Close()
 	return c.fleet.Run(ctx)
 }
 
-// fleetLog keeps the fleet's state in the replicated log.
+// fleetLog stores the fleet's state in the replicated log.
 type fleetLog struct {
 	log     Log
 	machine *Machine
 }
 
-// Fleet implements fleet.Log.
+// Fleet implements fleet.Log. It returns the state including every command committed
+// before the call.
 func (f fleetLog) Fleet(ctx context.Context) (fleet.State, error) {
 	if err := f.log.ReadBarrier(ctx); err != nil {
 		return fleet.State{}, err
@@ -118,12 +119,12 @@
 	}
 	result, ok := out.(fleet.Result)
 	if !ok {
-		return fleet.Result{}, trace.BadParameter("fleet command gave a %T", out)
+		return fleet.Result{}, trace.BadParameter("fleet command returned a %T", out)
 	}
 	return result, nil
 }
 
-// Fleet returns the state of the decisions on the fleet.
+// Fleet returns the state of the fleet manager as applied here.
 func (m *Machine) Fleet() fleet.State {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -140,7 +141,7 @@
 	return result, nil
 }
 
-// parseZones reads "zone=region/data-centre" items.
+// parseZones parses "zone=region/data-centre" items.
 func parseZones(list []string) ([]zone.Zone, error) {
 	var zones []zone.Zone
 	for _, item := range list {
@@ -154,14 +155,14 @@
 	return zones, zone.Validate(zones)
 }
 
-// parseClasses reads "class=capacity" items, the capacity in tokens a second.
+// parseClasses parses "class=capacity" items, with the capacity in tokens per second.
 func parseClasses(list []string) ([]scale.Class, error) {
 	var classes []scale.Class
 	for _, item := range list {
 		name, capacityText, found := strings.Cut(item, "=")
 		capacity, err := strconv.ParseFloat(capacityText, 64)
 		if !found || name == "" || err != nil || capacity <= 0 {
-			return nil, fmt.Errorf("%q is not class=tokens a second", item)
+			return nil, fmt.Errorf("%q is not class=tokens per second", item)
 		}
 		classes = append(classes, scale.Class{Name: name, Capacity: capacity})
 	}
--- a/control/leases.go
+++ b/control/leases.go
@@ -12,14 +12,15 @@
 	"savoryreel.example/savoryreel/policy/admit"
 )
 
-// leaderLease says whether this replica surely leads; host.Host is one.
+// leaderLease reports whether this replica holds the leader's lease, that is, whether
+// no other replica can lead before until. host.Host implements it.
 type leaderLease interface {
 	HoldsLease() (term uint64, until time.Time, ok bool)
 }
 
-// limitLeases splits the workspaces' limits among the entries while this
-// replica leads. The state is the leader's memory only: a new leader learns it
-// from the entries' reports.
+// limitLeases divides the workspaces' limits among the entries while this replica
+// leads. The state is in the leader's memory only; a new leader rebuilds it from the
+// entries' reports.
 type limitLeases struct {
 	leader     leaderLease
 	machine    *Machine
@@ -27,7 +28,7 @@
 	now        func() time.Time
 
 	mu               sync.Mutex
-	shares           *admit.Shares // of term; nil before this replica has led
+	shares           *admit.Shares // those of term; nil before this replica has led
 	term             uint64
 	catalogueVersion uint64          // catalogue version whose limits are set
 	workspaces       map[string]bool // workspaces with limits set
@@ -35,9 +36,9 @@
 
 var errNotLeader = &codedError{code: api.CodeNoLeader, err: trace.ConnectionProblem(nil, "this replica does not lead")}
 
-// report answers one entry's report. The leader's lease is checked on both
-// sides of the decision: leases given out by a leader that another has already
-// replaced would put a part of a limit in two hands.
+// report handles one entry's report and returns the entry's leases. It checks the
+// leader's lease before and after the decision: a leader that has been replaced
+// must not grant a share that its successor may grant to another entry.
 func (l *limitLeases) report(_ context.Context, _ link.PeerInfo, r admit.Report) (admit.Reply, error) {
 	term, _, ok := l.leader.HoldsLease()
 	if !ok {
@@ -63,7 +64,7 @@
 			return admit.Reply{}, trace.Wrap(err)
 		}
 		if l.machine.FirstCatalogueTerm() == term {
-			shares.NoPredecessor() // earlier leaders knew no workspace, so they gave out nothing
+			shares.NoPredecessor() // earlier leaders knew no workspace, so they granted no leases
 		}
 		l.shares, l.term, l.catalogueVersion, l.workspaces = shares, term, 0, map[string]bool{}
 	}
@@ -71,7 +72,8 @@
 	return l.shares.Lease(now, r), nil
 }
 
-// setLimits follows the catalogue as this replica has applied it.
+// setLimits updates the workspaces and their limits from the catalogue as applied
+// here. The caller holds mu.
 func (l *limitLeases) setLimits(now time.Time) {
 	c := l.machine.Catalogue(0)
 	if c.Version == l.catalogueVersion {
--- a/control/machine.go
+++ b/control/machine.go
@@ -1,6 +1,7 @@
-// Package control is a control replica: it keeps the catalogue, the planned
-// stops and the ledger in the replicated log, answers operators and entries,
-// and, while it leads, gives orders to backend servers.
+// Package control implements a control replica. It stores the catalogue, the planned
+// stops and the ledger in the replicated log and serves operators and entries. While
+// it leads, it also grants the entries' shares of the workspaces' limits and, if a
+// cloud is configured, manages the fleet of backend servers.
 package control
 
 import (
@@ -16,14 +17,14 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// Machine is the replicated state: what the log's entries build up. Apply is
-// called by one goroutine; the readers may be called from any.
+// Machine is the replicated state machine of a control replica. Apply and Restore are
+// called by one goroutine; the other methods may be called from any.
 type Machine struct {
 	mu                 sync.RWMutex
 	catalogueState     *contract.State
 	ledger             *ledger.Ledger
 	catalogueIndex     uint64 // log index of the last catalogue entry applied
-	firstCatalogueTerm uint64 // term of the first catalogue entry; 0: there is none
+	firstCatalogueTerm uint64 // term of the first catalogue entry; 0 if there is none
 	replicas           replicaTable
 	fleet              fleet.State
 
@@ -31,9 +32,10 @@
 	onReplicas  func([]api.ReplicaAddress)
 }
 
-// NewMachine returns the empty state. onCatalogue is told of each accepted
-// change and onReplicas of the replicas' addresses, outside any lock; either may
-// be nil.
+// NewMachine returns a Machine with the empty state. onCatalogue is called with the
+// catalogue after each accepted change, onReplicas with the addresses of the added
+// replicas after each replica command, and both after Restore. They are called
+// without a lock held; either may be nil.
 func NewMachine(onCatalogue func(api.CatalogueReply), onReplicas func([]api.ReplicaAddress)) *Machine {
 	if onCatalogue == nil {
 		onCatalogue = func(api.CatalogueReply) {}
@@ -47,9 +49,10 @@
 	}
 }
 
-// Apply takes one committed entry and returns a contract.Result or a
-// ledger.Result. An entry that cannot be decoded is an error here and on every
-// other replica alike, and changes nothing.
+// Apply applies one committed entry. It returns a contract.Result, ledger.Result,
+// api.ReplicaResult or fleet.Result, by the entry's kind. An entry that cannot be
+// decoded is an error on every replica alike and changes nothing but, for a
+// catalogue entry, the catalogue's index.
 func (m *Machine) Apply(e replica.Entry) (any, error) {
 	switch api.ProposalKind(e.Kind) {
 	case api.KindCatalogue:
@@ -84,8 +87,9 @@
 	return result, nil
 }
 
-// passCatalogueEntry counts an entry that changed nothing: entries wait until
-// their catalogue has reached the index of the newest catalogue entry.
+// advanceCatalogueIndex sets the catalogue's index to that of a log entry that cannot
+// be decoded. An entry process considers its catalogue current only once it has
+// reached the index of the newest catalogue entry in the log.
 func (m *Machine) advanceCatalogueIndex(index uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,7 +106,8 @@
 	return m.ledger.Apply(c), nil
 }
 
-// Catalogue returns what is in force here, or Unchanged if its index is have.
+// Catalogue returns the catalogue and stops as applied here, or a reply marked
+// Unchanged if knownIndex is not 0 and they have no higher index.
 func (m *Machine) Catalogue(knownIndex uint64) api.CatalogueReply {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -122,8 +127,8 @@
 	return m.catalogueState.History(n)
 }
 
-// FirstTerm is the term in which the first catalogue change was committed, 0
-// before that. No leader of an earlier term knew any workspace.
+// FirstCatalogueTerm returns the term of the first catalogue entry, or 0 if there is
+// none. No leader of an earlier term knew any workspace.
 func (m *Machine) FirstCatalogueTerm() uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -163,7 +168,8 @@
 	return enc, trace.Wrap(err, "step=snapshot")
 }
 
-// Restore replaces the whole state by what Snapshot wrote.
+// Restore replaces the whole state with that of a snapshot. On an error it changes
+// nothing.
 func (m *Machine) Restore(enc []byte) error {
 	var s machineSnapshot
 	if err := msgpack.Unmarshal(enc, &s); err != nil {
--- a/control/operator.go
+++ b/control/operator.go
@@ -20,14 +20,14 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// operatorTimeout bounds one operator's call, an election included.
+// operatorTimeout bounds one operator's request; an election fits into it.
 const operatorTimeout = 5 * time.Second
 
-// defaultHistory is how many changes the history shows where none is asked for.
+// defaultHistoryLength is the number of changes returned if the request has no n.
 const defaultHistoryLength = 20
 
-// operatorAPI serves operators over HTTP and JSON. Every replica takes every
-// call; the log finds the leader.
+// operatorAPI serves the operators' HTTP API. Every replica accepts every request and
+// forwards changes to the leader.
 type operatorAPI struct {
 	service *service
 	log     *slog.Logger
@@ -51,7 +51,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := request.BearerKey(r.Header)
 		if !contract.HashKey(key).Equal(o.keyHash) {
-			request.NewProblem(request.CodeUnauthorized, request.NotRun, "the operators' key is missing or wrong").Write(w)
+			request.NewProblem(request.CodeUnauthorized, request.NotRun, "the operator key is missing or wrong").Write(w)
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
@@ -60,9 +60,10 @@
 	})
 }
 
-// current waits until this replica has applied everything that was accepted
-// before the call. Without it, an operator who asks a replica that lags would
-// edit an old catalogue and believe a change lost.
+// currentCatalogue returns the catalogue once this replica has applied every change
+// accepted before the request. Otherwise an operator who reads from a replica that
+// lags would edit an old catalogue and not find the latest changes. If it returns
+// false, it has written the error response.
 func (o *operatorAPI) currentCatalogue(w http.ResponseWriter, r *http.Request) (api.CatalogueReply, bool) {
 	if err := o.service.readBarrier(r.Context()); err != nil {
 		writeNoLeader(w, err)
@@ -87,7 +88,7 @@
 	}
 	w.Header().Set("Content-Type", "application/yaml")
 	w.Header().Set(api.HeaderVersion, strconv.FormatUint(c.Version, 10))
-	_, _ = w.Write(doc) // the operator's connection is gone: nobody to tell
+	_, _ = w.Write(doc) // fails only if the operator's connection is gone
 }
 
 func (o *operatorAPI) getHistory(w http.ResponseWriter, r *http.Request) {
@@ -98,7 +99,7 @@
 	if text := r.URL.Query().Get("n"); text != "" {
 		var err error
 		if n, err = strconv.Atoi(text); err != nil || n < 1 {
-			request.NewProblem(request.CodeBadRequest, request.NotRun, "n=%q is not a count", text).Write(w)
+			request.NewProblem(request.CodeBadRequest, request.NotRun, "n=%q is not a positive number", text).Write(w)
 			return
 		}
 	}
@@ -123,7 +124,7 @@
 	}
 	base, err := strconv.ParseUint(r.Header.Get(api.HeaderBase), 10, 64)
 	if err != nil {
-		request.NewProblem(request.CodeBadRequest, request.NotRun, "header %s names no version", api.HeaderBase).Write(w)
+		request.NewProblem(request.CodeBadRequest, request.NotRun, "header %s is not a version number", api.HeaderBase).Write(w)
 		return
 	}
 	c, err := contract.Parse(doc)
@@ -134,8 +135,8 @@
 	o.commitChange(w, r, contract.Change{Kind: contract.ChangeApply, Base: base, Catalogue: &c})
 }
 
-// readDocument decodes the body into v, which is a pointer. On false the caller has
-// its answer.
+// readDocument decodes the JSON body into v, a pointer. If it returns false, it has
+// written the error response.
 func readDocument(w http.ResponseWriter, r *http.Request, v any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, contract.MaxDocument))
 	dec.DisallowUnknownFields()
@@ -162,7 +163,7 @@
 	o.commitChange(w, r, contract.Change{Kind: contract.ChangeStopCancel, Stop: &s})
 }
 
-// change commits one change and answers with its result.
+// commitChange commits one change and writes its result as the response.
 func (o *operatorAPI) commitChange(w http.ResponseWriter, r *http.Request, c contract.Change) {
 	c.ID, c.By = r.Header.Get(api.HeaderChangeID), r.Header.Get(api.HeaderOperator)
 	if c.ID == "" {
@@ -192,7 +193,7 @@
 			var out contract.Result
 			return out, trace.Wrap(msgpack.Unmarshal(reply.Result, &out), "step=decode result")
 		}
-		select { // a change carries its id, so it may be proposed again
+		select { // a change has an id and is idempotent, so it may be proposed again
 		case <-ctx.Done():
 			return contract.Result{}, err
 		case <-time.After(operatorRetryInterval):
@@ -200,8 +201,8 @@
 	}
 }
 
-// changeReplicas changes the replica set and answers with the leader's state.
-// A change names its end and not a step, so it is made again after a lost answer.
+// changeReplicas changes the replica set and responds with the leader's status. A
+// change is idempotent, so it is retried if its outcome is unknown.
 func (o *operatorAPI) changeReplicas(w http.ResponseWriter, r *http.Request) {
 	var change api.ReplicaChange
 	if !readDocument(w, r, &change) {
@@ -226,8 +227,8 @@
 	}
 }
 
-// changeProblem returns the answer to a refused change of the replica set, or
-// nil if it is to be tried again.
+// changeProblem returns the response to a refused change of the replica set, or nil
+// if the change is to be retried.
 func changeProblem(err error) *request.Problem {
 	switch errorCode(err) {
 	case api.CodeInvalid:
@@ -239,7 +240,7 @@
 	}
 }
 
-// errorCode returns the code of an error from here or from another replica.
+// errorCode returns the code of an error of this or another replica, or "".
 func errorCode(err error) string {
 	var remote *link.RemoteError
 	var coded *codedError
@@ -253,7 +254,7 @@
 	}
 }
 
-// operatorPause is the wait between two tries to reach a leader.
+// operatorRetryInterval is the wait between two attempts to commit a change.
 const operatorRetryInterval = 100 * time.Millisecond
 
 func httpStatus(c contract.Code) int {
@@ -269,7 +270,8 @@
 	}
 }
 
-// proposeProblem tells an operator whether a change surely was not taken.
+// proposeProblem returns the response to a change that could not be committed. Its
+// outcome is Unknown if the change may be committed nevertheless.
 func proposeProblem(err error) *request.Problem {
 	var remote *link.RemoteError
 	var coded *codedError
@@ -290,5 +292,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the operator's connection is gone: nobody to tell
+	_ = json.NewEncoder(w).Encode(v) // fails only if the operator's connection is gone
 }
--- a/control/replicas.go
+++ b/control/replicas.go
@@ -19,13 +19,13 @@
 	"savoryreel.example/savoryreel/settings"
 )
 
-// replicaTable is the part of the replicated state that knows the replicas which
-// were added after the group was founded.
+// replicaTable is the part of the replicated state that contains the addresses of the
+// replicas that were added to the initial ones.
 type replicaTable struct {
-	Replicas []api.ReplicaAddress `msgpack:"list"` // by id
-	// Highest is the highest id that was ever added or removed here. A replica that
-	// lost its disk has forgotten which entries it acknowledged and whom it voted
-	// for; under its old id others would count on both. So no id is used twice.
+	Replicas []api.ReplicaAddress `msgpack:"list"` // sorted by id
+	// HighestID is the highest id that was ever added or removed. No id is used
+	// twice: a replica that lost its disk has lost its votes and the entries that it
+	// acknowledged, and under its old id the others would still count both.
 	HighestID uint64 `msgpack:"highest"`
 }
 
@@ -41,7 +41,7 @@
 	case c.ID <= t.HighestID:
 		return api.ReplicaResult{Refused: fmt.Sprintf("id %d is not above %d: an id is never used twice", c.ID, t.HighestID)}
 	case len(t.Replicas) >= api.MaxReplicas:
-		return api.ReplicaResult{Refused: fmt.Sprintf("%d replicas are known: remove one first", len(t.Replicas))}
+		return api.ReplicaResult{Refused: fmt.Sprintf("%d replicas is the maximum: remove one first", len(t.Replicas))}
 	default:
 		t.HighestID = c.ID
 		t.Replicas = slices.Insert(slices.Clone(t.Replicas), pos, api.ReplicaAddress(c))
@@ -49,24 +49,25 @@
 	return api.ReplicaResult{}
 }
 
-// version says how far this replica's log goes and which voters it has in force.
+// version returns the index of this replica's newest catalogue change and the hash of
+// its current voters.
 func (s *service) version(context.Context, link.PeerInfo, api.VersionRequest) (api.VersionReply, error) {
 	index := s.log.LastIndexOf(uint8(api.KindCatalogue))
 	members := s.peers.Members(s.log.Voters().IDs)
 	return api.VersionReply{Replica: s.replicaID(), Index: index, Set: api.VotersHash(api.Addresses(members))}, nil
 }
 
-// voters names the voters that this replica has in force.
+// voters returns this replica's current voters.
 func (s *service) voters(context.Context, link.PeerInfo, api.VotersRequest) (api.VotersReply, error) {
 	v := s.log.Voters()
 	return api.VotersReply{Term: v.Term, VotersIndex: v.Index, Voters: s.peers.Members(v.IDs)}, nil
 }
 
-// checkChange refuses what makes no sense, whatever the state.
+// validateChange returns an error if a change is invalid regardless of the state.
 func validateChange(r api.ReplicaChange) error {
 	switch {
 	case r.ID == 0:
-		return invalidf("id 0 stands for no replica")
+		return invalidf("id 0 is not a replica id")
 	case r.Action == api.ReplicaAdd:
 		if err := settings.HostPort(r.Address); err != nil {
 			return invalidf("address: %v", err)
@@ -83,7 +84,7 @@
 	return &codedError{code: api.CodeInvalid, err: trace.BadParameter(format, args...)}
 }
 
-// change makes one change of the replica set here, or at the leader.
+// changeReplicas makes one change of the replica set, or forwards it to the leader.
 func (s *service) changeReplicas(ctx context.Context, _ link.PeerInfo, r api.ReplicaChange) (api.ReplicaStatus, error) {
 	if err := validateChange(r); err != nil {
 		return api.ReplicaStatus{}, err
@@ -108,7 +109,7 @@
 	return reply, trace.Wrap(err, "step=forward peer=%s", addr)
 }
 
-// changeError gives an error the code by which an operator's call goes on.
+// codedChangeError adds the code by which changeProblem decides whether to retry.
 func codedChangeError(err error) error {
 	var coded *codedError
 	code := api.CodeNoLeader
@@ -142,13 +143,13 @@
 	}
 }
 
-// addReplica commits the address first. A leader that died between the two
-// steps leaves an address that nobody uses; the other way round it would leave a
-// replica that no later leader can reach.
+// addReplica commits the address before it adds the learner. If the leader stops
+// between the two steps, an unused address remains; in the other order, a replica
+// would remain that no later leader can reach.
 func (s *service) addReplica(ctx context.Context, st host.Status, r api.ReplicaChange, isMember bool) error {
 	if isMember {
 		if addr, _ := s.peers.Address(r.ID); addr != r.Address {
-			return invalidf("replica %d is a member under address %q", r.ID, addr)
+			return invalidf("replica %d is a member already, with address %q", r.ID, addr)
 		}
 		return nil
 	}
@@ -161,8 +162,8 @@
 	return s.log.ChangeMembers(ctx, replica.Change{Kind: replica.AddLearner, ID: r.ID})
 }
 
-// removeReplica hands the leadership over first if this replica is to go; the
-// operator's call is then made again at the new leader.
+// removeReplica removes another replica. To remove this one, it transfers the
+// leadership and returns errNoLeader, so that the change is retried at the new leader.
 func (s *service) removeReplica(ctx context.Context, st host.Status, id uint64, isMember bool) error {
 	if id == st.ID {
 		return s.stepDown(ctx, st)
@@ -192,9 +193,9 @@
 	return invalidf("replica %d leads, and no other voter can take over", st.ID)
 }
 
-// checkMajority refuses a removal after which too few of the voters answer. The
-// new set is in force as soon as it is in the leader's log: without a majority of
-// it, it would never be committed, and nothing after it either.
+// checkMajority refuses the removal of a voter if fewer than a majority of the
+// remaining ones reply. The new set is in force as soon as it is in the leader's log:
+// without a majority of it, neither this change nor any later one would be committed.
 func (s *service) checkMajority(ctx context.Context, st host.Status, id uint64) error {
 	if !slices.Contains(st.Voters, id) {
 		return nil
@@ -224,12 +225,12 @@
 		}
 	}
 	if remaining := len(st.Voters) - 1; reachable < remaining/2+1 {
-		return invalidf("only %d of the %d voters left would answer: add and promote a replica first", reachable, remaining)
+		return invalidf("only %d of the %d remaining voters are reachable: add and promote a replica first", reachable, remaining)
 	}
 	return nil
 }
 
-// aliveTimeout bounds the question which voters answer.
+// voterCheckTimeout bounds the calls by which checkMajority finds the reachable voters.
 const voterCheckTimeout = time.Second
 
 func (s *service) commitReplicaCommand(ctx context.Context, c api.ReplicaCommand) error {
@@ -247,7 +248,7 @@
 	return nil
 }
 
-// Replicas returns the addresses of the replicas added since the founding.
+// Replicas returns the addresses of the replicas that were added to the initial ones.
 func (m *Machine) Replicas() []api.ReplicaAddress {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/control/service.go
+++ b/control/service.go
@@ -18,7 +18,7 @@
 	"savoryreel.example/savoryreel/replica/roster"
 )
 
-// Log is the replicated log as the control replica uses it; host.Host is one.
+// Log is the replicated log as the control replica uses it; host.Host implements it.
 type Log interface {
 	Propose(ctx context.Context, kind uint8, data []byte) (any, error)
 	ReadBarrier(ctx context.Context) error
@@ -30,8 +30,7 @@
 	Step(m replica.Message)
 }
 
-// codedError is an error with a code that the caller on the other side of a
-// link can act on.
+// codedError is an error with a code, which the link transmits to the caller.
 type codedError struct {
 	code string
 	err  error
@@ -41,7 +40,7 @@
 func (e *codedError) Code() string  { return e.code }
 func (e *codedError) Unwrap() error { return e.err }
 
-// service answers entries and other replicas over the link.
+// service handles the link calls of entries and other replicas.
 type service struct {
 	log     Log
 	machine *Machine
@@ -85,7 +84,7 @@
 	}
 }
 
-// propose commits here, or at the leader when this replica follows.
+// propose commits a proposal, or forwards it to the leader, and returns its result.
 func (s *service) propose(ctx context.Context, _ link.PeerInfo, r api.ProposeRequest) (api.ProposeReply, error) {
 	data, err := s.validateAndStamp(r)
 	if err != nil {
@@ -119,7 +118,7 @@
 
 var errNoLeader = &codedError{code: api.CodeNoLeader, err: trace.ConnectionProblem(nil, "no leader is known")}
 
-// forward passes a proposal on to the leader, once.
+// forwardProposal forwards a proposal to the leader unless it was forwarded already.
 func (s *service) forwardProposal(ctx context.Context, r api.ProposeRequest, leader uint64) (api.ProposeReply, error) {
 	addr, known := s.peers.Address(leader)
 	if r.Forwarded || !known {
@@ -130,8 +129,8 @@
 	return reply, trace.Wrap(err, "step=forward peer=%s", addr)
 }
 
-// stamp decodes a proposal, so that nothing malformed enters the log, and gives
-// it this replica's time: entries' clocks are many and need not agree.
+// validateAndStamp decodes a proposal, so that nothing malformed enters the log, and
+// returns it encoded with this replica's time: the clocks of entries may differ.
 func (s *service) validateAndStamp(r api.ProposeRequest) ([]byte, error) {
 	switch r.Kind {
 	case api.KindCatalogue:
@@ -149,12 +148,12 @@
 		c.Now = s.now().UnixMilli()
 		return msgpack.Marshal(&c)
 	default:
-		return nil, trace.BadParameter("unknown kind of proposal %d", r.Kind)
+		return nil, trace.BadParameter("unknown proposal kind %d", r.Kind)
 	}
 }
 
-// leaderBarrier answers a follower. A replica that does not lead, or no longer,
-// answers with an error: its own log may lack what was accepted elsewhere.
+// leaderBarrier returns the index for a follower's readBarrier. A replica that does
+// not lead returns an error: its log may lack accepted changes.
 func (s *service) leaderBarrier(ctx context.Context, _ link.PeerInfo, _ api.BarrierRequest) (api.BarrierReply, error) {
 	if err := s.log.ReadBarrier(ctx); err != nil {
 		return api.BarrierReply{}, &codedError{code: api.CodeNoLeader, err: err}
@@ -162,11 +161,11 @@
 	return api.BarrierReply{Index: s.log.Status().Applied}, nil
 }
 
-// barrierPoll is how often a follower looks whether it has caught up.
+// applyPollInterval is how often readBarrier checks the applied index.
 const applyPollInterval = 5 * time.Millisecond
 
-// barrier returns once this replica has applied everything that was accepted
-// before the call, whether it leads or follows.
+// readBarrier returns once this replica, leader or follower, has applied every change
+// that was accepted before the call.
 func (s *service) readBarrier(ctx context.Context) error {
 	err := s.log.ReadBarrier(ctx)
 	var notLeader *host.NotLeaderError
