--- a/control/api/client_test.go
+++ b/control/api/client_test.go
@@ -13,7 +13,7 @@
 	"savoryreel.example/savoryreel/internal/testutil"
 )
 
-// answersOf are the answers of replicas with these indexes.
+// versionReplies returns the replies of replicas with these indexes.
 func versionReplies(indexes []uint64) []VersionReply {
 	replies := make([]VersionReply, len(indexes))
 	for i, index := range indexes {
@@ -24,11 +24,10 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// replicaLogs is a small model of the control replicas: for each, the index of
-// the newest catalogue change in its log.
+// replicaLogs models the logs of the control replicas.
 type replicaLogs struct {
-	newest   []uint64
-	accepted uint64 // the newest change that is in the logs of a majority
+	newest   []uint64 // by replica: index of the newest catalogue change in its log
+	accepted uint64   // index of the newest change that is in the logs of a majority
 }
 
 func drawReplicaLogs(t *rapid.T) replicaLogs {
@@ -46,11 +45,10 @@
 	return m
 }
 
-// An operator cuts a workspace off, and the change is accepted by a majority of
-// which an entry reaches only a part. If the entry takes its old catalogue for
-// confirmed, it goes on serving the workspace. Whatever majority answers, the
-// confirmation must ask for at least the newest accepted change. Broken by
-// taking indexes[0] in confirmation.
+// Guards against a confirmed catalogue that lacks an accepted change: an entry would
+// still serve a workspace that an operator has removed. Whichever majority replies,
+// Needed must be at least the newest accepted change. Fails with indexes[0] in
+// confirmation.
 func TestConfirmationCoversEveryAcceptedChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawReplicaLogs(t)
@@ -71,10 +69,9 @@
 	})
 }
 
-// A leader that was cut off has appended a change that nobody else has. Its
-// answer alone must not make every entry's catalogue stale: they would refuse
-// all requests until the network heals. Broken by taking the highest index in
-// confirmation.
+// Guards against a change that only a partitioned old leader has in its log making
+// every entry's catalogue outdated: the entries would refuse all requests until the
+// partition ends. Fails with the highest index in confirmation.
 func TestConfirmationIgnoresUncommittedChangeOfOldLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "replicas")
@@ -90,10 +87,9 @@
 	})
 }
 
-// One control replica's process is frozen and its connection stays open. Each
-// confirmation would wait for it until the call times out, and the catalogue of
-// every entry would near the end of its freshness. Broken by removing the grace
-// in collect.
+// Guards against confirmations that wait until the timeout for a replica whose process
+// is suspended: the catalogue of every entry would come close to expiry. Fails without
+// the grace in collectReplies.
 func TestCollectDoesNotWaitForUnresponsiveReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replies := make(chan *VersionReply, 3)
@@ -107,9 +103,9 @@
 	})
 }
 
-// Two of three replicas fail at once. The one answer left must not pass for a
-// majority, and the question ends as soon as all are in or its time is over.
-// Broken by the majority check in confirmation.
+// Guards against a single reply of three that counts as a majority, and against a call
+// that does not end with its timeout. Fails without the majority check in
+// confirmation.
 func TestNoConfirmationWithoutMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replies := make(chan *VersionReply, 3)
@@ -125,12 +121,9 @@
 	})
 }
 
-// A leader that was cut off wrote a change of the replica set into its own log,
-// and nobody committed it. Later leaders changed the set otherwise. An entry that
-// counted its majority over the first set could take an old catalogue for
-// current, and a key that was taken away would open the door again.
-//
-// It breaks without Term in the comparison of newestVoters.
+// Guards against a majority counted over voters that an old leader appended and never
+// committed: an entry could confirm an outdated catalogue and accept a revoked key.
+// Fails without Term in the comparison of newestVoters.
 func TestNewestVotersAreThoseOfHighestTerm(t *testing.T) {
 	uncommitted := VotersReply{Term: 2, VotersIndex: 50, Voters: []ReplicaAddress{{ID: 1, Address: "a"}, {ID: 2, Address: "b"}, {ID: 3, Address: "c"}, {ID: 4, Address: "d"}}}
 	committed := VotersReply{Term: 3, VotersIndex: 40, Voters: []ReplicaAddress{{ID: 1, Address: "a"}, {ID: 2, Address: "b"}, {ID: 3, Address: "c"}}}
--- a/control/machine_test.go
+++ b/control/machine_test.go
@@ -37,7 +37,7 @@
 	return ledger.Command{Op: ledger.OpBegin, Key: ledger.Key{Workspace: "shop", Value: "k1"}, Fingerprint: 1, RequestID: "r1-1", Now: 1}
 }
 
-// filledMachine holds one catalogue version and one ledger record.
+// filledMachine returns a Machine with one catalogue version and one ledger record.
 func filledMachine(t *testing.T) *Machine {
 	t.Helper()
 	m := NewMachine(nil, nil)
@@ -49,10 +49,9 @@
 	return m
 }
 
-// A control replica starts again from a snapshot. If it came back with less than
-// it had, a call that was recorded would run a second time, or entries would
-// wait for a catalogue index that this replica never reaches. Broken by leaving
-// any of the four fields out of Snapshot or Restore.
+// Guards against a snapshot that loses state: a recorded call would run a second time,
+// or entries would wait for a catalogue index that this replica never reaches. Fails
+// if Snapshot or Restore omits the catalogue, its index, its first term or the ledger.
 func TestSnapshotRestoresEverything(t *testing.T) {
 	m := filledMachine(t)
 	enc, err := m.Snapshot()
@@ -71,11 +70,10 @@
 	require.Equal(t, 1, records)
 }
 
-// An entry in the log is of a kind that a later release brought, or its bytes
-// make no sense. Replicas that treated it differently would drift apart. It
-// changes nothing but the catalogue's index, for which entries wait: without
-// that, one bad entry would leave every catalogue unconfirmed. Broken by leaving
-// out passCatalogueEntry in applyChange.
+// Guards against log entries of an unknown kind or with invalid data that change the
+// state, and against a catalogue index that stays below the index of such an entry:
+// every entry's catalogue would then count as outdated. Fails without
+// advanceCatalogueIndex in applyCatalogueChange.
 func TestInvalidEntriesChangeOnlyCatalogueIndex(t *testing.T) {
 	m := filledMachine(t)
 	before, err := m.Snapshot()
@@ -98,12 +96,13 @@
 	require.Equal(t, want, m.Catalogue(0))
 	require.False(t, m.Catalogue(4).Unchanged)
 	require.Error(t, m.Restore([]byte{0xc1}))
-	require.Equal(t, want, m.Catalogue(0), "a snapshot that cannot be read changes nothing")
+	require.Equal(t, want, m.Catalogue(0), "an invalid snapshot must not change the state")
 }
 
-// fakeLease answers one after the other what HoldsLease says, the last for good.
+// fakeLease returns the terms from HoldsLease one after the other, the last one
+// repeatedly.
 type fakeLease struct {
-	terms []int64 // negative: leads this term, or did, and holds no lease
+	terms []int64 // negative: the term without a lease
 }
 
 func (l *fakeLease) HoldsLease() (uint64, time.Time, bool) {
@@ -114,10 +113,9 @@
 	return uint64(max(term, -term)), time.Time{}, term > 0
 }
 
-// A leader was frozen, and another leads by now. Parts of the limits given out by
-// both would add up to more than a workspace's limit. The old one must refuse,
-// also when it lost its lease while it decided. Broken by removing either check
-// in limitLeases.report.
+// Guards against a replaced leader that still grants shares: together with those of
+// its successor they would exceed a workspace's limit. It must also refuse if it lost
+// its lease during the decision. Fails without either check in limitLeases.report.
 func TestLimitLeasesRequireLeaderLease(t *testing.T) {
 	for _, c := range []struct {
 		terms   []int64
@@ -140,10 +138,10 @@
 	}
 }
 
-// A client sends a damaged proposal. In the log, it would be an entry that no
-// replica can read, for good; and a length that is not true would take all of
-// this replica's memory. Whatever is let through can be applied, and bears this
-// replica's time. Broken by msgpack.Unmarshal in place of link.Unmarshal in stamp.
+// Guards against malformed proposals: one that enters the log is an entry that no
+// replica can apply, and a false length in one can exhaust the memory. An accepted
+// proposal can be applied and contains this replica's time. Fails with
+// msgpack.Unmarshal in place of link.Unmarshal in validateAndStamp.
 func FuzzValidateAndStamp(f *testing.F) {
 	change, command := encoded(f, testChange()), encoded(f, testCommand())
 	f.Add(uint8(api.KindCatalogue), change)
--- a/control/replicas_test.go
+++ b/control/replicas_test.go
@@ -18,12 +18,10 @@
 	return replica.Entry{Kind: uint8(kind), Data: data}
 }
 
-// A replica that was away for long is sent a snapshot. If it lacked the addresses
-// of the replicas, that replica could not reach its peers as a leader; if it
-// lacked the used ids, it would let one be used again; if it lacked the starts
-// under way, it would start them twice.
-//
-// It breaks without the fields Replicas and Fleet of machineSnapshot.
+// Guards against a snapshot without the replicas or the fleet. A replica restored from
+// it could not reach its peers as leader, would accept a used id again, and would
+// start instances twice. Fails without the fields Replicas and Fleet of
+// machineSnapshot.
 func TestSnapshotContainsReplicasAndFleet(t *testing.T) {
 	source := NewMachine(nil, nil)
 	state := fleet.State{Starts: []fleet.Start{{Token: "site/z1/g1/reclaimable/0"}}, Notice: 7}
@@ -49,12 +47,9 @@
 	require.NotEmpty(t, result.(api.ReplicaResult).Refused)
 }
 
-// Two replicas restart at the same time and only they make a majority. One was
-// added after the group was founded, and the other has not applied that yet: it
-// knows the address from the message that asks for its vote. Otherwise it could
-// not answer, and there would be no leader.
-//
-// It breaks without AddressBook.Observe.
+// Guards against a group without a leader: a replica must be able to reply to a vote
+// request from one whose address it has not applied from the log yet. Fails without
+// AddressBook.Observe.
 func TestObservedAddressIsUsedUntilLogHasAnother(t *testing.T) {
 	addresses := roster.NewAddressBook(map[uint64]string{1: "127.0.0.1:1"})
 	addresses.Observe(1, "127.0.0.1:9")
@@ -62,5 +57,5 @@
 	require.Equal(t, []api.ReplicaAddress{{ID: 1, Address: "127.0.0.1:1"}, {ID: 4, Address: "127.0.0.1:4"}, {ID: 5}}, addresses.Members([]uint64{1, 4, 5}))
 	addresses.SetMembers([]api.ReplicaAddress{{ID: 4, Address: "127.0.0.1:44"}})
 	addr, _ := addresses.Address(4)
-	require.Equal(t, "127.0.0.1:44", addr, "the log counts for more")
+	require.Equal(t, "127.0.0.1:44", addr, "an address from the log has precedence")
 }
