--- a/control/control.go
+++ b/control/control.go
@@ -28,7 +28,7 @@
 	"savoryreel.example/savoryreel/replica/storage"
 )
 
-// Control is one control replica.
+// Control is one control replica. Create it with New and call Run once.
 type Control struct {
 	cfg     Config
 	log     *slog.Logger
@@ -41,50 +41,51 @@
 	pool    *link.Pool
 	service *service
 	leases  *limitLeases
-	folder  *storage.Log
+	storage *storage.Log
 	members *membership.Node
 	cloud   *native.CloudClient // nil: the fleet is not managed
 	fleet   *fleet.Manager
 }
 
-// Deps is what a Control works with.
+// Deps contains the dependencies of a Control.
 type Deps struct {
 	Log *slog.Logger
-	Now func() time.Time // must carry a monotonic reading
+	Now func() time.Time // must include a monotonic clock reading
 }
 
-// New opens the data folder and builds the replica. Close or Run releases it.
+// New opens the data directory and builds the replica. Run must be called; it releases
+// the resources when it returns.
 func New(cfg Config, deps Deps) (*Control, error) {
 	peers, err := parseReplicas(cfg.Replicas)
 	if err != nil {
 		return nil, trace.Wrap(err, "step=read replicas")
 	}
 	c := &Control{cfg: cfg, log: deps.Log, now: deps.Now, metrics: metrics.NewSet()}
-	book := roster.NewAddressBook(peers)
-	c.machine = NewMachine(c.catalogueChanged, book.SetMembers)
+	addresses := roster.NewAddressBook(peers)
+	c.machine = NewMachine(c.catalogueChanged, addresses.SetMembers)
 	c.traffic = link.NewTraffic(c.metrics)
 	c.pool = link.NewPool(link.PoolConfig{Self: c.peerInfo(), ClusterKey: []byte(cfg.ClusterKey)},
 		link.PoolDeps{Log: deps.Log, Traffic: c.traffic})
-	if c.folder, err = storage.Open(storage.Config{Dir: cfg.DataDir, Replica: uint64(cfg.ID)}, storage.OS{}); err != nil {
+	if c.storage, err = storage.Open(storage.Config{Dir: cfg.DataDir, Replica: uint64(cfg.ID)}, storage.OS{}); err != nil {
 		c.pool.Close()
 		return nil, trace.Wrap(err, "step=open data folder")
 	}
 	c.host, err = host.New(c.hostConfig(peers), host.Deps{
-		Storage: c.folder, Transport: &roster.Transport{Pool: c.pool, Method: api.MethodReplica, Peers: book}, Machine: c.machine,
+		Storage: c.storage, Transport: &roster.Transport{Pool: c.pool, Method: api.MethodReplica, Peers: addresses}, Machine: c.machine,
 		Logger: deps.Log, Now: deps.Now, Rand: rand.Int64N,
 	})
 	if err != nil {
 		c.pool.Close()
-		_ = c.folder.Close() // the error of New counts
+		_ = c.storage.Close() // the error of host.New is returned
 		return nil, trace.Wrap(err, "step=start replica")
 	}
-	if err := errors.Join(c.join(), c.manage()); err != nil {
+	if err := errors.Join(c.initMembership(), c.initFleetManager()); err != nil {
 		c.pool.Close()
-		_ = c.folder.Close() // the error of join or manage counts
+		_ = c.storage.Close() // the earlier error is returned
 		return nil, trace.Wrap(err, "step=join")
 	}
-	c.leases = &limitLeases{leader: c.host, machine: c.machine, entries: cfg.MaxEntries, now: deps.Now}
-	c.service = &service{log: c.host, machine: c.machine, pool: c.pool, peers: book, now: deps.Now}
+	c.leases = &limitLeases{leader: c.host, machine: c.machine, maxEntries: cfg.MaxEntries, now: deps.Now}
+	c.service = &service{log: c.host, machine: c.machine, pool: c.pool, peers: addresses, now: deps.Now}
 	return c, nil
 }
 
@@ -106,12 +107,13 @@
 		slog.Uint64("version", r.Version), slog.Uint64("index", r.Index))
 }
 
-// Run serves until ctx ends, a signal comes or a component fails.
+// Run serves until ctx ends, a signal arrives or a component fails, and then releases
+// the replica's resources.
 func (c *Control) Run(ctx context.Context) error {
-	defer c.folder.Close()
+	defer c.storage.Close()
 	defer c.pool.Close()
 	var g run.Group
-	if err := c.actors(ctx, &g); err != nil {
+	if err := c.addActors(ctx, &g); err != nil {
 		return err
 	}
 	event.Log(ctx, c.log, slog.LevelInfo, event.ProcessStarted,
@@ -121,7 +123,7 @@
 	return err
 }
 
-func (c *Control) actors(ctx context.Context, g *run.Group) error {
+func (c *Control) addActors(ctx context.Context, g *run.Group) error {
 	links, err := daemon.Listen(ctx, c.log, "link", c.cfg.LinkListen)
 	if err != nil {
 		return err
@@ -138,7 +140,7 @@
 	c.service.register(srv)
 	link.Handle(srv, api.MethodLeases, c.leases.report)
 	c.members.Register(srv)
-	operatorsAPI := &operatorAPI{service: c.service, log: c.log, key: c.cfg.operatorKeyHash()}
+	operatorsAPI := &operatorAPI{service: c.service, log: c.log, keyHash: c.cfg.operatorKeyHash()}
 	daemon.Actor(g, func(actorCtx context.Context) error { return srv.Serve(actorCtx, links) })
 	daemon.Actor(g, c.runReplica)
 	daemon.Actor(g, c.watchLeader)
@@ -153,9 +155,8 @@
 	return nil
 }
 
-// runReplica runs the replicated log. It ends with an error when the disk has
-// failed, and the process must end with it: what the disk holds is not known any
-// more.
+// runReplica runs the replicated log. It returns an error if the disk has failed.
+// The process must then end, because the contents of the disk are unknown.
 func (c *Control) runReplica(ctx context.Context) error {
 	err := c.host.Run(ctx)
 	if err != nil && ctx.Err() == nil {
@@ -167,7 +168,7 @@
 // watchLeader logs each change of leader.
 func (c *Control) watchLeader(ctx context.Context) error {
 	var last uint64
-	return daemon.Every(ctx, watchEvery, func() {
+	return daemon.Every(ctx, leaderPollInterval, func() {
 		st := c.host.Status()
 		if st.Leader == last {
 			return
@@ -178,11 +179,11 @@
 	})
 }
 
-// watchEvery is how often a replica looks who leads.
-const watchEvery = 200 * time.Millisecond
+// leaderPollInterval is how often watchLeader reads the current leader.
+const leaderPollInterval = 200 * time.Millisecond
 
-// handOverLeadership moves the leadership elsewhere before this replica stops,
-// so that a planned stop costs no election.
+// handOverLeadership announces that this replica leaves and transfers the leadership,
+// if it holds it, to another voter. A planned stop then needs no election timeout.
 func (c *Control) handOverLeadership(ctx context.Context) {
 	c.members.SetSelf(func(m *instance.Member) { m.State = instance.StateLeaving })
 	st := c.host.Status()
@@ -201,10 +202,10 @@
 	}
 }
 
-// handOverTimeout bounds the search for a successor at a planned stop.
+// handOverTimeout bounds the attempts to transfer the leadership at a planned stop.
 const handOverTimeout = 2 * time.Second
 
-// ready reports whether this replica knows a leader.
+// ready returns an error if this replica knows no leader.
 func (c *Control) ready() error {
 	if c.host.Status().Leader == 0 {
 		return trace.ConnectionProblem(nil, "no leader is known")
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -23,12 +23,12 @@
 	"savoryreel.example/savoryreel/zone"
 )
 
-// noticePoll is how long one question for reclaim notices waits at the cloud.
-const noticePoll = time.Second
+// noticePollTimeout is how long one request for reclaim notices waits at the cloud.
+const noticePollTimeout = time.Second
 
-// join builds this replica's part in the membership, through which the leader
-// sees the backend servers.
-func (c *Control) join() error {
+// initMembership sets up this replica's membership node, through which the leader
+// knows the backend servers.
+func (c *Control) initMembership() error {
 	self := c.peerInfo()
 	var err error
 	c.members, err = membership.New(membership.Config{
@@ -41,8 +41,8 @@
 	return err
 }
 
-// manage builds the manager of the fleet, unless no cloud is set.
-func (c *Control) manage() error {
+// initFleetManager sets up the fleet manager if a cloud is configured.
+func (c *Control) initFleetManager() error {
 	if c.cfg.Cloud == "" {
 		return nil
 	}
@@ -59,8 +59,8 @@
 	c.cloud = native.NewCloud(native.CloudConfig{Address: c.cfg.Cloud})
 	c.fleet, err = fleet.NewManager(fleet.Config{
 		Site: c.cfg.CloudSite, Zones: zones, Classes: classes, Scale: scale.DefaultConfig(),
-		Every: c.cfg.FleetEvery, Poll: noticePoll,
-		WeightRate: float64(c.cfg.WeightRate) * megabyte, LoadRate: float64(c.cfg.LoadRate) * megabyte,
+		Every: c.cfg.FleetInterval, Poll: noticePollTimeout,
+		WeightRate: float64(c.cfg.WeightStoreMBPerSecond) * megabyte, LoadRate: float64(c.cfg.MinLoadMBPerSecond) * megabyte,
 	}, fleet.Deps{
 		Cloud: c.cloud, Log: fleetLog{log: c.host, machine: c.machine}, Members: c.members, Orders: orders, Models: c.machine.models,
 		Lease: c.host, Logger: c.log, Now: c.now,
@@ -68,37 +68,38 @@
 	return err
 }
 
-// megabyte is the unit of the settings of rates, in bytes.
+// megabyte is the number of bytes in the megabyte of the settings.
 const megabyte = 1_000_000
 
-// models lists the models that the catalogue's services use, each once.
+// models returns the models of the catalogue's services, without duplicates.
 func (m *Machine) models() []fleet.Model {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	var out []fleet.Model
-	services := m.book.Catalogue().Services
+	var models []fleet.Model
+	services := m.catalogueState.Catalogue().Services
 	for i := range services {
 		model := fleet.Model{Name: services[i].Model, Version: services[i].Version}
-		if services[i].Kind == contract.KindModel && !slices.Contains(out, model) {
-			out = append(out, model)
+		if services[i].Kind == contract.KindModel && !slices.Contains(models, model) {
+			models = append(models, model)
 		}
 	}
-	return out
+	return models
 }
 
-// runFleet runs the manager until ctx ends.
+// runFleet runs the fleet manager until ctx ends.
 func (c *Control) runFleet(ctx context.Context) error {
 	defer c.cloud.Close()
 	return c.fleet.Run(ctx)
 }
 
-// fleetLog keeps the fleet's state in the replicated log.
+// fleetLog stores the fleet's state in the replicated log.
 type fleetLog struct {
 	log     Log
 	machine *Machine
 }
 
-// Fleet implements fleet.Log.
+// Fleet implements fleet.Log. It returns the state including every command committed
+// before the call.
 func (f fleetLog) Fleet(ctx context.Context) (fleet.State, error) {
 	if err := f.log.ReadBarrier(ctx); err != nil {
 		return fleet.State{}, err
@@ -118,12 +119,12 @@
 	}
 	result, ok := out.(fleet.Result)
 	if !ok {
-		return fleet.Result{}, trace.BadParameter("fleet command gave a %T", out)
+		return fleet.Result{}, trace.BadParameter("fleet command returned a %T", out)
 	}
 	return result, nil
 }
 
-// Fleet returns the state of the decisions on the fleet.
+// Fleet returns the state of the fleet manager as applied here.
 func (m *Machine) Fleet() fleet.State {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -140,40 +141,40 @@
 	return result, nil
 }
 
-// parseZones reads "zone=region/data-centre" items.
+// parseZones parses "zone=region/data-centre" items.
 func parseZones(list []string) ([]zone.Zone, error) {
-	var out []zone.Zone
+	var zones []zone.Zone
 	for _, item := range list {
-		name, place, found := strings.Cut(item, "=")
-		region, centre, both := strings.Cut(place, "/")
-		if !found || !both {
+		name, location, found := strings.Cut(item, "=")
+		region, dataCentre, hasCentre := strings.Cut(location, "/")
+		if !found || !hasCentre {
 			return nil, fmt.Errorf("%q is not zone=region/data-centre", item)
 		}
-		out = append(out, zone.Zone{Name: name, Region: region, DataCentre: centre})
+		zones = append(zones, zone.Zone{Name: name, Region: region, DataCentre: dataCentre})
 	}
-	return out, zone.Validate(out)
+	return zones, zone.Validate(zones)
 }
 
-// parseClasses reads "class=capacity" items, the capacity in tokens a second.
+// parseClasses parses "class=capacity" items, with the capacity in tokens per second.
 func parseClasses(list []string) ([]scale.Class, error) {
-	var out []scale.Class
+	var classes []scale.Class
 	for _, item := range list {
-		name, text, found := strings.Cut(item, "=")
-		capacity, err := strconv.ParseFloat(text, 64)
+		name, capacityText, found := strings.Cut(item, "=")
+		capacity, err := strconv.ParseFloat(capacityText, 64)
 		if !found || name == "" || err != nil || capacity <= 0 {
-			return nil, fmt.Errorf("%q is not class=tokens a second", item)
+			return nil, fmt.Errorf("%q is not class=tokens per second", item)
 		}
-		out = append(out, scale.Class{Name: name, Capacity: capacity})
+		classes = append(classes, scale.Class{Name: name, Capacity: capacity})
 	}
-	return out, nil
+	return classes, nil
 }
 
-func zoneList(list []string) error {
+func validateZones(list []string) error {
 	_, err := parseZones(list)
 	return err
 }
 
-func classList(list []string) error {
+func validateClasses(list []string) error {
 	_, err := parseClasses(list)
 	return err
 }
--- a/control/machine_test.go
+++ b/control/machine_test.go
@@ -37,7 +37,7 @@
 	return ledger.Command{Op: ledger.OpBegin, Key: ledger.Key{Workspace: "shop", Value: "k1"}, Fingerprint: 1, RequestID: "r1-1", Now: 1}
 }
 
-// filledMachine holds one catalogue version and one ledger record.
+// filledMachine returns a Machine with one catalogue version and one ledger record.
 func filledMachine(t *testing.T) *Machine {
 	t.Helper()
 	m := NewMachine(nil, nil)
@@ -49,34 +49,32 @@
 	return m
 }
 
-// A control replica starts again from a snapshot. If it came back with less than
-// it had, a call that was recorded would run a second time, or entries would
-// wait for a catalogue index that this replica never reaches. Broken by leaving
-// any of the four fields out of Snapshot or Restore.
+// Guards against a snapshot that loses state: a recorded call would run a second time,
+// or entries would wait for a catalogue index that this replica never reaches. Fails
+// if Snapshot or Restore omits the catalogue, its index, its first term or the ledger.
 func TestSnapshotRestoresEverything(t *testing.T) {
 	m := filledMachine(t)
 	enc, err := m.Snapshot()
 	require.NoError(t, err)
-	var told []uint64
-	restored := NewMachine(func(r api.CatalogueReply) { told = append(told, r.Index) }, nil)
+	var notified []uint64
+	restored := NewMachine(func(r api.CatalogueReply) { notified = append(notified, r.Index) }, nil)
 	require.NoError(t, restored.Restore(enc))
 	require.Equal(t, m.Catalogue(0), restored.Catalogue(0))
 	require.Equal(t, m.History(9), restored.History(9))
-	require.Equal(t, m.FirstTerm(), restored.FirstTerm())
-	require.Equal(t, []uint64{4}, told)
-	again, err := restored.Snapshot()
+	require.Equal(t, m.FirstCatalogueTerm(), restored.FirstCatalogueTerm())
+	require.Equal(t, []uint64{4}, notified)
+	encAgain, err := restored.Snapshot()
 	require.NoError(t, err)
-	require.Equal(t, enc, again)
+	require.Equal(t, enc, encAgain)
 	_, records := restored.Counts()
 	require.Equal(t, 1, records)
 }
 
-// An entry in the log is of a kind that a later release brought, or its bytes
-// make no sense. Replicas that treated it differently would drift apart. It
-// changes nothing but the catalogue's index, for which entries wait: without
-// that, one bad entry would leave every catalogue unconfirmed. Broken by leaving
-// out passCatalogueEntry in applyChange.
-func TestBadEntriesChangeNothing(t *testing.T) {
+// Guards against log entries of an unknown kind or with invalid data that change the
+// state, and against a catalogue index that stays below the index of such an entry:
+// every entry's catalogue would then count as outdated. Fails without
+// advanceCatalogueIndex in applyCatalogueChange.
+func TestInvalidEntriesChangeOnlyCatalogueIndex(t *testing.T) {
 	m := filledMachine(t)
 	before, err := m.Snapshot()
 	require.NoError(t, err)
@@ -98,12 +96,13 @@
 	require.Equal(t, want, m.Catalogue(0))
 	require.False(t, m.Catalogue(4).Unchanged)
 	require.Error(t, m.Restore([]byte{0xc1}))
-	require.Equal(t, want, m.Catalogue(0), "a snapshot that cannot be read changes nothing")
+	require.Equal(t, want, m.Catalogue(0), "an invalid snapshot must not change the state")
 }
 
-// fakeLease answers one after the other what HoldsLease says, the last for good.
+// fakeLease returns the terms from HoldsLease one after the other, the last one
+// repeatedly.
 type fakeLease struct {
-	terms []int64 // negative: leads this term, or did, and holds no lease
+	terms []int64 // negative: the term without a lease
 }
 
 func (l *fakeLease) HoldsLease() (uint64, time.Time, bool) {
@@ -114,14 +113,13 @@
 	return uint64(max(term, -term)), time.Time{}, term > 0
 }
 
-// A leader was frozen, and another leads by now. Parts of the limits given out by
-// both would add up to more than a workspace's limit. The old one must refuse,
-// also when it lost its lease while it decided. Broken by removing either check
-// in limitLeases.report.
-func TestLeasesNeedTheLeadersLease(t *testing.T) {
+// Guards against a replaced leader that still grants shares: together with those of
+// its successor they would exceed a workspace's limit. It must also refuse if it lost
+// its lease during the decision. Fails without either check in limitLeases.report.
+func TestLimitLeasesRequireLeaderLease(t *testing.T) {
 	for _, c := range []struct {
-		terms []int64
-		given bool
+		terms   []int64
+		granted bool
 	}{
 		{[]int64{2}, true},
 		{[]int64{-2}, false},
@@ -129,9 +127,9 @@
 		{[]int64{2, 3}, false},
 		{[]int64{-2, 2}, false},
 	} {
-		l := &limitLeases{leader: &fakeLease{terms: c.terms}, machine: filledMachine(t), entries: 3, now: func() time.Time { return time.Unix(1_800_000_000, 0) }}
+		l := &limitLeases{leader: &fakeLease{terms: c.terms}, machine: filledMachine(t), maxEntries: 3, now: func() time.Time { return time.Unix(1_800_000_000, 0) }}
 		reply, err := l.report(context.Background(), link.PeerInfo{}, admit.Report{Entry: "e1", Term: 2, Sequence: 1})
-		if c.given {
+		if c.granted {
 			require.NoError(t, err)
 			require.Equal(t, uint64(2), reply.Term)
 			continue
@@ -140,11 +138,11 @@
 	}
 }
 
-// A client sends a damaged proposal. In the log, it would be an entry that no
-// replica can read, for good; and a length that is not true would take all of
-// this replica's memory. Whatever is let through can be applied, and bears this
-// replica's time. Broken by msgpack.Unmarshal in place of link.Unmarshal in stamp.
-func FuzzStamp(f *testing.F) {
+// Guards against malformed proposals: one that enters the log is an entry that no
+// replica can apply, and a false length in one can exhaust the memory. An accepted
+// proposal can be applied and contains this replica's time. Fails with
+// msgpack.Unmarshal in place of link.Unmarshal in validateAndStamp.
+func FuzzValidateAndStamp(f *testing.F) {
 	change, command := encoded(f, testChange()), encoded(f, testCommand())
 	f.Add(uint8(api.KindCatalogue), change)
 	f.Add(uint8(api.KindLedger), command)
@@ -159,7 +157,7 @@
 	now := time.Unix(1_900_000_000, 0)
 	f.Fuzz(func(t *testing.T, kind uint8, data []byte) {
 		s := &service{now: func() time.Time { return now }}
-		enc, err := s.stamp(api.ProposeRequest{Kind: api.ProposalKind(kind), Data: data})
+		enc, err := s.validateAndStamp(api.ProposeRequest{Kind: api.ProposalKind(kind), Data: data})
 		if err != nil {
 			return
 		}
--- a/control/service.go
+++ b/control/service.go
@@ -18,7 +18,7 @@
 	"savoryreel.example/savoryreel/replica/roster"
 )
 
-// Log is the replicated log as the control replica uses it; host.Host is one.
+// Log is the replicated log as the control replica uses it; host.Host implements it.
 type Log interface {
 	Propose(ctx context.Context, kind uint8, data []byte) (any, error)
 	ReadBarrier(ctx context.Context) error
@@ -30,8 +30,7 @@
 	Step(m replica.Message)
 }
 
-// codedError is an error with a code that the caller on the other side of a
-// link can act on.
+// codedError is an error with a code, which the link transmits to the caller.
 type codedError struct {
 	code string
 	err  error
@@ -41,7 +40,7 @@
 func (e *codedError) Code() string  { return e.code }
 func (e *codedError) Unwrap() error { return e.err }
 
-// service answers entries and other replicas over the link.
+// service handles the link calls of entries and other replicas.
 type service struct {
 	log     Log
 	machine *Machine
@@ -56,7 +55,7 @@
 	link.Handle(srv, api.MethodCatalogue, s.catalogue)
 	link.Handle(srv, api.MethodPropose, s.propose)
 	link.Handle(srv, api.MethodStatus, s.status)
-	link.Handle(srv, api.MethodChange, s.change)
+	link.Handle(srv, api.MethodChange, s.changeReplicas)
 	link.Handle(srv, api.MethodBarrier, s.leaderBarrier)
 	link.HandleNotice(srv, api.MethodReplica, func(_ context.Context, from link.PeerInfo, m replica.Message) {
 		s.peers.Observe(m.From, from.Address)
@@ -65,39 +64,39 @@
 }
 
 func (s *service) catalogue(_ context.Context, _ link.PeerInfo, r api.CatalogueRequest) (api.CatalogueReply, error) {
-	return s.machine.Catalogue(r.Have), nil
+	return s.machine.Catalogue(r.KnownIndex), nil
 }
 
 func (s *service) status(context.Context, link.PeerInfo, api.StatusRequest) (api.ReplicaStatus, error) {
-	return s.describe(), nil
+	return s.replicaStatus(), nil
 }
 
-func (s *service) self() string { return strconv.FormatUint(s.log.Status().ID, 10) }
+func (s *service) replicaID() string { return strconv.FormatUint(s.log.Status().ID, 10) }
 
-func (s *service) describe() api.ReplicaStatus {
+func (s *service) replicaStatus() api.ReplicaStatus {
 	st := s.log.Status()
 	version, records := s.machine.Counts()
 	return api.ReplicaStatus{
 		ID: strconv.FormatUint(st.ID, 10), Role: st.Role.String(), Term: st.Term,
-		Leader: strconv.FormatUint(st.Leader, 10),
-		Last:   st.Last, Commit: st.Commit, Applied: st.Applied,
-		Catalogue: version, Ledger: records, Voters: st.Voters, Learners: st.Learners,
+		Leader:    strconv.FormatUint(st.Leader, 10),
+		LastIndex: st.Last, CommitIndex: st.Commit, AppliedIndex: st.Applied,
+		CatalogueVersion: version, LedgerRecords: records, Voters: st.Voters, Learners: st.Learners,
 	}
 }
 
-// propose commits here, or at the leader when this replica follows.
+// propose commits a proposal, or forwards it to the leader, and returns its result.
 func (s *service) propose(ctx context.Context, _ link.PeerInfo, r api.ProposeRequest) (api.ProposeReply, error) {
-	data, err := s.stamp(r)
+	data, err := s.validateAndStamp(r)
 	if err != nil {
 		return api.ProposeReply{}, &codedError{code: api.CodeInvalid, err: err}
 	}
 	result, err := s.log.Propose(ctx, uint8(r.Kind), data)
 	var notLeader *host.NotLeaderError
 	if errors.As(err, &notLeader) {
-		return s.forward(ctx, r, notLeader.Leader)
+		return s.forwardProposal(ctx, r, notLeader.Leader)
 	}
 	if err != nil {
-		return api.ProposeReply{}, &codedError{code: proposeCode(err), err: err}
+		return api.ProposeReply{}, &codedError{code: proposalErrorCode(err), err: err}
 	}
 	enc, err := msgpack.Marshal(result)
 	if err != nil {
@@ -106,12 +105,12 @@
 	return api.ProposeReply{Result: enc}, nil
 }
 
-func proposeCode(err error) string {
+func proposalErrorCode(err error) string {
 	switch {
 	case errors.Is(err, host.ErrBusy):
 		return api.CodeBusy
 	case errors.Is(err, host.ErrOutcomeUnknown):
-		return api.CodeUnknown
+		return api.CodeOutcomeUnknown
 	default:
 		return api.CodeNoLeader
 	}
@@ -119,8 +118,8 @@
 
 var errNoLeader = &codedError{code: api.CodeNoLeader, err: trace.ConnectionProblem(nil, "no leader is known")}
 
-// forward passes a proposal on to the leader, once.
-func (s *service) forward(ctx context.Context, r api.ProposeRequest, leader uint64) (api.ProposeReply, error) {
+// forwardProposal forwards a proposal to the leader unless it was forwarded already.
+func (s *service) forwardProposal(ctx context.Context, r api.ProposeRequest, leader uint64) (api.ProposeReply, error) {
 	addr, known := s.peers.Address(leader)
 	if r.Forwarded || !known {
 		return api.ProposeReply{}, errNoLeader
@@ -130,9 +129,9 @@
 	return reply, trace.Wrap(err, "step=forward peer=%s", addr)
 }
 
-// stamp decodes a proposal, so that nothing malformed enters the log, and gives
-// it this replica's time: entries' clocks are many and need not agree.
-func (s *service) stamp(r api.ProposeRequest) ([]byte, error) {
+// validateAndStamp decodes a proposal, so that nothing malformed enters the log, and
+// returns it encoded with this replica's time: the clocks of entries may differ.
+func (s *service) validateAndStamp(r api.ProposeRequest) ([]byte, error) {
 	switch r.Kind {
 	case api.KindCatalogue:
 		var c contract.Change
@@ -149,12 +148,12 @@
 		c.Now = s.now().UnixMilli()
 		return msgpack.Marshal(&c)
 	default:
-		return nil, trace.BadParameter("unknown kind of proposal %d", r.Kind)
+		return nil, trace.BadParameter("unknown proposal kind %d", r.Kind)
 	}
 }
 
-// leaderBarrier answers a follower. A replica that does not lead, or no longer,
-// answers with an error: its own log may lack what was accepted elsewhere.
+// leaderBarrier returns the index for a follower's readBarrier. A replica that does
+// not lead returns an error: its log may lack accepted changes.
 func (s *service) leaderBarrier(ctx context.Context, _ link.PeerInfo, _ api.BarrierRequest) (api.BarrierReply, error) {
 	if err := s.log.ReadBarrier(ctx); err != nil {
 		return api.BarrierReply{}, &codedError{code: api.CodeNoLeader, err: err}
@@ -162,12 +161,12 @@
 	return api.BarrierReply{Index: s.log.Status().Applied}, nil
 }
 
-// barrierPoll is how often a follower looks whether it has caught up.
-const barrierPoll = 5 * time.Millisecond
+// applyPollInterval is how often readBarrier checks the applied index.
+const applyPollInterval = 5 * time.Millisecond
 
-// barrier returns once this replica has applied everything that was accepted
-// before the call, whether it leads or follows.
-func (s *service) barrier(ctx context.Context) error {
+// readBarrier returns once this replica, leader or follower, has applied every change
+// that was accepted before the call.
+func (s *service) readBarrier(ctx context.Context) error {
 	err := s.log.ReadBarrier(ctx)
 	var notLeader *host.NotLeaderError
 	if !errors.As(err, &notLeader) {
@@ -181,7 +180,7 @@
 	if err != nil {
 		return trace.Wrap(err, "step=read barrier peer=%s", addr)
 	}
-	tick := time.NewTicker(barrierPoll)
+	tick := time.NewTicker(applyPollInterval)
 	defer tick.Stop()
 	for s.log.Status().Applied < reply.Index {
 		select {
