--- a/control/fleet.go
+++ b/control/fleet.go
@@ -59,8 +59,8 @@
 	c.cloud = native.NewCloud(native.CloudConfig{Address: c.cfg.Cloud})
 	c.fleet, err = fleet.NewManager(fleet.Config{
 		Site: c.cfg.CloudSite, Zones: zones, Classes: classes, Scale: scale.DefaultConfig(),
-		Every: c.cfg.FleetEvery, Poll: noticePoll,
-		WeightRate: float64(c.cfg.WeightRate) * megabyte, LoadRate: float64(c.cfg.LoadRate) * megabyte,
+		DecisionInterval: c.cfg.FleetEvery, PollTimeout: noticePoll,
+		StoreRate: float64(c.cfg.WeightRate) * megabyte, MinLoadRate: float64(c.cfg.LoadRate) * megabyte,
 	}, fleet.Deps{
 		Cloud: c.cloud, Log: fleetLog{log: c.host, machine: c.machine}, Members: c.members, Orders: orders, Models: c.machine.models,
 		Lease: c.host, Logger: c.log, Now: c.now,
--- a/control/replicas_test.go
+++ b/control/replicas_test.go
@@ -26,7 +26,7 @@
 // It breaks without the fields Replicas and Fleet of machineSnapshot.
 func TestSnapshotKeepsReplicasAndFleet(t *testing.T) {
 	from := NewMachine(nil, nil)
-	state := fleet.State{Starts: []fleet.Start{{Token: "site/z1/g1/reclaimable/0"}}, Notice: 7}
+	state := fleet.State{Starts: []fleet.Start{{Token: "site/z1/g1/reclaimable/0"}}, LastNotice: 7}
 	for _, e := range []replica.Entry{
 		entryOf(t, api.KindReplica, api.ReplicaCommand{ID: 4, Address: "127.0.0.1:7140"}),
 		entryOf(t, api.KindReplica, api.ReplicaCommand{ID: 9}),
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -13,30 +13,30 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// maxAnswer bounds the answer to an order, in bytes.
-const maxAnswer = 64 << 10
+// maxAnswerBytes bounds the answer to an order, in bytes.
+const maxAnswerBytes = 64 << 10
 
 // encodeOrder returns the whole HTTP request of an order. It is written in one
 // piece over a connection of its own: net/http would keep it in buffers, write
 // it at a time of its own choosing and try again on another connection, all
 // after the lease was asked for.
 func encodeOrder(address string, order native.Order) ([]byte, error) {
-	refuse := func(err error) ([]byte, error) {
+	notSent := func(err error) ([]byte, error) {
 		return nil, &native.CallError{Step: native.StepEncode, Peer: address, Delivery: native.NotSent, Err: err}
 	}
 	body, err := json.Marshal(order)
 	if err != nil {
-		return refuse(err)
+		return notSent(err)
 	}
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+native.PathOrders, bytes.NewReader(body))
 	if err != nil {
-		return refuse(err)
+		return notSent(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Close = true
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
-		return refuse(err)
+		return notSent(err)
 	}
 	return out.Bytes(), nil
 }
@@ -46,18 +46,18 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// limit makes the connection end at the time end, left from now, with whatever
+// limitLifetime makes the connection end at the time end, left from now, with whatever
 // it carries. A lingering close or the kernel's retransmissions would else
 // deliver an order to a server that was out of reach until after a new leader's
 // order, even while this process is frozen.
-func limit(conn net.Conn, end time.Time, left time.Duration) {
+func limitLifetime(conn net.Conn, end time.Time, remaining time.Duration) {
 	_ = conn.SetDeadline(end) // a connection without deadlines is not one of dial's
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
 	_ = tcp.SetLinger(0) // fails only on a connection that is closed
-	limitUnacknowledged(tcp, left)
+	limitUnacknowledged(tcp, remaining)
 }
 
 // exchange writes the request and reads the answer.
@@ -69,7 +69,7 @@
 		}
 		return &native.CallError{Step: native.StepForward, Peer: address, Delivery: delivery, Err: err}
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(io.LimitReader(conn, maxAnswer)), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(io.LimitReader(conn, maxAnswerBytes)), nil)
 	if err != nil {
 		return &native.CallError{Step: native.StepForward, Peer: address, Delivery: native.MaybeRan, Err: err}
 	}
@@ -77,12 +77,12 @@
 	if resp.StatusCode < http.StatusMultipleChoices {
 		return nil
 	}
-	return refusal(address, resp)
+	return statusError(address, resp)
 }
 
-// refusal turns an error status into an error. A server's 4xx says that it has
+// statusError turns an error status into an error. A server's 4xx says that it has
 // not followed the order; a 5xx may come from anything between.
-func refusal(address string, resp *http.Response) error {
+func statusError(address string, resp *http.Response) error {
 	call := &native.CallError{Step: native.StepStatus, Peer: address, Delivery: native.MaybeRan, Status: resp.StatusCode}
 	if resp.StatusCode < http.StatusInternalServerError || resp.Header.Get(native.HeaderNotRun) != "" {
 		call.Delivery = native.Refused
--- a/fleet/input.go
+++ b/fleet/input.go
@@ -13,23 +13,23 @@
 	"savoryreel.example/savoryreel/zone"
 )
 
-// unlisted returns the accepted starts that the cloud does not list yet. After
+// unlistedStarts returns the accepted starts that the cloud does not list yet. After
 // listLag one that is not listed has come to nothing.
-func (m *Manager) unlisted(accepted []Accepted, running []native.CloudInstance) []Accepted {
+func (m *Manager) unlistedStarts(accepted []Accepted, running []native.CloudInstance) []Accepted {
 	return slices.DeleteFunc(slices.Clone(accepted), func(a Accepted) bool {
 		listed := slices.ContainsFunc(running, func(i native.CloudInstance) bool { return i.ID == a.ID })
-		return listed || m.deps.Now().Sub(a.At) > listLag
+		return listed || m.deps.Now().Sub(a.At) > maxListLag
 	})
 }
 
-// input gathers what a decision looks at.
-func (m *Manager) input(ctx context.Context, state State, running []native.CloudInstance) (scale.Input, error) {
+// decisionInput gathers what a decision looks at.
+func (m *Manager) decisionInput(ctx context.Context, state State, running []native.CloudInstance) (scale.Input, error) {
 	prices, err := m.deps.Cloud.Prices(ctx)
 	if err != nil {
 		return scale.Input{}, trace.Wrap(err, "step=read prices")
 	}
-	in := scale.Input{Now: m.deps.Now(), Demand: m.demand(), Classes: m.cfg.Classes, Zones: priced(m.cfg.Zones, prices)}
-	if age := in.Now.Sub(state.Scale.At); age >= 0 && age < m.cfg.Every/2 {
+	in := scale.Input{Now: m.deps.Now(), Demand: m.demand(), Classes: m.cfg.Classes, Zones: withPrices(m.cfg.Zones, prices)}
+	if age := in.Now.Sub(state.Scale.At); age >= 0 && age < m.cfg.DecisionInterval/2 {
 		// A notice or a refusal right after a decision. Extrapolated from so short a
 		// time, a few requests more would count as a surge, and its starts would stay
 		// for minutes.
@@ -39,8 +39,8 @@
 		in.Fleet = append(in.Fleet, scale.Instance{ID: a.ID, Option: a.Option, Phase: scale.PhaseStarting})
 	}
 	for _, i := range running {
-		ours := strings.HasPrefix(i.ClientToken, m.cfg.Site+"/")
-		if !ours || i.State == native.InstanceReclaimed || i.State == native.InstanceStopped {
+		ownSite := strings.HasPrefix(i.ClientToken, m.cfg.Site+"/")
+		if !ownSite || i.State == native.InstanceReclaimed || i.State == native.InstanceStopped {
 			continue
 		}
 		in.Fleet = append(in.Fleet, scale.Instance{
@@ -78,8 +78,8 @@
 	return sum
 }
 
-// priced returns the zones with the prices of the moment.
-func priced(zones []zone.Zone, prices []native.Price) []zone.Zone {
+// withPrices returns the zones with the prices of the moment.
+func withPrices(zones []zone.Zone, prices []native.Price) []zone.Zone {
 	out := slices.Clone(zones)
 	for i := range out {
 		out[i].Prices = nil
--- a/fleet/loads.go
+++ b/fleet/loads.go
@@ -32,21 +32,21 @@
 // loadTimeout is after how long a load that was not seen done counts as failed.
 const loadTimeout = 15 * time.Minute
 
-// load orders servers that have no model yet to load one, as many at a time as
+// placeModels orders servers that have no model yet to placeModels one, as many at a time as
 // the weight store serves well. Loads are in the log before the orders are given:
 // a new leader counts those under way and does not order them again.
-func (m *Manager) load(ctx context.Context, state State) (State, error) {
-	if m.cfg.WeightRate <= 0 {
+func (m *Manager) placeModels(ctx context.Context, state State) (State, error) {
+	if m.cfg.StoreRate <= 0 {
 		return state, nil
 	}
 	servers := m.deps.Members.View().AllServers()
 	next := state
-	next.Loads = m.unfinished(state.Loads)
+	next.Loads = m.unfinishedLoads(state.Loads)
 	placement := scale.Place(scale.PlaceInput{
-		Hosts: m.hosts(servers, next.Loads), Needs: m.needs(servers),
-		StoreRate: m.cfg.WeightRate, MinLoadRate: m.cfg.LoadRate, LoadsInProgress: len(next.Loads),
+		Hosts: m.modelHosts(servers, next.Loads), Needs: m.modelNeeds(servers),
+		StoreRate: m.cfg.StoreRate, MinLoadRate: m.cfg.MinLoadRate, LoadsInProgress: len(next.Loads),
 	})
-	before := len(next.Loads)
+	inProgress := len(next.Loads)
 	for _, l := range placement.Loads {
 		s, _ := m.deps.Members.View().Server(l.Host)
 		next.Loads = append(next.Loads, ModelLoad{
@@ -54,36 +54,36 @@
 			Model: Model{Name: l.Artifact.Model, Version: l.Artifact.Version},
 		})
 	}
-	if len(placement.Loads) == 0 && before == len(state.Loads) {
+	if len(placement.Loads) == 0 && inProgress == len(state.Loads) {
 		return state, nil
 	}
 	next, err := m.commit(ctx, next)
 	if err != nil {
 		return next, err
 	}
-	return m.orderLoads(ctx, next, next.Loads[before:], placement.Deferred)
+	return m.orderLoads(ctx, next, next.Loads[inProgress:], placement.Deferred)
 }
 
-// unfinished returns the loads whose servers still have to finish them.
-func (m *Manager) unfinished(loads []ModelLoad) []ModelLoad {
+// unfinishedLoads returns the loads whose servers still have to finish them.
+func (m *Manager) unfinishedLoads(loads []ModelLoad) []ModelLoad {
 	return slices.DeleteFunc(slices.Clone(loads), func(l ModelLoad) bool {
 		s, known := m.deps.Members.View().Server(l.Server)
-		over := !known || s.State != instance.StateServing || s.Incarnation != l.Incarnation
-		return over || s.Model != "" || m.deps.Now().Sub(l.At) > loadTimeout
+		ended := !known || s.State != instance.StateServing || s.Incarnation != l.Incarnation
+		return ended || s.Model != "" || m.deps.Now().Sub(l.At) > loadTimeout
 	})
 }
 
 // orderLoads gives the orders, and takes back the loads that surely were not
 // begun. One with an unknown outcome stays: it may be under way.
-func (m *Manager) orderLoads(ctx context.Context, state State, loads []ModelLoad, paced int) (State, error) {
+func (m *Manager) orderLoads(ctx context.Context, state State, loads []ModelLoad, deferred int) (State, error) {
 	errs := make([]error, len(loads))
 	var wg sync.WaitGroup
 	for i, l := range loads {
 		s, _ := m.deps.Members.View().Server(l.Server)
 		event.Log(ctx, m.deps.Logger, slog.LevelInfo, event.PlacementChosen, slog.String("load", l.Model.Name),
-			slog.String("version", l.Model.Version), slog.String("server", l.Server), slog.Int("paced", paced))
+			slog.String("version", l.Model.Version), slog.String("server", l.Server), slog.Int("paced", deferred))
 		wg.Go(func() {
-			errs[i] = m.deps.Orders.Give(ctx, s.Address, native.Order{
+			errs[i] = m.deps.Orders.Send(ctx, s.Address, native.Order{
 				Kind: native.OrderLoadModel, Model: l.Model.Name, Version: l.Model.Version,
 			})
 		})
@@ -92,7 +92,7 @@
 	next := state
 	next.Loads = slices.DeleteFunc(slices.Clone(state.Loads), func(l ModelLoad) bool {
 		i := slices.Index(loads, l)
-		return i >= 0 && notGiven(errs[i])
+		return i >= 0 && provesNotRun(errs[i])
 	})
 	if len(next.Loads) == len(state.Loads) {
 		return state, nil
@@ -100,16 +100,16 @@
 	return m.commit(ctx, next)
 }
 
-// notGiven reports whether an error of Give proves that the server does not
+// provesNotRun reports whether an error of Give proves that the server does not
 // follow the order.
-func notGiven(err error) bool {
-	sure := errors.Is(err, ErrNotLeading) || errors.Is(err, ErrInFlight) || errors.Is(err, ErrUnsettled)
-	return err != nil && (sure || native.NotRun(err))
+func provesNotRun(err error) bool {
+	notSent := errors.Is(err, ErrNotLeading) || errors.Is(err, ErrInFlight) || errors.Is(err, ErrOutcomeUnknown)
+	return err != nil && (notSent || native.NotRun(err))
 }
 
-// hosts lists the model servers: one without a model has room for one, unless it
+// modelHosts lists the model servers: one without a model has room for one, unless it
 // is loading.
-func (m *Manager) hosts(servers []*instance.Server, loads []ModelLoad) []scale.Host {
+func (m *Manager) modelHosts(servers []*instance.Server, loads []ModelLoad) []scale.Host {
 	var out []scale.Host
 	for _, s := range servers {
 		if len(s.Services) > 0 {
@@ -119,9 +119,9 @@
 		loading := slices.IndexFunc(loads, func(l ModelLoad) bool { return l.Server == s.ID })
 		switch {
 		case s.Model != "":
-			h.Loaded = []scale.Artifact{artifact(Model{s.Model, s.Version})}
+			h.Loaded = []scale.Artifact{modelArtifact(Model{s.Model, s.Version})}
 		case loading >= 0:
-			h.Loaded = []scale.Artifact{artifact(loads[loading].Model)}
+			h.Loaded = []scale.Artifact{modelArtifact(loads[loading].Model)}
 		default:
 			h.FreeBytes = 1
 		}
@@ -141,17 +141,17 @@
 	return name
 }
 
-// artifact counts one model as one unit of room: a server holds one.
-func artifact(m Model) scale.Artifact {
+// modelArtifact counts one model as one unit of room: a server holds one.
+func modelArtifact(m Model) scale.Artifact {
 	return scale.Artifact{Model: m.Name, Version: m.Version, Bytes: 1}
 }
 
-// needs asks for every model on every server: the room decides, and the model
+// modelNeeds asks for every model on every server: the room decides, and the model
 // with the most demand per copy is placed first.
-func (m *Manager) needs(servers []*instance.Server) []scale.Need {
+func (m *Manager) modelNeeds(servers []*instance.Server) []scale.Need {
 	var out []scale.Need
 	for _, model := range m.deps.Models() {
-		need := scale.Need{Artifact: artifact(model), Servers: len(servers), Demand: 1}
+		need := scale.Need{Artifact: modelArtifact(model), Servers: len(servers), Demand: 1}
 		for _, s := range servers {
 			if s.Model == model.Name {
 				need.Demand += float64(s.Load.Running + s.Load.Waiting)
--- a/fleet/loads_test.go
+++ b/fleet/loads_test.go
@@ -21,18 +21,18 @@
 		s.announce(fmt.Sprint("new-", i), "", 8, 0)
 	}
 	for round := 1; round <= 3; round++ {
-		s.fail = func() bool { return true }
+		s.failStep = func() bool { return true }
 		require.Error(t, s.leader().Step(t.Context())) // lost before anything is in the log
-		s.fail = func() bool { return false }
+		s.failStep = func() bool { return false }
 		for range 2 {
 			require.NoError(t, s.leader().Step(t.Context()))
 		}
-		require.Len(t, s.loads, 2*round)
-		for _, addr := range s.loads {
+		require.Len(t, s.loadOrders, 2*round)
+		for _, addr := range s.loadOrders {
 			s.serve(addr[:len("new-0")], 8, 0)
 		}
 	}
 	require.NoError(t, s.leader().Step(t.Context()))
-	require.Len(t, s.loads, 6)
+	require.Len(t, s.loadOrders, 6)
 	require.Empty(t, s.state.Loads)
 }
--- a/fleet/manager.go
+++ b/fleet/manager.go
@@ -40,24 +40,24 @@
 	Put(key string, version uint64, body []byte)
 }
 
-// Orderer gives orders to backend servers; Orders is one.
-type Orderer interface {
-	Give(ctx context.Context, address string, order native.Order) error
+// OrderSender gives orders to backend servers; Orders is one.
+type OrderSender interface {
+	Send(ctx context.Context, address string, order native.Order) error
 }
 
 // Config is the settings of a Manager.
 type Config struct {
-	Site    string // begins the client tokens; differs between sites with one cloud account
-	Zones   []zone.Zone
-	Classes []scale.Class
-	Scale   scale.Config
-	Every   time.Duration // between two decisions
-	// WeightRate is what the weight store delivers in all, and LoadRate the least
+	Site             string // begins the client tokens; differs between sites with one cloud account
+	Zones            []zone.Zone
+	Classes          []scale.Class
+	Scale            scale.Config
+	DecisionInterval time.Duration // between two decisions
+	// StoreRate is what the weight store delivers in all, and LoadRate the least
 	// rate at which one load is worth starting, in bytes per second. With a
-	// WeightRate of 0 no loads are ordered.
-	WeightRate float64
-	LoadRate   float64
-	Poll       time.Duration // longest wait for a notice, and the pause after a failure
+	// StoreRate of 0 no loads are ordered.
+	StoreRate   float64
+	MinLoadRate float64
+	PollTimeout time.Duration // longest wait for a notice, and the pause after a failure
 }
 
 // Deps is what a Manager works with.
@@ -65,7 +65,7 @@
 	Cloud   Cloud
 	Log     Log
 	Members Members
-	Orders  Orderer
+	Orders  OrderSender
 	Models  func() []Model // those that the catalogue names
 	Lease   Lease
 	Logger  *slog.Logger
@@ -79,24 +79,24 @@
 // asked. A leader lost between the two, or before it knew the answer, leaves the
 // start there; the next one sends the same token and gets the same instance.
 type Manager struct {
-	cfg    Config
-	deps   Deps
-	scaler *scale.Scaler
-	warm   time.Time // the view is taken to be whole from then on
+	cfg         Config
+	deps        Deps
+	scaler      *scale.Scaler
+	viewReadyAt time.Time // the view is taken to be whole from then on
 
-	reminded map[string]time.Time // when servers were last ordered to leave, by id
-	refused  int                  // starts refused so far
+	lastLeaveOrders map[string]time.Time // when servers were last ordered to leave, by id
+	refusedStarts   int                  // starts refused so far
 }
 
-// warmUp is how long a process that has just started hears from the others
+// viewWarmUp is how long a process that has just started hears from the others
 // before its view counts as whole. Before that, servers that run would be missing
 // from it: instances would be ended under their requests, and the demand would
 // seem to leap up as they appear.
-const warmUp = 30 * time.Second
+const viewWarmUp = 30 * time.Second
 
-// maxRounds bounds the decisions of one step after refused starts. Each refusal
+// maxDecisionRounds bounds the decisions of one step after refused starts. Each refusal
 // closes one zone, class and market for a while.
-const maxRounds = 8
+const maxDecisionRounds = 8
 
 // NewManager returns a Manager. The error names a setting that is out of range.
 func NewManager(cfg Config, deps Deps) (*Manager, error) {
@@ -107,30 +107,30 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return &Manager{cfg: cfg, deps: deps, scaler: scaler, warm: deps.Now().Add(warmUp), reminded: make(map[string]time.Time)}, nil
+	return &Manager{cfg: cfg, deps: deps, scaler: scaler, viewReadyAt: deps.Now().Add(viewWarmUp), lastLeaveOrders: make(map[string]time.Time)}, nil
 }
 
 // Run works until ctx ends. What fails is tried again after Poll.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if m.leads() && m.Step(ctx) == nil {
+		if m.holdsLease() && m.Step(ctx) == nil {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(m.cfg.Poll):
+		case <-time.After(m.cfg.PollTimeout):
 		}
 	}
 	return ctx.Err()
 }
 
-func (m *Manager) leads() bool {
+func (m *Manager) holdsLease() bool {
 	_, _, ok := m.deps.Lease.HoldsLease()
 	return ok
 }
 
-// errReplaced says that another leader has changed the state meanwhile.
-var errReplaced = errors.New("fleet: the state was changed by another leader")
+// errStateConflict says that another leader has changed the state meanwhile.
+var errStateConflict = errors.New("fleet: the state was changed by another leader")
 
 // Step waits for notices for up to Poll, takes them in, and decides if it is
 // time to or if there were any. It returns early when this replica was replaced.
@@ -139,31 +139,31 @@
 	if err != nil {
 		return trace.Wrap(err, "step=read fleet")
 	}
-	page, err := m.notices(ctx, state.Notice)
+	page, err := m.readNotices(ctx, state.LastNotice)
 	if err != nil {
 		return trace.Wrap(err, "step=read notices")
 	}
 	if len(page.Notices) > 0 {
-		m.spread(page.Notices)
-		state.Notice = page.Last(state.Notice)
+		m.publishNotices(page.Notices)
+		state.LastNotice = page.Last(state.LastNotice)
 		if state, err = m.commit(ctx, state); err != nil {
 			return err
 		}
 	}
-	m.remind(ctx)
+	m.orderNoticedToLeave(ctx)
 	ctx, cancel := context.WithTimeout(ctx, resizeTimeout)
 	defer cancel()
 	now := m.deps.Now()
-	if now.Before(m.warm) {
+	if now.Before(m.viewReadyAt) {
 		return nil
 	}
-	if state, err = m.load(ctx, state); err != nil {
+	if state, err = m.placeModels(ctx, state); err != nil {
 		return err
 	}
-	if state, err = m.settle(ctx, state); err != nil {
+	if state, err = m.requestPending(ctx, state); err != nil {
 		return err
 	}
-	if age := now.Sub(state.Scale.At); len(page.Notices) == 0 && age >= 0 && age < m.cfg.Every {
+	if age := now.Sub(state.Scale.At); len(page.Notices) == 0 && age >= 0 && age < m.cfg.DecisionInterval {
 		return nil // a decision from the future is one of a leader whose clock was ahead
 	}
 	return m.resize(ctx, state)
@@ -180,12 +180,12 @@
 // in one zone is asked for in another.
 func (m *Manager) resize(ctx context.Context, state State) error {
 	var err error
-	for range maxRounds {
-		refused := m.refused
+	for range maxDecisionRounds {
+		refused := m.refusedStarts
 		if state, err = m.decide(ctx, state); err != nil {
 			return err
 		}
-		if state, err = m.settle(ctx, state); err != nil || m.refused == refused {
+		if state, err = m.requestPending(ctx, state); err != nil || m.refusedStarts == refused {
 			return err
 		}
 	}
@@ -194,40 +194,40 @@
 
 // commit writes the next state into the log and returns it as it is there.
 func (m *Manager) commit(ctx context.Context, next State) (State, error) {
-	result, err := m.deps.Log.Commit(ctx, Command{Base: next.Version, Next: next})
-	if err == nil && !result.Taken {
-		err = errReplaced
+	result, err := m.deps.Log.Commit(ctx, Command{BaseVersion: next.Version, Next: next})
+	if err == nil && !result.Applied {
+		err = errStateConflict
 	}
 	next.Version++
 	return next, trace.Wrap(err, "step=commit fleet")
 }
 
-// maxOrders is how many orders are under way at a time.
-const maxOrders = 32
+// maxConcurrentOrders is how many orders are under way at a time.
+const maxConcurrentOrders = 32
 
-// remindEvery is the time for a server to announce that it leaves before it is
+// leaveOrderInterval is the time for a server to announce that it leaves before it is
 // ordered to once more.
-const remindEvery = 5 * time.Second
+const leaveOrderInterval = 5 * time.Second
 
-// settle asks the cloud for the starts and stops that the log holds, and notes
+// requestPending asks the cloud for the starts and stops that the log holds, and notes
 // there what became of them. A start whose answer was lost stays and is asked
 // for again with its token.
-func (m *Manager) settle(ctx context.Context, state State) (State, error) {
+func (m *Manager) requestPending(ctx context.Context, state State) (State, error) {
 	if len(state.Starts)+len(state.Stops) == 0 {
 		return state, nil
 	}
 	next := state
 	for _, s := range state.Starts {
-		next = m.start(ctx, next, s)
+		next = m.requestStart(ctx, next, s)
 	}
-	next = m.stop(ctx, next)
+	next = m.requestStops(ctx, next)
 	if len(next.Starts) == len(state.Starts) && len(next.Stops) == len(state.Stops) {
 		return state, nil // nothing is settled yet
 	}
 	return m.commit(ctx, next)
 }
 
-func (m *Manager) start(ctx context.Context, state State, s Start) State {
+func (m *Manager) requestStart(ctx context.Context, state State, s Start) State {
 	i, err := m.deps.Cloud.Start(ctx, native.StartRequest{
 		ClientToken: s.Token, Zone: s.Option.Zone, Class: s.Option.Class, Kind: native.PurchaseKind(s.Option.Market),
 	})
@@ -239,32 +239,32 @@
 	case native.NoCapacity(err):
 		state = state.without(s.Token)
 		state.Scale = m.scaler.Refused(state.Scale, s.Option, m.deps.Now())
-		m.refused++
+		m.refusedStarts++
 		event.Log(ctx, m.deps.Logger, slog.LevelWarn, event.StartRefused, slog.String("token", s.Token),
 			slog.String("zone", s.Option.Zone), slog.String("class", s.Option.Class), slog.String("market", string(s.Option.Market)))
 	}
 	return state
 }
 
-// stop orders the servers on instances to be stopped to leave, and ends each
+// requestStops orders the servers on instances to be stopped to leave, and ends each
 // instance once its server is gone: what it has accepted is answered first.
-func (m *Manager) stop(ctx context.Context, state State) State {
+func (m *Manager) requestStops(ctx context.Context, state State) State {
 	var serving []*instance.Server
-	var left []string
+	var remaining []string
 	for _, id := range state.Stops {
 		s, known := m.deps.Members.View().Server(id)
 		switch {
 		case known && s.State == instance.StateServing:
 			serving = append(serving, s)
-			left = append(left, id)
+			remaining = append(remaining, id)
 		case known && s.State == instance.StateLeaving:
-			left = append(left, id)
+			remaining = append(remaining, id)
 		case m.deps.Cloud.Stop(ctx, id) != nil:
-			left = append(left, id) // tried again at the next step
+			remaining = append(remaining, id) // tried again at the next step
 		}
 	}
-	m.leave(ctx, serving)
-	state.Stops = left
+	m.orderToLeave(ctx, serving)
+	state.Stops = remaining
 	return state
 }
 
@@ -279,8 +279,8 @@
 		return state, trace.Wrap(err, "step=list instances")
 	}
 	next := state
-	next.Accepted = m.unlisted(state.Accepted, running)
-	in, err := m.input(ctx, next, running)
+	next.Accepted = m.unlistedStarts(state.Accepted, running)
+	in, err := m.decisionInput(ctx, next, running)
 	if err != nil {
 		return state, err
 	}
@@ -312,5 +312,5 @@
 	}
 }
 
-// listLag bounds how far the cloud's list of instances is behind its answers.
-const listLag = 5 * time.Minute
+// maxListLag bounds how far the cloud's list of instances is behind its answers.
+const maxListLag = 5 * time.Minute
--- a/fleet/manager_test.go
+++ b/fleet/manager_test.go
@@ -22,19 +22,19 @@
 
 // site is a cloud with a fleet's state and view, without a control replica.
 type site struct {
-	t     require.TestingT
-	cloud *fake.Cloud
-	api   *native.CloudClient
-	state State
-	view  *instance.View
-	puts  int // shared records
-	mu    sync.Mutex
-	left  []string // addresses ordered to leave
-	loads []string // addresses ordered to load a model
-	clock time.Time
-	fail  func() bool // whether the next step of a leader goes wrong
-	dear  string      // a zone whose prices have gone up
-	meet  func()      // called once, before the next commit
+	t             require.TestingT
+	cloud         *fake.Cloud
+	api           *native.CloudClient
+	state         State
+	view          *instance.View
+	recordPuts    int // shared records
+	mu            sync.Mutex
+	leaveOrders   []string // addresses ordered to leave
+	loadOrders    []string // addresses ordered to load a model
+	clock         time.Time
+	failStep      func() bool // whether the next step of a leader goes wrong
+	expensiveZone string      // a zone whose prices have gone up
+	beforeCommit  func()      // called once, before the next commit
 }
 
 func newSite(t require.TestingT) (*site, func()) {
@@ -45,7 +45,7 @@
 	}
 	s := &site{
 		t: t, cloud: fake.NewCloud(fake.CloudConfig{Prices: prices}, fake.Deps{}), view: instance.NewView(),
-		clock: time.Now(), fail: func() bool { return false },
+		clock: time.Now(), failStep: func() bool { return false },
 	}
 	server := httptest.NewServer(s.cloud.Handler())
 	s.api = native.NewCloud(native.CloudConfig{Address: strings.TrimPrefix(server.URL, "http://")})
@@ -60,24 +60,24 @@
 	s.view.Apply([]instance.Update{{Server: &instance.Server{Announcement: a}}})
 }
 
-var errDied = errors.New("the leader died here")
+var errLeaderLost = errors.New("the leader died here")
 
 // Log.
 func (s *site) Fleet(context.Context) (State, error) { return s.state, nil }
 
 func (s *site) Commit(_ context.Context, c Command) (Result, error) {
-	if meet := s.meet; meet != nil {
-		s.meet = nil
-		meet()
+	if hook := s.beforeCommit; hook != nil {
+		s.beforeCommit = nil
+		hook()
 	}
-	if s.fail() {
-		return Result{}, errDied
+	if s.failStep() {
+		return Result{}, errLeaderLost
 	}
 	data, err := c.Encode()
 	require.NoError(s.t, err)
 	result, err := s.state.Apply(data)
-	if s.fail() {
-		return Result{}, errDied
+	if s.failStep() {
+		return Result{}, errLeaderLost
 	}
 	return result, err
 }
@@ -86,73 +86,73 @@
 func (s *site) View() *instance.View { return s.view }
 
 func (s *site) Put(key string, version uint64, body []byte) {
-	s.puts++
+	s.recordPuts++
 	s.view.Apply([]instance.Update{{Record: &instance.Record{Key: key, Version: version, Body: body}}})
 }
 func (s *site) HoldsLease() (uint64, time.Time, bool) { return 1, s.clock.Add(time.Hour), true }
-func (s *site) Give(_ context.Context, address string, order native.Order) error {
+func (s *site) Send(_ context.Context, address string, order native.Order) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if order.Kind == native.OrderLoadModel {
-		s.loads = append(s.loads, address)
+		s.loadOrders = append(s.loadOrders, address)
 		return nil
 	}
-	s.left = append(s.left, address)
+	s.leaveOrders = append(s.leaveOrders, address)
 	return nil
 }
 
-// cloudOf is the cloud as a site's leaders see it: answers to starts are lost,
+// unreliableCloud is the cloud as a site's leaders see it: answers to starts are lost,
 // prices move, and the list of instances is behind by those of the last minutes.
-type cloudOf struct {
+type unreliableCloud struct {
 	*native.CloudClient
 	site *site
 }
 
-func (c cloudOf) Start(ctx context.Context, r native.StartRequest) (native.CloudInstance, error) {
+func (c unreliableCloud) Start(ctx context.Context, r native.StartRequest) (native.CloudInstance, error) {
 	i, err := c.CloudClient.Start(ctx, r)
-	if err == nil && c.site.fail() {
-		return i, errDied
+	if err == nil && c.site.failStep() {
+		return i, errLeaderLost
 	}
 	return i, err
 }
 
-func (c cloudOf) Prices(ctx context.Context) ([]native.Price, error) {
+func (c unreliableCloud) Prices(ctx context.Context) ([]native.Price, error) {
 	prices, err := c.CloudClient.Prices(ctx)
 	for i := range prices {
-		if prices[i].Zone == c.site.dear {
+		if prices[i].Zone == c.site.expensiveZone {
 			prices[i].PerHour *= 10
 		}
 	}
 	return prices, err
 }
 
-func (c cloudOf) Instances(context.Context) ([]native.CloudInstance, error) { return nil, nil }
+func (c unreliableCloud) Instances(context.Context) ([]native.CloudInstance, error) { return nil, nil }
 
 // leader returns a new leader, which knows nothing but the log and the view.
 func (s *site) leader() *Manager {
-	cfg := Config{WeightRate: 250, LoadRate: 100, Site: "test", Classes: []scale.Class{{Name: "g1", Capacity: 100}}, Scale: scale.DefaultConfig(), Every: time.Minute}
+	cfg := Config{StoreRate: 250, MinLoadRate: 100, Site: "test", Classes: []scale.Class{{Name: "g1", Capacity: 100}}, Scale: scale.DefaultConfig(), DecisionInterval: time.Minute}
 	for _, z := range []string{"z1", "z2", "z3"} {
 		cfg.Zones = append(cfg.Zones, zone.Zone{Name: z, Region: "r1", DataCentre: "dc-" + z})
 	}
 	m, err := NewManager(cfg, Deps{
-		Cloud: cloudOf{s.api, s}, Log: s, Members: s, Orders: s, Lease: s,
+		Cloud: unreliableCloud{s.api, s}, Log: s, Members: s, Orders: s, Lease: s,
 		Models: func() []Model { return []Model{{Name: "demo", Version: "v1"}} },
 		Logger: slog.New(slog.DiscardHandler), Now: func() time.Time { return s.clock },
 	})
 	require.NoError(s.t, err)
-	s.clock = s.clock.Add(warmUp)
+	s.clock = s.clock.Add(viewWarmUp)
 	return m
 }
 
-// started returns how many instances run after a number of leaders, each of
+// startedInstances returns how many instances run after a number of leaders, each of
 // which does one step, or a part of one. Each finds other prices than the one
 // before it and would decide otherwise.
-func started(t require.TestingT, fail func() bool) int {
+func startedInstances(t require.TestingT, fail func() bool) int {
 	s, closeSite := newSite(t)
 	defer closeSite()
-	s.fail = fail
+	s.failStep = fail
 	for i := range 10 {
-		s.dear = []string{"z1", "z2", "z3"}[i%3]
+		s.expensiveZone = []string{"z1", "z2", "z3"}[i%3]
 		_ = s.leader().Step(context.Background()) // what failed is left to the next leader
 	}
 	require.Empty(t, s.state.Starts)
@@ -167,12 +167,12 @@
 //
 // It breaks without the commit in decide, with a token that is not the log's,
 // and without Accepted in start.
-func TestStartsSurviveTheirLeader(t *testing.T) {
-	want := started(t, func() bool { return false })
+func TestNewLeaderDoesNotRepeatStarts(t *testing.T) {
+	want := startedInstances(t, func() bool { return false })
 	require.Positive(t, want)
 	rapid.Check(t, func(t *rapid.T) {
 		faults := rapid.SliceOfN(rapid.Bool(), 0, 8).Draw(t, "faults")
-		require.Equal(t, want, started(t, func() bool {
+		require.Equal(t, want, startedInstances(t, func() bool {
 			if len(faults) == 0 {
 				return false
 			}
@@ -188,16 +188,16 @@
 // must not take hold when it thaws: both would be started.
 //
 // It breaks without the comparison with Base in State.Apply.
-func TestLateDecisionIsNotTaken(t *testing.T) {
-	want := started(t, func() bool { return false })
+func TestStaleDecisionIsNotApplied(t *testing.T) {
+	want := startedInstances(t, func() bool { return false })
 	s, closeSite := newSite(t)
 	defer closeSite()
-	frozen := s.leader()
-	s.meet = func() {
-		s.dear = "z1"
+	stale := s.leader()
+	s.beforeCommit = func() {
+		s.expensiveZone = "z1"
 		require.NoError(t, s.leader().Step(t.Context()))
 	}
-	require.ErrorIs(t, frozen.Step(t.Context()), errReplaced)
+	require.ErrorIs(t, stale.Step(t.Context()), errStateConflict)
 	require.Equal(t, want, s.cloud.Stats().Started)
 	require.NoError(t, s.leader().Step(t.Context()))
 	require.Equal(t, want, s.cloud.Stats().Started)
@@ -205,7 +205,7 @@
 
 // The cheapest zone has no instances left. The missing ones are started in
 // another zone at once, and the full one is not asked over and over.
-func TestRefusedStartsMoveElsewhere(t *testing.T) {
+func TestRefusedStartsMoveToAnotherZone(t *testing.T) {
 	s, closeSite := newSite(t)
 	defer closeSite()
 	s.cloud.Refuse("z1")
@@ -227,25 +227,25 @@
 // cloud itself takes work until its end.
 //
 // It breaks without remind in Step; the record is put twice without Notice.
-func TestNoticeIsSpread(t *testing.T) {
+func TestNoticeIsPublishedAndServerOrderedToLeave(t *testing.T) {
 	s, closeSite := newSite(t)
 	defer closeSite()
-	started, err := s.api.Start(t.Context(), native.StartRequest{ClientToken: "test/x", Zone: "z1", Class: "g1", Kind: native.Reclaimable})
+	reclaimed, err := s.api.Start(t.Context(), native.StartRequest{ClientToken: "test/x", Zone: "z1", Class: "g1", Kind: native.Reclaimable})
 	require.NoError(t, err)
 	wave := s.cloud.Wave("z1", time.Hour)
 	require.NoError(t, s.leader().Step(t.Context()))
-	require.Empty(t, s.left)
-	s.serve(started.ID, 8, 0)
+	require.Empty(t, s.leaveOrders)
+	s.serve(reclaimed.ID, 8, 0)
 	next := s.leader()
 	for range 2 {
 		require.NoError(t, next.Step(t.Context()))
 	}
-	require.Equal(t, []string{started.ID + ":1"}, s.left)
-	record, _ := s.view.Record(NoticeKey(started.ID))
+	require.Equal(t, []string{reclaimed.ID + ":1"}, s.leaveOrders)
+	record, _ := s.view.Record(NoticeKey(reclaimed.ID))
 	n, err := DecodeNotice(record.Body)
 	require.NoError(t, err)
-	require.Equal(t, Notice{Instance: started.ID, Zone: "z1", Deadline: wave[0].Deadline.UnixMilli()}, n)
-	require.Equal(t, 1, s.puts)
+	require.Equal(t, Notice{Instance: reclaimed.ID, Zone: "z1", Deadline: wave[0].Deadline.UnixMilli()}, n)
+	require.Equal(t, 1, s.recordPuts)
 }
 
 // The demand rises by one request, and a second after a decision a notice calls
@@ -253,7 +253,7 @@
 // by the time that a start takes, and the site would pay for idle instances.
 //
 // It breaks without the last decision's demand in input.
-func TestDecisionsCloseTogetherSeeNoSurge(t *testing.T) {
+func TestDecisionsInQuickSuccessionSeeNoSurge(t *testing.T) {
 	s, closeSite := newSite(t)
 	defer closeSite()
 	m := s.leader()
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -49,6 +49,6 @@
 	return n, nil
 }
 
-func noticeOf(n native.Notice) Notice {
+func newNotice(n native.Notice) Notice {
 	return Notice{Instance: n.InstanceID, Zone: n.Zone, Deadline: n.Deadline.UnixMilli()}
 }
--- a/fleet/orders.go
+++ b/fleet/orders.go
@@ -23,15 +23,15 @@
 
 // OrdersConfig is the settings of Orders.
 type OrdersConfig struct {
-	// Settle is how long a new leader holds its lease before its first order, and
+	// SettleDelay is how long a new leader holds its lease before its first order, and
 	// how long a server is left alone after an order with an unknown outcome. Use
 	// the election timeout.
-	Settle time.Duration
-	// Margin is how long before the end of the lease an order must be through.
-	Margin time.Duration
-	// MinCall is the least time for one order; with less of the lease left, it is
+	SettleDelay time.Duration
+	// LeaseMargin is how long before the end of the lease an order must be through.
+	LeaseMargin time.Duration
+	// MinCallTime is the least time for one order; with less of the lease left, it is
 	// not begun.
-	MinCall time.Duration
+	MinCallTime time.Duration
 }
 
 // DefaultOrdersConfig returns the settings for replicas with this election
@@ -39,9 +39,9 @@
 // go out every fifth.
 func DefaultOrdersConfig(electionTimeout time.Duration) OrdersConfig {
 	return OrdersConfig{
-		Settle:  electionTimeout,
-		Margin:  electionTimeout / 10,
-		MinCall: electionTimeout / 5,
+		SettleDelay: electionTimeout,
+		LeaseMargin: electionTimeout / 10,
+		MinCallTime: electionTimeout / 5,
 	}
 }
 
@@ -60,9 +60,9 @@
 	ErrNotLeading = errors.New("fleet: the leader's lease does not cover the order")
 	// ErrInFlight: an order to the same server is under way.
 	ErrInFlight = errors.New("fleet: another order to this server is under way")
-	// ErrUnsettled: the outcome of the last order to this server is not known, and
+	// ErrOutcomeUnknown: the outcome of the last order to this server is not known, and
 	// its bytes may still be under way.
-	ErrUnsettled = errors.New("fleet: an earlier order to this server may still arrive")
+	ErrOutcomeUnknown = errors.New("fleet: an earlier order to this server may still arrive")
 )
 
 // Orders gives orders to backend servers while this replica leads. It is safe
@@ -71,17 +71,17 @@
 	cfg  OrdersConfig
 	deps OrdersDeps
 
-	mu       sync.Mutex
-	term     uint64    // of the latest lease seen
-	since    time.Time // when the lease of term was first seen
-	sequence uint64    // of the last order of term
-	servers  map[string]serverOrders
+	mu        sync.Mutex
+	term      uint64    // of the latest lease seen
+	termSince time.Time // when the lease of term was first seen
+	sequence  uint64    // of the last order of term
+	servers   map[string]serverState
 }
 
-// serverOrders is what bars further orders to one server.
-type serverOrders struct {
-	inFlight bool
-	quiet    time.Time // no order before
+// serverState is what bars further orders to one server.
+type serverState struct {
+	inFlight     bool
+	blockedUntil time.Time // no order before
 }
 
 // NewOrders returns an Orders that has given none.
@@ -89,10 +89,10 @@
 	if deps.Dial == nil {
 		deps.Dial = dial
 	}
-	return &Orders{cfg: cfg, deps: deps, servers: make(map[string]serverOrders)}
+	return &Orders{cfg: cfg, deps: deps, servers: make(map[string]serverState)}
 }
 
-// Give sends an order to a backend server and waits for its word. It sets the
+// Send sends an order to a backend server and waits for its word. It sets the
 // order's Fence. In a new term it first waits until the lease has been held for
 // Settle. Errors: ErrNotLeading, ErrInFlight, ErrUnsettled, the context's while
 // it waits, or a *native.CallError: native.NotRun tells whether the order
@@ -101,8 +101,8 @@
 // Orders to one server go one at a time: two under way could arrive in either
 // order, and a server that checks would refuse the lower number of a leader
 // that is well in office.
-func (o *Orders) Give(ctx context.Context, address string, order native.Order) error {
-	fence, err := o.give(ctx, address, order)
+func (o *Orders) Send(ctx context.Context, address string, order native.Order) error {
+	fence, err := o.sendFenced(ctx, address, order)
 	attrs := []slog.Attr{
 		slog.Uint64("fence", uint64(fence)), slog.Uint64("term", fence.Term()),
 		slog.String("peer", address), slog.String("order", string(order.Kind)),
@@ -122,27 +122,27 @@
 	return err.Error()
 }
 
-func (o *Orders) give(ctx context.Context, address string, order native.Order) (Fence, error) {
-	term, err := o.settled(ctx)
+func (o *Orders) sendFenced(ctx context.Context, address string, order native.Order) (Fence, error) {
+	term, err := o.waitSettled(ctx)
 	if err != nil {
 		return 0, err
 	}
-	fence, err := o.begin(term, address)
+	fence, err := o.reserve(term, address)
 	if err != nil {
 		return fence, err
 	}
 	order.Fence = uint64(fence)
-	err = o.send(ctx, address, order)
-	o.end(address, err)
+	err = o.deliver(ctx, address, order)
+	o.release(address, err)
 	return fence, err
 }
 
-// settled waits until this replica has held the lease of one term for Settle.
+// waitSettled waits until this replica has held the lease of one term for Settle.
 // Without it, a server that ignores the number could follow an order of the old
 // leader that was under way at the end of its lease after one of this leader.
-func (o *Orders) settled(ctx context.Context) (uint64, error) {
+func (o *Orders) waitSettled(ctx context.Context) (uint64, error) {
 	for {
-		term, wait, err := o.observe()
+		term, wait, err := o.observeTerm()
 		if err != nil || wait <= 0 {
 			return term, err
 		}
@@ -156,8 +156,8 @@
 	}
 }
 
-// observe returns the term and what is left of the wait in it.
-func (o *Orders) observe() (uint64, time.Duration, error) {
+// observeTerm returns the term and what is left of the wait in it.
+func (o *Orders) observeTerm() (uint64, time.Duration, error) {
 	term, _, ok := o.deps.Lease.HoldsLease()
 	if !ok {
 		return 0, 0, ErrNotLeading
@@ -169,13 +169,13 @@
 		return 0, 0, ErrNotLeading
 	}
 	if term > o.term {
-		o.term, o.since, o.sequence = term, now, 0
+		o.term, o.termSince, o.sequence = term, now, 0
 	}
-	return term, o.since.Add(o.cfg.Settle).Sub(now), nil
+	return term, o.termSince.Add(o.cfg.SettleDelay).Sub(now), nil
 }
 
-// begin takes the next number and bars other orders to the server.
-func (o *Orders) begin(term uint64, address string) (Fence, error) {
+// reserve takes the next number and bars other orders to the server.
+func (o *Orders) reserve(term uint64, address string) (Fence, error) {
 	now := o.deps.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -185,33 +185,33 @@
 		return 0, ErrNotLeading
 	case s.inFlight:
 		return 0, ErrInFlight
-	case now.Before(s.quiet):
-		return 0, ErrUnsettled
+	case now.Before(s.blockedUntil):
+		return 0, ErrOutcomeUnknown
 	}
 	fence, err := NewFence(term, o.sequence+1)
 	if err != nil {
 		return 0, err
 	}
 	o.sequence++
-	o.servers[address] = serverOrders{inFlight: true}
+	o.servers[address] = serverState{inFlight: true}
 	return fence, nil
 }
 
-func (o *Orders) end(address string, err error) {
+func (o *Orders) release(address string, err error) {
 	now := o.deps.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if unknown := err != nil && !native.NotRun(err) && !errors.Is(err, ErrNotLeading); unknown {
-		o.servers[address] = serverOrders{quiet: now.Add(o.cfg.Settle)}
+		o.servers[address] = serverState{blockedUntil: now.Add(o.cfg.SettleDelay)}
 		return
 	}
 	delete(o.servers, address)
 }
 
-// send connects, asks for the lease, and only then writes. Connecting can take
+// deliver connects, asks for the lease, and only then writes. Connecting can take
 // long, and the process can be frozen meanwhile; an answer from before it would
 // let a leader that another has replaced give an order.
-func (o *Orders) send(ctx context.Context, address string, order native.Order) error {
+func (o *Orders) deliver(ctx context.Context, address string, order native.Order) error {
 	message, err := encodeOrder(address, order)
 	if err != nil {
 		return err
@@ -232,7 +232,7 @@
 	if end, err = o.deadline(order.Fence); err != nil {
 		return err
 	}
-	limit(conn, end, end.Sub(o.deps.Now()))
+	limitLifetime(conn, end, end.Sub(o.deps.Now()))
 	return exchange(conn, address, message)
 }
 
@@ -240,10 +240,10 @@
 // is time enough for it.
 func (o *Orders) deadline(fence uint64) (time.Time, error) {
 	term, until, ok := o.deps.Lease.HoldsLease()
-	end := until.Add(-o.cfg.Margin)
-	left := end.Sub(o.deps.Now())
-	if !ok || term != Fence(fence).Term() || left < o.cfg.MinCall {
-		return end, fmt.Errorf("%w: %v left", ErrNotLeading, left)
+	end := until.Add(-o.cfg.LeaseMargin)
+	remaining := end.Sub(o.deps.Now())
+	if !ok || term != Fence(fence).Term() || remaining < o.cfg.MinCallTime {
+		return end, fmt.Errorf("%w: %v left", ErrNotLeading, remaining)
 	}
 	return end, nil
 }
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -10,8 +10,8 @@
 	"savoryreel.example/savoryreel/policy/scale"
 )
 
-// MaxState bounds an encoded State, in bytes.
-const MaxState = 128 << 10
+// MaxStateBytes bounds an encoded State, in bytes.
+const MaxStateBytes = 128 << 10
 
 // State is what the leaders of the control replicas hand on to each other about
 // the fleet. It is kept in the replicated log and changed as a whole.
@@ -25,9 +25,9 @@
 	// lag behind its answers.
 	Accepted []Accepted `msgpack:"accepted"`
 	// Stops are the instances that are to leave and then to be stopped.
-	Stops  []string    `msgpack:"stops"`
-	Loads  []ModelLoad `msgpack:"loads"`
-	Notice uint64      `msgpack:"notice"` // number of the last reclaim notice taken in
+	Stops      []string    `msgpack:"stops"`
+	Loads      []ModelLoad `msgpack:"loads"`
+	LastNotice uint64      `msgpack:"notice"` // number of the last reclaim notice taken in
 }
 
 // Start is a decided start of an instance.
@@ -48,20 +48,20 @@
 // Command replaces the State if its version is still Base. A leader that has been
 // replaced without knowing decides on an old state; its command changes nothing.
 type Command struct {
-	Base uint64 `msgpack:"base"`
-	Next State  `msgpack:"next"`
+	BaseVersion uint64 `msgpack:"base"`
+	Next        State  `msgpack:"next"`
 }
 
 // Result is the answer to a Command.
 type Result struct {
-	Taken bool `msgpack:"taken"`
+	Applied bool `msgpack:"taken"`
 }
 
 // Encode returns the command as a log entry's data.
 func (c Command) Encode() ([]byte, error) {
 	b, err := msgpack.Marshal(&c)
-	if err == nil && len(b) > MaxState {
-		err = trace.LimitExceeded("fleet state of %d bytes, at most %d", len(b), MaxState)
+	if err == nil && len(b) > MaxStateBytes {
+		err = trace.LimitExceeded("fleet state of %d bytes, at most %d", len(b), MaxStateBytes)
 	}
 	return b, trace.Wrap(err, "step=encode fleet command")
 }
@@ -69,18 +69,18 @@
 // Apply changes the state by a log entry's data. It is the same at every replica.
 func (s *State) Apply(data []byte) (Result, error) {
 	var c Command
-	if len(data) > MaxState {
+	if len(data) > MaxStateBytes {
 		return Result{}, trace.LimitExceeded("fleet command of %d bytes", len(data))
 	}
 	if err := msgpack.Unmarshal(data, &c); err != nil {
 		return Result{}, trace.Wrap(err, "step=apply fleet command")
 	}
-	if c.Base != s.Version {
+	if c.BaseVersion != s.Version {
 		return Result{}, nil
 	}
 	*s = c.Next
-	s.Version = c.Base + 1
-	return Result{Taken: true}, nil
+	s.Version = c.BaseVersion + 1
+	return Result{Applied: true}, nil
 }
 
 // without returns the state without a pending start.
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -133,7 +133,7 @@
 	for i := range c.Routes {
 		x := &c.Routes[i]
 		x.Name, x.Host = fmt.Sprintf("r%d", i), "a.example"
-		x.Split = []routes.Share{{Service: "web", Weight: 1}}
+		x.Split = []routes.WeightedService{{Service: "web", Weight: 1}}
 		if x.Timeout == 0 {
 			x.Timeout = 3 * time.Second
 		}
--- a/routes/catalogue.go
+++ b/routes/catalogue.go
@@ -54,15 +54,15 @@
 	Public     bool // needs no key
 	Cached     bool // prompts share parts that servers cache
 	Timeout    time.Duration
-	Objective  time.Duration // within it an answer, or a stream's first event, earns its full worth
-	MaxPause   time.Duration // longest pause between events for a stream to be on time; 0: none given
-	Rank       int           // 0 is the most urgent
-	MaxServers int           // most servers that may run one attempt of a caller
-	Split      []Share       // one for a route to a single service
+	Objective  time.Duration     // within it an answer, or a stream's first event, earns its full worth
+	MaxPause   time.Duration     // longest pause between events for a stream to be on time; 0: none given
+	Rank       int               // 0 is the most urgent
+	MaxServers int               // most servers that may run one attempt of a caller
+	Split      []WeightedService // one for a route to a single service
 }
 
-// Share is a service's part of a route.
-type Share struct {
+// WeightedService is a service's part of a route.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func valid() *Catalogue {
+func validCatalogue() *Catalogue {
 	return &Catalogue{
 		Revision: 1,
 		Services: []Service{{Name: "chat"}, {Name: "web"}},
 		Routes: []Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Kind: Idempotent, Timeout: time.Second, Split: []Share{{"web", 1}}},
-			{Name: "chat", Host: "a.example", Prefix: "/chat/", Kind: Stream, Timeout: time.Second, Split: []Share{{"chat", 3}, {"web", 1}}},
+			{Name: "all", Host: "a.example", Prefix: "/", Kind: Idempotent, Timeout: time.Second, Split: []WeightedService{{"web", 1}}},
+			{Name: "chat", Host: "a.example", Prefix: "/chat/", Kind: Stream, Timeout: time.Second, Split: []WeightedService{{"chat", 3}, {"web", 1}}},
 		},
 		Workspaces: []Workspace{{Name: "w1", Keys: []string{"k1", "k2"}}, {Name: "w2", Keys: []string{"k3"}}},
 		KeysNeeded: true,
@@ -22,9 +22,9 @@
 
 // An operator sends a catalogue that contradicts itself. Put in force, it would
 // turn callers away or send them to the wrong service.
-func TestInvalidCatalogues(t *testing.T) {
-	require.NoError(t, valid().Validate())
-	for name, spoil := range map[string]func(*Catalogue){
+func TestValidateRejectsInvalidCatalogues(t *testing.T) {
+	require.NoError(t, validCatalogue().Validate())
+	for name, corrupt := range map[string]func(*Catalogue){
 		"unknown service":       func(c *Catalogue) { c.Routes[0].Split[0].Service = "none" },
 		"same place":            func(c *Catalogue) { c.Routes[1].Prefix = "/" },
 		"no weight":             func(c *Catalogue) { c.Routes[0].Split[0].Weight = 0 },
@@ -37,14 +37,14 @@
 		"workspace named twice": func(c *Catalogue) { c.Workspaces[1].Name = "w1" },
 		"service named twice":   func(c *Catalogue) { c.Services[1].Name = "chat" },
 	} {
-		c := valid()
-		spoil(c)
+		c := validCatalogue()
+		corrupt(c)
 		require.Error(t, c.Validate(), name)
 	}
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	table := NewTable(valid())
+	table := NewTable(validCatalogue())
 	require.Equal(t, "chat", table.Route("a.example", "/chat/x").Name)
 	require.Equal(t, "all", table.Route("a.example", "/chatter").Name)
 	require.Nil(t, table.Route("b.example", "/"))
@@ -53,7 +53,7 @@
 }
 
 func TestSplitFollowsWeights(t *testing.T) {
-	r := valid().Routes[1]
+	r := validCatalogue().Routes[1]
 	require.Equal(t, "chat", r.Choose(0))
 	require.Equal(t, "chat", r.Choose(0.74))
 	require.Equal(t, "web", r.Choose(0.76))
--- a/routes/table.go
+++ b/routes/table.go
@@ -8,26 +8,26 @@
 // Table is a catalogue made ready for look-ups. It is immutable and safe for
 // concurrent use.
 type Table struct {
-	catalogue  *Catalogue
-	byHost     map[string][]*Route // longest prefix first
-	services   map[string]*Service
-	workspaces map[string]*Workspace // by key
+	catalogue       *Catalogue
+	routesByHost    map[string][]*Route // longest prefix first
+	services        map[string]*Service
+	workspacesByKey map[string]*Workspace // by key
 }
 
 // NewTable returns the table of a valid catalogue, which must not be changed
 // afterwards.
 func NewTable(c *Catalogue) *Table {
 	t := &Table{
-		catalogue:  c,
-		byHost:     make(map[string][]*Route),
-		services:   make(map[string]*Service, len(c.Services)),
-		workspaces: make(map[string]*Workspace),
+		catalogue:       c,
+		routesByHost:    make(map[string][]*Route),
+		services:        make(map[string]*Service, len(c.Services)),
+		workspacesByKey: make(map[string]*Workspace),
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		t.byHost[r.Host] = append(t.byHost[r.Host], r)
+		t.routesByHost[r.Host] = append(t.routesByHost[r.Host], r)
 	}
-	for _, list := range t.byHost {
+	for _, list := range t.routesByHost {
 		slices.SortFunc(list, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range c.Services {
@@ -35,7 +35,7 @@
 	}
 	for i := range c.Workspaces {
 		for _, key := range c.Workspaces[i].Keys {
-			t.workspaces[key] = &c.Workspaces[i]
+			t.workspacesByKey[key] = &c.Workspaces[i]
 		}
 	}
 	return t
@@ -47,7 +47,7 @@
 // Route returns the route of a host (as CanonicalHost gives it) with the longest
 // prefix of path, or nil.
 func (t *Table) Route(host, path string) *Route {
-	for _, r := range t.byHost[host] {
+	for _, r := range t.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -59,19 +59,19 @@
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // Workspace returns the workspace that holds a key, or nil.
-func (t *Table) Workspace(key string) *Workspace { return t.workspaces[key] }
+func (t *Table) Workspace(key string) *Workspace { return t.workspacesByKey[key] }
 
 // Choose picks a service of the route's split by weight; random is uniform in
 // [0, 1).
 func (r *Route) Choose(random float64) string {
-	total := 0
+	totalWeight := 0
 	for _, s := range r.Split {
-		total += s.Weight
+		totalWeight += s.Weight
 	}
-	at := random * float64(total)
+	remaining := random * float64(totalWeight)
 	for _, s := range r.Split {
-		at -= float64(s.Weight)
-		if at < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
--- a/routes/validate.go
+++ b/routes/validate.go
@@ -20,35 +20,35 @@
 }
 
 func (c *Catalogue) checkServices() (map[string]bool, error) {
-	known := make(map[string]bool, len(c.Services))
+	seen := make(map[string]bool, len(c.Services))
 	for i := range c.Services {
 		s := &c.Services[i]
 		if s.Name == "" {
 			return nil, trace.BadParameter("service %d has no name", i)
 		}
-		if known[s.Name] {
+		if seen[s.Name] {
 			return nil, trace.BadParameter("service %s is named twice", s.Name)
 		}
-		known[s.Name] = true
+		seen[s.Name] = true
 	}
-	return known, nil
+	return seen, nil
 }
 
-// place is what selects a route.
-type place struct{ host, prefix string }
+// routeKey is what selects a route.
+type routeKey struct{ host, prefix string }
 
 func (c *Catalogue) checkRoutes(services map[string]bool) error {
-	taken := make(map[place]string, len(c.Routes))
+	nameByKey := make(map[routeKey]string, len(c.Routes))
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if err := r.validate(services); err != nil {
 			return err
 		}
-		at := place{r.Host, r.Prefix}
-		if other, used := taken[at]; used {
+		key := routeKey{r.Host, r.Prefix}
+		if other, used := nameByKey[key]; used {
 			return trace.BadParameter("routes %s and %s share host %s and prefix %s", other, r.Name, r.Host, r.Prefix)
 		}
-		taken[at] = r.Name
+		nameByKey[key] = r.Name
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 }
 
 func (r *Route) checkSplit(services map[string]bool) error {
-	total := 0
+	totalWeight := 0
 	for _, s := range r.Split {
 		if !services[s.Service] {
 			return trace.BadParameter("route %s names unknown service %q", r.Name, s.Service)
@@ -76,9 +76,9 @@
 		if s.Weight < 0 {
 			return trace.BadParameter("route %s: weight of service %s is negative", r.Name, s.Service)
 		}
-		total += s.Weight
+		totalWeight += s.Weight
 	}
-	if total <= 0 {
+	if totalWeight <= 0 {
 		return trace.BadParameter("route %s: weights add up to nothing", r.Name)
 	}
 	return nil
@@ -87,22 +87,22 @@
 // checkKeys refuses a key that two workspaces share: a caller that shows it
 // could not be told from another customer.
 func (c *Catalogue) checkKeys() error {
-	owner := make(map[string]string)
-	names := make(map[string]bool, len(c.Workspaces))
+	workspaceByKey := make(map[string]string)
+	seen := make(map[string]bool, len(c.Workspaces))
 	for i := range c.Workspaces {
 		w := &c.Workspaces[i]
 		if w.Name == "" {
 			return trace.BadParameter("workspace %d has no name", i)
 		}
-		if names[w.Name] {
+		if seen[w.Name] {
 			return trace.BadParameter("workspace %s is named twice", w.Name)
 		}
-		names[w.Name] = true
+		seen[w.Name] = true
 		for _, key := range w.Keys {
-			if other, taken := owner[key]; taken && other != w.Name {
+			if other, used := workspaceByKey[key]; used && other != w.Name {
 				return trace.BadParameter("workspaces %s and %s share a key", other, w.Name)
 			}
-			owner[key] = w.Name
+			workspaceByKey[key] = w.Name
 		}
 	}
 	return nil
