--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -13,13 +13,12 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// maxAnswerBytes bounds the answer to an order, in bytes.
+// maxAnswerBytes bounds the size of the answer to an order.
 const maxAnswerBytes = 64 << 10
 
-// encodeOrder returns the whole HTTP request of an order. It is written in one
-// piece over a connection of its own: net/http would keep it in buffers, write
-// it at a time of its own choosing and try again on another connection, all
-// after the lease was asked for.
+// encodeOrder returns the complete HTTP request of an order, which is written in
+// one piece to its own connection. net/http could buffer the request, delay the
+// write or retry it on another connection after the lease check.
 func encodeOrder(address string, order native.Order) ([]byte, error) {
 	notSent := func(err error) ([]byte, error) {
 		return nil, &native.CallError{Step: native.StepEncode, Peer: address, Delivery: native.NotSent, Err: err}
@@ -46,17 +45,17 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// limitLifetime makes the connection end at the time end, left from now, with whatever
-// it carries. A lingering close or the kernel's retransmissions would else
-// deliver an order to a server that was out of reach until after a new leader's
-// order, even while this process is frozen.
+// limitLifetime aborts the connection at end, which is remaining from now, together
+// with unsent data. Otherwise a lingering close or the kernel's retransmissions
+// could deliver an order to a server that was unreachable until after a new
+// leader's order, even while this process is suspended.
 func limitLifetime(conn net.Conn, end time.Time, remaining time.Duration) {
-	_ = conn.SetDeadline(end) // a connection without deadlines is not one of dial's
+	_ = conn.SetDeadline(end) // fails only for a connection without deadlines, which dial does not return
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
-	_ = tcp.SetLinger(0) // fails only on a connection that is closed
+	_ = tcp.SetLinger(0) // fails only on a closed connection
 	limitUnacknowledged(tcp, remaining)
 }
 
@@ -80,15 +79,15 @@
 	return statusError(address, resp)
 }
 
-// statusError turns an error status into an error. A server's 4xx says that it has
-// not followed the order; a 5xx may come from anything between.
+// statusError returns the error for an error status. A 4xx of the server means that
+// it has not followed the order; a 5xx may come from an intermediary.
 func statusError(address string, resp *http.Response) error {
 	call := &native.CallError{Step: native.StepStatus, Peer: address, Delivery: native.MaybeRan, Status: resp.StatusCode}
 	if resp.StatusCode < http.StatusInternalServerError || resp.Header.Get(native.HeaderNotRun) != "" {
 		call.Delivery = native.Refused
 	}
 	var problem native.Problem
-	if json.NewDecoder(resp.Body).Decode(&problem) == nil { // without a body there is no code
+	if json.NewDecoder(resp.Body).Decode(&problem) == nil { // the body is optional
 		call.Code, call.Message = problem.Code, problem.Detail
 	}
 	return call
--- a/fleet/exchange_linux.go
+++ b/fleet/exchange_linux.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7): after so many milliseconds
-// without an acknowledgement the kernel drops the connection and its data.
+// tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7): if data stays unacknowledged for
+// this many milliseconds, the kernel closes the connection and drops the data.
 const tcpUserTimeout = 18
 
 func limitUnacknowledged(conn *net.TCPConn, remaining time.Duration) {
@@ -15,7 +15,7 @@
 	if err != nil {
 		return // the connection is closed
 	}
-	_ = raw.Control(func(fd uintptr) { // fails only on a connection that is closed
+	_ = raw.Control(func(fd uintptr) { // fails only on a closed connection
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(max(remaining.Milliseconds(), 1)))
 	})
 }
--- a/fleet/exchange_other.go
+++ b/fleet/exchange_other.go
@@ -7,6 +7,6 @@
 	"time"
 )
 
-// limitUnacknowledged does nothing where the kernel has no bound on data that is
-// not acknowledged: there, only Settle covers it.
+// limitUnacknowledged does nothing, as these kernels have no TCP_USER_TIMEOUT. Only
+// SettleDelay protects against late delivery on these platforms.
 func limitUnacknowledged(*net.TCPConn, time.Duration) {}
--- a/fleet/input.go
+++ b/fleet/input.go
@@ -13,8 +13,8 @@
 	"savoryreel.example/savoryreel/zone"
 )
 
-// unlistedStarts returns the accepted starts that the cloud does not list yet. After
-// listLag one that is not listed has come to nothing.
+// unlistedStarts returns the accepted starts that the cloud does not list yet,
+// without those older than maxListLag, which count as failed.
 func (m *Manager) unlistedStarts(accepted []Accepted, running []native.CloudInstance) []Accepted {
 	return slices.DeleteFunc(slices.Clone(accepted), func(a Accepted) bool {
 		listed := slices.ContainsFunc(running, func(i native.CloudInstance) bool { return i.ID == a.ID })
@@ -22,7 +22,7 @@
 	})
 }
 
-// decisionInput gathers what a decision looks at.
+// decisionInput returns the input of scale.Scaler.Decide.
 func (m *Manager) decisionInput(ctx context.Context, state State, running []native.CloudInstance) (scale.Input, error) {
 	prices, err := m.deps.Cloud.Prices(ctx)
 	if err != nil {
@@ -30,9 +30,9 @@
 	}
 	in := scale.Input{Now: m.deps.Now(), Demand: m.demand(), Classes: m.cfg.Classes, Zones: withPrices(m.cfg.Zones, prices)}
 	if age := in.Now.Sub(state.Scale.At); age >= 0 && age < m.cfg.DecisionInterval/2 {
-		// A notice or a refusal right after a decision. Extrapolated from so short a
-		// time, a few requests more would count as a surge, and its starts would stay
-		// for minutes.
+		// This decision closely follows another, after a notice or a refused start. A
+		// few more requests, extrapolated from so short an interval, would count as a
+		// surge, and its extra instances would run for minutes.
 		in.Demand = state.Scale.Demand
 	}
 	for _, a := range state.Accepted {
@@ -65,8 +65,9 @@
 	}
 }
 
-// demand is the work per second that callers want: the part of each server's
-// slots that running and waiting requests take, more than one where they wait.
+// demand returns the requested work per second: for each server, its class's
+// capacity times the ratio of running and waiting requests to slots. The ratio
+// exceeds 1 where requests wait.
 func (m *Manager) demand() float64 {
 	sum := 0.0
 	for _, s := range m.deps.Members.View().AllServers() {
@@ -78,7 +79,7 @@
 	return sum
 }
 
-// withPrices returns the zones with the prices of the moment.
+// withPrices returns a copy of the zones with the current prices.
 func withPrices(zones []zone.Zone, prices []native.Price) []zone.Zone {
 	out := slices.Clone(zones)
 	for i := range out {
--- a/fleet/loads.go
+++ b/fleet/loads.go
@@ -21,7 +21,7 @@
 	Version string `msgpack:"version"`
 }
 
-// ModelLoad is an order to load a model that has not been seen done.
+// ModelLoad is a model load that was ordered and has not been seen to finish.
 type ModelLoad struct {
 	Server      string    `msgpack:"server"`
 	Incarnation uint64    `msgpack:"inc"`
@@ -29,12 +29,13 @@
 	At          time.Time `msgpack:"at"`
 }
 
-// loadTimeout is after how long a load that was not seen done counts as failed.
+// loadTimeout is the age at which an unfinished load counts as failed.
 const loadTimeout = 15 * time.Minute
 
-// placeModels orders servers that have no model yet to placeModels one, as many at a time as
-// the weight store serves well. Loads are in the log before the orders are given:
-// a new leader counts those under way and does not order them again.
+// placeModels orders servers without a model to load one. The throughput of the
+// weight store bounds the number of concurrent loads. Loads are committed before
+// the orders are sent, so that a new leader counts the loads in progress and does
+// not order them again.
 func (m *Manager) placeModels(ctx context.Context, state State) (State, error) {
 	if m.cfg.StoreRate <= 0 {
 		return state, nil
@@ -64,7 +65,7 @@
 	return m.orderLoads(ctx, next, next.Loads[inProgress:], placement.Deferred)
 }
 
-// unfinishedLoads returns the loads whose servers still have to finish them.
+// unfinishedLoads returns the loads that are still in progress.
 func (m *Manager) unfinishedLoads(loads []ModelLoad) []ModelLoad {
 	return slices.DeleteFunc(slices.Clone(loads), func(l ModelLoad) bool {
 		s, known := m.deps.Members.View().Server(l.Server)
@@ -73,8 +74,8 @@
 	})
 }
 
-// orderLoads gives the orders, and takes back the loads that surely were not
-// begun. One with an unknown outcome stays: it may be under way.
+// orderLoads sends the orders, and removes the loads whose order was certainly not
+// followed. A load with an unknown outcome may be in progress and stays.
 func (m *Manager) orderLoads(ctx context.Context, state State, loads []ModelLoad, deferred int) (State, error) {
 	errs := make([]error, len(loads))
 	var wg sync.WaitGroup
@@ -100,15 +101,15 @@
 	return m.commit(ctx, next)
 }
 
-// provesNotRun reports whether an error of Give proves that the server does not
+// provesNotRun reports whether an error of Send proves that the server did not
 // follow the order.
 func provesNotRun(err error) bool {
 	notSent := errors.Is(err, ErrNotLeading) || errors.Is(err, ErrInFlight) || errors.Is(err, ErrOutcomeUnknown)
 	return err != nil && (notSent || native.NotRun(err))
 }
 
-// modelHosts lists the model servers: one without a model has room for one, unless it
-// is loading.
+// modelHosts returns the servers that announce no services. One without a model
+// has space for a single model, FreeBytes 1, and none while it is loading.
 func (m *Manager) modelHosts(servers []*instance.Server, loads []ModelLoad) []scale.Host {
 	var out []scale.Host
 	for _, s := range servers {
@@ -130,8 +131,8 @@
 	return out
 }
 
-// dataCentre returns where a zone is; one that the settings do not name stands
-// for itself.
+// dataCentre returns the data centre of a zone, or the zone's own name if the
+// settings do not list it.
 func (m *Manager) dataCentre(name string) string {
 	for i := range m.cfg.Zones {
 		if m.cfg.Zones[i].Name == name {
@@ -141,13 +142,13 @@
 	return name
 }
 
-// modelArtifact counts one model as one unit of room: a server holds one.
+// modelArtifact returns a model as an artifact of size 1, which fills a server.
 func modelArtifact(m Model) scale.Artifact {
 	return scale.Artifact{Model: m.Name, Version: m.Version, Bytes: 1}
 }
 
-// modelNeeds asks for every model on every server: the room decides, and the model
-// with the most demand per copy is placed first.
+// modelNeeds requests every model on every server. The free servers bound the
+// loads, and the model with the most demand per copy is placed first.
 func (m *Manager) modelNeeds(servers []*instance.Server) []scale.Need {
 	var out []scale.Need
 	for _, model := range m.deps.Models() {
--- a/fleet/manager.go
+++ b/fleet/manager.go
@@ -16,7 +16,7 @@
 	"savoryreel.example/savoryreel/zone"
 )
 
-// Cloud is the cloud API; native.CloudClient is one.
+// Cloud is the API of the cloud provider. It is implemented by native.CloudClient.
 type Cloud interface {
 	Prices(ctx context.Context) ([]native.Price, error)
 	Instances(ctx context.Context) ([]native.CloudInstance, error)
@@ -25,80 +25,81 @@
 	Notices(ctx context.Context, after uint64, wait time.Duration) (native.NoticePage, error)
 }
 
-// Log keeps the fleet's State in the replicated log.
+// Log stores the fleet's State in the replicated log.
 type Log interface {
-	// Fleet returns the state once this replica, the leader, has applied everything
-	// that was committed before the call.
+	// Fleet returns the state after this replica, the leader, has applied every
+	// command committed before the call.
 	Fleet(ctx context.Context) (State, error)
-	// Commit changes the state. After an error it may yet take hold.
+	// Commit proposes a change of the state. A command that returned an error may
+	// still be applied later.
 	Commit(ctx context.Context, c Command) (Result, error)
 }
 
-// Members is the membership; membership.Node is one.
+// Members is the membership. It is implemented by membership.Node.
 type Members interface {
 	View() *instance.View
 	Put(key string, version uint64, body []byte)
 }
 
-// OrderSender gives orders to backend servers; Orders is one.
+// OrderSender sends orders to backend servers. It is implemented by Orders.
 type OrderSender interface {
 	Send(ctx context.Context, address string, order native.Order) error
 }
 
-// Config is the settings of a Manager.
+// Config holds the settings of a Manager.
 type Config struct {
-	Site             string // begins the client tokens; differs between sites with one cloud account
+	Site             string // prefix of client tokens; must differ between sites that share a cloud account
 	Zones            []zone.Zone
 	Classes          []scale.Class
 	Scale            scale.Config
 	DecisionInterval time.Duration // between two decisions
-	// StoreRate is what the weight store delivers in all, and LoadRate the least
-	// rate at which one load is worth starting, in bytes per second. With a
-	// StoreRate of 0 no loads are ordered.
+	// StoreRate is the total throughput of the weight store and MinLoadRate the
+	// minimum throughput per model load, in bytes per second. With a StoreRate of 0
+	// no loads are ordered.
 	StoreRate   float64
 	MinLoadRate float64
-	PollTimeout time.Duration // longest wait for a notice, and the pause after a failure
+	PollTimeout time.Duration // maximum wait for reclaim notices, and the delay after a failure
 }
 
-// Deps is what a Manager works with.
+// Deps holds the dependencies of a Manager.
 type Deps struct {
 	Cloud   Cloud
 	Log     Log
 	Members Members
 	Orders  OrderSender
-	Models  func() []Model // those that the catalogue names
+	Models  func() []Model // returns the models that the catalogue uses
 	Lease   Lease
 	Logger  *slog.Logger
 	Now     func() time.Time
 }
 
-// Manager keeps the fleet at the size that the demand wants, while this replica
-// leads: it takes in reclaim notices, starts and stops instances.
+// Manager adjusts the number of cloud instances to the demand while this replica
+// is the leader. It also processes reclaim notices and orders model loads.
 //
-// Every start is in the replicated log with its client token before the cloud is
-// asked. A leader lost between the two, or before it knew the answer, leaves the
-// start there; the next one sends the same token and gets the same instance.
+// A start is committed to the replicated log with its client token before it is
+// requested from the cloud. If the leader fails before the result is committed, its
+// successor sends the same token and gets the same instance, not a second one.
 type Manager struct {
 	cfg         Config
 	deps        Deps
 	scaler      *scale.Scaler
-	viewReadyAt time.Time // the view is taken to be whole from then on
+	viewReadyAt time.Time // before it, the view may lack running servers
 
-	lastLeaveOrders map[string]time.Time // when servers were last ordered to leave, by id
-	refusedStarts   int                  // starts refused so far
+	lastLeaveOrders map[string]time.Time // time of the last leave order, by server id
+	refusedStarts   int                  // number of refused starts
 }
 
-// viewWarmUp is how long a process that has just started hears from the others
-// before its view counts as whole. Before that, servers that run would be missing
-// from it: instances would be ended under their requests, and the demand would
-// seem to leap up as they appear.
+// viewWarmUp is the time after the start of the process until the membership view
+// counts as complete. With an incomplete view, instances would be stopped while
+// their servers still run requests, and demand would seem to surge as servers
+// appear.
 const viewWarmUp = 30 * time.Second
 
-// maxDecisionRounds bounds the decisions of one step after refused starts. Each refusal
-// closes one zone, class and market for a while.
+// maxDecisionRounds bounds the decisions in one step after refused starts. Each
+// refusal blocks one combination of zone, class and market for a while.
 const maxDecisionRounds = 8
 
-// NewManager returns a Manager. The error names a setting that is out of range.
+// NewManager returns a Manager, or an error that names an invalid setting.
 func NewManager(cfg Config, deps Deps) (*Manager, error) {
 	if err := zone.Validate(cfg.Zones); err != nil {
 		return nil, trace.Wrap(err)
@@ -110,7 +111,8 @@
 	return &Manager{cfg: cfg, deps: deps, scaler: scaler, viewReadyAt: deps.Now().Add(viewWarmUp), lastLeaveOrders: make(map[string]time.Time)}, nil
 }
 
-// Run works until ctx ends. What fails is tried again after Poll.
+// Run runs steps while this replica is the leader, until ctx ends. It waits for
+// PollTimeout after a failed step.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if m.holdsLease() && m.Step(ctx) == nil {
@@ -129,11 +131,12 @@
 	return ok
 }
 
-// errStateConflict says that another leader has changed the state meanwhile.
+// errStateConflict is returned when another leader has changed the state.
 var errStateConflict = errors.New("fleet: the state was changed by another leader")
 
-// Step waits for notices for up to Poll, takes them in, and decides if it is
-// time to or if there were any. It returns early when this replica was replaced.
+// Step waits up to PollTimeout for reclaim notices and processes them. It then
+// decides about starts and stops if DecisionInterval has passed or a notice has
+// arrived. It fails if another leader has changed the state.
 func (m *Manager) Step(ctx context.Context) error {
 	state, err := m.deps.Log.Fleet(ctx)
 	if err != nil {
@@ -164,20 +167,20 @@
 		return err
 	}
 	if age := now.Sub(state.Scale.At); len(page.Notices) == 0 && age >= 0 && age < m.cfg.DecisionInterval {
-		return nil // a decision from the future is one of a leader whose clock was ahead
+		return nil // a negative age means that the last leader's clock was ahead
 	}
 	return m.resize(ctx, state)
 }
 
-// Bounds on a cloud that takes a call and does not answer: on the wait for
-// notices beyond its own, and on one round of decisions.
+// Timeouts for a cloud that accepts a call and does not answer: noticeGrace is
+// added to the wait for notices, resizeTimeout bounds the rest of a step.
 const (
 	noticeGrace   = 2 * time.Second
 	resizeTimeout = time.Minute
 )
 
-// resize decides, and again at once where starts were refused: what is refused
-// in one zone is asked for in another.
+// resize decides, and decides again at once after refused starts, so that these
+// instances are requested in another zone.
 func (m *Manager) resize(ctx context.Context, state State) error {
 	var err error
 	for range maxDecisionRounds {
@@ -192,7 +195,7 @@
 	return nil
 }
 
-// commit writes the next state into the log and returns it as it is there.
+// commit writes the next state to the log and returns it with its new version.
 func (m *Manager) commit(ctx context.Context, next State) (State, error) {
 	result, err := m.deps.Log.Commit(ctx, Command{BaseVersion: next.Version, Next: next})
 	if err == nil && !result.Applied {
@@ -202,16 +205,16 @@
 	return next, trace.Wrap(err, "step=commit fleet")
 }
 
-// maxConcurrentOrders is how many orders are under way at a time.
+// maxConcurrentOrders bounds the leave orders in flight.
 const maxConcurrentOrders = 32
 
-// leaveOrderInterval is the time for a server to announce that it leaves before it is
-// ordered to once more.
+// leaveOrderInterval is the time a server has to announce that it is leaving
+// before the order is repeated.
 const leaveOrderInterval = 5 * time.Second
 
-// requestPending asks the cloud for the starts and stops that the log holds, and notes
-// there what became of them. A start whose answer was lost stays and is asked
-// for again with its token.
+// requestPending requests the starts and stops in the log from the cloud and
+// commits the results. A start without a result stays in the log and is requested
+// again with the same token.
 func (m *Manager) requestPending(ctx context.Context, state State) (State, error) {
 	if len(state.Starts)+len(state.Stops) == 0 {
 		return state, nil
@@ -222,7 +225,7 @@
 	}
 	next = m.requestStops(ctx, next)
 	if len(next.Starts) == len(state.Starts) && len(next.Stops) == len(state.Stops) {
-		return state, nil // nothing is settled yet
+		return state, nil // no result yet
 	}
 	return m.commit(ctx, next)
 }
@@ -246,8 +249,8 @@
 	return state
 }
 
-// requestStops orders the servers on instances to be stopped to leave, and ends each
-// instance once its server is gone: what it has accepted is answered first.
+// requestStops orders the servers on instances to be stopped to leave. It stops an
+// instance only after its server has gone, so that accepted requests finish.
 func (m *Manager) requestStops(ctx context.Context, state State) State {
 	var serving []*instance.Server
 	var remaining []string
@@ -260,7 +263,7 @@
 		case known && s.State == instance.StateLeaving:
 			remaining = append(remaining, id)
 		case m.deps.Cloud.Stop(ctx, id) != nil:
-			remaining = append(remaining, id) // tried again at the next step
+			remaining = append(remaining, id) // retried in the next step
 		}
 	}
 	m.orderToLeave(ctx, serving)
@@ -268,8 +271,8 @@
 	return state
 }
 
-// decide commits what to start and stop now. While a start's outcome is not
-// known, nothing is decided: it may run already, and would be started twice.
+// decide commits what to start and stop. While the outcome of a start is unknown
+// it decides nothing: the instance may exist, and would be started twice.
 func (m *Manager) decide(ctx context.Context, state State) (State, error) {
 	if len(state.Starts) > 0 {
 		return state, nil
@@ -312,5 +315,5 @@
 	}
 }
 
-// maxListLag bounds how far the cloud's list of instances is behind its answers.
+// maxListLag bounds the delay until the cloud lists an instance that it started.
 const maxListLag = 5 * time.Minute
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -9,42 +9,41 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// NoticePrefix begins the key of the shared membership record of a reclaim
-// notice; the id of the instance follows. A backend server has the id of the
-// cloud instance that it runs on.
+// NoticePrefix is the key prefix of a reclaim notice's shared membership record;
+// the instance id follows. A backend server has the id of its cloud instance.
 const NoticePrefix = "notice/"
 
-// Notice says that an instance is to be reclaimed. It is the body of the record
-// NoticePrefix+Instance, as a msgpack map with the keys below; the record's
-// version is the number of the cloud's notice, so a later one replaces it. Who
-// reads it treats the server as leaving from then on, whatever the server says
-// of itself, until it is gone or comes back under a higher incarnation.
+// Notice states that the cloud will reclaim an instance. It is the body of the
+// record NoticePrefix+Instance, as a msgpack map with the keys below. The record's
+// version is the sequence number of the cloud's notice, so a later notice replaces
+// it. Readers treat the server as leaving, whatever state it announces, until it
+// is gone or returns with a higher incarnation.
 type Notice struct {
 	Instance string `msgpack:"id"`
 	Zone     string `msgpack:"zone"`
-	Deadline int64  `msgpack:"end"` // milliseconds since 1970: the instance ends then
+	Deadline int64  `msgpack:"end"` // when the instance ends, in Unix milliseconds
 }
 
 // NoticeKey returns the key of an instance's notice record.
 func NoticeKey(instance string) string { return NoticePrefix + instance }
 
-// Ends returns when the instance ends.
+// Ends returns the time at which the instance ends.
 func (n Notice) Ends() time.Time { return time.UnixMilli(n.Deadline) }
 
-// Encode returns the body of the record.
+// Encode returns the notice as the body of a record.
 func (n Notice) Encode() ([]byte, error) {
 	b, err := msgpack.Marshal(&n)
 	return b, trace.Wrap(err, "step=encode notice")
 }
 
-// DecodeNotice reads the body of a record.
+// DecodeNotice decodes the body of a record.
 func DecodeNotice(body []byte) (Notice, error) {
 	var n Notice
 	if err := msgpack.Unmarshal(body, &n); err != nil {
 		return Notice{}, trace.Wrap(err, "step=decode notice")
 	}
 	if n.Instance == "" {
-		return Notice{}, trace.BadParameter("notice names no instance")
+		return Notice{}, trace.BadParameter("notice has no instance id")
 	}
 	return n, nil
 }
--- a/fleet/notices.go
+++ b/fleet/notices.go
@@ -16,22 +16,23 @@
 	return m.deps.Cloud.Notices(ctx, after, m.cfg.PollTimeout)
 }
 
-// publishNotices tells all entries of the notices: an entry that sends no more work to a
-// server saves it, while an order only lets the server say so itself.
+// publishNotices writes the notices to the shared membership records, so that
+// entries send no more requests to these servers. A leave order alone depends on
+// the server to announce that it is leaving.
 func (m *Manager) publishNotices(notices []native.Notice) {
 	for _, n := range notices {
 		body, err := newNotice(n).Encode()
 		if err != nil || !m.deps.Now().Before(n.Deadline) {
-			continue // over before this leader heard of it
+			continue // the deadline has passed
 		}
 		m.deps.Members.Put(NoticeKey(n.InstanceID), n.Sequence, body)
 	}
 }
 
-// orderNoticedToLeave orders the servers to leave that are under notice and still say that
-// they serve. It goes by the shared records, so it also finds a server that this
-// replica did not know when the notice came, and one that the leader before did
-// not reach.
+// orderNoticedToLeave orders servers that have a notice but still announce
+// StateServing to leave. It reads the shared records, so it includes servers that
+// were missing from the view when the notice arrived, and servers that the last
+// leader could not reach.
 func (m *Manager) orderNoticedToLeave(ctx context.Context) {
 	var serving []*instance.Server
 	for _, s := range m.deps.Members.View().AllServers() {
@@ -51,8 +52,8 @@
 	return err == nil && m.deps.Now().Before(n.Ends())
 }
 
-// orderToLeave orders servers to orderToLeave, each once in remindEvery. An order that fails
-// has its log line, and comes again.
+// orderToLeave sends leave orders, each at most once per leaveOrderInterval. A
+// failed order is logged by Send and repeated after the interval.
 func (m *Manager) orderToLeave(ctx context.Context, serving []*instance.Server) {
 	now := m.deps.Now()
 	maps.DeleteFunc(m.lastLeaveOrders, func(_ string, at time.Time) bool { return now.Sub(at) >= leaveOrderInterval })
@@ -66,7 +67,7 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			_ = m.deps.Orders.Send(ctx, s.Address, native.Order{Kind: native.OrderLeave}) // logged by Give
+			_ = m.deps.Orders.Send(ctx, s.Address, native.Order{Kind: native.OrderLeave}) // logged by Send
 		})
 	}
 	wg.Wait()
--- a/fleet/orders.go
+++ b/fleet/orders.go
@@ -15,28 +15,28 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// Lease says whether this replica is the leader and until when surely no other
-// one is; host.Host is one.
+// Lease reports whether this replica is the leader, its term, and until when no
+// other replica can lead. It is implemented by host.Host.
 type Lease interface {
 	HoldsLease() (term uint64, until time.Time, ok bool)
 }
 
-// OrdersConfig is the settings of Orders.
+// OrdersConfig holds the settings of Orders.
 type OrdersConfig struct {
-	// SettleDelay is how long a new leader holds its lease before its first order, and
-	// how long a server is left alone after an order with an unknown outcome. Use
-	// the election timeout.
+	// SettleDelay is the time for which a new leader holds its lease before its
+	// first order, and for which a server gets no order after one with an unknown
+	// outcome. It should equal the election timeout.
 	SettleDelay time.Duration
-	// LeaseMargin is how long before the end of the lease an order must be through.
+	// LeaseMargin is the time between an order's deadline and the end of the lease.
 	LeaseMargin time.Duration
-	// MinCallTime is the least time for one order; with less of the lease left, it is
-	// not begun.
+	// MinCallTime is the minimum time until the deadline. With less time remaining,
+	// an order is not sent.
 	MinCallTime time.Duration
 }
 
-// DefaultOrdersConfig returns the settings for replicas with this election
-// timeout. The lease that is left lies between 0.7 and 0.9 of it, as heartbeats
-// go out every fifth.
+// DefaultOrdersConfig returns settings for replicas with the given election
+// timeout. As heartbeats are sent every fifth of the timeout, the remaining lease
+// is 0.7 to 0.9 of it.
 func DefaultOrdersConfig(electionTimeout time.Duration) OrdersConfig {
 	return OrdersConfig{
 		SettleDelay: electionTimeout,
@@ -45,46 +45,46 @@
 	}
 }
 
-// OrdersDeps is what Orders works with.
+// OrdersDeps holds the dependencies of Orders.
 type OrdersDeps struct {
 	Lease Lease
 	Log   *slog.Logger
-	Now   func() time.Time // must carry a monotonic reading, as the lease's
-	// Dial connects to a server; nil: over TCP.
+	Now   func() time.Time // must return times with a monotonic clock reading, as the lease does
+	// Dial connects to a server; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// The errors of Give, for which surely nothing was sent.
+// Errors of Send after which certainly nothing of the order was sent.
 var (
-	// ErrNotLeading: this replica does not hold the lease, or not for long enough.
+	// ErrNotLeading: this replica does not hold the lease, or too little of it remains.
 	ErrNotLeading = errors.New("fleet: the leader's lease does not cover the order")
-	// ErrInFlight: an order to the same server is under way.
+	// ErrInFlight: another order to the same server is in flight.
 	ErrInFlight = errors.New("fleet: another order to this server is under way")
-	// ErrOutcomeUnknown: the outcome of the last order to this server is not known, and
-	// its bytes may still be under way.
+	// ErrOutcomeUnknown: the outcome of an earlier order to this server is unknown,
+	// and that order may still arrive.
 	ErrOutcomeUnknown = errors.New("fleet: an earlier order to this server may still arrive")
 )
 
-// Orders gives orders to backend servers while this replica leads. It is safe
-// for concurrent use.
+// Orders sends orders to backend servers while this replica is the leader. It is
+// safe for concurrent use.
 type Orders struct {
 	cfg  OrdersConfig
 	deps OrdersDeps
 
 	mu        sync.Mutex
-	term      uint64    // of the latest lease seen
-	termSince time.Time // when the lease of term was first seen
-	sequence  uint64    // of the last order of term
+	term      uint64    // highest term in which this replica has held the lease
+	termSince time.Time // when the lease of term was first observed
+	sequence  uint64    // of the last order in term
 	servers   map[string]serverState
 }
 
-// serverState is what bars further orders to one server.
+// serverState blocks further orders to one server.
 type serverState struct {
 	inFlight     bool
-	blockedUntil time.Time // no order before
+	blockedUntil time.Time // no orders before this time
 }
 
-// NewOrders returns an Orders that has given none.
+// NewOrders returns an Orders that has not sent any order.
 func NewOrders(cfg OrdersConfig, deps OrdersDeps) *Orders {
 	if deps.Dial == nil {
 		deps.Dial = dial
@@ -92,15 +92,15 @@
 	return &Orders{cfg: cfg, deps: deps, servers: make(map[string]serverState)}
 }
 
-// Send sends an order to a backend server and waits for its word. It sets the
+// Send sends an order to a backend server and waits for its answer. It sets the
 // order's Fence. In a new term it first waits until the lease has been held for
-// Settle. Errors: ErrNotLeading, ErrInFlight, ErrUnsettled, the context's while
-// it waits, or a *native.CallError: native.NotRun tells whether the order
-// surely was not followed, native.OldFence that another replica leads.
+// SettleDelay. It returns ErrNotLeading, ErrInFlight, ErrOutcomeUnknown, the
+// context's error while it waits, or a *native.CallError, for which native.NotRun
+// reports whether the order was certainly not followed, and native.OldFence
+// whether another replica leads.
 //
-// Orders to one server go one at a time: two under way could arrive in either
-// order, and a server that checks would refuse the lower number of a leader
-// that is well in office.
+// Only one order to a server is in flight: two could arrive in either order, and a
+// server that checks tokens would refuse the lower one of a valid leader.
 func (o *Orders) Send(ctx context.Context, address string, order native.Order) error {
 	fence, err := o.sendFenced(ctx, address, order)
 	attrs := []slog.Attr{
@@ -137,9 +137,10 @@
 	return fence, err
 }
 
-// waitSettled waits until this replica has held the lease of one term for Settle.
-// Without it, a server that ignores the number could follow an order of the old
-// leader that was under way at the end of its lease after one of this leader.
+// waitSettled waits until this replica has held the lease of one term for
+// SettleDelay, and returns the term. Otherwise an order of the old leader, in
+// transit when its lease ended, could arrive after one of this leader and be
+// followed by a server that ignores the token.
 func (o *Orders) waitSettled(ctx context.Context) (uint64, error) {
 	for {
 		term, wait, err := o.observeTerm()
@@ -156,7 +157,7 @@
 	}
 }
 
-// observeTerm returns the term and what is left of the wait in it.
+// observeTerm returns the current term and the remaining settle delay in it.
 func (o *Orders) observeTerm() (uint64, time.Duration, error) {
 	term, _, ok := o.deps.Lease.HoldsLease()
 	if !ok {
@@ -174,7 +175,7 @@
 	return term, o.termSince.Add(o.cfg.SettleDelay).Sub(now), nil
 }
 
-// reserve takes the next number and bars other orders to the server.
+// reserve returns the next token and blocks other orders to the server.
 func (o *Orders) reserve(term uint64, address string) (Fence, error) {
 	now := o.deps.Now()
 	o.mu.Lock()
@@ -208,9 +209,9 @@
 	delete(o.servers, address)
 }
 
-// deliver connects, asks for the lease, and only then writes. Connecting can take
-// long, and the process can be frozen meanwhile; an answer from before it would
-// let a leader that another has replaced give an order.
+// deliver connects, checks the lease again and writes the order. Connecting can
+// take long, and the process can be suspended meanwhile; with a check only before
+// it, a replaced leader could send an order.
 func (o *Orders) deliver(ctx context.Context, address string, order native.Order) error {
 	message, err := encodeOrder(address, order)
 	if err != nil {
@@ -227,7 +228,7 @@
 		return &native.CallError{Step: native.StepConnect, Peer: address, Delivery: native.NotSent, Err: err}
 	}
 	defer conn.Close()
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // the caller has given up
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // the caller has canceled
 	defer stop()
 	if end, err = o.deadline(order.Fence); err != nil {
 		return err
@@ -236,14 +237,14 @@
 	return exchange(conn, address, message)
 }
 
-// deadline returns by when an order with this number must be through, if there
-// is time enough for it.
+// deadline returns the deadline of an order with this token. It fails if the lease
+// of the token's term is not held or if less than MinCallTime remains.
 func (o *Orders) deadline(fence uint64) (time.Time, error) {
 	term, until, ok := o.deps.Lease.HoldsLease()
 	end := until.Add(-o.cfg.LeaseMargin)
 	remaining := end.Sub(o.deps.Now())
 	if !ok || term != Fence(fence).Term() || remaining < o.cfg.MinCallTime {
-		return end, fmt.Errorf("%w: %v left", ErrNotLeading, remaining)
+		return end, fmt.Errorf("%w: %v remaining", ErrNotLeading, remaining)
 	}
 	return end, nil
 }
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -13,24 +13,24 @@
 // MaxStateBytes bounds an encoded State, in bytes.
 const MaxStateBytes = 128 << 10
 
-// State is what the leaders of the control replicas hand on to each other about
-// the fleet. It is kept in the replicated log and changed as a whole.
+// State is the fleet state that a leader passes on to its successors. It is stored
+// in the replicated log and always replaced as a whole.
 type State struct {
-	Version uint64      `msgpack:"ver"` // counts the changes
+	Version uint64      `msgpack:"ver"` // number of changes
 	Scale   scale.State `msgpack:"scale"`
-	// Starts are decided and not settled: the cloud has neither taken nor refused
-	// them, as far as the log knows.
+	// Starts are decided, but the log has no answer of the cloud yet: neither
+	// accepted nor refused.
 	Starts []Start `msgpack:"starts"`
-	// Accepted are the starts that the cloud took and did not list yet: its list may
-	// lag behind its answers.
+	// Accepted are the starts that the cloud has accepted but does not list yet, as
+	// its list may lag behind its answers.
 	Accepted []Accepted `msgpack:"accepted"`
-	// Stops are the instances that are to leave and then to be stopped.
+	// Stops are instances whose servers must leave before they are stopped.
 	Stops      []string    `msgpack:"stops"`
 	Loads      []ModelLoad `msgpack:"loads"`
-	LastNotice uint64      `msgpack:"notice"` // number of the last reclaim notice taken in
+	LastNotice uint64      `msgpack:"notice"` // sequence number of the last processed reclaim notice
 }
 
-// Start is a decided start of an instance.
+// Start is a start that was decided, with its client token.
 type Start struct {
 	Token   string       `msgpack:"token"`
 	Option  scale.Option `msgpack:"opt"`
@@ -38,26 +38,26 @@
 	Reason  scale.Reason `msgpack:"why"`
 }
 
-// Accepted is an instance that the cloud has started.
+// Accepted is an instance whose start the cloud has accepted.
 type Accepted struct {
 	ID     string       `msgpack:"id"`
 	Option scale.Option `msgpack:"opt"`
 	At     time.Time    `msgpack:"at"`
 }
 
-// Command replaces the State if its version is still Base. A leader that has been
-// replaced without knowing decides on an old state; its command changes nothing.
+// Command replaces the State if its version still equals BaseVersion. The command
+// of a replaced leader, which decided on an old state, has no effect.
 type Command struct {
 	BaseVersion uint64 `msgpack:"base"`
 	Next        State  `msgpack:"next"`
 }
 
-// Result is the answer to a Command.
+// Result reports whether a Command was applied.
 type Result struct {
 	Applied bool `msgpack:"taken"`
 }
 
-// Encode returns the command as a log entry's data.
+// Encode returns the command as the data of a log entry.
 func (c Command) Encode() ([]byte, error) {
 	b, err := msgpack.Marshal(&c)
 	if err == nil && len(b) > MaxStateBytes {
@@ -66,11 +66,12 @@
 	return b, trace.Wrap(err, "step=encode fleet command")
 }
 
-// Apply changes the state by a log entry's data. It is the same at every replica.
+// Apply applies the data of a log entry. It is deterministic: every replica gets
+// the same state.
 func (s *State) Apply(data []byte) (Result, error) {
 	var c Command
 	if len(data) > MaxStateBytes {
-		return Result{}, trace.LimitExceeded("fleet command of %d bytes", len(data))
+		return Result{}, trace.LimitExceeded("fleet command of %d bytes exceeds the limit", len(data))
 	}
 	if err := msgpack.Unmarshal(data, &c); err != nil {
 		return Result{}, trace.Wrap(err, "step=apply fleet command")
@@ -83,7 +84,7 @@
 	return Result{Applied: true}, nil
 }
 
-// without returns the state without a pending start.
+// without returns a copy of the state without the pending start of a token.
 func (s State) without(token string) State {
 	s.Starts = slices.DeleteFunc(slices.Clone(s.Starts), func(x Start) bool { return x.Token == token })
 	return s
--- a/routes/catalogue.go
+++ b/routes/catalogue.go
@@ -1,6 +1,6 @@
-// Package routes holds the catalogue of routes: which service answers which
-// paths, under which promises, and which workspaces may call. An operator replaces
-// it whole under a revision of its own; the highest revision counts.
+// Package routes holds the catalogue: the routes that map paths to services, the
+// services, and the workspaces that may call them. An operator replaces the whole
+// catalogue under a new revision; the highest revision is in effect.
 package routes
 
 import (
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind determines whether a request on a route may be repeated.
 type Kind uint8
 
-// The kinds.
+// Kinds of routes.
 const (
 	Idempotent    Kind = iota + 1 // may run more than once
-	NonIdempotent                 // runs at most once for each attempt of the caller
+	NonIdempotent                 // runs at most once per attempt of the caller
 	Stream                        // answers with events; runs once unless the route is resumable
 )
 
@@ -32,7 +32,7 @@
 	}
 }
 
-// Catalogue is one revision. It is immutable once it is in use.
+// Catalogue is one revision of the catalogue. It is immutable once in use.
 type Catalogue struct {
 	Revision   uint64
 	Routes     []Route
@@ -40,28 +40,28 @@
 	Workspaces []Workspace
 	Limits     Limits
 
-	// KeysNeeded says that callers need a key on routes that are not public.
+	// KeysNeeded reports whether callers need a key on routes that are not public.
 	KeysNeeded bool
 }
 
-// Route sends the requests of one host below one path prefix to services.
+// Route forwards requests for one host and path prefix to services.
 type Route struct {
 	Name       string
 	Host       string // lower case, without a port
 	Prefix     string // begins and ends with a slash
 	Kind       Kind
-	Resumable  bool // a broken stream may go on in another run
-	Public     bool // needs no key
-	Cached     bool // prompts share parts that servers cache
+	Resumable  bool // a truncated stream may continue in another run
+	Public     bool // no key required
+	Cached     bool // servers cache prompt prefixes that requests share
 	Timeout    time.Duration
-	Objective  time.Duration     // within it an answer, or a stream's first event, earns its full worth
-	MaxPause   time.Duration     // longest pause between events for a stream to be on time; 0: none given
-	Rank       int               // 0 is the most urgent
-	MaxServers int               // most servers that may run one attempt of a caller
-	Split      []WeightedService // one for a route to a single service
+	Objective  time.Duration     // deadline of full value, for the answer or a stream's first event
+	MaxPause   time.Duration     // maximum pause between events of a stream that is on time; 0: no limit
+	Rank       int               // priority; 0 is the most urgent
+	MaxServers int               // maximum number of servers that may run one attempt of a caller
+	Split      []WeightedService // a single element if the route has one service
 }
 
-// WeightedService is a service's part of a route.
+// WeightedService is a service and its weight in a route's split.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -72,53 +72,53 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service is something that backend servers run.
+// Service is an application that backend servers run.
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int      // that one server accepts from all callers together
-	Engine     *Engine  // nil: a plain service
-	Scaling    *Scaling // nil: its servers are not ordered by the system
+	MaxConns   int      // maximum connections that a server accepts from all callers together
+	Engine     *Engine  // nil: not a model service
+	Scaling    *Scaling // nil: the system does not order servers for it
 }
 
-// Engine describes model servers.
+// Engine describes the model servers of a service.
 type Engine struct {
-	Slots         int // requests in a batch
-	CacheTokens   int // tokens that running requests and cached prompt parts share
+	Slots         int // maximum requests in a batch
+	CacheTokens   int // size of the cache that running requests and cached prompt prefixes share
 	EventTokens   int // tokens in one event of a stream
-	CacheWatchers int // callers that one server keeps waiting for cache events
+	CacheWatchers int // maximum callers that wait for cache events at one server
 }
 
-// Scaling bounds the servers that are ordered for a service in each zone.
+// Scaling bounds the number of servers that are ordered for a service in each zone.
 type Scaling struct {
 	Min, Max   int
 	Boot       time.Duration // from an order until the server serves
-	SpotPrice  float64       // price of a reclaimable server as a part of the others'; 0: there are none
+	SpotPrice  float64       // price ratio of a reclaimable to an on-demand server; 0: none available
 	ZonePrices map[string]float64
 }
 
-// Unit is what a workspace's limit counts.
+// Unit is the unit in which a workspace's limit counts.
 type Unit uint8
 
-// The units.
+// Units of limits.
 const (
 	Requests Unit = iota
 	Tokens
 )
 
-// Workspace is one customer.
+// Workspace is a customer, with its keys and its limit.
 type Workspace struct {
 	Name          string
 	Keys          []string
-	Rank          int // goes before the route's rank where HasRank is set
+	Rank          int // overrides the route's rank if HasRank is set
 	HasRank       bool
 	Unit          Unit
-	DefaultTokens float64 // counted for a request that doesn't say its size
-	PerSecond     float64 // 0: no limit
+	DefaultTokens float64 // cost of a request that does not state its size
+	PerSecond     float64 // rate of the limit, in Unit; 0: no limit
 	Burst         float64
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size and duration of callers' requests.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -126,7 +126,7 @@
 	IdleTimeout    time.Duration
 }
 
-// CanonicalHost returns a host as routes name it: lower case, without a port.
+// CanonicalHost returns a host in the form that routes use: lower case, no port.
 func CanonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/routes/table.go
+++ b/routes/table.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// Table is a catalogue made ready for look-ups. It is immutable and safe for
-// concurrent use.
+// Table indexes a catalogue for lookups. It is immutable and safe for concurrent
+// use.
 type Table struct {
 	catalogue       *Catalogue
 	routesByHost    map[string][]*Route // longest prefix first
 	services        map[string]*Service
-	workspacesByKey map[string]*Workspace // by key
+	workspacesByKey map[string]*Workspace
 }
 
-// NewTable returns the table of a valid catalogue, which must not be changed
-// afterwards.
+// NewTable returns the table of a valid catalogue. The catalogue must not be
+// changed afterwards.
 func NewTable(c *Catalogue) *Table {
 	t := &Table{
 		catalogue:       c,
@@ -41,11 +41,11 @@
 	return t
 }
 
-// Catalogue returns the catalogue behind the table.
+// Catalogue returns the catalogue that the table indexes.
 func (t *Table) Catalogue() *Catalogue { return t.catalogue }
 
-// Route returns the route of a host (as CanonicalHost gives it) with the longest
-// prefix of path, or nil.
+// Route returns the route of a host, in the form of CanonicalHost, with the longest
+// matching path prefix, or nil.
 func (t *Table) Route(host, path string) *Route {
 	for _, r := range t.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -55,14 +55,14 @@
 	return nil
 }
 
-// Service returns a service by name, or nil.
+// Service returns the service with this name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Workspace returns the workspace that holds a key, or nil.
+// Workspace returns the workspace that owns the key, or nil.
 func (t *Table) Workspace(key string) *Workspace { return t.workspacesByKey[key] }
 
-// Choose picks a service of the route's split by weight; random is uniform in
-// [0, 1).
+// Choose returns a service of the route's split, selected by weight. random must be
+// uniform in [0, 1).
 func (r *Route) Choose(random float64) string {
 	totalWeight := 0
 	for _, s := range r.Split {
--- a/routes/validate.go
+++ b/routes/validate.go
@@ -6,8 +6,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Validate refuses a catalogue that contradicts itself. The error names the
-// first fault.
+// Validate returns an error for the first inconsistency in the catalogue, or nil.
 func (c *Catalogue) Validate() error {
 	services, err := c.checkServices()
 	if err != nil {
@@ -27,14 +26,14 @@
 			return nil, trace.BadParameter("service %d has no name", i)
 		}
 		if seen[s.Name] {
-			return nil, trace.BadParameter("service %s is named twice", s.Name)
+			return nil, trace.BadParameter("duplicate service name %s", s.Name)
 		}
 		seen[s.Name] = true
 	}
 	return seen, nil
 }
 
-// routeKey is what selects a route.
+// routeKey identifies a route; no two routes may share one.
 type routeKey struct{ host, prefix string }
 
 func (c *Catalogue) checkRoutes(services map[string]bool) error {
@@ -60,7 +59,7 @@
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return trace.BadParameter("route %s: prefix %q doesn't begin and end with a slash", r.Name, r.Prefix)
 	case r.Kind < Idempotent || r.Kind > Stream:
-		return trace.BadParameter("route %s has no known kind", r.Name)
+		return trace.BadParameter("route %s has an unknown kind", r.Name)
 	case r.Timeout <= 0:
 		return trace.BadParameter("route %s has no timeout", r.Name)
 	}
@@ -79,13 +78,13 @@
 		totalWeight += s.Weight
 	}
 	if totalWeight <= 0 {
-		return trace.BadParameter("route %s: weights add up to nothing", r.Name)
+		return trace.BadParameter("route %s: sum of the weights is not positive", r.Name)
 	}
 	return nil
 }
 
-// checkKeys refuses a key that two workspaces share: a caller that shows it
-// could not be told from another customer.
+// checkKeys refuses a key that two workspaces share, since it does not identify
+// the customer.
 func (c *Catalogue) checkKeys() error {
 	workspaceByKey := make(map[string]string)
 	seen := make(map[string]bool, len(c.Workspaces))
@@ -95,7 +94,7 @@
 			return trace.BadParameter("workspace %d has no name", i)
 		}
 		if seen[w.Name] {
-			return trace.BadParameter("workspace %s is named twice", w.Name)
+			return trace.BadParameter("duplicate workspace name %s", w.Name)
 		}
 		seen[w.Name] = true
 		for _, key := range w.Keys {
