--- a/fleet/loads_test.go
+++ b/fleet/loads_test.go
@@ -7,13 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// After a wave six new servers wait for the same weights. Loaded all at once,
-// each gets a sixth of the weight store's rate, and callers wait for the first
-// server as long as for the last. Two at a time are what the store serves well;
-// a new leader counts those that the one before it had begun.
+// Guards against loading the model on all new servers at once: six concurrent loads
+// would share the weight store's throughput, and callers would wait for the first
+// server as long as for the last. A new leader counts the loads in progress.
 //
-// It breaks without Loading in the input of Place, without unfinished, and
-// without the commit in load.
+// Fails without LoadsInProgress in the input of Place, without unfinishedLoads, and
+// without the commit in placeModels.
 func TestModelLoadsArePaced(t *testing.T) {
 	s, closeSite := newSite(t)
 	defer closeSite()
@@ -22,7 +21,7 @@
 	}
 	for round := 1; round <= 3; round++ {
 		s.failStep = func() bool { return true }
-		require.Error(t, s.leader().Step(t.Context())) // lost before anything is in the log
+		require.Error(t, s.leader().Step(t.Context())) // fails before the load is committed
 		s.failStep = func() bool { return false }
 		for range 2 {
 			require.NoError(t, s.leader().Step(t.Context()))
--- a/fleet/manager_test.go
+++ b/fleet/manager_test.go
@@ -20,20 +20,21 @@
 	"savoryreel.example/savoryreel/zone"
 )
 
-// site is a cloud with a fleet's state and view, without a control replica.
+// site holds a fake cloud, the fleet state and the membership view, without a
+// control replica.
 type site struct {
 	t             require.TestingT
 	cloud         *fake.Cloud
 	api           *native.CloudClient
 	state         State
 	view          *instance.View
-	recordPuts    int // shared records
+	recordPuts    int // number of shared records written
 	mu            sync.Mutex
 	leaveOrders   []string // addresses ordered to leave
 	loadOrders    []string // addresses ordered to load a model
 	clock         time.Time
-	failStep      func() bool // whether the next step of a leader goes wrong
-	expensiveZone string      // a zone whose prices have gone up
+	failStep      func() bool // reports whether the leader fails at the next step
+	expensiveZone string      // zone with raised prices
 	beforeCommit  func()      // called once, before the next commit
 }
 
@@ -49,7 +50,7 @@
 	}
 	server := httptest.NewServer(s.cloud.Handler())
 	s.api = native.NewCloud(native.CloudConfig{Address: strings.TrimPrefix(server.URL, "http://")})
-	s.serve("old-1", 8, 8) // a server with work for one instance's capacity, from before
+	s.serve("old-1", 8, 8) // loaded to the capacity of one instance
 	return s, func() { s.api.Close(); server.Close() }
 }
 
@@ -60,9 +61,9 @@
 	s.view.Apply([]instance.Update{{Server: &instance.Server{Announcement: a}}})
 }
 
-var errLeaderLost = errors.New("the leader died here")
+var errLeaderLost = errors.New("leader lost")
 
-// Log.
+// Implements Log.
 func (s *site) Fleet(context.Context) (State, error) { return s.state, nil }
 
 func (s *site) Commit(_ context.Context, c Command) (Result, error) {
@@ -82,7 +83,7 @@
 	return result, err
 }
 
-// Members, Orderer and Lease.
+// Implements Members, OrderSender and Lease.
 func (s *site) View() *instance.View { return s.view }
 
 func (s *site) Put(key string, version uint64, body []byte) {
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// unreliableCloud is the cloud as a site's leaders see it: answers to starts are lost,
-// prices move, and the list of instances is behind by those of the last minutes.
+// unreliableCloud is the cloud as the leaders see it: it loses answers to starts, its
+// prices change, and its list of instances lags behind its answers.
 type unreliableCloud struct {
 	*native.CloudClient
 	site *site
@@ -128,7 +129,7 @@
 
 func (c unreliableCloud) Instances(context.Context) ([]native.CloudInstance, error) { return nil, nil }
 
-// leader returns a new leader, which knows nothing but the log and the view.
+// leader returns a new leader, which has only the log and the view.
 func (s *site) leader() *Manager {
 	cfg := Config{StoreRate: 250, MinLoadRate: 100, Site: "test", Classes: []scale.Class{{Name: "g1", Capacity: 100}}, Scale: scale.DefaultConfig(), DecisionInterval: time.Minute}
 	for _, z := range []string{"z1", "z2", "z3"} {
@@ -144,29 +145,27 @@
 	return m
 }
 
-// startedInstances returns how many instances run after a number of leaders, each of
-// which does one step, or a part of one. Each finds other prices than the one
-// before it and would decide otherwise.
+// startedInstances returns the number of instances started by a sequence of leaders,
+// each of which runs one step or fails within it. Each leader finds other prices than
+// its predecessor, so its own decision would differ.
 func startedInstances(t require.TestingT, fail func() bool) int {
 	s, closeSite := newSite(t)
 	defer closeSite()
 	s.failStep = fail
 	for i := range 10 {
 		s.expensiveZone = []string{"z1", "z2", "z3"}[i%3]
-		_ = s.leader().Step(context.Background()) // what failed is left to the next leader
+		_ = s.leader().Step(context.Background()) // the next leader handles failures
 	}
 	require.Empty(t, s.state.Starts)
 	return s.cloud.Stats().Started
 }
 
-// A control leader decides to start instances and is lost at any point: before
-// the decision is in the log, after it, between two starts, or with the cloud's
-// answer under way. Its successor goes on. If it started them again, the site
-// would pay for each twice. As many run in the end as with one leader that
-// lives.
+// Guards against a new leader that repeats the starts of its predecessor, so that
+// the site pays for each instance twice. The predecessor fails before or after the
+// commit, between two starts, or before the cloud's answer arrives.
 //
-// It breaks without the commit in decide, with a token that is not the log's,
-// and without Accepted in start.
+// Fails without the commit in decide, with a token other than the log's, and
+// without Accepted in requestStart.
 func TestNewLeaderDoesNotRepeatStarts(t *testing.T) {
 	want := startedInstances(t, func() bool { return false })
 	require.Positive(t, want)
@@ -183,11 +182,10 @@
 	})
 }
 
-// A leader is frozen after it decided and before it wrote that into the log.
-// Another one decides in the meantime, at other prices. The first one's decision
-// must not take hold when it thaws: both would be started.
+// Guards against applying the decision of a suspended leader after another leader
+// has decided: the starts of both would be requested.
 //
-// It breaks without the comparison with Base in State.Apply.
+// Fails without the comparison with BaseVersion in State.Apply.
 func TestStaleDecisionIsNotApplied(t *testing.T) {
 	want := startedInstances(t, func() bool { return false })
 	s, closeSite := newSite(t)
@@ -203,8 +201,8 @@
 	require.Equal(t, want, s.cloud.Stats().Started)
 }
 
-// The cheapest zone has no instances left. The missing ones are started in
-// another zone at once, and the full one is not asked over and over.
+// Guards against missing capacity when the cheapest zone has none: the instances
+// start in another zone at once, and the full zone is not retried immediately.
 func TestRefusedStartsMoveToAnotherZone(t *testing.T) {
 	s, closeSite := newSite(t)
 	defer closeSite()
@@ -213,7 +211,7 @@
 	require.NoError(t, m.Step(t.Context()))
 	running, err := s.api.Instances(t.Context())
 	require.NoError(t, err)
-	require.GreaterOrEqual(t, len(running), 4, "the demand of 100 with headroom 1.2, also without one data centre")
+	require.GreaterOrEqual(t, len(running), 4, "demand of 100 and headroom 1.2, after the loss of any one data centre")
 	refused := s.cloud.Stats().Refused
 	require.Positive(t, refused)
 	s.clock = s.clock.Add(time.Second)
@@ -221,12 +219,12 @@
 	require.Equal(t, refused, s.cloud.Stats().Refused)
 }
 
-// The cloud takes back a zone's instances. Every entry learns of it from the
-// shared record, and the server is told to leave, by the next leader if the
-// first one did not know it yet. Without that, a server that does not watch the
-// cloud itself takes work until its end.
+// Guards against sending requests to a server until its instance is reclaimed. The
+// notice is published to every entry, and the server is ordered to leave, by the
+// next leader if it was missing from the first leader's view.
 //
-// It breaks without remind in Step; the record is put twice without Notice.
+// Fails without orderNoticedToLeave in Step; without LastNotice the record is
+// written twice.
 func TestNoticeIsPublishedAndServerOrderedToLeave(t *testing.T) {
 	s, closeSite := newSite(t)
 	defer closeSite()
@@ -248,11 +246,10 @@
 	require.Equal(t, 1, s.recordPuts)
 }
 
-// The demand rises by one request, and a second after a decision a notice calls
-// for another one. Taken as a trend, that request would be many times the demand
-// by the time that a start takes, and the site would pay for idle instances.
+// Guards against paying for idle instances: one more request within a second of a
+// decision, extrapolated as a trend, would count as a surge.
 //
-// It breaks without the last decision's demand in input.
+// Fails without the last decision's demand in decisionInput.
 func TestDecisionsInQuickSuccessionSeeNoSurge(t *testing.T) {
 	s, closeSite := newSite(t)
 	defer closeSite()
--- a/fleet/orders_test.go
+++ b/fleet/orders_test.go
@@ -25,7 +25,7 @@
 	"savoryreel.example/savoryreel/replica/host"
 )
 
-// discardStorage keeps nothing: no replica restarts in these tests.
+// discardStorage stores nothing: no replica restarts in these tests.
 type discardStorage struct{}
 
 func (discardStorage) State() replica.State                          { return replica.State{} }
@@ -41,8 +41,8 @@
 func (noopMachine) Snapshot() ([]byte, error)        { return nil, nil }
 func (noopMachine) Restore([]byte) error             { return nil }
 
-// replicaGroup is three replicas in one process. Its transport drops what a replica
-// that is cut off sends or is sent.
+// replicaGroup runs three replicas in one process and is their transport. It drops
+// messages from and to the isolated replica.
 type replicaGroup struct {
 	mu       sync.Mutex
 	hosts    map[uint64]*host.Host
@@ -58,7 +58,7 @@
 	}
 }
 
-// run starts the replicas; they end with ctx.
+// run starts the replicas; they stop when ctx ends.
 func (g *replicaGroup) run(ctx context.Context, t require.TestingT, wg *sync.WaitGroup, seed uint64) {
 	g.hosts = map[uint64]*host.Host{}
 	for id := uint64(1); id <= 3; id++ {
@@ -70,11 +70,11 @@
 		g.mu.Lock()
 		g.hosts[id] = h
 		g.mu.Unlock()
-		wg.Go(func() { _ = h.Run(ctx) }) // ends with ctx
+		wg.Go(func() { _ = h.Run(ctx) }) // stops when ctx ends
 	}
 }
 
-// leader waits, in virtual time, for a leader other than not.
+// leader waits, in virtual time, for a leader other than except.
 func (g *replicaGroup) leader(ctx context.Context, except uint64) uint64 {
 	for ctx.Err() == nil {
 		for id, h := range g.hosts {
@@ -87,12 +87,12 @@
 	return 0
 }
 
-// memoryNetwork connects to engines in memory. An order arrives there delay after it was
-// written, whether or not its sender still waits.
+// memoryNetwork connects to engines in memory. An order arrives delay after it was
+// written, even if its sender no longer waits.
 type memoryNetwork struct {
 	engines    []*fake.Engine
 	delay      time.Duration
-	resumeDial chan struct{} // the sender stands still at its dial until this is closed
+	resumeDial chan struct{} // if set, dial blocks until it is closed
 	testDone   <-chan struct{}
 	wg         *sync.WaitGroup
 	dialled    atomic.Bool
@@ -115,30 +115,28 @@
 		}
 		rec := httptest.NewRecorder()
 		body := make([]byte, req.ContentLength)
-		_, _ = req.Body.Read(body) // the message came in one piece
+		_, _ = req.Body.Read(body) // the request was written in one piece
 		<-time.After(w.delay)
 		for _, e := range w.engines {
 			rec = httptest.NewRecorder()
 			e.Handler().ServeHTTP(rec, httptest.NewRequest(http.MethodPost, native.PathOrders, bytes.NewReader(body)))
 		}
-		_ = rec.Result().Write(server) // the sender may have gone
+		_ = rec.Result().Write(server) // the sender may have closed the connection
 	})
 	return client, nil
 }
 
-// noDeadline hides the real deadline of the test from rapid: it means nothing in
+// noDeadline hides the test's deadline from rapid, which would compare it with
 // virtual time.
 type noDeadline struct{ rapid.TB }
 
-// A control leader that the network cuts off, or whose process stands still,
-// is replaced without knowing it. It may be in the middle of an order to a
-// backend server just then, or the order may still be under way. If the server
-// followed it after the new leader's order, it would unload the model that the
-// new leader had it load, and callers would be refused. The server here ignores
-// the number and another one checks it: neither follows a falling number.
+// Guards against a server that follows an order of a replaced leader after one of
+// the new leader: it would unload the model that it needs, and callers would be
+// refused. The old leader is isolated or suspended during the order, or the order
+// is in transit. One server checks tokens, the other ignores them.
 //
-// The freeze breaks without the second deadline and the limit in send, the delay
-// without the wait in settled.
+// Fails when suspended without the second deadline and limitLifetime in deliver,
+// and with a delay without waitSettled.
 func TestReplacedLeaderOrderIsNotFollowedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, checkReplacedLeader)
@@ -171,9 +169,8 @@
 	oldOrders := newOrders(oldLeader, oldNetwork)
 	_, err := oldOrders.waitSettled(ctx)
 	require.NoError(t, err)
-	// The old leader is cut off, nobody tells it, and it goes on as its lease lets
-	// it. Against an order that is under way for more than 650 ms no time bound
-	// here would help.
+	// Isolate the old leader, which continues until its lease ends. The settle delay
+	// does not cover orders in transit for more than 650 ms.
 	g.mu.Lock()
 	g.isolated = oldLeader
 	g.mu.Unlock()
@@ -187,7 +184,7 @@
 		close(oldNetwork.resumeDial)
 	}
 	<-done
-	<-time.After(time.Second) // whatever is under way arrives
+	<-time.After(time.Second) // orders in transit arrive
 	for _, e := range engines {
 		orders := e.Stats().Orders
 		require.Equal(t, "new", orders[len(orders)-1].Adapter, "%v: old order: %v", orders, oldErr)
@@ -197,14 +194,13 @@
 	}
 }
 
-// leaseFunc is a scripted lease.
+// leaseFunc implements Lease.
 type leaseFunc func() (uint64, time.Time, bool)
 
 func (f leaseFunc) HoldsLease() (uint64, time.Time, bool) { return f() }
 
-// Two orders to one server are given at the same time, and one whose answer was
-// lost is followed by another. Were they under way together, a server that
-// ignores the number could follow the older one last.
+// Guards against two orders in flight to one server, also after a lost answer: a
+// server that ignores the token could follow the older order last.
 func TestOrdersToOneServerAreSerialized(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -20,22 +20,22 @@
 	}
 }
 
-// An operator sends a catalogue that contradicts itself. Put in force, it would
-// turn callers away or send them to the wrong service.
+// Guards against an inconsistent catalogue, which would refuse callers or send them
+// to the wrong service.
 func TestValidateRejectsInvalidCatalogues(t *testing.T) {
 	require.NoError(t, validCatalogue().Validate())
 	for name, corrupt := range map[string]func(*Catalogue){
-		"unknown service":       func(c *Catalogue) { c.Routes[0].Split[0].Service = "none" },
-		"same place":            func(c *Catalogue) { c.Routes[1].Prefix = "/" },
-		"no weight":             func(c *Catalogue) { c.Routes[0].Split[0].Weight = 0 },
-		"negative weight":       func(c *Catalogue) { c.Routes[1].Split[1].Weight = -1 },
-		"no timeout":            func(c *Catalogue) { c.Routes[0].Timeout = 0 },
-		"no kind":               func(c *Catalogue) { c.Routes[0].Kind = 0 },
-		"prefix without slash":  func(c *Catalogue) { c.Routes[1].Prefix = "/chat" },
-		"no host":               func(c *Catalogue) { c.Routes[1].Host = "" },
-		"shared key":            func(c *Catalogue) { c.Workspaces[1].Keys = []string{"k2"} },
-		"workspace named twice": func(c *Catalogue) { c.Workspaces[1].Name = "w1" },
-		"service named twice":   func(c *Catalogue) { c.Services[1].Name = "chat" },
+		"unknown service":      func(c *Catalogue) { c.Routes[0].Split[0].Service = "none" },
+		"same host and prefix": func(c *Catalogue) { c.Routes[1].Prefix = "/" },
+		"no weight":            func(c *Catalogue) { c.Routes[0].Split[0].Weight = 0 },
+		"negative weight":      func(c *Catalogue) { c.Routes[1].Split[1].Weight = -1 },
+		"no timeout":           func(c *Catalogue) { c.Routes[0].Timeout = 0 },
+		"no kind":              func(c *Catalogue) { c.Routes[0].Kind = 0 },
+		"prefix without slash": func(c *Catalogue) { c.Routes[1].Prefix = "/chat" },
+		"no host":              func(c *Catalogue) { c.Routes[1].Host = "" },
+		"shared key":           func(c *Catalogue) { c.Workspaces[1].Keys = []string{"k2"} },
+		"duplicate workspace":  func(c *Catalogue) { c.Workspaces[1].Name = "w1" },
+		"duplicate service":    func(c *Catalogue) { c.Services[1].Name = "chat" },
 	} {
 		c := validCatalogue()
 		corrupt(c)
@@ -43,6 +43,7 @@
 	}
 }
 
+// Guards against routing a request by a shorter prefix than the longest match.
 func TestLongestPrefixWins(t *testing.T) {
 	table := NewTable(validCatalogue())
 	require.Equal(t, "chat", table.Route("a.example", "/chat/x").Name)
@@ -52,6 +53,7 @@
 	require.Nil(t, table.Workspace(""))
 }
 
+// Guards against a traffic split that differs from the configured weights.
 func TestSplitFollowsWeights(t *testing.T) {
 	r := validCatalogue().Routes[1]
 	require.Equal(t, "chat", r.Choose(0))
@@ -60,6 +62,7 @@
 	require.Equal(t, "web", r.Choose(0.999999))
 }
 
+// Guards against unmatched routes due to upper case or a port in the host.
 func TestCanonicalHost(t *testing.T) {
 	require.Equal(t, "a.example", CanonicalHost("A.example:8080"))
 	require.Equal(t, "a.example", CanonicalHost("a.example"))
