--- a/control/fleet.go
+++ b/control/fleet.go
@@ -59,8 +59,8 @@
 	c.cloud = native.NewCloud(native.CloudConfig{Address: c.cfg.Cloud})
 	c.fleet, err = fleet.NewManager(fleet.Config{
 		Site: c.cfg.CloudSite, Zones: zones, Classes: classes, Scale: scale.DefaultConfig(),
-		Every: c.cfg.FleetInterval, Poll: noticePollTimeout,
-		WeightRate: float64(c.cfg.WeightStoreMBPerSecond) * megabyte, LoadRate: float64(c.cfg.MinLoadMBPerSecond) * megabyte,
+		DecisionInterval: c.cfg.FleetInterval, PollTimeout: noticePollTimeout,
+		StoreRate: float64(c.cfg.WeightStoreMBPerSecond) * megabyte, MinLoadRate: float64(c.cfg.MinLoadMBPerSecond) * megabyte,
 	}, fleet.Deps{
 		Cloud: c.cloud, Log: fleetLog{log: c.host, machine: c.machine}, Members: c.members, Orders: orders, Models: c.machine.models,
 		Lease: c.host, Logger: c.log, Now: c.now,
--- a/control/replicas_test.go
+++ b/control/replicas_test.go
@@ -24,7 +24,7 @@
 // machineSnapshot.
 func TestSnapshotContainsReplicasAndFleet(t *testing.T) {
 	source := NewMachine(nil, nil)
-	state := fleet.State{Starts: []fleet.Start{{Token: "site/z1/g1/reclaimable/0"}}, Notice: 7}
+	state := fleet.State{Starts: []fleet.Start{{Token: "site/z1/g1/reclaimable/0"}}, LastNotice: 7}
 	for _, e := range []replica.Entry{
 		testEntry(t, api.KindReplica, api.ReplicaCommand{ID: 4, Address: "127.0.0.1:7140"}),
 		testEntry(t, api.KindReplica, api.ReplicaCommand{ID: 9}),
--- a/fleet/manager.go
+++ b/fleet/manager.go
@@ -16,7 +16,7 @@
 	"savoryreel.example/savoryreel/zone"
 )
 
-// Cloud is the cloud API; native.CloudClient is one.
+// Cloud is the API of the cloud provider. It is implemented by native.CloudClient.
 type Cloud interface {
 	Prices(ctx context.Context) ([]native.Price, error)
 	Instances(ctx context.Context) ([]native.CloudInstance, error)
@@ -25,80 +25,81 @@
 	Notices(ctx context.Context, after uint64, wait time.Duration) (native.NoticePage, error)
 }
 
-// Log keeps the fleet's State in the replicated log.
+// Log stores the fleet's State in the replicated log.
 type Log interface {
-	// Fleet returns the state once this replica, the leader, has applied everything
-	// that was committed before the call.
+	// Fleet returns the state after this replica, the leader, has applied every
+	// command committed before the call.
 	Fleet(ctx context.Context) (State, error)
-	// Commit changes the state. After an error it may yet take hold.
+	// Commit proposes a change of the state. A command that returned an error may
+	// still be applied later.
 	Commit(ctx context.Context, c Command) (Result, error)
 }
 
-// Members is the membership; membership.Node is one.
+// Members is the membership. It is implemented by membership.Node.
 type Members interface {
 	View() *instance.View
 	Put(key string, version uint64, body []byte)
 }
 
-// Orderer gives orders to backend servers; Orders is one.
-type Orderer interface {
-	Give(ctx context.Context, address string, order native.Order) error
+// OrderSender sends orders to backend servers. It is implemented by Orders.
+type OrderSender interface {
+	Send(ctx context.Context, address string, order native.Order) error
 }
 
-// Config is the settings of a Manager.
+// Config holds the settings of a Manager.
 type Config struct {
-	Site    string // begins the client tokens; differs between sites with one cloud account
-	Zones   []zone.Zone
-	Classes []scale.Class
-	Scale   scale.Config
-	Every   time.Duration // between two decisions
-	// WeightRate is what the weight store delivers in all, and LoadRate the least
-	// rate at which one load is worth starting, in bytes per second. With a
-	// WeightRate of 0 no loads are ordered.
-	WeightRate float64
-	LoadRate   float64
-	Poll       time.Duration // longest wait for a notice, and the pause after a failure
+	Site             string // prefix of client tokens; must differ between sites that share a cloud account
+	Zones            []zone.Zone
+	Classes          []scale.Class
+	Scale            scale.Config
+	DecisionInterval time.Duration // between two decisions
+	// StoreRate is the total throughput of the weight store and MinLoadRate the
+	// minimum throughput per model load, in bytes per second. With a StoreRate of 0
+	// no loads are ordered.
+	StoreRate   float64
+	MinLoadRate float64
+	PollTimeout time.Duration // maximum wait for reclaim notices, and the delay after a failure
 }
 
-// Deps is what a Manager works with.
+// Deps holds the dependencies of a Manager.
 type Deps struct {
 	Cloud   Cloud
 	Log     Log
 	Members Members
-	Orders  Orderer
-	Models  func() []Model // those that the catalogue names
+	Orders  OrderSender
+	Models  func() []Model // returns the models that the catalogue uses
 	Lease   Lease
 	Logger  *slog.Logger
 	Now     func() time.Time
 }
 
-// Manager keeps the fleet at the size that the demand wants, while this replica
-// leads: it takes in reclaim notices, starts and stops instances.
+// Manager adjusts the number of cloud instances to the demand while this replica
+// is the leader. It also processes reclaim notices and orders model loads.
 //
-// Every start is in the replicated log with its client token before the cloud is
-// asked. A leader lost between the two, or before it knew the answer, leaves the
-// start there; the next one sends the same token and gets the same instance.
+// A start is committed to the replicated log with its client token before it is
+// requested from the cloud. If the leader fails before the result is committed, its
+// successor sends the same token and gets the same instance, not a second one.
 type Manager struct {
-	cfg    Config
-	deps   Deps
-	scaler *scale.Scaler
-	warm   time.Time // the view is taken to be whole from then on
+	cfg         Config
+	deps        Deps
+	scaler      *scale.Scaler
+	viewReadyAt time.Time // before it, the view may lack running servers
 
-	reminded map[string]time.Time // when servers were last ordered to leave, by id
-	refused  int                  // starts refused so far
+	lastLeaveOrders map[string]time.Time // time of the last leave order, by server id
+	refusedStarts   int                  // number of refused starts
 }
 
-// warmUp is how long a process that has just started hears from the others
-// before its view counts as whole. Before that, servers that run would be missing
-// from it: instances would be ended under their requests, and the demand would
-// seem to leap up as they appear.
-const warmUp = 30 * time.Second
+// viewWarmUp is the time after the start of the process until the membership view
+// counts as complete. With an incomplete view, instances would be stopped while
+// their servers still run requests, and demand would seem to surge as servers
+// appear.
+const viewWarmUp = 30 * time.Second
 
-// maxRounds bounds the decisions of one step after refused starts. Each refusal
-// closes one zone, class and market for a while.
-const maxRounds = 8
+// maxDecisionRounds bounds the decisions in one step after refused starts. Each
+// refusal blocks one combination of zone, class and market for a while.
+const maxDecisionRounds = 8
 
-// NewManager returns a Manager. The error names a setting that is out of range.
+// NewManager returns a Manager, or an error that names an invalid setting.
 func NewManager(cfg Config, deps Deps) (*Manager, error) {
 	if err := zone.Validate(cfg.Zones); err != nil {
 		return nil, trace.Wrap(err)
@@ -107,127 +108,129 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return &Manager{cfg: cfg, deps: deps, scaler: scaler, warm: deps.Now().Add(warmUp), reminded: make(map[string]time.Time)}, nil
+	return &Manager{cfg: cfg, deps: deps, scaler: scaler, viewReadyAt: deps.Now().Add(viewWarmUp), lastLeaveOrders: make(map[string]time.Time)}, nil
 }
 
-// Run works until ctx ends. What fails is tried again after Poll.
+// Run runs steps while this replica is the leader, until ctx ends. It waits for
+// PollTimeout after a failed step.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if m.leads() && m.Step(ctx) == nil {
+		if m.holdsLease() && m.Step(ctx) == nil {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(m.cfg.Poll):
+		case <-time.After(m.cfg.PollTimeout):
 		}
 	}
 	return ctx.Err()
 }
 
-func (m *Manager) leads() bool {
+func (m *Manager) holdsLease() bool {
 	_, _, ok := m.deps.Lease.HoldsLease()
 	return ok
 }
 
-// errReplaced says that another leader has changed the state meanwhile.
-var errReplaced = errors.New("fleet: the state was changed by another leader")
+// errStateConflict is returned when another leader has changed the state.
+var errStateConflict = errors.New("fleet: the state was changed by another leader")
 
-// Step waits for notices for up to Poll, takes them in, and decides if it is
-// time to or if there were any. It returns early when this replica was replaced.
+// Step waits up to PollTimeout for reclaim notices and processes them. It then
+// decides about starts and stops if DecisionInterval has passed or a notice has
+// arrived. It fails if another leader has changed the state.
 func (m *Manager) Step(ctx context.Context) error {
 	state, err := m.deps.Log.Fleet(ctx)
 	if err != nil {
 		return trace.Wrap(err, "step=read fleet")
 	}
-	page, err := m.notices(ctx, state.Notice)
+	page, err := m.readNotices(ctx, state.LastNotice)
 	if err != nil {
 		return trace.Wrap(err, "step=read notices")
 	}
 	if len(page.Notices) > 0 {
-		m.spread(page.Notices)
-		state.Notice = page.Last(state.Notice)
+		m.publishNotices(page.Notices)
+		state.LastNotice = page.Last(state.LastNotice)
 		if state, err = m.commit(ctx, state); err != nil {
 			return err
 		}
 	}
-	m.remind(ctx)
+	m.orderNoticedToLeave(ctx)
 	ctx, cancel := context.WithTimeout(ctx, resizeTimeout)
 	defer cancel()
 	now := m.deps.Now()
-	if now.Before(m.warm) {
+	if now.Before(m.viewReadyAt) {
 		return nil
 	}
-	if state, err = m.load(ctx, state); err != nil {
+	if state, err = m.placeModels(ctx, state); err != nil {
 		return err
 	}
-	if state, err = m.settle(ctx, state); err != nil {
+	if state, err = m.requestPending(ctx, state); err != nil {
 		return err
 	}
-	if age := now.Sub(state.Scale.At); len(page.Notices) == 0 && age >= 0 && age < m.cfg.Every {
-		return nil // a decision from the future is one of a leader whose clock was ahead
+	if age := now.Sub(state.Scale.At); len(page.Notices) == 0 && age >= 0 && age < m.cfg.DecisionInterval {
+		return nil // a negative age means that the last leader's clock was ahead
 	}
 	return m.resize(ctx, state)
 }
 
-// Bounds on a cloud that takes a call and does not answer: on the wait for
-// notices beyond its own, and on one round of decisions.
+// Timeouts for a cloud that accepts a call and does not answer: noticeGrace is
+// added to the wait for notices, resizeTimeout bounds the rest of a step.
 const (
 	noticeGrace   = 2 * time.Second
 	resizeTimeout = time.Minute
 )
 
-// resize decides, and again at once where starts were refused: what is refused
-// in one zone is asked for in another.
+// resize decides, and decides again at once after refused starts, so that these
+// instances are requested in another zone.
 func (m *Manager) resize(ctx context.Context, state State) error {
 	var err error
-	for range maxRounds {
-		refused := m.refused
+	for range maxDecisionRounds {
+		refused := m.refusedStarts
 		if state, err = m.decide(ctx, state); err != nil {
 			return err
 		}
-		if state, err = m.settle(ctx, state); err != nil || m.refused == refused {
+		if state, err = m.requestPending(ctx, state); err != nil || m.refusedStarts == refused {
 			return err
 		}
 	}
 	return nil
 }
 
-// commit writes the next state into the log and returns it as it is there.
+// commit writes the next state to the log and returns it with its new version.
 func (m *Manager) commit(ctx context.Context, next State) (State, error) {
-	result, err := m.deps.Log.Commit(ctx, Command{Base: next.Version, Next: next})
-	if err == nil && !result.Taken {
-		err = errReplaced
+	result, err := m.deps.Log.Commit(ctx, Command{BaseVersion: next.Version, Next: next})
+	if err == nil && !result.Applied {
+		err = errStateConflict
 	}
 	next.Version++
 	return next, trace.Wrap(err, "step=commit fleet")
 }
 
-// maxOrders is how many orders are under way at a time.
-const maxOrders = 32
+// maxConcurrentOrders bounds the leave orders in flight.
+const maxConcurrentOrders = 32
 
-// remindEvery is the time for a server to announce that it leaves before it is
-// ordered to once more.
-const remindEvery = 5 * time.Second
+// leaveOrderInterval is the time a server has to announce that it is leaving
+// before the order is repeated.
+const leaveOrderInterval = 5 * time.Second
 
-// settle asks the cloud for the starts and stops that the log holds, and notes
-// there what became of them. A start whose answer was lost stays and is asked
-// for again with its token.
-func (m *Manager) settle(ctx context.Context, state State) (State, error) {
+// requestPending requests the starts and stops in the log from the cloud and
+// commits the results. A start without a result stays in the log and is requested
+// again with the same token.
+func (m *Manager) requestPending(ctx context.Context, state State) (State, error) {
 	if len(state.Starts)+len(state.Stops) == 0 {
 		return state, nil
 	}
 	next := state
 	for _, s := range state.Starts {
-		next = m.start(ctx, next, s)
+		next = m.requestStart(ctx, next, s)
 	}
-	next = m.stop(ctx, next)
+	next = m.requestStops(ctx, next)
 	if len(next.Starts) == len(state.Starts) && len(next.Stops) == len(state.Stops) {
-		return state, nil // nothing is settled yet
+		return state, nil // no result yet
 	}
 	return m.commit(ctx, next)
 }
 
-func (m *Manager) start(ctx context.Context, state State, s Start) State {
+func (m *Manager) requestStart(ctx context.Context, state State, s Start) State {
 	i, err := m.deps.Cloud.Start(ctx, native.StartRequest{
 		ClientToken: s.Token, Zone: s.Option.Zone, Class: s.Option.Class, Kind: native.PurchaseKind(s.Option.Market),
 	})
@@ -239,37 +242,37 @@
 	case native.NoCapacity(err):
 		state = state.without(s.Token)
 		state.Scale = m.scaler.Refused(state.Scale, s.Option, m.deps.Now())
-		m.refused++
+		m.refusedStarts++
 		event.Log(ctx, m.deps.Logger, slog.LevelWarn, event.StartRefused, slog.String("token", s.Token),
 			slog.String("zone", s.Option.Zone), slog.String("class", s.Option.Class), slog.String("market", string(s.Option.Market)))
 	}
 	return state
 }
 
-// stop orders the servers on instances to be stopped to leave, and ends each
-// instance once its server is gone: what it has accepted is answered first.
-func (m *Manager) stop(ctx context.Context, state State) State {
+// requestStops orders the servers on instances to be stopped to leave. It stops an
+// instance only after its server has gone, so that accepted requests finish.
+func (m *Manager) requestStops(ctx context.Context, state State) State {
 	var serving []*instance.Server
-	var left []string
+	var remaining []string
 	for _, id := range state.Stops {
 		s, known := m.deps.Members.View().Server(id)
 		switch {
 		case known && s.State == instance.StateServing:
 			serving = append(serving, s)
-			left = append(left, id)
+			remaining = append(remaining, id)
 		case known && s.State == instance.StateLeaving:
-			left = append(left, id)
+			remaining = append(remaining, id)
 		case m.deps.Cloud.Stop(ctx, id) != nil:
-			left = append(left, id) // tried again at the next step
+			remaining = append(remaining, id) // retried in the next step
 		}
 	}
-	m.leave(ctx, serving)
-	state.Stops = left
+	m.orderToLeave(ctx, serving)
+	state.Stops = remaining
 	return state
 }
 
-// decide commits what to start and stop now. While a start's outcome is not
-// known, nothing is decided: it may run already, and would be started twice.
+// decide commits what to start and stop. While the outcome of a start is unknown
+// it decides nothing: the instance may exist, and would be started twice.
 func (m *Manager) decide(ctx context.Context, state State) (State, error) {
 	if len(state.Starts) > 0 {
 		return state, nil
@@ -279,8 +282,8 @@
 		return state, trace.Wrap(err, "step=list instances")
 	}
 	next := state
-	next.Accepted = m.unlisted(state.Accepted, running)
-	in, err := m.input(ctx, next, running)
+	next.Accepted = m.unlistedStarts(state.Accepted, running)
+	in, err := m.decisionInput(ctx, next, running)
 	if err != nil {
 		return state, err
 	}
@@ -312,5 +315,5 @@
 	}
 }
 
-// listLag bounds how far the cloud's list of instances is behind its answers.
-const listLag = 5 * time.Minute
+// maxListLag bounds the delay until the cloud lists an instance that it started.
+const maxListLag = 5 * time.Minute
