--- a/coordinator/callers.go
+++ b/coordinator/callers.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// directoryValidity is how long callers are told to use a list of entries. They
+// directoryTTL is how long callers are told to use a list of entries. They
 // may keep it three times as long, and an entry that leaves has to go on until
 // then; a shorter time costs a question per caller and validity.
-const directoryValidity = 2 * time.Second
+const directoryTTL = 2 * time.Second
 
 // Entries returns the addresses of the entries for a caller in a zone: those of
 // its zone first, then those of its region, then all others.
-func (c *Coordinator) Entries(region, zone string) (addresses []string, valid time.Duration) {
+func (c *Coordinator) Entries(region, zone string) (addresses []string, ttl time.Duration) {
 	entries := c.directory.LiveEntries(c.now())
 	for rank := range 3 {
 		for i := range entries {
@@ -21,11 +21,11 @@
 			}
 		}
 	}
-	valid = directoryValidity
-	if limit := c.cfg.Node.Bounds.DirectoryTTL; limit > 0 {
-		valid = min(valid, limit)
+	ttl = directoryTTL
+	if bound := c.cfg.Node.Bounds.DirectoryTTL; bound > 0 {
+		ttl = min(ttl, bound)
 	}
-	return addresses, valid
+	return addresses, ttl
 }
 
 func distance(sameRegion, sameZone bool) int {
--- a/coordinator/catalogue.go
+++ b/coordinator/catalogue.go
@@ -26,8 +26,8 @@
 	reviseTimeout = 2500 * time.Millisecond
 	// readTimeout bounds a read.
 	readTimeout = 1500 * time.Millisecond
-	// leaderPause is the time before a leader is looked for again.
-	leaderPause = 50 * time.Millisecond
+	// leaderRetryDelay is the time before a leader is looked for again.
+	leaderRetryDelay = 50 * time.Millisecond
 )
 
 // Replace puts a valid catalogue in force if its revision is higher than the one
@@ -37,11 +37,11 @@
 func (c *Coordinator) Replace(ctx context.Context, revision uint64, document []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, reviseTimeout)
 	defer cancel()
-	if held, doc, _ := c.revisions.newest(); doc != nil && held >= revision {
+	if current, doc, _ := c.catalogue.get(); doc != nil && current >= revision {
 		return nil
 	}
 	req := api.ReviseRequest{Revision: revision, Document: document}
-	inForce, err := atLeader(ctx, c, api.MethodRevise, req, c.reviseHere)
+	inForce, err := runOnLeader(ctx, c, api.MethodRevise, req, c.reviseAsLeader)
 	if err != nil {
 		return errors.Join(ErrOutcomeUnknown, err)
 	}
@@ -56,43 +56,43 @@
 func (c *Coordinator) Newest(ctx context.Context) (document []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	reply, err := atLeader(ctx, c, api.MethodRead, api.ReadRequest{}, c.readHere)
+	reply, err := runOnLeader(ctx, c, api.MethodRead, api.ReadRequest{}, c.readAsLeader)
 	if err != nil {
 		return nil, errors.Join(ErrOutcomeUnknown, err)
 	}
 	return reply.Document, nil
 }
 
-// atLeader runs a request here if this replica leads, or else at the leader, and
+// runOnLeader runs a request here if this replica leads, or else at the leader, and
 // goes on looking for one until ctx ends. The request must be idempotent.
-func atLeader[Req, Resp any](ctx context.Context, c *Coordinator, method string, req Req, here func(context.Context, *member, Req) (Resp, error)) (Resp, error) {
-	var none Resp
+func runOnLeader[Req, Resp any](ctx context.Context, c *Coordinator, method string, req Req, handle func(context.Context, *member, Req) (Resp, error)) (Resp, error) {
+	var zero Resp
 	err := error(trace.ConnectionProblem(nil, "no leader is known"))
 	for ctx.Err() == nil {
 		m := c.group.current.Load()
 		if m == nil {
-			daemon.Pause(ctx, leaderPause)
+			daemon.Pause(ctx, leaderRetryDelay)
 			continue
 		}
 		var resp Resp
 		if m.leading() {
-			resp, err = here(ctx, m, req)
+			resp, err = handle(ctx, m, req)
 		} else {
-			resp, err = askLeader[Req, Resp](ctx, c, m, method, req)
+			resp, err = callLeader[Req, Resp](ctx, c, m, method, req)
 		}
 		if err == nil {
 			return resp, nil
 		}
-		daemon.Pause(ctx, leaderPause)
+		daemon.Pause(ctx, leaderRetryDelay)
 	}
-	return none, err
+	return zero, err
 }
 
-func askLeader[Req, Resp any](ctx context.Context, c *Coordinator, m *member, method string, req Req) (Resp, error) {
-	var none Resp
-	addr, known := m.book.Address(m.host.Status().Leader)
+func callLeader[Req, Resp any](ctx context.Context, c *Coordinator, m *member, method string, req Req) (Resp, error) {
+	var zero Resp
+	addr, known := m.addresses.Address(m.host.Status().Leader)
 	if !known || addr == c.self {
-		return none, trace.ConnectionProblem(nil, "no leader is known")
+		return zero, trace.ConnectionProblem(nil, "no leader is known")
 	}
 	resp, err := link.Call[Resp](ctx, c.pool, addr, method, req)
 	return resp, trace.Wrap(err, "step=ask leader peer=%s", addr)
@@ -113,16 +113,16 @@
 // Code names the error to the caller at the other end of the link.
 func (e *codedError) Code() string { return e.code }
 
-func (c *Coordinator) reviseHere(ctx context.Context, m *member, req api.ReviseRequest) (api.ReviseReply, error) {
+func (c *Coordinator) reviseAsLeader(ctx context.Context, m *member, req api.ReviseRequest) (api.ReviseReply, error) {
 	inForce, err := proposeResult[uint64](ctx, m, kindRevise, reviseCommand{Revision: req.Revision, Document: req.Document})
 	return api.ReviseReply{InForce: inForce}, notLeaderError(err)
 }
 
-func (c *Coordinator) readHere(ctx context.Context, m *member, _ api.ReadRequest) (api.ReadReply, error) {
+func (c *Coordinator) readAsLeader(ctx context.Context, m *member, _ api.ReadRequest) (api.ReadReply, error) {
 	if err := m.host.ReadBarrier(ctx); err != nil {
 		return api.ReadReply{}, notLeaderError(err)
 	}
-	revision, document := m.state.current()
+	revision, document := m.state.catalogue()
 	return api.ReadReply{Revision: revision, Document: document}, nil
 }
 
@@ -135,32 +135,32 @@
 }
 
 // serveLeader wraps a leader's part of a request as a link handler.
-func serveLeader[Req, Resp any](c *Coordinator, here func(context.Context, *member, Req) (Resp, error)) func(context.Context, link.PeerInfo, Req) (Resp, error) {
+func serveLeader[Req, Resp any](c *Coordinator, handle func(context.Context, *member, Req) (Resp, error)) func(context.Context, link.PeerInfo, Req) (Resp, error) {
 	return func(ctx context.Context, _ link.PeerInfo, req Req) (Resp, error) {
-		var none Resp
+		var zero Resp
 		m := c.group.current.Load()
 		if m == nil || !m.leading() {
-			return none, errNotLeader
+			return zero, errNotLeader
 		}
-		return here(ctx, m, req)
+		return handle(ctx, m, req)
 	}
 }
 
-func (c *Coordinator) registerHere(ctx context.Context, m *member, req api.RegisterRequest) (api.RegisterReply, error) {
+func (c *Coordinator) registerAsLeader(ctx context.Context, m *member, req api.RegisterRequest) (api.RegisterReply, error) {
 	id, err := proposeResult[uint64](ctx, m, kindRegister, registerCommand{Address: req.Address, Nonce: req.Nonce})
 	return api.RegisterReply{ID: id}, notLeaderError(err)
 }
 
-func (c *Coordinator) joinHere(ctx context.Context, m *member, req api.JoinRequest) (api.JoinReply, error) {
+func (c *Coordinator) joinAsLeader(ctx context.Context, m *member, req api.JoinRequest) (api.JoinReply, error) {
 	if err := m.host.ReadBarrier(ctx); err != nil {
 		return api.JoinReply{}, notLeaderError(err)
 	}
 	if isMember(m.host.Status(), req.ID) {
 		return api.JoinReply{Member: true}, nil
 	}
-	if _, registered, given := m.state.registrationOf(req.ID); !registered && given {
+	if _, registered, issued := m.state.lookupRegistration(req.ID); !registered && issued {
 		return api.JoinReply{Retired: true}, nil
 	}
-	c.reconciler.ask(req.ID, req.Address)
+	c.reconciler.recordJoinRequest(req.ID, req.Address)
 	return api.JoinReply{}, nil
 }
--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -49,22 +49,22 @@
 
 // Coordinator is one control replica. Its methods are safe for concurrent use.
 type Coordinator struct {
-	cfg     Config
-	deps    Deps
-	self    string
-	life    uint64
-	log     *slog.Logger
-	now     func() time.Time
-	metrics *metrics.Set
+	cfg         Config
+	deps        Deps
+	self        string
+	incarnation uint64
+	log         *slog.Logger
+	now         func() time.Time
+	metrics     *metrics.Set
 
 	directory  *directory.Store
 	live       *liveEntries
-	memory     *serverMemory
-	revisions  *revisions
-	usage      *usageBook
-	loads      *loadBook
-	shares     *shareBook
-	work       *workBook
+	cache      *serverCache
+	catalogue  *latestCatalogue
+	usage      *usageTable
+	loads      *loadTable
+	shares     *shareRegistry
+	work       *workTable
 	clock      *wallclock.Clock
 	pool       *link.Pool
 	traffic    *link.Traffic
@@ -73,20 +73,20 @@
 	reconciler *reconciler
 	tasks      *leaderTasks
 
-	table    atomic.Pointer[routes.Table] // of the newest catalogue known here
-	stopping chan struct{}                // closed when this replica begins to stop
-	stopOnce sync.Once
+	routeTable atomic.Pointer[routes.Table] // of the newest catalogue known here
+	stopping   chan struct{}                // closed when this replica begins to stop
+	stopOnce   sync.Once
 
-	mu         sync.Mutex
-	registered []string             // link addresses of the replicas in the log
-	heard      map[string]time.Time // link addresses of replicas that called
+	mu          sync.Mutex
+	memberAddrs []string             // link addresses of the replicas in the log
+	lastCalls   map[string]time.Time // link addresses of replicas that called
 }
 
 // Silence of a backend server and of an entry. Heartbeats may be seconds late, so
-// a server counts as silent after silentBeats of them and slack more.
+// a server counts as silent after overdueHeartbeats of them and slack more.
 const (
-	silentBeats = 3
-	silentSlack = time.Second
+	overdueHeartbeats = 3
+	overdueMargin     = time.Second
 )
 
 // New builds a replica. Run opens its data folder.
@@ -99,57 +99,59 @@
 	}
 	c := &Coordinator{
 		cfg: cfg, deps: deps, log: deps.Log, now: deps.Now, metrics: metrics.NewSet(),
-		self: cfg.Node.ControlLink(cfg.Node.IP),
-		life: uint64(deps.Now().UnixNano()),
+		self:        cfg.Node.ControlLink(cfg.Node.IP),
+		incarnation: uint64(deps.Now().UnixNano()),
 		directory: directory.NewStore(directory.Config{
-			OverdueAfter: silentAfter(cfg.Node.AnnounceEvery), EntryExpiry: entrySilentAfter, ForgetAfter: directory.DefaultForgetAfter,
-			AddressHold: time.Duration(addressPart * float64(cfg.Node.Bounds.AddressReuse)),
+			OverdueAfter: overdueAfter(cfg.Node.AnnounceEvery), EntryExpiry: entryExpiry, ForgetAfter: directory.DefaultForgetAfter,
+			AddressHold: time.Duration(addressHoldFraction * float64(cfg.Node.Bounds.AddressReuse)),
 		}),
-		revisions: newRevisions(), usage: newUsageBook(cfg.Node.Bounds.UsageWindows()), loads: newLoadBook(), work: newWorkBook(), clock: wallclock.System(),
-		stopping: make(chan struct{}), heard: make(map[string]time.Time),
+		catalogue: newLatestCatalogue(), usage: newUsageTable(cfg.Node.Bounds.UsageWindows()), loads: newLoadTable(), work: newWorkTable(), clock: wallclock.System(),
+		stopping: make(chan struct{}), lastCalls: make(map[string]time.Time),
 	}
-	c.shares = newShareBook(deps.Now(), cfg.Node.FirstStart)
+	c.shares = newShareRegistry(deps.Now(), cfg.Node.FirstStart)
 	c.live = &liveEntries{entries: c.directory.LiveEntries}
 	c.traffic = link.NewTraffic(c.metrics)
 	c.pool = link.NewPool(api.PoolConfig(c.peerInfo(), cfg.ClusterKey), link.PoolDeps{Log: deps.Log, Traffic: c.traffic})
 	c.follower = follow.New(follow.Config{Self: c.self}, follow.Deps{
-		Pool: c.pool, Log: c.log, Now: c.now, Request: c.watchRequest, Reply: c.take, Seeds: c.known,
+		Pool: c.pool, Log: c.log, Now: c.now, Request: c.watchRequest, Reply: c.mergeReply, Seeds: c.replicasToFollow,
 	})
 	c.reconciler = newReconciler(c.log, c.now, c.follower.LastReply)
 	c.group = &group{
 		self: c.self, store: identityStore{fs: deps.FS, dir: cfg.Node.DataDir}, pool: c.pool, log: c.log, now: c.now,
-		found: c.founders, others: c.follower.Replicas, onRevision: c.offer, onMembers: c.learnMembers,
+		founders: c.founders, peers: c.follower.Replicas, onRevision: c.acceptCatalogue, onMembers: c.setMembers,
 	}
-	c.memory = &serverMemory{fs: deps.FS, dir: cfg.Node.DataDir}
-	c.tasks = &leaderTasks{log: c.log, name: cfg.Node.Name, cloud: deps.Cloud, now: c.now, lease: cfg.Node.Bounds.LeaseTime}
+	c.cache = &serverCache{fs: deps.FS, dir: cfg.Node.DataDir}
+	c.tasks = &leaderTasks{log: c.log, name: cfg.Node.Name, cloud: deps.Cloud, now: c.now, leaseTime: cfg.Node.Bounds.LeaseTime}
 	if bounds := cfg.Node.Bounds; cfg.Node.Cloud.Usage {
 		c.tasks.usage = &usageReports{
-			log: c.log, clock: c.clock, now: c.now, book: c.usage, live: func() []directory.Entry { return c.directory.LiveEntries(c.now()) },
-			start: c.now(), window: bounds.UsageWindow, late: bounds.UsageLate, kept: bounds.UsageKept(), report: c.tasks.reportUsage,
+			log: c.log, clock: c.clock, now: c.now, usage: c.usage, liveEntries: func() []directory.Entry { return c.directory.LiveEntries(c.now()) },
+			startedAt: c.now(), window: bounds.UsageWindow, dueAfter: bounds.UsageLate, retention: bounds.UsageKept(), report: c.tasks.reportUsage,
 		}
 	}
 	if cfg.Node.Cloud.Scaling {
 		c.tasks.fleet = &fleet{
-			log: c.log, now: c.now, servers: c.directory.Servers, announceEvery: cfg.Node.AnnounceEvery, table: c.table.Load,
-			give: c.tasks.orderServers, running: c.loads.running, work: c.work,
-			joined: make(map[string]*joining), demands: make(map[string]*demand),
+			log: c.log, now: c.now, servers: c.directory.Servers, announceEvery: cfg.Node.AnnounceEvery, routeTable: c.routeTable.Load,
+			sendOrder: c.tasks.orderServers, running: c.loads.running, work: c.work,
+			discoveries: make(map[string]*discovery), demands: make(map[string]*demand),
 		}
 	}
 	return c, nil
 }
 
-// addressPart is the part of the time before an address may be used again in
+// addressHoldFraction is the part of the time before an address may be used again in
 // which the server that was heard there last still counts as having it.
-const addressPart = 0.9
+const addressHoldFraction = 0.9
 
-// entrySilentAfter is two and a half of an entry's signs of life, which come at
+// entryExpiry is two and a half of an entry's signs of life, which come at
 // least once a second.
-const entrySilentAfter = 2500 * time.Millisecond
+const entryExpiry = 2500 * time.Millisecond
 
-func silentAfter(beat time.Duration) time.Duration { return silentBeats*beat + silentSlack }
+func overdueAfter(heartbeatInterval time.Duration) time.Duration {
+	return overdueHeartbeats*heartbeatInterval + overdueMargin
+}
 
 func (c *Coordinator) peerInfo() link.PeerInfo {
-	return link.PeerInfo{ID: c.cfg.Node.Name, Incarnation: c.life, Address: c.self, Role: api.RoleControl}
+	return link.PeerInfo{ID: c.cfg.Node.Name, Incarnation: c.incarnation, Address: c.self, Role: api.RoleControl}
 }
 
 // founders returns the replicas that found the group, if this is the first start
@@ -161,14 +163,14 @@
 	return c.cfg.Node.SeedLinks()
 }
 
-// known returns the replicas to follow beyond those that others name.
-func (c *Coordinator) known() []string {
+// replicasToFollow returns the replicas to follow beyond those that others name.
+func (c *Coordinator) replicasToFollow() []string {
 	out := c.deps.Seeds()
 	return append(out, c.replicas()...)
 }
 
-// forgetCallers is how long a replica that called is passed on as a replica.
-const forgetCallers = 15 * time.Second
+// callerTTL is how long a replica that called is passed on as a replica.
+const callerTTL = 15 * time.Second
 
 // replicas returns the link addresses of all replicas that are known: those in
 // the log, this one, and those that called lately, which may wait to be taken in.
@@ -176,12 +178,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := map[string]bool{c.self: true}
-	for _, addr := range c.registered {
+	for _, addr := range c.memberAddrs {
 		all[addr] = true
 	}
-	for addr, at := range c.heard {
-		if c.now().Sub(at) > forgetCallers {
-			delete(c.heard, addr)
+	for addr, at := range c.lastCalls {
+		if c.now().Sub(at) > callerTTL {
+			delete(c.lastCalls, addr)
 			continue
 		}
 		all[addr] = true
@@ -193,51 +195,51 @@
 	return out
 }
 
-func (c *Coordinator) noteCaller(addr string) {
+func (c *Coordinator) recordCaller(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard[addr] = c.now()
+	c.lastCalls[addr] = c.now()
 }
 
-func (c *Coordinator) learnMembers(list []roster.Member) {
+func (c *Coordinator) setMembers(list []roster.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.registered = c.registered[:0]
+	c.memberAddrs = c.memberAddrs[:0]
 	for _, m := range list {
-		c.registered = append(c.registered, m.Address)
+		c.memberAddrs = append(c.memberAddrs, m.Address)
 	}
 }
 
-// offer takes a committed catalogue, from this replica's log or from another one.
-func (c *Coordinator) offer(revision uint64, document []byte) {
-	if c.revisions.offer(revision, document) {
-		c.read(revision, document)
+// acceptCatalogue takes a committed catalogue, from this replica's log or from another one.
+func (c *Coordinator) acceptCatalogue(revision uint64, document []byte) {
+	if c.catalogue.update(revision, document) {
+		c.decodeCatalogue(revision, document)
 		event.Log(context.Background(), c.log, slog.LevelInfo, event.RevisionTaken,
 			slog.Uint64("revision", revision), slog.Int("bytes", len(document)))
 	}
 }
 
-// read makes the newest catalogue ready for the leader's tasks.
-func (c *Coordinator) read(revision uint64, document []byte) {
+// decodeCatalogue makes the newest catalogue ready for the leader's tasks.
+func (c *Coordinator) decodeCatalogue(revision uint64, document []byte) {
 	catalogue, err := c.deps.Decode(document)
 	if err != nil {
 		event.Log(context.Background(), c.log, slog.LevelError, event.RevisionRefused,
 			slog.Uint64("revision", revision), slog.String("error", err.Error()))
 		return
 	}
-	c.table.Store(routes.NewTable(catalogue))
+	c.routeTable.Store(routes.NewTable(catalogue))
 }
 
 func (c *Coordinator) watchRequest() api.WatchRequest {
-	revision, document, _ := c.revisions.newest()
+	revision, document, _ := c.catalogue.get()
 	return api.WatchRequest{Role: api.RoleControl, HasCatalogue: document != nil, Revision: revision}
 }
 
-// take merges what another replica told.
-func (c *Coordinator) take(addr string, r api.WatchReply) {
+// mergeReply merges what another replica told.
+func (c *Coordinator) mergeReply(addr string, r api.WatchReply) {
 	c.clock.Observe(addr, r.Clock)
 	c.directory.Merge(directory.Origin{Replica: addr, Incarnation: r.Incarnation}, r.Servers, r.Entries, c.now())
-	c.offer(r.Revision, r.Document)
+	c.acceptCatalogue(r.Revision, r.Document)
 }
 
 // Announce takes a backend server's heartbeat.
@@ -273,7 +275,7 @@
 	event.Log(ctx, c.log, slog.LevelInfo, event.ProcessStarted,
 		slog.String("role", "coordinator"), slog.String("name", c.cfg.Node.Name), slog.String("zone", c.cfg.Node.Zone),
 		slog.Bool("firstStart", c.cfg.Node.FirstStart), slog.Any("seeds", c.cfg.Node.Seeds))
-	c.recall(ctx)
+	c.restoreCache(ctx)
 	err := g.Run()
 	event.Log(context.Background(), c.log, slog.LevelInfo, event.ProcessStopped, slog.Any("error", err))
 	return err
@@ -290,13 +292,13 @@
 	}
 	srv := link.NewServer(link.ServerConfig{Self: c.peerInfo(), ClusterKey: []byte(c.cfg.ClusterKey), MaxFrame: api.MaxFrame},
 		link.ServerDeps{Log: c.log, Traffic: c.traffic})
-	c.register(srv)
+	c.registerHandlers(srv)
 	daemon.Actor(g, func(actorCtx context.Context) error { return srv.Serve(actorCtx, links) })
 	daemon.Actor(g, c.group.run)
 	daemon.Actor(g, c.follower.Run)
 	daemon.Actor(g, c.sweep)
-	daemon.Actor(g, c.remember)
-	daemon.Actor(g, c.lead)
+	daemon.Actor(g, c.saveCache)
+	daemon.Actor(g, c.runLeaderLoop)
 	daemon.EndWith(ctx, g)
 	daemon.Serve(g, ops, daemon.Operations(c.metrics, c.ready), daemon.CloseGrace, c.log)
 	if err := public(g); err != nil {
@@ -306,13 +308,13 @@
 	return nil
 }
 
-func (c *Coordinator) register(srv *link.Server) {
+func (c *Coordinator) registerHandlers(srv *link.Server) {
 	link.HandleNotice(srv, api.MethodReplica, c.stepReplica)
 	link.Handle(srv, api.MethodWatch, c.watch)
-	link.Handle(srv, api.MethodRevise, serveLeader(c, c.reviseHere))
-	link.Handle(srv, api.MethodRead, serveLeader(c, c.readHere))
-	link.Handle(srv, api.MethodRegister, serveLeader(c, c.registerHere))
-	link.Handle(srv, api.MethodJoin, serveLeader(c, c.joinHere))
+	link.Handle(srv, api.MethodRevise, serveLeader(c, c.reviseAsLeader))
+	link.Handle(srv, api.MethodRead, serveLeader(c, c.readAsLeader))
+	link.Handle(srv, api.MethodRegister, serveLeader(c, c.registerAsLeader))
+	link.Handle(srv, api.MethodJoin, serveLeader(c, c.joinAsLeader))
 }
 
 // ready reports whether this replica knows a leader.
--- a/coordinator/fleet.go
+++ b/coordinator/fleet.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// planEvery is how often the fleet is looked at. A wave gives two seconds of
+	// planInterval is how often the fleet is looked at. A wave gives two seconds of
 	// notice and servers boot in four: callers see each part of a second by which an
 	// order is late.
-	planEvery = 250 * time.Millisecond
-	// repeatEvery is how often an order that was accepted is given again while the
+	planInterval = 250 * time.Millisecond
+	// repeatInterval is how often an order that was accepted is given again while the
 	// servers that it asks for are not there: the cloud may have lost it, or what it
 	// had may have been taken away since.
-	repeatEvery = 3 * time.Second
-	// refusedFor is how long a kind that is not to be had is not asked for. What comes
+	repeatInterval = 3 * time.Second
+	// refusedRetryDelay is how long a kind that is not to be had is not asked for. What comes
 	// back is cheap, and the next wave may follow within seconds: with twice the time
 	// the load was served later, with a third of it no better, for twice the calls.
-	refusedFor = 750 * time.Millisecond
+	refusedRetryDelay = 750 * time.Millisecond
 )
 
-// ordered is what became of the last order of a kind.
-type ordered struct {
-	count   int
-	at      time.Time
-	pending bool // it got no clear answer
-	refused bool
+// orderState is what became of the last order of a kind.
+type orderState struct {
+	count    int
+	placedAt time.Time
+	pending  bool // it got no clear answer
+	refused  bool
 }
 
 // orderKey names what is ordered.
 type orderKey struct {
 	service string
-	kind    supply.CapacityPool
+	pool    supply.CapacityPool
 }
 
 // fleet orders backend servers while this replica leads.
@@ -52,35 +52,35 @@
 	now           func() time.Time
 	servers       func(now time.Time) []directory.Server
 	announceEvery time.Duration // how often a server does
-	table         func() *routes.Table
-	give          func(ctx context.Context, w DesiredServers) error
+	routeTable    func() *routes.Table
+	sendOrder     func(ctx context.Context, w DesiredServers) error
 	running       func(servers []string) int // requests that run at servers
-	work          *workBook
+	work          *workTable
 
-	orders  map[orderKey]*ordered // of this lead
-	planned time.Time
+	orders      map[orderKey]*orderState // of this lead
+	lastPlanned time.Time
 
 	// What is known of services, also from before this lead.
-	observed time.Time
-	joined   map[string]*joining
-	demands  map[string]*demand
+	lastObserved time.Time
+	discoveries  map[string]*discovery
+	demands      map[string]*demand
 }
 
 // reset forgets the orders of an earlier lead: another leader may have given
 // others since.
 func (f *fleet) reset() {
-	f.orders = make(map[orderKey]*ordered)
+	f.orders = make(map[orderKey]*orderState)
 }
 
 // step gives the orders that are due. It stops at one that gets no answer: the
 // others would wait for the same silent cloud, and the usage reports behind them.
 func (f *fleet) step(ctx context.Context, m *member) {
 	now := f.now()
-	if now.Sub(f.planned) < planEvery {
+	if now.Sub(f.lastPlanned) < planInterval {
 		return
 	}
-	f.planned = now
-	t := f.table()
+	f.lastPlanned = now
+	t := f.routeTable()
 	if t == nil {
 		return
 	}
@@ -90,63 +90,63 @@
 		if s.Scaling == nil {
 			continue
 		}
-		f.service(ctx, m, s, servers, now)
+		f.orderForService(ctx, m, s, servers, now)
 	}
 }
 
-// relayedWithin is how long a heartbeat takes at most from the replica that hears it.
-const relayedWithin = follow.DefaultWait
+// maxRelayDelay is how long a heartbeat takes at most from the replica that hears it.
+const maxRelayDelay = follow.DefaultWait
 
-// service gives the orders for one service. How many servers it began with stands in
+// orderForService gives the orders for one orderForService. How many servers it began with stands in
 // the log, since a leader that counted again in the middle of a wave would take what
 // the wave has left for what is needed.
-func (f *fleet) service(ctx context.Context, m *member, s *routes.Service, servers []directory.Server, now time.Time) {
+func (f *fleet) orderForService(ctx context.Context, m *member, s *routes.Service, servers []directory.Server, now time.Time) {
 	count := serverCount{serving: make(map[supply.CapacityPool]int), present: make(map[supply.CapacityPool]int)}
 	for i := range servers {
 		if rec := &servers[i]; slices.Contains(rec.Services, s.Name) {
-			count.add(rec, f.announceEvery+relayedWithin)
+			count.add(rec, f.announceEvery+maxRelayDelay)
 		}
 	}
-	began := m.state.size(s.Name)
-	if began == 0 {
-		f.noteSize(ctx, m, s.Name, count.total)
+	initial := m.state.initialSize(s.Name)
+	if initial == 0 {
+		f.proposeInitialSize(ctx, m, s.Name, count.total)
 		return
 	}
 	demand, rate := f.demand(s.Name), f.work.rate(s.Name)
-	need := demand.ServersNeeded(began, rate)
+	need := demand.ServersNeeded(initial, rate)
 	in := supply.Input{
 		Zones: zonesOf(s.Scaling), Min: s.Scaling.Min, Max: s.Scaling.Max, SpotPrice: s.Scaling.SpotPrice,
-		Need: need, InitialServers: began, Load: demand.ServersForCurrentLoad(rate), Serving: count.serving, Present: count.present,
+		Need: need, InitialServers: initial, Load: demand.ServersForCurrentLoad(rate), Serving: count.serving, Present: count.present,
 	}
 	// The reclaimable ones first: what is not to be had of them is ordered on demand in
 	// the same step. It boots for seconds, in which the load has too few servers.
 	for _, reclaimable := range []bool{true, false} {
-		in.Ordered, in.Unavailable = f.ordered(s.Name), f.closed(s.Name, now)
-		if !f.orderKind(ctx, s.Name, &in, reclaimable, now) {
+		in.Ordered, in.Unavailable = f.acceptedCounts(s.Name), f.refusedPools(s.Name, now)
+		if !f.orderPools(ctx, s.Name, &in, reclaimable, now) {
 			return
 		}
 	}
 }
 
-// orderKind gives the orders of reclaimable or of on-demand servers that are due, and
+// orderPools gives the orders of reclaimable or of on-demand servers that are due, and
 // reports whether the cloud answered.
-func (f *fleet) orderKind(ctx context.Context, service string, in *supply.Input, reclaimable bool, now time.Time) bool {
+func (f *fleet) orderPools(ctx context.Context, service string, in *supply.Input, reclaimable bool, now time.Time) bool {
 	for _, o := range supply.Plan(*in) {
 		serving := in.Serving[o.CapacityPool]
 		if o.Reclaimable != reclaimable || !f.due(orderKey{service, o.CapacityPool}, o.Count, serving, now) {
 			continue
 		}
-		if !f.order(ctx, service, o, serving, in.Need, now) {
+		if !f.placeOrder(ctx, service, o, serving, in.Need, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// noteSize puts a service's first size into the log once all of its servers have
+// proposeInitialSize puts a service's first size into the log once all of its servers have
 // had the time to announce themselves.
-func (f *fleet) noteSize(ctx context.Context, m *member, service string, servers int) {
-	if servers == 0 || !f.settled(service) {
+func (f *fleet) proposeInitialSize(ctx context.Context, m *member, service string, servers int) {
+	if servers == 0 || !f.allServersKnown(service) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, cloudTimeout)
@@ -157,23 +157,23 @@
 	}
 }
 
-// ordered returns the numbers that the cloud accepted last.
-func (f *fleet) ordered(service string) map[supply.CapacityPool]int {
+// acceptedCounts returns the numbers that the cloud accepted last.
+func (f *fleet) acceptedCounts(service string) map[supply.CapacityPool]int {
 	out := make(map[supply.CapacityPool]int)
 	for key, o := range f.orders {
 		if key.service == service && !o.refused && !o.pending {
-			out[key.kind] = o.count
+			out[key.pool] = o.count
 		}
 	}
 	return out
 }
 
-// closed returns the kinds that were refused lately.
-func (f *fleet) closed(service string, now time.Time) map[supply.CapacityPool]bool {
+// refusedPools returns the kinds that were refused lately.
+func (f *fleet) refusedPools(service string, now time.Time) map[supply.CapacityPool]bool {
 	out := make(map[supply.CapacityPool]bool)
 	for key, o := range f.orders {
-		if key.service == service && o.refused && now.Sub(o.at) < 2*refusedFor {
-			out[key.kind] = true
+		if key.service == service && o.refused && now.Sub(o.placedAt) < 2*refusedRetryDelay {
+			out[key.pool] = true
 		}
 	}
 	return out
@@ -189,15 +189,15 @@
 
 // add counts a server. One that leaves and has not been heard for longer than heardWithin
 // has gone, mostly without another word: room that was kept for it would stay empty.
-func (c *serverCount) add(rec *directory.Server, heardWithin time.Duration) {
-	kind := supply.CapacityPool{Zone: rec.Zone, Reclaimable: rec.Class == directory.ClassReclaimable}
-	if rec.Unreachable || rec.State != instance.StateServing && rec.HeartbeatAge > heardWithin {
+func (c *serverCount) add(rec *directory.Server, maxHeartbeatAge time.Duration) {
+	pool := supply.CapacityPool{Zone: rec.Zone, Reclaimable: rec.Class == directory.ClassReclaimable}
+	if rec.Unreachable || rec.State != instance.StateServing && rec.HeartbeatAge > maxHeartbeatAge {
 		return
 	}
-	c.present[kind]++
+	c.present[pool]++
 	c.ids = append(c.ids, rec.ID)
 	if rec.State == instance.StateServing {
-		c.serving[kind]++
+		c.serving[pool]++
 		c.total++
 	}
 }
@@ -216,18 +216,18 @@
 	if last == nil || last.count != count || last.pending {
 		return true
 	}
-	age := now.Sub(last.at)
+	age := now.Sub(last.placedAt)
 	if last.refused {
-		return age >= refusedFor
+		return age >= refusedRetryDelay
 	}
-	return serving != count && age >= repeatEvery
+	return serving != count && age >= repeatInterval
 }
 
-// order gives an order and reports whether the cloud answered.
-func (f *fleet) order(ctx context.Context, service string, o supply.Order, serving, need int, now time.Time) bool {
-	err := f.give(ctx, DesiredServers{Service: service, Zone: o.Zone, Reclaimable: o.Reclaimable, Count: o.Count})
+// placeOrder gives an placeOrder and reports whether the cloud answered.
+func (f *fleet) placeOrder(ctx context.Context, service string, o supply.Order, serving, need int, now time.Time) bool {
+	err := f.sendOrder(ctx, DesiredServers{Service: service, Zone: o.Zone, Reclaimable: o.Reclaimable, Count: o.Count})
 	refused := errors.Is(err, ErrNoCapacity)
-	f.orders[orderKey{service, o.CapacityPool}] = &ordered{count: o.Count, at: now, refused: refused, pending: err != nil && !refused}
+	f.orders[orderKey{service, o.CapacityPool}] = &orderState{count: o.Count, placedAt: now, refused: refused, pending: err != nil && !refused}
 	event.Log(ctx, f.log, slog.LevelInfo, event.PlacementChosen, slog.String("service", service), slog.String("zone", o.Zone),
 		slog.Bool("reclaimable", o.Reclaimable), slog.Int("count", o.Count), slog.Int("serving", serving), slog.Int("need", need), slog.Any("error", err))
 	return err == nil || refused
--- a/coordinator/group.go
+++ b/coordinator/group.go
@@ -36,13 +36,13 @@
 )
 
 const (
-	// reopenPause is the time before a replica whose disk failed tries again.
-	reopenPause = 500 * time.Millisecond
-	// joinEvery is how often a replica that is no member asks to be taken in.
-	joinEvery = 300 * time.Millisecond
-	// leaderless is how long a member hears of no leader before it asks whether it
+	// reopenDelay is the time before a replica whose disk failed tries again.
+	reopenDelay = 500 * time.Millisecond
+	// joinInterval is how often a replica that is no member asks to be taken in.
+	joinInterval = 300 * time.Millisecond
+	// leaderlessTimeout is how long a member hears of no leader before it asks whether it
 	// is still one: longer than an election takes.
-	leaderless = 3 * time.Second
+	leaderlessTimeout = 3 * time.Second
 	// joinTimeout bounds one request for an id.
 	joinTimeout = time.Second
 )
@@ -53,22 +53,22 @@
 // member is one life of this replica: from the opening of the data folder until
 // its disk fails or it is removed.
 type member struct {
-	id       uint64
-	founders []registration
-	host     *host.Host
-	state    *state
-	book     *roster.AddressBook
+	id        uint64
+	founders  []registration
+	host      *host.Host
+	state     *state
+	addresses *roster.AddressBook
 }
 
 // group runs this process's replica of the log, whatever happens to its disk.
 type group struct {
-	self   string // own link address
-	store  identityStore
-	pool   *link.Pool
-	log    *slog.Logger
-	now    func() time.Time
-	found  func() []string // link addresses of the founders, if this is a first start
-	others func() []string // link addresses of other replicas that are known
+	self     string // own link address
+	store    identityStore
+	pool     *link.Pool
+	log      *slog.Logger
+	now      func() time.Time
+	founders func() []string // link addresses of the founders, if this is a first start
+	peers    func() []string // link addresses of other replicas that are known
 
 	onRevision func(revision uint64, document []byte)
 	onMembers  func([]roster.Member)
@@ -93,32 +93,32 @@
 				event.Log(ctx, g.log, slog.LevelError, event.ReplicaFailed, slog.String("error", err.Error()))
 			}
 		}
-		daemon.Pause(ctx, reopenPause)
+		daemon.Pause(ctx, reopenDelay)
 	}
 	return ctx.Err()
 }
 
 // runOnce opens the data folder and runs the replica until it fails.
 func (g *group) runOnce(ctx context.Context) error {
-	id, how, err := g.identify(ctx)
+	id, origin, err := g.identify(ctx)
 	if err != nil {
 		return err
 	}
-	folder, err := storage.Open(storage.Config{Dir: g.store.path(logFolder), Replica: id.ID}, g.store.fs)
+	logStorage, err := storage.Open(storage.Config{Dir: g.store.path(logFolder), Replica: id.ID}, g.store.fs)
 	if err != nil {
 		return trace.Wrap(err, "step=open log")
 	}
-	defer folder.Close()
-	m, err := g.newMember(id, folder)
+	defer logStorage.Close()
+	m, err := g.newMember(id, logStorage)
 	if err != nil {
 		return err
 	}
-	event.Log(ctx, g.log, slog.LevelInfo, event.ReplicaStarted, slog.Uint64("id", id.ID), slog.String("how", how))
+	event.Log(ctx, g.log, slog.LevelInfo, event.ReplicaStarted, slog.Uint64("id", id.ID), slog.String("how", origin))
 	g.current.Store(m)
-	return g.drive(ctx, m)
+	return g.runMember(ctx, m)
 }
 
-func (g *group) newMember(id identity, folder host.Storage) (*member, error) {
+func (g *group) newMember(id identity, logStorage host.Storage) (*member, error) {
 	founders := make(map[uint64]string, len(id.Founders))
 	cfg := host.Config{
 		ID: id.ID, TickInterval: tickInterval, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
@@ -128,29 +128,29 @@
 		founders[s.ID] = s.Address
 		cfg.Voters = append(cfg.Voters, s.ID)
 	}
-	m := &member{id: id.ID, founders: id.Founders, book: roster.NewAddressBook(founders)}
+	m := &member{id: id.ID, founders: id.Founders, addresses: roster.NewAddressBook(founders)}
 	m.state = newState(g.onRevision, func(list []roster.Member) {
-		m.book.SetMembers(list)
+		m.addresses.SetMembers(list)
 		g.onMembers(list)
 	})
 	var err error
 	m.host, err = host.New(cfg, host.Deps{
-		Storage:   folder,
-		Transport: &roster.Transport{Pool: g.pool, Method: api.MethodReplica, Peers: m.book},
+		Storage:   logStorage,
+		Transport: &roster.Transport{Pool: g.pool, Method: api.MethodReplica, Peers: m.addresses},
 		Machine:   m.state, Logger: g.log, Now: g.now, Rand: rand.Int64N,
 	})
 	return m, trace.Wrap(err, "step=start replica")
 }
 
-// drive runs the log, and beside it asks to be taken in while the replica is no
+// runMember runs the log, and beside it asks to be taken in while the replica is no
 // member.
-func (g *group) drive(ctx context.Context, m *member) error {
+func (g *group) runMember(ctx context.Context, m *member) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	joined := make(chan struct{})
+	joinDone := make(chan struct{})
 	go func() {
-		defer close(joined)
-		if err := g.keepJoined(ctx, m); err != nil {
+		defer close(joinDone)
+		if err := g.maintainMembership(ctx, m); err != nil {
 			cancel(err)
 		}
 	}()
@@ -159,13 +159,13 @@
 		err = cause
 	}
 	cancel(nil)
-	<-joined
+	<-joinDone
 	return err
 }
 
 // identify returns who this replica is: as its data folder says, as a founder,
 // or under a new id that the group has given it.
-func (g *group) identify(ctx context.Context) (id identity, how string, err error) {
+func (g *group) identify(ctx context.Context) (id identity, origin string, err error) {
 	id, ok, err := g.store.load()
 	if err != nil {
 		if discardErr := g.store.discard(); discardErr != nil {
@@ -182,7 +182,7 @@
 	if err := g.store.discardLog(); err != nil {
 		return id, "", err
 	}
-	if registrations := numberFounders(g.found()); len(registrations) > 0 {
+	if registrations := numberFounders(g.founders()); len(registrations) > 0 {
 		for _, s := range registrations {
 			if s.Address == g.self {
 				id = identity{ID: s.ID, Founders: registrations}
@@ -212,7 +212,7 @@
 func (g *group) requestID(ctx context.Context) (uint64, error) {
 	req := api.RegisterRequest{Address: g.self, Nonce: uuid.NewString()}
 	for ctx.Err() == nil {
-		for _, addr := range g.others() {
+		for _, addr := range g.peers() {
 			callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 			reply, err := link.Call[api.RegisterReply](callCtx, g.pool, addr, api.MethodRegister, req)
 			cancel()
@@ -223,18 +223,18 @@
 				g.log.DebugContext(ctx, "no replica id given", "peer", addr, "error", err)
 			}
 		}
-		daemon.Pause(ctx, joinEvery)
+		daemon.Pause(ctx, joinInterval)
 	}
 	return 0, ctx.Err()
 }
 
-// keepJoined asks to be taken in whenever this replica is not among the members
+// maintainMembership asks to be taken in whenever this replica is not among the members
 // that it knows, or hears of no leader. It returns errRetired if its id was given
 // up: the group has gone on without it while it was away.
-func (g *group) keepJoined(ctx context.Context, m *member) error {
-	tick := time.NewTicker(joinEvery)
+func (g *group) maintainMembership(ctx context.Context, m *member) error {
+	tick := time.NewTicker(joinInterval)
 	defer tick.Stop()
-	led := g.now()
+	leaderSeen := g.now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -243,22 +243,22 @@
 		}
 		st := m.host.Status()
 		if st.Leader != 0 {
-			led = g.now()
+			leaderSeen = g.now()
 		}
-		if isMember(st, m.id) && g.now().Sub(led) < leaderless {
+		if isMember(st, m.id) && g.now().Sub(leaderSeen) < leaderlessTimeout {
 			continue
 		}
-		if g.askToJoin(ctx, m.id) {
+		if g.requestJoin(ctx, m.id) {
 			return errRetired
 		}
 	}
 }
 
-// askToJoin asks each replica once and reports whether one knows that the id was
+// requestJoin asks each replica once and reports whether one knows that the id was
 // given up.
-func (g *group) askToJoin(ctx context.Context, id uint64) (retired bool) {
+func (g *group) requestJoin(ctx context.Context, id uint64) (retired bool) {
 	req := api.JoinRequest{ID: id, Address: g.self}
-	for _, addr := range g.others() {
+	for _, addr := range g.peers() {
 		callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 		reply, err := link.Call[api.JoinReply](callCtx, g.pool, addr, api.MethodJoin, req)
 		cancel()
@@ -284,6 +284,6 @@
 	if m == nil || msg.To != m.id {
 		return
 	}
-	m.book.Observe(msg.From, from.Address)
+	m.addresses.Observe(msg.From, from.Address)
 	m.host.Step(msg)
 }
--- a/coordinator/group_test.go
+++ b/coordinator/group_test.go
@@ -23,14 +23,14 @@
 
 // cluster is control replicas in one process, each at its own loopback address.
 type cluster struct {
-	t     *testing.T
-	port  int
-	seeds []string
-	dirs  string
-	up    map[string]*running
+	t        *testing.T
+	port     int
+	seeds    []string
+	baseDir  string
+	replicas map[string]*testReplica
 }
 
-type running struct {
+type testReplica struct {
 	*Coordinator
 	stop context.CancelFunc
 	done chan error
@@ -41,12 +41,12 @@
 const testWait = 30 * time.Second
 
 func newCluster(t *testing.T, founders int) *cluster {
-	c := &cluster{t: t, port: freePort(t), dirs: t.TempDir(), up: make(map[string]*running)}
+	c := &cluster{t: t, port: freePort(t), baseDir: t.TempDir(), replicas: make(map[string]*testReplica)}
 	for i := range founders {
 		c.seeds = append(c.seeds, net.JoinHostPort(address(i), "1"))
 	}
 	t.Cleanup(func() {
-		for ip := range c.up {
+		for ip := range c.replicas {
 			c.kill(ip)
 		}
 	})
@@ -68,11 +68,11 @@
 	return n
 }
 
-func (c *cluster) dir(ip string) string { return filepath.Join(c.dirs, ip) }
+func (c *cluster) dir(ip string) string { return filepath.Join(c.baseDir, ip) }
 
-func (c *cluster) start(ip string, first bool) *running {
+func (c *cluster) start(ip string, firstStart bool) *testReplica {
 	node := site.Node{
-		Name: ip, IP: ip, Zone: "z", Region: "r", FirstPort: c.port, LastPort: c.port + 9, Seeds: c.seeds, FirstStart: first,
+		Name: ip, IP: ip, Zone: "z", Region: "r", FirstPort: c.port, LastPort: c.port + 9, Seeds: c.seeds, FirstStart: firstStart,
 		DataDir: c.dir(ip), AnnounceEvery: time.Second,
 		Bounds: site.Bounds{
 			Drain: time.Second, StopGrace: time.Second, ConfigApply: time.Second, UsageWindow: time.Second, RetryWindow: time.Second, QuotaWindow: time.Second,
@@ -84,9 +84,9 @@
 	})
 	require.NoError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Coordinator: co, stop: cancel, done: make(chan error, 1)}
+	r := &testReplica{Coordinator: co, stop: cancel, done: make(chan error, 1)}
 	go func() { r.done <- co.Run(ctx, func(*run.Group) error { return nil }) }()
-	c.up[ip] = r
+	c.replicas[ip] = r
 	return r
 }
 
@@ -99,21 +99,21 @@
 }
 
 func (c *cluster) kill(ip string) {
-	r := c.up[ip]
-	delete(c.up, ip)
+	r := c.replicas[ip]
+	delete(c.replicas, ip)
 	r.stop()
 	<-r.done
 }
 
-// replace puts a catalogue in force through one replica.
-func (c *cluster) replace(r *running, revision uint64) {
+// replaceCatalogue puts a catalogue in force through one replica.
+func (c *cluster) replaceCatalogue(r *testReplica, revision uint64) {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
 		return r.Replace(c.t.Context(), revision, []byte(fmt.Sprint("revision ", revision))) == nil
 	}, testWait, 50*time.Millisecond)
 }
 
-func (c *cluster) requireNewest(r *running, revision uint64) {
+func (c *cluster) requireCatalogue(r *testReplica, revision uint64) {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
 		document, err := r.Newest(c.t.Context())
@@ -121,13 +121,13 @@
 	}, testWait, 50*time.Millisecond)
 }
 
-// settle waits until the leader's voters are just the replicas that run, each
+// waitForVoters waits until the leader's voters are just the replicas that run, each
 // under the id that it has now.
-func (c *cluster) settle() {
+func (c *cluster) waitForVoters() {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
 		var ids, voters []uint64
-		for _, r := range c.up {
+		for _, r := range c.replicas {
 			m := r.group.current.Load()
 			if m == nil {
 				return false
@@ -146,36 +146,36 @@
 // seeds. Later one loses its disk just after a change, and comes back empty; then
 // another one is gone for good and an empty one starts at a new address. No
 // acknowledged change is lost, and operators can go on.
-func TestGroupFoundsMendsAndReplacesItself(t *testing.T) {
+func TestGroupBootstrapsAndReplacesMembers(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startFirst(3)
-	c.replace(c.up[address(0)], 1)
-	c.settle()
+	c.replaceCatalogue(c.replicas[address(0)], 1)
+	c.waitForVoters()
 
 	// An empty disk at the old address.
-	c.replace(c.up[address(1)], 2)
+	c.replaceCatalogue(c.replicas[address(1)], 2)
 	c.kill(address(1))
 	require.NoError(t, os.RemoveAll(c.dir(address(1))))
-	lost := c.start(address(1), false)
-	c.settle()
-	c.requireNewest(lost, 2)
-	require.Greater(t, lost.group.current.Load().id, uint64(3), "not under its old id")
+	rejoined := c.start(address(1), false)
+	c.waitForVoters()
+	c.requireCatalogue(rejoined, 2)
+	require.Greater(t, rejoined.group.current.Load().id, uint64(3), "not under its old id")
 
 	// An empty instance at a new address, and one that never comes back.
 	c.kill(address(2))
 	added := c.start(address(3), false)
-	c.settle()
-	c.replace(added, 3)
-	c.requireNewest(c.up[address(0)], 3)
+	c.waitForVoters()
+	c.replaceCatalogue(added, 3)
+	c.requireCatalogue(c.replicas[address(0)], 3)
 
 	// All are killed at once.
-	for ip := range c.up {
+	for ip := range c.replicas {
 		c.kill(ip)
 	}
 	for _, i := range []int{0, 1, 3} {
 		c.start(address(i), false)
 	}
-	c.requireNewest(c.up[address(3)], 3)
+	c.requireCatalogue(c.replicas[address(3)], 3)
 }
 
 // Five replicas run, of which three founded the group. The other two become
@@ -183,36 +183,36 @@
 func TestGroupGrowsToFiveVoters(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startFirst(5)
-	c.replace(c.up[address(4)], 1)
-	c.settle()
+	c.replaceCatalogue(c.replicas[address(4)], 1)
+	c.waitForVoters()
 	c.kill(address(0))
 	c.kill(address(1))
-	c.replace(c.up[address(4)], 2)
+	c.replaceCatalogue(c.replicas[address(4)], 2)
 }
 
 // One of two replicas that are up has lost its disk, and the third is dark. The
 // change that the dark one and the lost one had acknowledged must not be lost: no
 // leader may come up without it.
-func TestLostDiskBesideADarkReplica(t *testing.T) {
+func TestLostDiskDoesNotLoseAcknowledgedChange(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startFirst(3)
-	c.replace(c.up[address(0)], 1)
-	c.settle()
+	c.replaceCatalogue(c.replicas[address(0)], 1)
+	c.waitForVoters()
 	c.kill(address(2)) // it misses the next change
-	c.replace(c.up[address(0)], 2)
+	c.replaceCatalogue(c.replicas[address(0)], 2)
 	c.kill(address(1))
 	c.kill(address(0))
 	require.NoError(t, os.RemoveAll(c.dir(address(0))))
 	c.start(address(0), false)
-	behind := c.start(address(2), false)
+	lagging := c.start(address(2), false)
 	require.Eventually(t, func() bool {
-		m := behind.group.current.Load()
+		m := lagging.group.current.Load()
 		return m != nil && m.host.Status().Role == replica.PreCandidate
 	}, testWait, 10*time.Millisecond, "it stands for election")
 	for range 3 { // each read looks for a leader for longer than an election takes
-		_, err := behind.Newest(t.Context())
+		_, err := lagging.Newest(t.Context())
 		require.ErrorIs(t, err, ErrOutcomeUnknown)
 	}
 	c.start(address(1), false)
-	c.requireNewest(behind, 2)
+	c.requireCatalogue(lagging, 2)
 }
--- a/coordinator/identity.go
+++ b/coordinator/identity.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	identityName = "identity"
+	identityFile = "identity"
 	logFolder    = "log"
 )
 
@@ -38,7 +38,7 @@
 
 // load returns the identity; ok is false where there is none.
 func (s identityStore) load() (id identity, ok bool, err error) {
-	enc, err := s.fs.ReadFile(s.path(identityName))
+	enc, err := s.fs.ReadFile(s.path(identityFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return id, false, nil
 	}
@@ -62,7 +62,7 @@
 	if err := s.fs.MkdirAll(s.dir); err != nil {
 		return trace.Wrap(err, "step=make data folder")
 	}
-	temporary := s.path(identityName + ".tmp")
+	temporary := s.path(identityFile + ".tmp")
 	f, err := s.fs.Create(temporary)
 	if err != nil {
 		return trace.Wrap(err, "step=create identity")
@@ -71,7 +71,7 @@
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return trace.Wrap(err, "step=write identity")
 	}
-	if err := s.fs.Rename(temporary, s.path(identityName)); err != nil {
+	if err := s.fs.Rename(temporary, s.path(identityFile)); err != nil {
 		return trace.Wrap(err, "step=name identity")
 	}
 	return trace.Wrap(s.fs.SyncDir(s.dir), "step=sync data folder")
@@ -81,7 +81,7 @@
 // one is removed at the next start, an identity without its log would let this
 // replica vote having forgotten what it knew.
 func (s identityStore) discard() error {
-	if err := s.fs.Remove(s.path(identityName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := s.fs.Remove(s.path(identityFile)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return trace.Wrap(err, "step=remove identity")
 	}
 	if err := s.fs.SyncDir(s.dir); err != nil {
--- a/coordinator/lead.go
+++ b/coordinator/lead.go
@@ -10,25 +10,25 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// sweepEvery is how often silence is looked for.
-const sweepEvery = 500 * time.Millisecond
+// sweepInterval is how often silence is looked for.
+const sweepInterval = 500 * time.Millisecond
 
 func (c *Coordinator) sweep(ctx context.Context) error {
-	return daemon.Every(ctx, sweepEvery, func() {
-		replied, followed := c.follower.CountReplied(aliveWithin)
+	return daemon.Every(ctx, sweepInterval, func() {
+		replied, followed := c.follower.CountReplied(maxReplyAge)
 		c.directory.Sweep(c.now(), replied+1 > (followed+1)/2)
-		c.loads.forget(c.now())
-		c.work.forget(c.now())
+		c.loads.expire(c.now())
+		c.work.expire(c.now())
 	})
 }
 
-// lead does what falls to the leader, and logs each change of leader.
-func (c *Coordinator) lead(ctx context.Context) error {
+// runLeaderLoop does what falls to the leader, and logs each change of leader.
+func (c *Coordinator) runLeaderLoop(ctx context.Context) error {
 	var lastLeader uint64
-	var work sync.WaitGroup
-	defer work.Wait()
-	work.Go(func() {
-		_ = daemon.Every(ctx, reconcileEvery, func() {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	wg.Go(func() {
+		_ = daemon.Every(ctx, reconcileInterval, func() {
 			if m := c.group.current.Load(); m != nil {
 				if err := c.reconciler.step(ctx, m); err != nil {
 					c.log.DebugContext(ctx, "replica set not changed", "error", err)
@@ -36,14 +36,14 @@
 			}
 		})
 	})
-	return daemon.Every(ctx, tasksEvery, func() {
+	return daemon.Every(ctx, tasksInterval, func() {
 		m := c.group.current.Load()
 		if m == nil {
 			return
 		}
 		if st := m.host.Status(); st.Leader != lastLeader {
 			lastLeader = st.Leader
-			addr, _ := m.book.Address(st.Leader)
+			addr, _ := m.addresses.Address(st.Leader)
 			event.Log(ctx, c.log, slog.LevelInfo, event.LeaderChanged, slog.Uint64("leader", st.Leader), slog.String("peer", addr),
 				slog.Uint64("term", st.Term), slog.String("role", st.Role.String()), slog.Any("voters", st.Voters), slog.Any("learners", st.Learners))
 		}
@@ -61,11 +61,11 @@
 	if m == nil || !m.leading() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	st := m.host.Status()
 	for _, id := range st.Voters {
-		if id == st.ID || c.reconciler.age(m, id) > aliveWithin {
+		if id == st.ID || c.reconciler.sinceLastReply(m, id) > maxReplyAge {
 			continue
 		}
 		if m.host.TransferLeadership(ctx, id) == nil {
@@ -74,5 +74,5 @@
 	}
 }
 
-// handOverTimeout bounds the search for a successor at a planned stop.
-const handOverTimeout = 2 * time.Second
+// handoverTimeout bounds the search for a successor at a planned stop.
+const handoverTimeout = 2 * time.Second
--- a/coordinator/live.go
+++ b/coordinator/live.go
@@ -9,17 +9,17 @@
 	"savoryreel.example/savoryreel/directory"
 )
 
-// liveFor is how long a list of the live entries is used. Each of some hundred entries
+// liveListTTL is how long a list of the live entries is used. Each of some hundred entries
 // asks for it once a second, and it changes when one comes or falls silent.
-const liveFor = 100 * time.Millisecond
+const liveListTTL = 100 * time.Millisecond
 
 // liveEntries lists the entries that take callers.
 type liveEntries struct {
 	entries func(now time.Time) []directory.Entry
 
-	mu   sync.Mutex
-	list liveList
-	made time.Time
+	mu       sync.Mutex
+	list     liveList
+	listedAt time.Time
 }
 
 // liveList is such a list. It is not changed any more.
@@ -28,11 +28,11 @@
 	digest uint64   // of the names; equal lists have equal ones
 }
 
-// at returns the list as it was within liveFor.
-func (l *liveEntries) at(now time.Time) liveList {
+// current returns the list as it was within liveFor.
+func (l *liveEntries) current(now time.Time) liveList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.made.IsZero() && now.Sub(l.made) < liveFor {
+	if !l.listedAt.IsZero() && now.Sub(l.listedAt) < liveListTTL {
 		return l.list
 	}
 	entries := l.entries(now)
@@ -42,6 +42,6 @@
 		names = append(names, entries[i].Name)
 		_, _ = digest.WriteString(entries[i].Name + "\n") // a digest never fails
 	}
-	l.list, l.made = liveList{names: names, digest: digest.Sum64()}, now
+	l.list, l.listedAt = liveList{names: names, digest: digest.Sum64()}, now
 	return l.list
 }
--- a/coordinator/loads_test.go
+++ b/coordinator/loads_test.go
@@ -11,15 +11,15 @@
 
 // Each entry is told what all others have running, its own left out, and an entry
 // that died no longer counts.
-func TestLoadBook(t *testing.T) {
-	b := newLoadBook()
+func TestLoadTable(t *testing.T) {
+	b := newLoadTable()
 	now := time.Unix(0, 0)
-	b.note("e1", []api.ServerLoad{{Server: "s1", Running: 3}, {Server: "s2", Running: 1}}, now)
-	b.note("e2", []api.ServerLoad{{Server: "s1", Running: 2, Prefill: 500}}, now)
-	require.Equal(t, []api.ServerLoad{{Server: "s1", Running: 2, Prefill: 500}}, b.others("e1"))
-	b.note("e1", []api.ServerLoad{{Server: "s1", Running: 4}}, now.Add(2*time.Second))
-	require.Equal(t, []api.ServerLoad{{Server: "s1", Running: 4}}, b.others("e2"))
-	b.forget(now.Add(4 * time.Second))
-	require.Empty(t, b.others("e1"))
-	require.Equal(t, []api.ServerLoad{{Server: "s1", Running: 4}}, b.others("e3"))
+	b.record("e1", []api.ServerLoad{{Server: "s1", Running: 3}, {Server: "s2", Running: 1}}, now)
+	b.record("e2", []api.ServerLoad{{Server: "s1", Running: 2, Prefill: 500}}, now)
+	require.Equal(t, []api.ServerLoad{{Server: "s1", Running: 2, Prefill: 500}}, b.loadOfOthers("e1"))
+	b.record("e1", []api.ServerLoad{{Server: "s1", Running: 4}}, now.Add(2*time.Second))
+	require.Equal(t, []api.ServerLoad{{Server: "s1", Running: 4}}, b.loadOfOthers("e2"))
+	b.expire(now.Add(4 * time.Second))
+	require.Empty(t, b.loadOfOthers("e1"))
+	require.Equal(t, []api.ServerLoad{{Server: "s1", Running: 4}}, b.loadOfOthers("e3"))
 }
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -21,21 +21,21 @@
 	// maxVoters bounds the replicas that a commit waits for. Five bear the loss of
 	// two; more cost a message and a sync each and help no user of these sites.
 	maxVoters = 5
-	// deadAfter is how long a voter must be out of reach before another replica
+	// voterReplaceDelay is how long a voter must be out of reach before another replica
 	// takes its place: longer than a restart or a short freeze, so that these
 	// cost no change of the set.
-	deadAfter = 6 * time.Second
-	// aliveWithin is how recently a replica must have replied to be counted on.
-	aliveWithin = 3 * time.Second
-	// askedWithin is how long a request to be taken in stands without being made
+	voterReplaceDelay = 6 * time.Second
+	// maxReplyAge is how recently a replica must have replied to be counted on.
+	maxReplyAge = 3 * time.Second
+	// joinRequestTTL is how long a request to be taken in stands without being made
 	// again.
-	askedWithin = 3 * time.Second
-	// retireAfter is how long a registration may stand unused.
-	retireAfter = 30 * time.Second
-	// reconcileEvery is how often the leader looks at the set, and reconcileTimeout
+	joinRequestTTL = 3 * time.Second
+	// unusedRegistrationTTL is how long a registration may stand unused.
+	unusedRegistrationTTL = 30 * time.Second
+	// reconcileInterval is how often the leader looks at the set, and reconcileTimeout
 	// bounds one change of it.
-	reconcileEvery   = 250 * time.Millisecond
-	reconcileTimeout = 2 * time.Second
+	reconcileInterval = 250 * time.Millisecond
+	reconcileTimeout  = 2 * time.Second
 )
 
 // reconciler keeps the set of replicas, as the leader: it takes in those that ask, and
@@ -45,44 +45,44 @@
 // the instance that holds a second copy some time later, could no longer commit,
 // and operators would see every change refused.
 type reconciler struct {
-	log     *slog.Logger
-	now     func() time.Time
-	contact func(addr string) time.Time // last reply of a replica
+	log       *slog.Logger
+	now       func() time.Time
+	lastReply func(addr string) time.Time // last reply of a replica
 
-	mu     sync.Mutex
-	asked  map[uint64]joinRequest
-	unused map[uint64]time.Time // registrations that no member holds, since when
-	leader uint64               // term in which this replica last led
-	since  time.Time
+	mu           sync.Mutex
+	joinRequests map[uint64]joinRequest
+	unusedSince  map[uint64]time.Time // registrations that no member holds, since when
+	term         uint64               // term in which this replica last led
+	ledSince     time.Time
 }
 
 // joinRequest is a replica's request to be taken in.
 type joinRequest struct {
-	address string
-	at      time.Time
+	address    string
+	receivedAt time.Time
 }
 
-func newReconciler(log *slog.Logger, now func() time.Time, contact func(string) time.Time) *reconciler {
-	return &reconciler{log: log, now: now, contact: contact, asked: make(map[uint64]joinRequest), unused: make(map[uint64]time.Time)}
+func newReconciler(log *slog.Logger, now func() time.Time, lastReply func(string) time.Time) *reconciler {
+	return &reconciler{log: log, now: now, lastReply: lastReply, joinRequests: make(map[uint64]joinRequest), unusedSince: make(map[uint64]time.Time)}
 }
 
-func (r *reconciler) ask(id uint64, address string) {
+func (r *reconciler) recordJoinRequest(id uint64, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked[id] = joinRequest{address: address, at: r.now()}
+	r.joinRequests[id] = joinRequest{address: address, receivedAt: r.now()}
 }
 
-// joining returns the replicas that asked lately, by id.
-func (r *reconciler) joining() map[uint64]joinRequest {
+// pendingJoins returns the replicas that asked lately, by id.
+func (r *reconciler) pendingJoins() map[uint64]joinRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[uint64]joinRequest)
-	for id, asked := range r.asked {
-		if r.now().Sub(asked.at) > askedWithin {
-			delete(r.asked, id)
+	for id, request := range r.joinRequests {
+		if r.now().Sub(request.receivedAt) > joinRequestTTL {
+			delete(r.joinRequests, id)
 			continue
 		}
-		out[id] = asked
+		out[id] = request
 	}
 	return out
 }
@@ -93,13 +93,13 @@
 	if st.Role != replica.Leader {
 		return nil
 	}
-	r.noteTerm(st.Term)
+	r.recordTerm(st.Term)
 	ctx, cancel := context.WithTimeout(ctx, reconcileTimeout)
 	defer cancel()
 	if !m.state.founded() {
 		return propose(ctx, m, kindFound, foundCommand{Registrations: m.founders})
 	}
-	ch, reason, ok := r.next(m, st)
+	ch, reason, ok := r.nextChange(m, st)
 	if !ok {
 		return r.retireUnused(ctx, m, st)
 	}
@@ -124,35 +124,35 @@
 	}
 }
 
-func (r *reconciler) noteTerm(term uint64) {
+func (r *reconciler) recordTerm(term uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.leader != term {
-		r.leader, r.since = term, r.now()
+	if r.term != term {
+		r.term, r.ledSince = term, r.now()
 	}
 }
 
-// next returns the change that is due.
-func (r *reconciler) next(m *member, st host.Status) (ch replica.Change, reason string, ok bool) {
-	joining := r.joining()
-	if id, found := r.replaced(m, st, joining); found {
+// nextChange returns the change that is due.
+func (r *reconciler) nextChange(m *member, st host.Status) (ch replica.Change, reason string, ok bool) {
+	joining := r.pendingJoins()
+	if id, found := r.lostDiskMember(m, st, joining); found {
 		return replica.Change{Kind: replica.Remove, ID: id}, "its disk is lost", true
 	}
 	for _, id := range slices.Sorted(maps.Keys(joining)) {
-		if _, registered, _ := m.state.registrationOf(id); registered && !isMember(st, id) {
+		if _, registered, _ := m.state.lookupRegistration(id); registered && !isMember(st, id) {
 			return replica.Change{Kind: replica.AddLearner, ID: id}, "it asked", true
 		}
 	}
 	return r.balance(m, st)
 }
 
-// replaced finds a member whose instance asks to be taken in under a newer id:
+// lostDiskMember finds a member whose instance asks to be taken in under a newer id:
 // it has lost its disk, and the old id will never answer again.
-func (r *reconciler) replaced(m *member, st host.Status, joining map[uint64]joinRequest) (uint64, bool) {
-	for _, asking := range slices.Sorted(maps.Keys(joining)) {
+func (r *reconciler) lostDiskMember(m *member, st host.Status, joining map[uint64]joinRequest) (uint64, bool) {
+	for _, joiner := range slices.Sorted(maps.Keys(joining)) {
 		for _, id := range slices.Concat(st.Learners, st.Voters) {
-			addr, _ := m.book.Address(id)
-			if id >= asking || addr != joining[asking].address || id == st.ID {
+			addr, _ := m.addresses.Address(id)
+			if id >= joiner || addr != joining[joiner].address || id == st.ID {
 				continue
 			}
 			if !slices.Contains(st.Voters, id) || r.majorityWithout(m, st, id) {
@@ -167,23 +167,23 @@
 // set is in force as soon as it is in the leader's log: without a majority of it,
 // it would never be committed, and nothing after it either.
 func (r *reconciler) majorityWithout(m *member, st host.Status, id uint64) bool {
-	alive, left := 0, 0
+	alive, remaining := 0, 0
 	for _, voter := range st.Voters {
 		if voter == id {
 			continue
 		}
-		left++
-		if voter == st.ID || r.age(m, voter) <= aliveWithin {
+		remaining++
+		if voter == st.ID || r.sinceLastReply(m, voter) <= maxReplyAge {
 			alive++
 		}
 	}
-	return left > 0 && alive >= left/2+1
+	return remaining > 0 && alive >= remaining/2+1
 }
 
-// age is how long ago a replica last replied to this one.
-func (r *reconciler) age(m *member, id uint64) time.Duration {
-	addr, _ := m.book.Address(id)
-	return r.now().Sub(r.contact(addr))
+// sinceLastReply is how long ago a replica last replied to this one.
+func (r *reconciler) sinceLastReply(m *member, id uint64) time.Duration {
+	addr, _ := m.addresses.Address(id)
+	return r.now().Sub(r.lastReply(addr))
 }
 
 // balance promotes learners up to an odd number of voters, and lets a learner
@@ -196,8 +196,8 @@
 	if len(st.Voters)%2 == 0 || len(st.Voters) < maxVoters && len(ready) >= 2 {
 		return replica.Change{Kind: replica.Promote, ID: ready[0]}, "more voters are wanted", true
 	}
-	if dead, found := r.deadVoter(m, st); found {
-		return replica.Change{Kind: replica.Remove, ID: dead}, "out of reach, a learner takes its place", true
+	if voter, found := r.unreachableVoter(m, st); found {
+		return replica.Change{Kind: replica.Remove, ID: voter}, "out of reach, a learner takes its place", true
 	}
 	return ch, "", false
 }
@@ -205,7 +205,7 @@
 func (r *reconciler) aliveLearners(m *member, st host.Status) []uint64 {
 	var ready []uint64
 	for _, id := range st.Learners {
-		if r.age(m, id) <= aliveWithin {
+		if r.sinceLastReply(m, id) <= maxReplyAge {
 			ready = append(ready, id)
 		}
 	}
@@ -213,23 +213,23 @@
 	return ready
 }
 
-// deadVoter returns the voter that has been out of reach longest, if that is
+// unreachableVoter returns the voter that has been out of reach longest, if that is
 // long. A leader that has just been elected has heard of nobody yet.
-func (r *reconciler) deadVoter(m *member, st host.Status) (uint64, bool) {
+func (r *reconciler) unreachableVoter(m *member, st host.Status) (uint64, bool) {
 	r.mu.Lock()
-	led := r.now().Sub(r.since)
+	ledFor := r.now().Sub(r.ledSince)
 	r.mu.Unlock()
-	var dead uint64
-	longest := deadAfter
+	var unreachable uint64
+	longest := voterReplaceDelay
 	for _, id := range st.Voters {
 		if id == st.ID {
 			continue
 		}
-		if age := min(r.age(m, id), led); age > longest && r.majorityWithout(m, st, id) {
-			dead, longest = id, age
+		if age := min(r.sinceLastReply(m, id), ledFor); age > longest && r.majorityWithout(m, st, id) {
+			unreachable, longest = id, age
 		}
 	}
-	return dead, dead != 0
+	return unreachable, unreachable != 0
 }
 
 // retireUnused gives up registrations that nobody will use any more: one that an
@@ -243,33 +243,33 @@
 	}
 	for _, s := range registrations {
 		if isMember(st, s.ID) {
-			r.noteUsed(s.ID)
+			r.markUsed(s.ID)
 			continue
 		}
-		if s.ID < newest[s.Address] || r.unusedFor(s.ID) > retireAfter {
+		if s.ID < newest[s.Address] || r.unusedDuration(s.ID) > unusedRegistrationTTL {
 			return propose(ctx, m, kindRetire, retireCommand{ID: s.ID})
 		}
 	}
 	return nil
 }
 
-func (r *reconciler) noteUsed(id uint64) {
+func (r *reconciler) markUsed(id uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.unused, id)
+	delete(r.unusedSince, id)
 }
 
-func (r *reconciler) unusedFor(id uint64) time.Duration {
+func (r *reconciler) unusedDuration(id uint64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	if asked, asks := r.asked[id]; asks && now.Sub(asked.at) <= askedWithin {
-		delete(r.unused, id)
+	if request, pending := r.joinRequests[id]; pending && now.Sub(request.receivedAt) <= joinRequestTTL {
+		delete(r.unusedSince, id)
 		return 0
 	}
-	since, noted := r.unused[id]
-	if !noted {
-		r.unused[id] = now
+	since, tracked := r.unusedSince[id]
+	if !tracked {
+		r.unusedSince[id] = now
 		return 0
 	}
 	return now.Sub(since)
@@ -282,17 +282,17 @@
 
 // proposeResult commits a command and returns what applying it gave.
 func proposeResult[R, C any](ctx context.Context, m *member, kind uint8, c C) (R, error) {
-	var none R
+	var zero R
 	data, err := msgpack.Marshal(&c)
 	if err != nil {
-		return none, trace.Wrap(err, "step=encode command")
+		return zero, trace.Wrap(err, "step=encode command")
 	}
 	result, err := m.host.Propose(ctx, kind, data)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	if r, ok := result.(R); ok {
 		return r, nil
 	}
-	return none, trace.BadParameter("command of kind %d gave %T", kind, result)
+	return zero, trace.BadParameter("command of kind %d gave %T", kind, result)
 }
--- a/coordinator/observe.go
+++ b/coordinator/observe.go
@@ -8,10 +8,10 @@
 	"savoryreel.example/savoryreel/policy/supply"
 )
 
-// joining is how a service's servers have come to be known.
-type joining struct {
-	servers     int       // the most that were known
-	first, last time.Time // when the first and the newest of them were heard
+// discovery is how a service's servers have come to be known.
+type discovery struct {
+	maxServers          int       // the most that were known
+	firstSeen, lastSeen time.Time // when the first and the newest of them were heard
 }
 
 // demand is what a service's load asks for.
@@ -24,38 +24,38 @@
 // a new leader need not wait for what it could have seen before.
 func (f *fleet) observe() {
 	now := f.now()
-	if now.Sub(f.observed) < planEvery {
+	if now.Sub(f.lastObserved) < planInterval {
 		return
 	}
-	f.observed = now
-	known := make(map[string][]directory.Server)
+	f.lastObserved = now
+	byService := make(map[string][]directory.Server)
 	for _, rec := range f.servers(now) {
 		if rec.Unreachable || rec.State != instance.StateServing {
 			continue
 		}
 		for _, name := range rec.Services {
-			known[name] = append(known[name], rec)
+			byService[name] = append(byService[name], rec)
 		}
 	}
-	for name, servers := range known {
-		f.noteJoined(name, len(servers), now)
-		f.noteLoad(name, servers, now)
+	for name, servers := range byService {
+		f.recordServers(name, len(servers), now)
+		f.recordLoad(name, servers, now)
 	}
 }
 
-func (f *fleet) noteJoined(service string, servers int, now time.Time) {
-	j := f.joined[service]
+func (f *fleet) recordServers(service string, servers int, now time.Time) {
+	j := f.discoveries[service]
 	if j == nil {
-		j = &joining{first: now}
-		f.joined[service] = j
+		j = &discovery{firstSeen: now}
+		f.discoveries[service] = j
 	}
-	if servers > j.servers {
-		j.servers, j.last = servers, now
+	if servers > j.maxServers {
+		j.maxServers, j.lastSeen = servers, now
 	}
 }
 
-// noteLoad takes what the servers of a service are given to do.
-func (f *fleet) noteLoad(service string, servers []directory.Server, now time.Time) {
+// recordLoad takes what the servers of a service are given to do.
+func (f *fleet) recordLoad(service string, servers []directory.Server, now time.Time) {
 	ids := make([]string, 0, len(servers))
 	slots := 0
 	for i := range servers {
@@ -80,20 +80,20 @@
 }
 
 const (
-	// settleBeats is for how many heartbeats no further server must have come before a
+	// settleHeartbeats is for how many heartbeats no further server must have come before a
 	// service's servers are counted: each announces itself within one.
-	settleBeats = 1.5
-	// settleMost bounds the wait where servers keep coming.
-	settleMost = 5 * time.Second
+	settleHeartbeats = 1.5
+	// maxSettleTime bounds the wait where servers keep coming.
+	maxSettleTime = 5 * time.Second
 )
 
-// settled reports whether all servers that a service began with are known.
-func (f *fleet) settled(service string) bool {
-	j := f.joined[service]
+// allServersKnown reports whether all servers that a service began with are known.
+func (f *fleet) allServersKnown(service string) bool {
+	j := f.discoveries[service]
 	if j == nil {
 		return false
 	}
 	now := f.now()
-	quiet := time.Duration(settleBeats * float64(f.announceEvery))
-	return now.Sub(j.last) >= quiet || now.Sub(j.first) >= settleMost
+	quiet := time.Duration(settleHeartbeats * float64(f.announceEvery))
+	return now.Sub(j.lastSeen) >= quiet || now.Sub(j.firstSeen) >= maxSettleTime
 }
--- a/coordinator/shares.go
+++ b/coordinator/shares.go
@@ -7,40 +7,40 @@
 	"savoryreel.example/savoryreel/policy/limit"
 )
 
-// shareBook says which entries may use a share of the workspaces' limits.
-type shareBook struct {
-	mu     sync.Mutex
-	roster *limit.Registry
+// shareRegistry says which entries may use a share of the workspaces' limits.
+type shareRegistry struct {
+	mu       sync.Mutex
+	registry *limit.Registry
 }
 
-func newShareBook(now time.Time, firstStart bool) *shareBook {
-	return &shareBook{roster: limit.NewRegistry(now, firstStart)}
+func newShareRegistry(now time.Time, firstStart bool) *shareRegistry {
+	return &shareRegistry{registry: limit.NewRegistry(now, firstStart)}
 }
 
-// recall takes the entries that were written down before this replica started.
-func (b *shareBook) recall(names []string, now time.Time) {
+// restore takes the entries that were written down before this replica started.
+func (b *shareRegistry) restore(names []string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.roster.Restore(names, now)
+	b.registry.Restore(names, now)
 }
 
-// note takes a call of an entry.
-func (b *shareBook) note(name string, divisor int, now time.Time) {
+// observe takes a call of an entry.
+func (b *shareRegistry) observe(name string, divisor int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.roster.Observe(name, divisor, now)
+	b.registry.Observe(name, divisor, now)
 }
 
-// word returns what an entry is told.
-func (b *shareBook) word(name string, now time.Time) limit.ShareVote {
+// vote returns what an entry is told.
+func (b *shareRegistry) vote(name string, now time.Time) limit.ShareVote {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.roster.Vote(name, now)
+	return b.registry.Vote(name, now)
 }
 
-// names returns the entries that may use a share.
-func (b *shareBook) names(now time.Time) []string {
+// allowedEntries returns the entries that may use a share.
+func (b *shareRegistry) allowedEntries(now time.Time) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.roster.AllowedEntries(now)
+	return b.registry.AllowedEntries(now)
 }
--- a/coordinator/state.go
+++ b/coordinator/state.go
@@ -77,16 +77,16 @@
 	revision      uint64
 	document      []byte
 	registrations []registration // by id
-	highest       uint64         // highest id ever given out; ids are never used twice
+	highestID     uint64         // highest id ever given out; ids are never used twice
 	usage         []usageWindow
-	sizes         map[string]int // servers that each service began with
+	initialSizes  map[string]int // servers that each service began with
 
 	onRevision func(revision uint64, document []byte)
 	onMembers  func([]roster.Member)
 }
 
 func newState(onRevision func(uint64, []byte), onMembers func([]roster.Member)) *state {
-	return &state{sizes: make(map[string]int), onRevision: onRevision, onMembers: onMembers}
+	return &state{initialSizes: make(map[string]int), onRevision: onRevision, onMembers: onMembers}
 }
 
 // Apply implements host.Machine.
@@ -137,15 +137,15 @@
 
 func (s *state) applyFound(c foundCommand) bool {
 	s.mu.Lock()
-	founded := s.highest > 0
+	founded := s.highestID > 0
 	if !founded {
 		s.registrations = c.Registrations
 		for _, x := range c.Registrations {
-			s.highest = max(s.highest, x.ID)
+			s.highestID = max(s.highestID, x.ID)
 		}
 	}
 	s.mu.Unlock()
-	s.tellMembers()
+	s.notifyMembers()
 	return !founded
 }
 
@@ -156,7 +156,7 @@
 // of theirs, and two replicas under one id would elect two leaders.
 func (s *state) applyRegister(c registerCommand) uint64 {
 	s.mu.Lock()
-	if s.highest == 0 {
+	if s.highestID == 0 {
 		s.mu.Unlock()
 		return 0
 	}
@@ -166,11 +166,11 @@
 			return x.ID
 		}
 	}
-	s.highest++
-	id := s.highest
+	s.highestID++
+	id := s.highestID
 	s.registrations = append(slices.Clone(s.registrations), registration{ID: id, Address: c.Address, Nonce: c.Nonce})
 	s.mu.Unlock()
-	s.tellMembers()
+	s.notifyMembers()
 	return id
 }
 
@@ -178,7 +178,7 @@
 	s.mu.Lock()
 	s.registrations = slices.DeleteFunc(slices.Clone(s.registrations), func(x registration) bool { return x.ID == c.ID })
 	s.mu.Unlock()
-	s.tellMembers()
+	s.notifyMembers()
 	return true
 }
 
@@ -214,20 +214,20 @@
 func (s *state) applySize(c sizeCommand) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.sizes[c.Service]; !known {
-		s.sizes[c.Service] = c.Servers
+	if _, known := s.initialSizes[c.Service]; !known {
+		s.initialSizes[c.Service] = c.Servers
 	}
-	return s.sizes[c.Service]
+	return s.initialSizes[c.Service]
 }
 
-// size returns how many servers a service began with, 0 if that is not known.
-func (s *state) size(service string) int {
+// initialSize returns how many servers a service began with, 0 if that is not known.
+func (s *state) initialSize(service string) int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.sizes[service]
+	return s.initialSizes[service]
 }
 
-func (s *state) tellMembers() { s.onMembers(s.members()) }
+func (s *state) notifyMembers() { s.onMembers(s.members()) }
 
 // members lists the registrations as the address book takes them.
 func (s *state) members() []roster.Member {
@@ -240,16 +240,16 @@
 	return out
 }
 
-// current returns the catalogue in force here; document is nil before the first.
-func (s *state) current() (revision uint64, document []byte) {
+// catalogue returns the catalogue in force here; document is nil before the first.
+func (s *state) catalogue() (revision uint64, document []byte) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.revision, s.document
 }
 
-// registrationOf returns the registration of an id. known is false for an id that was given up
+// lookupRegistration returns the registration of an id. known is false for an id that was given up
 // or never given out; given tells the two apart.
-func (s *state) registrationOf(id uint64) (held registration, known, given bool) {
+func (s *state) lookupRegistration(id uint64) (reg registration, registered, issued bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, x := range s.registrations {
@@ -257,17 +257,17 @@
 			return x, true, true
 		}
 	}
-	return registration{}, false, id <= s.highest
+	return registration{}, false, id <= s.highestID
 }
 
 func (s *state) founded() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.highest > 0
+	return s.highestID > 0
 }
 
-// windows returns the usage windows that were decided, oldest first.
-func (s *state) windows() []usageWindow {
+// usageWindows returns the usage usageWindows that were decided, oldest first.
+func (s *state) usageWindows() []usageWindow {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.usage
@@ -293,7 +293,7 @@
 		usage = append(usage, w)
 	}
 	enc, err := msgpack.Marshal(&stateSnapshot{
-		Revision: s.revision, Document: s.document, Registrations: s.registrations, Highest: s.highest, Usage: usage, Sizes: maps.Clone(s.sizes),
+		Revision: s.revision, Document: s.document, Registrations: s.registrations, Highest: s.highestID, Usage: usage, Sizes: maps.Clone(s.initialSizes),
 	})
 	return enc, trace.Wrap(err, "step=snapshot")
 }
@@ -306,11 +306,11 @@
 	}
 	s.mu.Lock()
 	s.revision, s.document = in.Revision, in.Document
-	s.registrations, s.highest, s.usage = in.Registrations, in.Highest, in.Usage
-	s.sizes = make(map[string]int, len(in.Sizes))
-	maps.Copy(s.sizes, in.Sizes)
+	s.registrations, s.highestID, s.usage = in.Registrations, in.Highest, in.Usage
+	s.initialSizes = make(map[string]int, len(in.Sizes))
+	maps.Copy(s.initialSizes, in.Sizes)
 	s.mu.Unlock()
 	s.onRevision(in.Revision, in.Document)
-	s.tellMembers()
+	s.notifyMembers()
 	return nil
 }
--- a/coordinator/state_test.go
+++ b/coordinator/state_test.go
@@ -12,7 +12,7 @@
 	"savoryreel.example/savoryreel/replica/storage"
 )
 
-func entryOf(t *testing.T, kind uint8, v any) replica.Entry {
+func newEntry(t *testing.T, kind uint8, v any) replica.Entry {
 	data, err := msgpack.Marshal(v)
 	require.NoError(t, err)
 	return replica.Entry{Kind: kind, Data: data}
@@ -20,24 +20,24 @@
 
 func applyTo(t *testing.T, s *state, kind uint8, v any) any {
 	t.Helper()
-	result, err := s.Apply(entryOf(t, kind, v))
+	result, err := s.Apply(newEntry(t, kind, v))
 	require.NoError(t, err)
 	return result
 }
 
-func emptyState() *state {
+func newEmptyState() *state {
 	return newState(func(uint64, []byte) {}, func([]roster.Member) {})
 }
 
 // Two operators race, and an older change arrives after a newer one, or the same
 // revision with another content. What is in force never goes back, and is what was
 // sent under its number first.
-func TestRevisionsNeverGoBack(t *testing.T) {
-	s := emptyState()
+func TestRevisionNeverDecreases(t *testing.T) {
+	s := newEmptyState()
 	require.Equal(t, uint64(3), applyTo(t, s, kindRevise, reviseCommand{Revision: 3, Document: []byte("three")}))
 	require.Equal(t, uint64(3), applyTo(t, s, kindRevise, reviseCommand{Revision: 2, Document: []byte("two")}))
 	require.Equal(t, uint64(3), applyTo(t, s, kindRevise, reviseCommand{Revision: 3, Document: []byte("other")}))
-	revision, document := s.current()
+	revision, document := s.catalogue()
 	require.Equal(t, uint64(3), revision)
 	require.Equal(t, "three", string(document))
 }
@@ -45,16 +45,16 @@
 // The answer to a request for an id is lost, and the replica asks again. With a
 // second id the group would wait for a member that nobody is.
 func TestSameNonceGetsTheSameID(t *testing.T) {
-	s := emptyState()
+	s := newEmptyState()
 	applyTo(t, s, kindFound, foundCommand{Registrations: numberFounders([]string{"a", "b", "c"})})
 	first := applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "n"})
 	require.Equal(t, uint64(4), first)
 	require.Equal(t, first, applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "n"}))
 	applyTo(t, s, kindRetire, retireCommand{ID: 4})
 	require.Equal(t, uint64(5), applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "m"}), "an id is never used twice")
-	_, known, given := s.registrationOf(4)
+	_, known, given := s.lookupRegistration(4)
 	require.True(t, !known && given)
-	_, known, given = s.registrationOf(9)
+	_, known, given = s.lookupRegistration(9)
 	require.True(t, !known && !given)
 }
 
@@ -62,8 +62,8 @@
 // a founder's id there would be two replicas under one id, and two leaders.
 //
 // It breaks without the check in applyRegister.
-func TestNoIDBeforeTheFoundersHaveTheirs(t *testing.T) {
-	s := emptyState()
+func TestNoIDIsIssuedBeforeFounding(t *testing.T) {
+	s := newEmptyState()
 	require.Equal(t, uint64(0), applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "n"}))
 	applyTo(t, s, kindFound, foundCommand{Registrations: numberFounders([]string{"a", "b", "c"})})
 	require.Equal(t, uint64(4), applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "n"}))
@@ -72,20 +72,20 @@
 // A leader decides a window's usage and dies. Its successor, which has heard other
 // counts, must not send different ones for the same window.
 func TestUsageIsDecidedOnce(t *testing.T) {
-	s := emptyState()
+	s := newEmptyState()
 	require.Equal(t, true, applyTo(t, s, kindUsage, usageWindow{Window: 7, Counts: map[string]int64{"w": 3}}))
 	require.Equal(t, false, applyTo(t, s, kindUsage, usageWindow{Window: 7, Counts: map[string]int64{"w": 4}}))
 	applyTo(t, s, kindUsageSent, usageSentCommand{Window: 7})
-	require.Equal(t, []usageWindow{{Window: 7, Counts: map[string]int64{"w": 3}, Sent: true}}, s.windows())
+	require.Equal(t, []usageWindow{{Window: 7, Counts: map[string]int64{"w": 3}, Sent: true}}, s.usageWindows())
 	require.Equal(t, true, applyTo(t, s, kindUsage, usageWindow{Window: 12, Oldest: 8}))
-	require.Equal(t, []usageWindow{{Window: 12, Oldest: 8}}, s.windows(), "what is not reported any more is dropped")
+	require.Equal(t, []usageWindow{{Window: 12, Oldest: 8}}, s.usageWindows(), "what is not reported any more is dropped")
 	require.Equal(t, false, applyTo(t, s, kindUsage, usageWindow{Window: 7, Counts: map[string]int64{"w": 4}}))
 }
 
 // A replica that was away for long is sent a snapshot; it must hold all that the
 // entries before it brought.
-func TestSnapshotHoldsAll(t *testing.T) {
-	s := emptyState()
+func TestSnapshotRestoresAllState(t *testing.T) {
+	s := newEmptyState()
 	applyTo(t, s, kindFound, foundCommand{Registrations: numberFounders([]string{"a", "b"})})
 	applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "n"})
 	applyTo(t, s, kindRevise, reviseCommand{Revision: 3, Document: []byte("three")})
@@ -94,19 +94,19 @@
 	applyTo(t, s, kindSize, sizeCommand{Service: "chat", Servers: 5})
 	enc, err := s.Snapshot()
 	require.NoError(t, err)
-	told := uint64(0)
-	other := newState(func(revision uint64, _ []byte) { told = revision }, func([]roster.Member) {})
+	restored := uint64(0)
+	other := newState(func(revision uint64, _ []byte) { restored = revision }, func([]roster.Member) {})
 	require.NoError(t, other.Restore(enc))
-	require.Equal(t, uint64(3), told)
+	require.Equal(t, uint64(3), restored)
 	require.Equal(t, s.members(), other.members())
-	require.Equal(t, s.windows(), other.windows())
-	require.Equal(t, s.highest, other.highest)
-	require.Equal(t, 12, other.size("chat"), "the first size counts")
+	require.Equal(t, s.usageWindows(), other.usageWindows())
+	require.Equal(t, s.highestID, other.highestID)
+	require.Equal(t, 12, other.initialSize("chat"), "the first size counts")
 }
 
 // An instance comes back with an empty disk. It must not take its old id, under
 // which others count on what it has forgotten.
-func TestIdentity(t *testing.T) {
+func TestIdentityStore(t *testing.T) {
 	store := identityStore{fs: storage.OS{}, dir: t.TempDir()}
 	_, ok, err := store.load()
 	require.NoError(t, err)
@@ -124,17 +124,17 @@
 }
 
 // All founders are told the same seeds, in any order, and must agree on the ids.
-func TestFoundersAgree(t *testing.T) {
+func TestFounderIDsIgnoreSeedOrder(t *testing.T) {
 	require.Equal(t, numberFounders([]string{"b", "a", "c"}), numberFounders([]string{"c", "b", "a", "a"}))
 }
 
 // Fences of one term rise, and those of a later term are above all of them.
-func TestFences(t *testing.T) {
-	var a, b fences
-	x, y := a.take(3), a.take(3)
+func TestFencingNumbersIncrease(t *testing.T) {
+	var a, b fenceSequence
+	x, y := a.issue(3), a.issue(3)
 	require.Less(t, x, y)
-	require.Less(t, y, b.take(4))
-	require.Less(t, y, a.take(5))
+	require.Less(t, y, b.issue(4))
+	require.Less(t, y, a.issue(5))
 }
 
 func TestEntriesOfTheCallersZoneFirst(t *testing.T) {
@@ -142,6 +142,6 @@
 }
 
 // Heartbeats may be seconds late.
-func TestSilenceOutlastsLateHeartbeats(t *testing.T) {
-	require.Greater(t, silentAfter(1200*time.Millisecond), 4*time.Second)
+func TestOverdueThresholdToleratesLateHeartbeats(t *testing.T) {
+	require.Greater(t, overdueAfter(1200*time.Millisecond), 4*time.Second)
 }
--- a/coordinator/tasks.go
+++ b/coordinator/tasks.go
@@ -37,23 +37,23 @@
 var ErrNoCapacity = errors.New("no capacity")
 
 const (
-	// tasksEvery is how often the leader looks what is due.
-	tasksEvery = 250 * time.Millisecond
+	// tasksInterval is how often the leader looks what is due.
+	tasksInterval = 250 * time.Millisecond
 	// cloudTimeout bounds one call to the cloud.
 	cloudTimeout = 1500 * time.Millisecond
 	// fencesPerTerm is how many fencing numbers one term of the leader has.
 	fencesPerTerm = 1 << 20
 )
 
-// fences numbers the calls of one leader. A leader's term is its alone, so no
+// fenceSequence numbers the calls of one leader. A leader's term is its alone, so no
 // two holders have a number in common, and each call has a higher one than the
 // calls before: one that the cloud carries out late can't undo a newer one.
-type fences struct {
+type fenceSequence struct {
 	term uint64
 	next uint64
 }
 
-func (f *fences) take(term uint64) uint64 {
+func (f *fenceSequence) issue(term uint64) uint64 {
 	if f.term != term {
 		f.term, f.next = term, 0
 	}
@@ -64,31 +64,31 @@
 // leaderTasks are, while this replica leads, what one process must do for the
 // whole system.
 type leaderTasks struct {
-	log   *slog.Logger
-	name  string
-	cloud Cloud
-	now   func() time.Time
-	lease time.Duration
+	log       *slog.Logger
+	name      string
+	cloud     Cloud
+	now       func() time.Time
+	leaseTime time.Duration
 
 	usage *usageReports // nil: usage is not reported
 	fleet *fleet        // nil: servers are not ordered
 
-	fences fences
-	term   uint64
-	since  time.Time // start of this replica's lead in term
+	fences   fenceSequence
+	term     uint64
+	ledSince time.Time // start of this replica's lead in term
 }
 
 // firstTerm is the term of a group's first leader.
 const firstTerm = 1
 
-// leads reports whether this replica may act: it leads, and has led for so long
+// readyToAct reports whether this replica may act: it readyToAct, and has led for so long
 // that the leader before it has surely stopped.
 //
 // Without the wait two holders would act in turn: the old one, which has not
 // heard yet, the new one, and the old one again. The group's first leader has none
 // before it and acts at once: each second that it waits, a fleet runs on the
 // on-demand servers that it began with, at several times the price of the others.
-func (t *leaderTasks) leads(m *member) bool {
+func (t *leaderTasks) readyToAct(m *member) bool {
 	st := m.host.Status()
 	if !m.leading() {
 		t.term = 0
@@ -96,7 +96,7 @@
 	}
 	now := t.now()
 	if t.term != st.Term {
-		t.term, t.since = st.Term, now
+		t.term, t.ledSince = st.Term, now
 		if t.usage != nil {
 			t.usage.reset()
 		}
@@ -104,12 +104,12 @@
 			t.fleet.reset()
 		}
 	}
-	return mayAct(st.Term, now.Sub(t.since), t.lease)
+	return mayAct(st.Term, now.Sub(t.ledSince), t.leaseTime)
 }
 
 // mayAct reports whether a leader of a term that has led for so long may act.
-func mayAct(term uint64, led, lease time.Duration) bool {
-	return term == firstTerm || led >= lease
+func mayAct(term uint64, ledFor, leaseTime time.Duration) bool {
+	return term == firstTerm || ledFor >= leaseTime
 }
 
 // step does what is due now.
@@ -117,7 +117,7 @@
 	if t.fleet != nil {
 		t.fleet.observe()
 	}
-	if !t.leads(m) {
+	if !t.readyToAct(m) {
 		return
 	}
 	if t.usage != nil {
@@ -132,17 +132,17 @@
 func (t *leaderTasks) orderServers(ctx context.Context, w DesiredServers) error {
 	ctx, cancel := context.WithTimeout(ctx, cloudTimeout)
 	defer cancel()
-	return t.cloud.OrderServers(ctx, FencingToken{Leader: t.name, Fence: t.fences.take(t.term)}, w)
+	return t.cloud.OrderServers(ctx, FencingToken{Leader: t.name, Fence: t.fences.issue(t.term)}, w)
 }
 
 // reportUsage sends a window's usage under the next fencing number.
 func (t *leaderTasks) reportUsage(ctx context.Context, w usageWindow) error {
 	ctx, cancel := context.WithTimeout(ctx, cloudTimeout)
 	defer cancel()
-	order := FencingToken{Leader: t.name, Fence: t.fences.take(t.term)}
-	err := t.cloud.ReportUsage(ctx, order, w.Window, w.Counts)
+	token := FencingToken{Leader: t.name, Fence: t.fences.issue(t.term)}
+	err := t.cloud.ReportUsage(ctx, token, w.Window, w.Counts)
 	attrs := []slog.Attr{
-		slog.String("task", "usage"), slog.Uint64("fence", order.Fence), slog.Int64("window", w.Window), slog.Any("counts", w.Counts),
+		slog.String("task", "usage"), slog.Uint64("fence", token.Fence), slog.Int64("window", w.Window), slog.Any("counts", w.Counts),
 	}
 	if err != nil {
 		event.Log(ctx, t.log, slog.LevelWarn, event.CloudCallFailed, append(attrs, slog.String("error", err.Error()))...)
--- a/coordinator/usage.go
+++ b/coordinator/usage.go
@@ -7,74 +7,74 @@
 	"savoryreel.example/savoryreel/directory"
 )
 
-// usageBook holds what the entries counted. Entries tell every replica, again
+// usageTable holds what the entries counted. Entries tell every replica, again
 // and again, all that they counted in the newest windows: a new leader knows
 // what the one before it knew, and a report that was lost is made good by the
 // next one.
-type usageBook struct {
-	kept int64 // windows
+type usageTable struct {
+	retainedWindows int64 // windows
 
-	mu     sync.Mutex
-	lives  map[entryLife]*lifeUsage
-	newest int64 // window
+	mu           sync.Mutex
+	incarnations map[entryIncarnation]*incarnationUsage
+	newestWindow int64 // window
 }
 
-// entryLife is one life of an entry: after a restart it counts from nothing, and
+// entryIncarnation is one life of an entry: after a restart it counts from nothing, and
 // what it counted before still stands.
-type entryLife struct {
+type entryIncarnation struct {
 	name        string
 	incarnation uint64
 }
 
-// lifeUsage is what one life of an entry counted.
-type lifeUsage struct {
-	open   int64                      // the window in which it counted when it told last
-	counts map[int64]map[string]int64 // window -> workspace -> requests
+// incarnationUsage is what one life of an entry counted.
+type incarnationUsage struct {
+	openWindow int64                      // the window in which it counted when it told last
+	counts     map[int64]map[string]int64 // window -> workspace -> requests
 }
 
-func newUsageBook(kept int64) *usageBook {
-	return &usageBook{kept: kept, lives: make(map[entryLife]*lifeUsage)}
+func newUsageTable(retainedWindows int64) *usageTable {
+	return &usageTable{retainedWindows: retainedWindows, incarnations: make(map[entryIncarnation]*incarnationUsage)}
 }
 
-// note takes an entry's counts, which replace those of its earlier reports, and
+// record takes an entry's counts, which replace those of its earlier reports, and
 // the window in which it counts now.
-func (b *usageBook) note(life entryLife, open int64, usage []api.WindowUsage) {
+func (b *usageTable) record(entry entryIncarnation, openWindow int64, usage []api.WindowUsage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u := b.lives[life]
+	u := b.incarnations[entry]
 	if u == nil {
-		u = &lifeUsage{counts: make(map[int64]map[string]int64)}
-		b.lives[life] = u
+		u = &incarnationUsage{counts: make(map[int64]map[string]int64)}
+		b.incarnations[entry] = u
 	}
-	u.open = max(u.open, open)
-	advanced := open > b.newest
-	b.newest = max(b.newest, open)
+	u.openWindow = max(u.openWindow, openWindow)
+	advanced := openWindow > b.newestWindow
+	b.newestWindow = max(b.newestWindow, openWindow)
 	for _, w := range usage {
-		held := u.counts[w.Window]
-		if held == nil {
-			held = make(map[string]int64, len(w.Counts))
-			u.counts[w.Window] = held
+		counts := u.counts[w.Window]
+		if counts == nil {
+			counts = make(map[string]int64, len(w.Counts))
+			u.counts[w.Window] = counts
 		}
 		for workspace, n := range w.Counts {
-			held[workspace] = max(held[workspace], n)
+			counts[workspace] = max(counts[workspace], n)
 		}
 	}
 	if advanced { // hundreds of entries tell in between, and nothing can be dropped then
-		b.forget()
+		b.expire()
 	}
 }
 
-// forget drops windows that are older than any that is still to be reported.
-func (b *usageBook) forget() {
-	oldest := b.newest - b.kept
-	for life, u := range b.lives {
+// expire drops windows that are older than any that is still to be reported.
+func (b *usageTable) expire() {
+	oldest := b.newestWindow - b.retainedWindows
+	for entry, u := range b.incarnations {
 		for w := range u.counts {
 			if w < oldest {
 				delete(u.counts, w)
 			}
 		}
-		if u.open < oldest {
-			delete(b.lives, life)
+		if u.openWindow < oldest {
+			delete(b.incarnations, entry)
 		}
 	}
 }
@@ -85,17 +85,17 @@
 //
 // An entry that froze, or was cut off, during the window has not; it may come back
 // with counts. One that was started again since will not.
-func (b *usageBook) complete(window int64, live []directory.Entry) bool {
+func (b *usageTable) complete(window int64, live []directory.Entry) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range live {
-		u := b.lives[entryLife{live[i].Name, live[i].Incarnation}]
-		if u == nil || u.open <= window {
+		u := b.incarnations[entryIncarnation{live[i].Name, live[i].Incarnation}]
+		if u == nil || u.openWindow <= window {
 			return false
 		}
 	}
-	for life, u := range b.lives {
-		if u.open == window && !b.restarted(life) {
+	for entry, u := range b.incarnations {
+		if u.openWindow == window && !b.restarted(entry) {
 			return false
 		}
 	}
@@ -103,8 +103,8 @@
 }
 
 // restarted reports whether a later life of the same entry has told something.
-func (b *usageBook) restarted(life entryLife) bool {
-	for other := range b.lives {
+func (b *usageTable) restarted(life entryIncarnation) bool {
+	for other := range b.incarnations {
 		if other.name == life.name && other.incarnation > life.incarnation {
 			return true
 		}
@@ -113,11 +113,11 @@
 }
 
 // sum returns what all entries counted in a window.
-func (b *usageBook) sum(window int64) map[string]int64 {
+func (b *usageTable) sum(window int64) map[string]int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	total := make(map[string]int64)
-	for _, u := range b.lives {
+	for _, u := range b.incarnations {
 		for workspace, n := range u.counts[window] {
 			total[workspace] += n
 		}
--- a/coordinator/usagereports.go
+++ b/coordinator/usagereports.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// usageSettle is the part of the time until usage is due for which the report
+	// maxWaitFraction is the part of the time until usage is due for which the report
 	// waits for entries that have not told what they counted.
-	usageSettle = 0.45
+	maxWaitFraction = 0.45
 	// entriesKnownAfter is how long after its start a replica is taken to have heard
 	// of all entries: each calls every replica at least once in a second, and after a
 	// pause of at most a second where a call failed.
@@ -22,22 +22,22 @@
 
 // usageReports reports the usage of each window once, while this replica leads.
 type usageReports struct {
-	log    *slog.Logger
-	clock  *wallclock.Clock
-	now    func() time.Time
-	book   *usageBook
-	live   func() []directory.Entry // entries that take callers
-	start  time.Time                // of this replica
-	window time.Duration
-	late   time.Duration // from the end of a window until its report is due
-	kept   time.Duration // from the end of a window until its report is worthless
-	report func(ctx context.Context, w usageWindow) error
-
-	calls usageCalls // of this lead
+	log         *slog.Logger
+	clock       *wallclock.Clock
+	now         func() time.Time
+	usage       *usageTable
+	liveEntries func() []directory.Entry // entries that take callers
+	startedAt   time.Time                // of this replica
+	window      time.Duration
+	dueAfter    time.Duration // from the end of a window until its report is due
+	retention   time.Duration // from the end of a window until its report is worthless
+	report      func(ctx context.Context, w usageWindow) error
+
+	backoffs reportBackoffs // of this lead
 }
 
 // reset forgets the calls of an earlier lead.
-func (r *usageReports) reset() { r.calls = make(usageCalls) }
+func (r *usageReports) reset() { r.backoffs = make(reportBackoffs) }
 
 // step decides and reports what is due.
 func (r *usageReports) step(ctx context.Context, m *member) {
@@ -45,48 +45,50 @@
 	r.send(ctx, m)
 }
 
-// settled returns the newest window whose content can be decided: one that all
+// newestDecidable returns the newest window whose content can be decided: one that all
 // entries have told of, or that has been over for so long that the report would be
 // late if it went on waiting for one that may be dead.
 //
 // A report that always waited that long would be lost with a leader that stops in
 // the meantime, since its successor is there only when the report is due.
-func (r *usageReports) settled() int64 {
+func (r *usageReports) newestDecidable() int64 {
 	now := r.clock.Now()
-	waited := now.Add(-time.Duration(float64(r.late)*usageSettle)).UnixNano()/int64(r.window) - 1
-	if r.now().Sub(r.start) < entriesKnownAfter {
-		return waited
+	newest := now.Add(-time.Duration(float64(r.dueAfter)*maxWaitFraction)).UnixNano()/int64(r.window) - 1
+	if r.now().Sub(r.startedAt) < entriesKnownAfter {
+		return newest
 	}
-	live := r.live()
-	ended := now.UnixNano()/int64(r.window) - 1
-	for waited < ended && r.book.complete(waited+1, live) {
-		waited++
+	live := r.liveEntries()
+	lastEnded := now.UnixNano()/int64(r.window) - 1
+	for newest < lastEnded && r.usage.complete(newest+1, live) {
+		newest++
 	}
-	return waited
+	return newest
 }
 
-// oldest is the oldest window whose report is worth something.
-func (r *usageReports) oldest() int64 { return r.clock.Now().Add(-r.kept).UnixNano() / int64(r.window) }
+// oldestReportable is the oldestReportable window whose report is worth something.
+func (r *usageReports) oldestReportable() int64 {
+	return r.clock.Now().Add(-r.retention).UnixNano() / int64(r.window)
+}
 
 // undecided returns the first and the last window whose content is to be decided, in
 // order: a new leader takes up all that the one before it left. The last is below
 // the first where there are none.
 func (r *usageReports) undecided(decided []usageWindow) (first, last int64) {
-	first = r.oldest()
+	first = r.oldestReportable()
 	if n := len(decided); n > 0 {
 		first = max(first, decided[n-1].Window+1)
 	}
-	return first, r.settled()
+	return first, r.newestDecidable()
 }
 
 // decide puts the content of each window that has settled into the log.
 // Only then is it sent: if this process dies in between, its successor sends the
 // same counts and no others.
 func (r *usageReports) decide(ctx context.Context, m *member) {
-	first, last := r.undecided(m.state.windows())
+	first, last := r.undecided(m.state.usageWindows())
 	for w := first; w <= last; w++ {
 		ctx, cancel := context.WithTimeout(ctx, cloudTimeout)
-		err := propose(ctx, m, kindUsage, usageWindow{Window: w, Counts: r.book.sum(w), Oldest: r.oldest()})
+		err := propose(ctx, m, kindUsage, usageWindow{Window: w, Counts: r.usage.sum(w), Oldest: r.oldestReportable()})
 		cancel()
 		if err != nil {
 			event.Log(ctx, r.log, slog.LevelWarn, event.CloudCallFailed,
@@ -98,11 +100,11 @@
 
 // send sends the oldest window that was decided and has not been sent.
 func (r *usageReports) send(ctx context.Context, m *member) {
-	for _, w := range m.state.windows() {
-		if w.Sent || !r.calls.due(w.Window, r.now()) || w.Window < r.oldest() {
+	for _, w := range m.state.usageWindows() {
+		if w.Sent || !r.backoffs.due(w.Window, r.now()) || w.Window < r.oldestReportable() {
 			continue
 		}
-		r.calls.note(w.Window, r.now())
+		r.backoffs.recordAttempt(w.Window, r.now())
 		err := r.report(ctx, w)
 		if err != nil {
 			return
@@ -118,28 +120,30 @@
 }
 
 const (
-	// usagePause is the pause after the first call for a window, and is doubled after
+	// minReportDelay is the pause after the first call for a window, and is doubled after
 	// each further one up to usagePauseMax. A cloud that is down for seconds has the
 	// report within a second of its return, for some twenty calls at most until the
 	// report is worthless.
-	usagePause    = 250 * time.Millisecond
-	usagePauseMax = time.Second
+	minReportDelay = 250 * time.Millisecond
+	maxReportDelay = time.Second
 )
 
-// usageCalls holds when a window may be reported again, and the pause then, for the
+// reportBackoffs holds when a window may be reported again, and the pause then, for the
 // windows that one leader has reported.
-type usageCalls map[int64]usageCall
+type reportBackoffs map[int64]reportBackoff
 
-type usageCall struct {
-	next  time.Time
-	pause time.Duration
+type reportBackoff struct {
+	nextAttempt time.Time
+	delay       time.Duration
 }
 
 // due reports whether a window may be reported now.
-func (c usageCalls) due(window int64, now time.Time) bool { return !now.Before(c[window].next) }
+func (c reportBackoffs) due(window int64, now time.Time) bool {
+	return !now.Before(c[window].nextAttempt)
+}
 
-// note takes that a window is being reported.
-func (c usageCalls) note(window int64, now time.Time) {
-	pause := min(max(2*c[window].pause, usagePause), usagePauseMax)
-	c[window] = usageCall{next: now.Add(pause), pause: pause}
+// recordAttempt takes that a window is being reported.
+func (c reportBackoffs) recordAttempt(window int64, now time.Time) {
+	delay := min(max(2*c[window].delay, minReportDelay), maxReportDelay)
+	c[window] = reportBackoff{nextAttempt: now.Add(delay), delay: delay}
 }
--- a/coordinator/watch_test.go
+++ b/coordinator/watch_test.go
@@ -18,8 +18,8 @@
 	"savoryreel.example/savoryreel/site"
 )
 
-// newQuiet returns a replica that runs nothing.
-func newQuiet(t *testing.T) *Coordinator {
+// newIdleReplica returns a replica that runs nothing.
+func newIdleReplica(t *testing.T) *Coordinator {
 	c, err := New(Config{Node: site.Node{
 		Name: "c", IP: "127.0.0.1", Zone: "z", FirstPort: 1, LastPort: 9, Seeds: []string{"127.0.0.1:1"}, DataDir: t.TempDir(),
 		Bounds: site.Bounds{
@@ -40,8 +40,8 @@
 //
 // It breaks if revision 0 stands for having none.
 func TestRevisionZeroIsACatalogue(t *testing.T) {
-	c := newQuiet(t)
-	c.offer(0, []byte("first"))
+	c := newIdleReplica(t)
+	c.acceptCatalogue(0, []byte("first"))
 	reply, err := c.watch(context.Background(), link.PeerInfo{}, api.WatchRequest{Role: api.RoleEntry, Wait: time.Minute})
 	require.NoError(t, err)
 	require.Equal(t, "first", string(reply.Document))
@@ -57,7 +57,7 @@
 		t.Fatal("answered without news")
 	case <-time.After(50 * time.Millisecond):
 	}
-	c.offer(1, []byte("second"))
+	c.acceptCatalogue(1, []byte("second"))
 	require.Equal(t, "second", string((<-answered).Document))
 	cancel()
 }
@@ -67,16 +67,16 @@
 // kilobytes from six replicas each would take its link for seconds.
 //
 // It breaks if the content is sent all the same, or the call waits on.
-func TestRevisionOnly(t *testing.T) {
-	c := newQuiet(t)
-	c.offer(1, []byte("first"))
+func TestRevisionOnlyOmitsDocument(t *testing.T) {
+	c := newIdleReplica(t)
+	c.acceptCatalogue(1, []byte("first"))
 	req := api.WatchRequest{Role: api.RoleEntry, HasCatalogue: true, Revision: 1, RevisionOnly: true, NotifiedRevision: 1, Wait: time.Minute}
 	answered := make(chan api.WatchReply, 1)
 	go func() {
 		reply, _ := c.watch(context.Background(), link.PeerInfo{}, req)
 		answered <- reply
 	}()
-	c.offer(2, []byte("second"))
+	c.acceptCatalogue(2, []byte("second"))
 	reply := <-answered
 	require.EqualValues(t, 2, reply.Revision)
 	require.Empty(t, reply.Document)
@@ -90,9 +90,9 @@
 	require.Error(t, ctx.Err(), "it waited")
 }
 
-func entryCall(name string, life uint64, usage ...api.WindowUsage) api.WatchRequest {
+func entryCall(name string, incarnation uint64, usage ...api.WindowUsage) api.WatchRequest {
 	return api.WatchRequest{
-		Role: api.RoleEntry, Incarnation: life, HasCatalogue: true, Wait: time.Millisecond, Usage: usage, OpenWindow: 1, ShareDivisor: 1,
+		Role: api.RoleEntry, Incarnation: incarnation, HasCatalogue: true, Wait: time.Millisecond, Usage: usage, OpenWindow: 1, ShareDivisor: 1,
 		Entry: &directory.Entry{Name: name, Incarnation: 1, State: instance.StateServing},
 		Loads: []api.ServerLoad{{Server: "s", Running: 1}},
 	}
@@ -101,17 +101,17 @@
 // A replica starts anew while entries call it. Their calls leave out what the life before
 // was told of; taken for all that they have counted, windows would be reported with too
 // little.
-func TestCallsForAnEarlierLifeTellNoCounts(t *testing.T) {
-	c := newQuiet(t)
-	c.offer(0, []byte("first"))
-	call := func(life uint64, n int64) api.WatchReply {
+func TestUsageForEarlierIncarnationIsIgnored(t *testing.T) {
+	c := newIdleReplica(t)
+	c.acceptCatalogue(0, []byte("first"))
+	call := func(incarnation uint64, n int64) api.WatchReply {
 		usage := api.WindowUsage{Window: 1, Counts: map[string]int64{"w": n}}
-		reply, err := c.watch(context.Background(), link.PeerInfo{}, entryCall("a", life, usage))
+		reply, err := c.watch(context.Background(), link.PeerInfo{}, entryCall("a", incarnation, usage))
 		require.NoError(t, err)
 		return reply
 	}
-	reply := call(c.life+1, 100) // left out: what it counted in other windows
-	require.Equal(t, c.life, reply.Incarnation)
+	reply := call(c.incarnation+1, 100) // left out: what it counted in other windows
+	require.Equal(t, c.incarnation, reply.Incarnation)
 	require.Empty(t, c.usage.sum(1))
 	call(reply.Incarnation, 5010)
 	require.Equal(t, map[string]int64{"w": 5010}, c.usage.sum(1))
@@ -119,10 +119,10 @@
 
 // Callers wait for an entry that has just started until it knows its share of the limits.
 // It is told at once, and not when a call has been kept waiting for news.
-func TestEntryThatStartsIsToldOfItsShareAtOnce(t *testing.T) {
-	c := newQuiet(t)
-	c.shares = newShareBook(c.now(), true)
-	c.offer(0, []byte("first"))
+func TestStartingEntryGetsShareVoteImmediately(t *testing.T) {
+	c := newIdleReplica(t)
+	c.shares = newShareRegistry(c.now(), true)
+	c.acceptCatalogue(0, []byte("first"))
 	req := entryCall("a", 0)
 	req.ShareDivisor, req.Wait = 0, time.Minute
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
@@ -136,9 +136,9 @@
 // Hundreds of entries follow each of some replicas. One of these tells an entry what all
 // others have running and which entries there are; told by each, the replicas would do
 // little else.
-func TestOneReplicaTellsOfLoads(t *testing.T) {
-	c := newQuiet(t)
-	c.offer(0, []byte("first"))
+func TestRevisionOnlyOmitsLoads(t *testing.T) {
+	c := newIdleReplica(t)
+	c.acceptCatalogue(0, []byte("first"))
 	for _, name := range []string{"a", "b"} {
 		_, err := c.watch(context.Background(), link.PeerInfo{}, entryCall(name, 0))
 		require.NoError(t, err)
@@ -149,7 +149,7 @@
 		var err error
 		source, err = c.watch(context.Background(), link.PeerInfo{}, req)
 		return err == nil && len(source.LiveNames) == 2
-	}, 10*time.Second, liveFor)
+	}, 10*time.Second, liveListTTL)
 	require.True(t, source.HasLoads)
 	require.Equal(t, []api.ServerLoad{{Server: "s", Running: 1}}, source.Loads)
 	req.LiveDigest, req.RevisionOnly = source.LiveDigest, true
@@ -158,8 +158,8 @@
 	require.False(t, other.HasLoads)
 	require.Empty(t, other.Loads)
 	req.RevisionOnly = false
-	again, err := c.watch(context.Background(), link.PeerInfo{}, req)
+	unchanged, err := c.watch(context.Background(), link.PeerInfo{}, req)
 	require.NoError(t, err)
-	require.Empty(t, again.LiveNames, "the list has not changed")
-	require.Equal(t, source.LiveDigest, again.LiveDigest)
+	require.Empty(t, unchanged.LiveNames, "the list has not changed")
+	require.Equal(t, source.LiveDigest, unchanged.LiveDigest)
 }
--- a/coordinator/work.go
+++ b/coordinator/work.go
@@ -10,60 +10,60 @@
 	"savoryreel.example/savoryreel/coordinator/api"
 )
 
-// workBook sums the prompt tokens that all entries have sent to be read, by service,
+// workTable sums the prompt tokens that all entries have sent to be read, by service,
 // and says how many servers they keep busy.
-type workBook struct {
-	mu    sync.Mutex
-	lives map[entryLife]*lifeWork
-	total map[string]uint64 // tokens by service, since this replica began
+type workTable struct {
+	mu           sync.Mutex
+	incarnations map[entryIncarnation]*incarnationWork
+	total        map[string]uint64 // tokens by service, since this replica began
 }
 
-// lifeWork is what one life of an entry has told.
-type lifeWork struct {
-	at       time.Time
-	services map[string]api.ServiceWork
+// incarnationWork is what one life of an entry has told.
+type incarnationWork struct {
+	reportedAt time.Time
+	services   map[string]api.ServiceWork
 }
 
-func newWorkBook() *workBook {
-	return &workBook{lives: make(map[entryLife]*lifeWork), total: make(map[string]uint64)}
+func newWorkTable() *workTable {
+	return &workTable{incarnations: make(map[entryIncarnation]*incarnationWork), total: make(map[string]uint64)}
 }
 
-// note takes an entry's counts since its start. The first word of a life only sets
+// record takes an entry's counts since its start. The first word of a life only sets
 // where counting begins.
-func (b *workBook) note(life entryLife, work []api.ServiceWork, now time.Time) {
+func (b *workTable) record(entry entryIncarnation, work []api.ServiceWork, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := b.lives[life]
+	l := b.incarnations[entry]
 	if l == nil {
-		l = &lifeWork{services: make(map[string]api.ServiceWork)}
-		b.lives[life] = l
+		l = &incarnationWork{services: make(map[string]api.ServiceWork)}
+		b.incarnations[entry] = l
 	}
-	l.at = now
+	l.reportedAt = now
 	for _, w := range work {
-		held, known := l.services[w.Service]
-		if known && w.Tokens < held.Tokens {
+		previous, known := l.services[w.Service]
+		if known && w.Tokens < previous.Tokens {
 			continue // overtaken by a later call
 		}
 		if known {
-			b.total[w.Service] += w.Tokens - held.Tokens
+			b.total[w.Service] += w.Tokens - previous.Tokens
 		}
 		l.services[w.Service] = w
 	}
 }
 
-// forget drops entries that have not been heard for long.
-func (b *workBook) forget(now time.Time) {
+// expire drops entries that have not been heard for long.
+func (b *workTable) expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for life, l := range b.lives {
-		if now.Sub(l.at) > loadsFor {
-			delete(b.lives, life)
+	for entry, l := range b.incarnations {
+		if now.Sub(l.reportedAt) > entryReportTTL {
+			delete(b.incarnations, entry)
 		}
 	}
 }
 
 // tokens returns the tokens of a service so far.
-func (b *workBook) tokens(service string) uint64 {
+func (b *workTable) tokens(service string) uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total[service]
@@ -71,11 +71,11 @@
 
 // rate returns how many tokens a server reads in a second: the median of what the
 // entries have learnt, 0 while none has.
-func (b *workBook) rate(service string) float64 {
+func (b *workTable) rate(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var rates []float64
-	for _, l := range b.lives {
+	for _, l := range b.incarnations {
 		if w := l.services[service]; w.Rate > 0 {
 			rates = append(rates, w.Rate)
 		}
@@ -88,7 +88,7 @@
 }
 
 // rates returns what is known of how fast servers read, by service.
-func (b *workBook) rates() []api.ServiceWork {
+func (b *workTable) rates() []api.ServiceWork {
 	b.mu.Lock()
 	names := slices.Sorted(maps.Keys(b.total))
 	b.mu.Unlock()
@@ -110,11 +110,11 @@
 // perSecond returns the tokens a second since the last call; known is false at the first.
 func (m *workMeter) perSecond(tokens uint64, now time.Time) (rate float64, known bool) {
 	elapsed := now.Sub(m.at).Seconds()
-	fresh := tokens - m.tokens
+	added := tokens - m.tokens
 	known = !m.at.IsZero() && elapsed > 0
 	m.tokens, m.at = tokens, now
 	if !known {
 		return 0, false
 	}
-	return float64(fresh) / elapsed, true
+	return float64(added) / elapsed, true
 }
--- a/coordinator/work_test.go
+++ b/coordinator/work_test.go
@@ -13,26 +13,26 @@
 // their start. Counted as work of this moment it would order servers for hours of load.
 //
 // It breaks if the first word of a life counts.
-func TestWorkBook(t *testing.T) {
-	b := newWorkBook()
+func TestWorkTable(t *testing.T) {
+	b := newWorkTable()
 	now := time.Unix(0, 0)
-	tell := func(name string, life, tokens uint64, rate float64) {
-		b.note(entryLife{name, life}, []api.ServiceWork{{Service: "chat", Tokens: tokens, Rate: rate}}, now)
+	report := func(name string, incarnation, tokens uint64, rate float64) {
+		b.record(entryIncarnation{name, incarnation}, []api.ServiceWork{{Service: "chat", Tokens: tokens, Rate: rate}}, now)
 	}
-	tell("e1", 1, 1_000_000, 50)
+	report("e1", 1, 1_000_000, 50)
 	require.Zero(t, b.tokens("chat"))
-	tell("e1", 1, 1_000_500, 50)
-	tell("e1", 1, 1_000_400, 50) // overtaken on its way
-	tell("e1", 1, 1_000_600, 50)
+	report("e1", 1, 1_000_500, 50)
+	report("e1", 1, 1_000_400, 50) // overtaken on its way
+	report("e1", 1, 1_000_600, 50)
 	require.EqualValues(t, 600, b.tokens("chat"))
-	tell("e1", 2, 10, 0) // restarted
-	tell("e1", 2, 40, 0)
+	report("e1", 2, 10, 0) // restarted
+	report("e1", 2, 40, 0)
 	require.EqualValues(t, 630, b.tokens("chat"))
 
-	tell("e2", 1, 0, 60)
-	tell("e3", 1, 0, 70)
+	report("e2", 1, 0, 60)
+	report("e3", 1, 0, 70)
 	require.InDelta(t, 60, b.rate("chat"), 0, "the median of those that have learnt one")
-	b.forget(now.Add(loadsFor + 1))
+	b.expire(now.Add(entryReportTTL + 1))
 	require.Zero(t, b.rate("chat"))
 	require.EqualValues(t, 630, b.tokens("chat"))
 }
