--- a/coordinator/fleet_test.go
+++ b/coordinator/fleet_test.go
@@ -16,22 +16,21 @@
 	"savoryreel.example/savoryreel/routes"
 )
 
-// market is a cloud that notes orders and answers as it is told.
+// fakeCloud records orders and answers them with respond.
 type fakeCloud struct {
 	fleet           *fleet
 	member          *member
 	now             time.Time
 	servers         []directory.Server
 	orders          []DesiredServers
-	runningRequests int // requests
+	runningRequests int
 	respond         func(w DesiredServers) error
 }
 
-// slotsPerServer is how many requests a server runs at once.
 const slotsPerServer = 8
 
-// newFakeCloud is one for a service that began with size servers. Each zone has room
-// for eight.
+// newFakeCloud returns a cloud and a fleet with one service of the given initial size,
+// in three zones with a capacity of eight servers each.
 func newFakeCloud(size int) *fakeCloud {
 	m := &fakeCloud{now: time.Unix(1000, 0), respond: func(DesiredServers) error { return nil }, member: &member{state: newEmptyState()}}
 	m.member.state.applySize(sizeCommand{Service: "chat", Servers: size})
@@ -51,7 +50,7 @@
 	return m
 }
 
-// step looks at the fleet some time later and returns the orders given.
+// step advances the clock, runs one step of the fleet and returns its orders.
 func (m *fakeCloud) step(elapsed time.Duration) []DesiredServers {
 	m.now = m.now.Add(elapsed)
 	m.orders = nil
@@ -60,13 +59,13 @@
 	return m.orders
 }
 
-// observe only notes which servers there are, some time later.
+// observe advances the clock and only observes the servers.
 func (m *fakeCloud) observe(elapsed time.Duration) {
 	m.now = m.now.Add(elapsed)
 	m.fleet.observe()
 }
 
-// addServers makes so many reclaimable servers addServers in a zone.
+// addServers adds n serving reclaimable servers in a zone.
 func (m *fakeCloud) addServers(zone string, n int) {
 	for i := range n {
 		m.servers = append(m.servers, directory.Server{Announcement: instance.Announcement{
@@ -75,6 +74,7 @@
 	}
 }
 
+// orderedCounts returns the counts of the orders for one capacity pool.
 func orderedCounts(orders []DesiredServers, zone string, reclaimable bool) []int {
 	var counts []int
 	for _, w := range orders {
@@ -85,8 +85,8 @@
 	return counts
 }
 
-// An order is accepted, but its servers do not come. It is given again after a
-// while, and not at each look.
+// Guards against an accepted order that the cloud lost: it is repeated while servers are
+// missing, but not in every step.
 func TestOrderIsRepeatedWhileServersAreMissing(t *testing.T) {
 	m := newFakeCloud(4)
 	require.Equal(t, []int{2}, orderedCounts(m.step(time.Second), "a", true))
@@ -98,8 +98,8 @@
 	require.Empty(t, orderedCounts(m.step(repeatInterval), "a", true))
 }
 
-// None are to be had. They are asked for again soon, but not at each look: the
-// cloud takes few calls, and those of all others count too.
+// Guards against retrying a refused order in every step, which would use up the call
+// limit of the cloud.
 func TestRefusedOrderIsRetriedAfterDelay(t *testing.T) {
 	m := newFakeCloud(4)
 	m.respond = func(w DesiredServers) error {
@@ -113,11 +113,8 @@
 	require.Len(t, orderedCounts(m.step(refusedRetryDelay), "b", true), 1)
 }
 
-// A wave takes a zone's servers, and reclaimable ones are not to be had there. The room
-// that was kept for them is for on-demand ones now. They boot for seconds: they are
-// ordered in the same step and not at the next look, or callers wait that much longer.
-//
-// It breaks if all orders of a step come from one plan.
+// Reclaimable servers are refused in a zone that lost its own. Guards against ordering
+// the on-demand replacement only in the next step, which prolongs the shortage.
 func TestRefusedOrderFallsBackToOnDemandInSameStep(t *testing.T) {
 	m := newFakeCloud(16)
 	for _, zone := range []string{"a", "b", "c"} {
@@ -134,13 +131,11 @@
 	orders := m.step(repeatInterval)
 	require.Equal(t, []int{8}, orderedCounts(orders, "c", true))
 	require.Equal(t, []int{8}, orderedCounts(orders, "c", false))
-	require.Empty(t, m.step(planInterval), "nothing is left to be ordered")
+	require.Empty(t, m.step(planInterval), "no order is due")
 }
 
-// Two of three zones are lost. A single burst of arrivals orders no servers; a load that
-// lasts for seconds orders what would serve it without the last zone.
-//
-// It breaks if the load is not smoothed, or not looked at.
+// Two of three zones are lost. Guards against ordering servers for a short burst, and
+// against ignoring a load that lasts for seconds.
 func TestSustainedLoadOrdersOnDemandServers(t *testing.T) {
 	m := newFakeCloud(4)
 	m.addServers("a", 2)
@@ -155,20 +150,18 @@
 	m.runningRequests = 1
 	m.observe(planInterval)
 	m.observe(planInterval)
-	require.Equal(t, 2, onDemand(m.step(time.Second)), "two more for the need")
+	require.Equal(t, 2, onDemand(m.step(time.Second)), "two more to reach the need")
 	m.runningRequests = 4 * slotsPerServer
 	require.Zero(t, onDemand(m.step(planInterval)), "a burst")
 	highest := 0
 	for range 8 {
 		highest = max(highest, onDemand(m.step(planInterval)))
 	}
-	require.GreaterOrEqual(t, highest, 2, "the other zone's part as well")
+	require.GreaterOrEqual(t, highest, 2, "sustained load is served without the last zone")
 }
 
-// A leader is elected in the middle of a wave. It does not wait for seconds until it
-// knows the load, which it could see before.
-//
-// It breaks if a new lead forgets the load, or if the smoothed load begins at nothing.
+// A leader is elected while servers are missing. Guards against a load estimate that
+// restarts with each lead, which delays the first orders by seconds.
 func TestNewLeaderUsesLoadObservedBefore(t *testing.T) {
 	m := newFakeCloud(4)
 	m.addServers("a", 2)
@@ -185,11 +178,8 @@
 	require.Equal(t, 4, onDemand)
 }
 
-// A wave has taken a zone's servers. They said that they leave, and then nothing more.
-// The room that they had is for others, as soon as they are gone: kept for minutes, it
-// would leave the load without the servers that it needs.
-//
-// It breaks if servers that leave count until they are forgotten.
+// All servers of a zone announce that they leave, and stop. Guards against counting them
+// until their records expire, which blocks their capacity for minutes.
 func TestDepartedServersFreeTheirCapacity(t *testing.T) {
 	m := newFakeCloud(16)
 	m.addServers("a", 8)
@@ -206,7 +196,7 @@
 		}
 		return nil
 	}
-	require.Equal(t, []int{0}, orderedCounts(m.step(time.Second), "c", false), "they are still there")
+	require.Equal(t, []int{0}, orderedCounts(m.step(time.Second), "c", false), "still leaving")
 	for i := range m.servers {
 		if m.servers[i].Zone == "c" {
 			m.servers[i].HeartbeatAge = 3 * time.Second
@@ -215,31 +205,25 @@
 	require.Equal(t, []int{8}, orderedCounts(m.step(time.Second), "c", false))
 }
 
-// The cloud is silent. One order waits for it, and not six one after the other: the
-// usage reports of the same leader would be late.
-//
-// It breaks if step goes on after an order without an answer.
+// The cloud does not answer. Guards against waiting for every order in turn, which
+// delays the usage reports of the same leader.
 func TestUnansweredOrderEndsTheStep(t *testing.T) {
 	m := newFakeCloud(4)
 	m.respond = func(DesiredServers) error { return errors.New("no answer") }
 	require.Len(t, m.step(time.Second), 1)
-	require.Len(t, m.step(time.Second), 1, "and it is given again")
+	require.Len(t, m.step(time.Second), 1, "the order is retried")
 }
 
-// The first leader of a group has no predecessor whose calls could still be on their
-// way. Every later one has, and waits until the lease of that one is over.
-//
-// The first part breaks if every leader waits: a fleet is paid at the dearest price for
-// as long.
+// Guards against overlapping calls of two leaders: each but the first of a group waits
+// for the lease of its predecessor. The first does not wait.
 func TestLaterLeadersWaitForTheLease(t *testing.T) {
 	require.True(t, mayAct(firstTerm, 0, time.Second))
 	require.False(t, mayAct(firstTerm+1, time.Second-1, time.Second))
 	require.True(t, mayAct(firstTerm+1, time.Second, time.Second))
 }
 
-// Servers announce themselves within a heartbeat of each other. Their number is noted
-// once no further one has come for longer than that, also by a replica that was elected
-// only then: what was noted too early would be taken for the need for good.
+// Servers announce themselves within a heartbeat of each other. Guards against recording
+// the size of a service too early, also right after an election.
 func TestInitialSizeWaitsForLateServers(t *testing.T) {
 	m := newFakeCloud(0)
 	m.addServers("a", 1)
@@ -247,13 +231,13 @@
 	require.False(t, m.fleet.allServersKnown("chat"))
 	m.addServers("b", 2)
 	m.observe(time.Second)
-	require.False(t, m.fleet.allServersKnown("chat"), "two more have just come")
-	m.fleet.reset() // another lead
+	require.False(t, m.fleet.allServersKnown("chat"), "two more have just appeared")
+	m.fleet.reset() // a new lead
 	m.observe(2 * time.Second)
 	require.True(t, m.fleet.allServersKnown("chat"))
 }
 
-// Servers keep coming, one a heartbeat. Their number is noted all the same.
+// New servers keep appearing. Guards against waiting for the last one without a limit.
 func TestInitialSizeWaitIsBounded(t *testing.T) {
 	m := newFakeCloud(0)
 	for i := range 8 {
--- a/coordinator/group_test.go
+++ b/coordinator/group_test.go
@@ -21,7 +21,7 @@
 	"savoryreel.example/savoryreel/site"
 )
 
-// cluster is control replicas in one process, each at its own loopback address.
+// cluster runs control replicas in this process, each at its own loopback address.
 type cluster struct {
 	t        *testing.T
 	port     int
@@ -36,8 +36,7 @@
 	done chan error
 }
 
-// testWait bounds each wait of these tests. Elections take a second or two; the
-// rest is for a busy machine.
+// testWait bounds each wait of these tests, on a busy machine.
 const testWait = 30 * time.Second
 
 func newCluster(t *testing.T, founders int) *cluster {
@@ -55,8 +54,7 @@
 
 func address(i int) string { return fmt.Sprintf("127.0.77.%d", i+1) }
 
-// freePort returns a port that is free on this machine; the replicas differ by
-// their addresses.
+// freePort returns a free port. The replicas share it and differ by their addresses.
 func freePort(t *testing.T) int {
 	l, err := net.Listen("tcp", "127.0.77.1:0")
 	require.NoError(t, err)
@@ -90,7 +88,6 @@
 	return r
 }
 
-// kill ends a replica without a hand-over.
 // startFirst starts n replicas for the first time.
 func (c *cluster) startFirst(n int) {
 	for i := range n {
@@ -98,6 +95,7 @@
 	}
 }
 
+// kill stops a replica without a transfer of leadership.
 func (c *cluster) kill(ip string) {
 	r := c.replicas[ip]
 	delete(c.replicas, ip)
@@ -113,6 +111,7 @@
 	}, testWait, 50*time.Millisecond)
 }
 
+// requireCatalogue waits until a replica returns the catalogue of a revision.
 func (c *cluster) requireCatalogue(r *testReplica, revision uint64) {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
@@ -121,8 +120,8 @@
 	}, testWait, 50*time.Millisecond)
 }
 
-// waitForVoters waits until the leader's voters are just the replicas that run, each
-// under the id that it has now.
+// waitForVoters waits until the leader's voters are exactly the running replicas, each
+// under its present id.
 func (c *cluster) waitForVoters() {
 	c.t.Helper()
 	require.Eventually(c.t, func() bool {
@@ -142,33 +141,32 @@
 	}, testWait, 50*time.Millisecond)
 }
 
-// Three replicas start at the same time on empty disks, told nothing but the same
-// seeds. Later one loses its disk just after a change, and comes back empty; then
-// another one is gone for good and an empty one starts at a new address. No
-// acknowledged change is lost, and operators can go on.
+// Three replicas start on empty disks with the same seeds. Later one loses its disk
+// after a change, and one is replaced at a new address. Guards against losing an
+// acknowledged change and against a group that can no longer commit.
 func TestGroupBootstrapsAndReplacesMembers(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startFirst(3)
 	c.replaceCatalogue(c.replicas[address(0)], 1)
 	c.waitForVoters()
 
-	// An empty disk at the old address.
+	// One replica restarts with an empty disk at its old address.
 	c.replaceCatalogue(c.replicas[address(1)], 2)
 	c.kill(address(1))
 	require.NoError(t, os.RemoveAll(c.dir(address(1))))
 	rejoined := c.start(address(1), false)
 	c.waitForVoters()
 	c.requireCatalogue(rejoined, 2)
-	require.Greater(t, rejoined.group.current.Load().id, uint64(3), "not under its old id")
+	require.Greater(t, rejoined.group.current.Load().id, uint64(3), "a new id is issued")
 
-	// An empty instance at a new address, and one that never comes back.
+	// One replica stops for good and an empty one starts at a new address.
 	c.kill(address(2))
 	added := c.start(address(3), false)
 	c.waitForVoters()
 	c.replaceCatalogue(added, 3)
 	c.requireCatalogue(c.replicas[address(0)], 3)
 
-	// All are killed at once.
+	// All replicas restart.
 	for ip := range c.replicas {
 		c.kill(ip)
 	}
@@ -178,8 +176,8 @@
 	c.requireCatalogue(c.replicas[address(3)], 3)
 }
 
-// Five replicas run, of which three founded the group. The other two become
-// voters, so that two may be lost.
+// Five replicas run, three of them founders. Guards against the other two remaining
+// learners: the group must tolerate the loss of two.
 func TestGroupGrowsToFiveVoters(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startFirst(5)
@@ -190,15 +188,14 @@
 	c.replaceCatalogue(c.replicas[address(4)], 2)
 }
 
-// One of two replicas that are up has lost its disk, and the third is dark. The
-// change that the dark one and the lost one had acknowledged must not be lost: no
-// leader may come up without it.
+// One of two reachable replicas lost its disk and the third is stopped. Guards against
+// electing a leader without a change that was acknowledged by the other two.
 func TestLostDiskDoesNotLoseAcknowledgedChange(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startFirst(3)
 	c.replaceCatalogue(c.replicas[address(0)], 1)
 	c.waitForVoters()
-	c.kill(address(2)) // it misses the next change
+	c.kill(address(2)) // lags by the next change
 	c.replaceCatalogue(c.replicas[address(0)], 2)
 	c.kill(address(1))
 	c.kill(address(0))
@@ -208,8 +205,8 @@
 	require.Eventually(t, func() bool {
 		m := lagging.group.current.Load()
 		return m != nil && m.host.Status().Role == replica.PreCandidate
-	}, testWait, 10*time.Millisecond, "it stands for election")
-	for range 3 { // each read looks for a leader for longer than an election takes
+	}, testWait, 10*time.Millisecond, "it is a candidate")
+	for range 3 { // each read lasts longer than an election
 		_, err := lagging.Newest(t.Context())
 		require.ErrorIs(t, err, ErrOutcomeUnknown)
 	}
--- a/coordinator/live_test.go
+++ b/coordinator/live_test.go
@@ -9,8 +9,8 @@
 	"savoryreel.example/savoryreel/directory"
 )
 
-// Some hundred entries each ask once a second which entries there are. The list is made
-// a few times a second for all of them, and its digest changes with it.
+// Guards against building the list of live entries for each of hundreds of requests per
+// second, and against a digest that does not change with the list.
 func TestLiveListIsCached(t *testing.T) {
 	listed := 0
 	entries := []directory.Entry{{Name: "a"}, {Name: "b"}}
--- a/coordinator/loads_test.go
+++ b/coordinator/loads_test.go
@@ -9,8 +9,8 @@
 	"savoryreel.example/savoryreel/coordinator/api"
 )
 
-// Each entry is told what all others have running, its own left out, and an entry
-// that died no longer counts.
+// Guards against including an entry's own load in its reply, and against counting the
+// load of an entry that has stopped.
 func TestLoadTable(t *testing.T) {
 	b := newLoadTable()
 	now := time.Unix(0, 0)
--- a/coordinator/remembered_test.go
+++ b/coordinator/remembered_test.go
@@ -16,7 +16,7 @@
 	"savoryreel.example/savoryreel/replica/storage"
 )
 
-// restartReplica is a replica that starts at a time with what is in the folder.
+// restartReplica returns a replica that started at a time with the cache in dir.
 func restartReplica(dir string, at time.Time) *Coordinator {
 	c := &Coordinator{
 		log: slog.New(slog.DiscardHandler), now: func() time.Time { return at }, cache: &serverCache{fs: storage.OS{}, dir: dir}, shares: newShareRegistry(at, false),
@@ -50,26 +50,22 @@
 	return m, m.dir
 }
 
-// All control replicas are killed and start again a second later. Servers report each
-// second or so: entries would send all requests to the few that have done so, and
-// callers would wait.
-//
-// It breaks without recall.
+// All control replicas restart. Guards against entries that know only the few servers
+// whose heartbeat has been received since, and overload them.
 func TestServersAreRestoredAfterRestart(t *testing.T) {
 	_, dir := saveServers(t, server("1", instance.StateServing), server("2", instance.StateServing))
 	c := restartReplica(dir, savedAt.Add(1500*time.Millisecond))
 	require.Equal(t, []string{"1", "2"}, ids(knownServers(c)))
-	require.Equal(t, []string{"1", "2"}, ids(c.directory.Since(0, false, c.now()).Servers), "entries are told")
+	require.Equal(t, []string{"1", "2"}, ids(c.directory.Since(0, false, c.now()).Servers), "entries receive them")
 
-	// One of them reports, the other one is dead.
+	// One of them sends a heartbeat, the other one has stopped.
 	c.Announce(server("1", instance.StateServing).Announcement)
 	c.directory.Sweep(savedAt.Add(4100*time.Millisecond), true)
 	require.Equal(t, []string{"1"}, ids(servingServers(knownServers(c))))
 }
 
-// A replica was down for minutes. What it remembers is of no use to anybody.
-//
-// It breaks if servers count as heard at the start.
+// A replica was down for a minute. Guards against treating cached servers as if their
+// heartbeat had been received at the start.
 func TestExpiredServerCacheIsIgnored(t *testing.T) {
 	_, dir := saveServers(t, server("1", instance.StateServing))
 	c := restartReplica(dir, savedAt.Add(time.Minute))
@@ -77,10 +73,8 @@
 	require.Empty(t, servingServers(knownServers(c)))
 }
 
-// A server says that it leaves, after it was written down. Its next word is believed,
-// and what another replica knows.
-//
-// It breaks if what is remembered counts as news.
+// A server announces that it leaves after it was cached. Guards against the cached
+// record overriding that.
 func TestCachedServerDoesNotOverrideLeave(t *testing.T) {
 	_, dir := saveServers(t, server("1", instance.StateServing))
 	c := restartReplica(dir, savedAt.Add(time.Second))
@@ -92,9 +86,8 @@
 	require.Empty(t, servingServers(knownServers(c)))
 }
 
-// Power is lost while the list is written. The one before it is whole.
-//
-// It breaks with a single file, or without the sum.
+// Power is lost while the cache is written. Guards against losing the previous one, or
+// loading an incomplete file.
 func TestTornCacheFileIsSkipped(t *testing.T) {
 	m, dir := saveServers(t, server("1", instance.StateServing))
 	require.NoError(t, m.save(cachedState{At: savedAt.Add(time.Second), Servers: []directory.Server{server("2", instance.StateServing)}}))
@@ -108,7 +101,7 @@
 		require.Equal(t, []string{"1"}, ids(knownServers(restartReplica(dir, savedAt.Add(time.Second)))))
 	}
 
-	// The process that finds this writes over the torn one.
+	// The next write replaces the torn file.
 	m = &serverCache{fs: storage.OS{}, dir: dir}
 	_, _, err = m.load()
 	require.Error(t, err)
@@ -118,9 +111,8 @@
 	require.Equal(t, []string{"1"}, ids(knownServers(restartReplica(dir, savedAt.Add(2*time.Second)))))
 }
 
-// All processes are killed and start again. The replicas know from before which entries
-// share the limits; without that, entries would have no share for a minute and refuse every
-// workspace that has a limit.
+// All processes restart. Guards against entries without a share of the limits, which
+// would refuse every workspace with a limit for a minute.
 func TestAllowedEntriesAreRestoredAfterRestart(t *testing.T) {
 	m, dir := saveServers(t)
 	require.NoError(t, m.save(cachedState{At: savedAt.Add(time.Second), AllowedEntries: []string{"a", "b"}, Entries: []directory.Entry{
@@ -131,11 +123,11 @@
 	c.shares.observe("a", 0, at)
 	require.Equal(t, limit.ShareVote{Entries: 2, Allowed: true}, c.shares.vote("a", at))
 	require.Equal(t, "10.0.0.1:80", c.directory.Entries(at)[0].Address)
-	require.Empty(t, c.directory.LiveEntries(at), "it has not called yet")
+	require.Empty(t, c.directory.LiveEntries(at), "no call received yet")
 }
 
-// A replica that has lost its disk knows of no entry. What it says must not count: an entry
-// that believed it would take the whole limit for itself.
+// A replica that lost its disk knows no entries. Guards against its vote giving one
+// entry the whole limit.
 func TestReplicaThatLostItsDiskDoesNotVoteOnShares(t *testing.T) {
 	c := restartReplica(t.TempDir(), savedAt)
 	c.shares.observe("a", 0, savedAt)
--- a/coordinator/state_test.go
+++ b/coordinator/state_test.go
@@ -29,9 +29,8 @@
 	return newState(func(uint64, []byte) {}, func([]roster.Member) {})
 }
 
-// Two operators race, and an older change arrives after a newer one, or the same
-// revision with another content. What is in force never goes back, and is what was
-// sent under its number first.
+// An older change arrives after a newer one, or the same revision with another content.
+// Guards against replacing the newer or the first one.
 func TestRevisionNeverDecreases(t *testing.T) {
 	s := newEmptyState()
 	require.Equal(t, uint64(3), applyTo(t, s, kindRevise, reviseCommand{Revision: 3, Document: []byte("three")}))
@@ -42,8 +41,8 @@
 	require.Equal(t, "three", string(document))
 }
 
-// The answer to a request for an id is lost, and the replica asks again. With a
-// second id the group would wait for a member that nobody is.
+// The reply to a register request is lost and the request is repeated. Guards against
+// issuing a second id, which no replica would use.
 func TestSameNonceGetsTheSameID(t *testing.T) {
 	s := newEmptyState()
 	applyTo(t, s, kindFound, foundCommand{Registrations: numberFounders([]string{"a", "b", "c"})})
@@ -51,17 +50,15 @@
 	require.Equal(t, uint64(4), first)
 	require.Equal(t, first, applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "n"}))
 	applyTo(t, s, kindRetire, retireCommand{ID: 4})
-	require.Equal(t, uint64(5), applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "m"}), "an id is never used twice")
+	require.Equal(t, uint64(5), applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "m"}), "ids are never reused")
 	_, known, given := s.lookupRegistration(4)
 	require.True(t, !known && given)
 	_, known, given = s.lookupRegistration(9)
 	require.True(t, !known && !given)
 }
 
-// A replica asks for an id in the moment in which the group is being founded. With
-// a founder's id there would be two replicas under one id, and two leaders.
-//
-// It breaks without the check in applyRegister.
+// A replica requests an id while the group is being founded. Guards against issuing a
+// founder's id, since two replicas with one id could elect two leaders.
 func TestNoIDIsIssuedBeforeFounding(t *testing.T) {
 	s := newEmptyState()
 	require.Equal(t, uint64(0), applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "n"}))
@@ -69,8 +66,8 @@
 	require.Equal(t, uint64(4), applyTo(t, s, kindRegister, registerCommand{Address: "d", Nonce: "n"}))
 }
 
-// A leader decides a window's usage and dies. Its successor, which has heard other
-// counts, must not send different ones for the same window.
+// A leader decides a window's usage and stops. Guards against its successor sending
+// other counts for the same window.
 func TestUsageIsDecidedOnce(t *testing.T) {
 	s := newEmptyState()
 	require.Equal(t, true, applyTo(t, s, kindUsage, usageWindow{Window: 7, Counts: map[string]int64{"w": 3}}))
@@ -78,12 +75,11 @@
 	applyTo(t, s, kindUsageSent, usageSentCommand{Window: 7})
 	require.Equal(t, []usageWindow{{Window: 7, Counts: map[string]int64{"w": 3}, Sent: true}}, s.usageWindows())
 	require.Equal(t, true, applyTo(t, s, kindUsage, usageWindow{Window: 12, Oldest: 8}))
-	require.Equal(t, []usageWindow{{Window: 12, Oldest: 8}}, s.usageWindows(), "what is not reported any more is dropped")
+	require.Equal(t, []usageWindow{{Window: 12, Oldest: 8}}, s.usageWindows(), "windows that are no longer reported are dropped")
 	require.Equal(t, false, applyTo(t, s, kindUsage, usageWindow{Window: 7, Counts: map[string]int64{"w": 4}}))
 }
 
-// A replica that was away for long is sent a snapshot; it must hold all that the
-// entries before it brought.
+// Guards against a snapshot that lacks part of the state.
 func TestSnapshotRestoresAllState(t *testing.T) {
 	s := newEmptyState()
 	applyTo(t, s, kindFound, foundCommand{Registrations: numberFounders([]string{"a", "b"})})
@@ -101,11 +97,11 @@
 	require.Equal(t, s.members(), other.members())
 	require.Equal(t, s.usageWindows(), other.usageWindows())
 	require.Equal(t, s.highestID, other.highestID)
-	require.Equal(t, 12, other.initialSize("chat"), "the first size counts")
+	require.Equal(t, 12, other.initialSize("chat"), "the first size is kept")
 }
 
-// An instance comes back with an empty disk. It must not take its old id, under
-// which others count on what it has forgotten.
+// Guards against a replica with an empty disk that resumes under its old id and votes
+// without the entries that it acknowledged.
 func TestIdentityStore(t *testing.T) {
 	store := identityStore{fs: storage.OS{}, dir: t.TempDir()}
 	_, ok, err := store.load()
@@ -123,12 +119,14 @@
 	require.False(t, ok)
 }
 
-// All founders are told the same seeds, in any order, and must agree on the ids.
+// Founders receive the same seeds in any order. Guards against different ids for the
+// same founder.
 func TestFounderIDsIgnoreSeedOrder(t *testing.T) {
 	require.Equal(t, numberFounders([]string{"b", "a", "c"}), numberFounders([]string{"c", "b", "a", "a"}))
 }
 
-// Fences of one term rise, and those of a later term are above all of them.
+// Guards against a fencing number that is not higher than those issued before, in the
+// same or an earlier term.
 func TestFencingNumbersIncrease(t *testing.T) {
 	var a, b fenceSequence
 	x, y := a.issue(3), a.issue(3)
@@ -137,11 +135,12 @@
 	require.Less(t, y, a.issue(5))
 }
 
+// Guards against directing callers to another zone although their own has entries.
 func TestEntriesOfTheCallersZoneFirst(t *testing.T) {
 	require.Equal(t, []int{0, 1, 2, 2}, []int{distance(true, true), distance(true, false), distance(false, true), distance(false, false)})
 }
 
-// Heartbeats may be seconds late.
+// Guards against marking a server overdue whose heartbeat is a few seconds late.
 func TestOverdueThresholdToleratesLateHeartbeats(t *testing.T) {
 	require.Greater(t, overdueAfter(1200*time.Millisecond), 4*time.Second)
 }
--- a/coordinator/usage_test.go
+++ b/coordinator/usage_test.go
@@ -11,8 +11,8 @@
 	"savoryreel.example/savoryreel/wallclock"
 )
 
-// An entry tells its counts again and again, restarts, and tells from nothing. A
-// report that comes late must not lower what was told since.
+// An entry repeats its counts, and restarts from zero. Guards against a delayed report
+// that lowers later counts, and against dropping those of the earlier incarnation.
 func TestUsageTable(t *testing.T) {
 	b := newUsageTable(6)
 	windowUsage := func(n int64) []api.WindowUsage {
@@ -24,11 +24,11 @@
 	b.record(entryIncarnation{"e2", 1}, 7, windowUsage(1))
 	require.Equal(t, map[string]int64{"w": 8}, b.sum(7))
 	b.record(entryIncarnation{"e1", 2}, 7+6+1, nil)
-	require.Empty(t, b.sum(7), "windows that are long over are forgotten")
+	require.Empty(t, b.sum(7), "old windows are dropped")
 }
 
-// reportsFixture is a leader with two entries, in windows of 5 s that are due 10 s after
-// their end.
+// reportsFixture is a leader with two entries, and windows of 5 s whose reports are due
+// 10 s after their end.
 type reportsFixture struct {
 	reports *usageReports
 	now     time.Duration // since the start of window 0
@@ -47,7 +47,8 @@
 	return s
 }
 
-// report has entries report of what they counted at a time.
+// report sets the time and has entries report that they count in the window of that
+// time.
 func (s *reportsFixture) report(at time.Duration, entries ...entryIncarnation) {
 	s.now = at
 	for _, entry := range entries {
@@ -62,25 +63,20 @@
 	e3Restarted = entryIncarnation{"e3", 2}
 )
 
-// The leader stops, or is cut off, some seconds after the end of a window. Its
-// successor is there only when the window's report is due, and a customer's bill
-// lacks five seconds.
-//
-// It breaks if the report waits although all entries have told what they counted.
+// The leader stops seconds after the end of a window. Guards against waiting although
+// all entries have reported: the successor would start too late to report the window.
 func TestUsageIsDecidedOnceAllHaveReported(t *testing.T) {
 	s := newReportsFixture()
 	s.report(9*time.Second, e1, e2)
 	require.EqualValues(t, 0, s.reports.newestDecidable())
 	s.report(10*time.Second+300*time.Millisecond, e1)
-	require.EqualValues(t, 0, s.reports.newestDecidable(), "the other one may have counted more")
+	require.EqualValues(t, 0, s.reports.newestDecidable(), "the other entry may have higher counts")
 	s.report(10*time.Second+600*time.Millisecond, e2)
 	require.EqualValues(t, 1, s.reports.newestDecidable())
 }
 
-// An entry freezes in a window and wakes after its end, when it is no longer named
-// to callers. What it counted is to be billed too.
-//
-// It breaks if only the entries that are named to callers are waited for.
+// An entry freezes in a window and resumes after its end, when it is no longer live.
+// Guards against leaving out its counts.
 func TestUsageWaitsForFrozenEntry(t *testing.T) {
 	s := newReportsFixture()
 	s.report(6*time.Second, e3)
@@ -90,9 +86,8 @@
 	require.EqualValues(t, 1, s.reports.newestDecidable())
 }
 
-// The leader is cut off from an entry, and hears from other replicas that it is well.
-//
-// It breaks if only the entries that told this replica something are waited for.
+// The leader has no connection to an entry that other replicas receive calls from.
+// Guards against leaving out its counts.
 func TestUsageWaitsForEntryKnownThroughPeers(t *testing.T) {
 	s := newReportsFixture()
 	s.report(3*time.Second, e2)
@@ -100,10 +95,8 @@
 	require.EqualValues(t, 0, s.reports.newestDecidable())
 }
 
-// An entry dies in a window. If it is not started again, the report waits for a
-// while and is in time all the same; if it is, the report need not wait.
-//
-// It breaks if an entry that never tells again is waited for without end.
+// An entry stops in a window. Guards against waiting for it until the report is late,
+// and against waiting at all once it has restarted.
 func TestUsageWaitForStoppedEntryIsBounded(t *testing.T) {
 	s := newReportsFixture()
 	s.report(6*time.Second, e3)
@@ -118,10 +111,8 @@
 	require.EqualValues(t, 1, s.reports.newestDecidable())
 }
 
-// A control replica starts and leads soon after. It has not heard of all entries, and
-// would leave out what the others counted.
-//
-// It breaks if what it has heard in its first seconds is taken for all.
+// A replica leads soon after its start, before all entries have called it. Guards
+// against deciding a window without the counts of the others.
 func TestUsageWaitsAfterReplicaStart(t *testing.T) {
 	s := newReportsFixture()
 	s.reports.startedAt = time.Unix(9, 0)
@@ -131,10 +122,8 @@
 	require.EqualValues(t, 1, s.reports.newestDecidable())
 }
 
-// The replicas have no leader for a while. The windows that ended meanwhile are to be
-// reported as well.
-//
-// It breaks if a new leader takes up only the newest ones.
+// There is no leader for a while. Guards against a new leader that skips the windows
+// that ended meanwhile.
 func TestUsageOfLeaderlessWindowsIsReported(t *testing.T) {
 	s := newReportsFixture()
 	decided := []usageWindow{{Window: 3}, {Window: 4}}
@@ -143,16 +132,13 @@
 	require.Equal(t, []int64{5, 7}, []int64{first, last})
 	s.report(60*time.Second+600*time.Millisecond, e1, e2)
 	first, last = s.reports.undecided(decided)
-	require.Equal(t, []int64{8, 11}, []int64{first, last}, "those before are worthless")
+	require.Equal(t, []int64{8, 11}, []int64{first, last}, "older windows are not reported")
 	first, last = s.reports.undecided([]usageWindow{{Window: 11}})
-	require.Less(t, last, first, "none is decided twice")
+	require.Less(t, last, first, "no window is decided twice")
 }
 
-// The cloud refuses connections for ten seconds. The report is to arrive soon after
-// its return, and the leader must not call four times a second all along.
-//
-// It breaks if a number of calls bounds them, which are used up in two seconds, and
-// if they are made at each of the leader's rounds.
+// The cloud refuses connections for ten seconds. Guards against giving up after a number
+// of attempts, and against an attempt in every step.
 func TestUsageReportIsRetriedThroughOutage(t *testing.T) {
 	calls, made := make(reportBackoffs), 0
 	start := time.Unix(1_700_000_000, 0)
@@ -170,5 +156,5 @@
 	}
 	require.Greater(t, last.Sub(start), 19*time.Second)
 	require.LessOrEqual(t, made, 23)
-	require.True(t, calls.due(8, start), "another window is not held up")
+	require.True(t, calls.due(8, start), "other windows are not delayed")
 }
--- a/coordinator/watch_test.go
+++ b/coordinator/watch_test.go
@@ -18,7 +18,7 @@
 	"savoryreel.example/savoryreel/site"
 )
 
-// newIdleReplica returns a replica that runs nothing.
+// newIdleReplica returns a replica that is not running.
 func newIdleReplica(t *testing.T) *Coordinator {
 	c, err := New(Config{Node: site.Node{
 		Name: "c", IP: "127.0.0.1", Zone: "z", FirstPort: 1, LastPort: 9, Seeds: []string{"127.0.0.1:1"}, DataDir: t.TempDir(),
@@ -34,11 +34,8 @@
 	return c
 }
 
-// The operators number their first catalogue 0. A process that has it is kept
-// waiting like any other: answered at once it would call again at once, and spend
-// its whole processor on that.
-//
-// It breaks if revision 0 stands for having none.
+// Guards against treating revision 0 as no catalogue: the sender would get replies
+// without a wait and call again in a busy loop.
 func TestRevisionZeroIsACatalogue(t *testing.T) {
 	c := newIdleReplica(t)
 	c.acceptCatalogue(0, []byte("first"))
@@ -54,7 +51,7 @@
 	}()
 	select {
 	case <-answered:
-		t.Fatal("answered without news")
+		t.Fatal("replied without a change")
 	case <-time.After(50 * time.Millisecond):
 	}
 	c.acceptCatalogue(1, []byte("second"))
@@ -62,11 +59,9 @@
 	cancel()
 }
 
-// An entry on a thin link gets each catalogue from one replica. The others tell it at
-// once that there is a new one, without the content: three catalogues of hundreds of
-// kilobytes from six replicas each would take its link for seconds.
-//
-// It breaks if the content is sent all the same, or the call waits on.
+// An entry receives documents from one replica only. Guards against the others sending
+// the content too, which would saturate a slow link, or not reporting the new revision
+// at once.
 func TestRevisionOnlyOmitsDocument(t *testing.T) {
 	c := newIdleReplica(t)
 	c.acceptCatalogue(1, []byte("first"))
@@ -81,7 +76,7 @@
 	require.EqualValues(t, 2, reply.Revision)
 	require.Empty(t, reply.Document)
 
-	// It knows of it now, and is kept waiting though it has not got it yet.
+	// Once notified, the sender waits although it lacks the document.
 	req.NotifiedRevision, req.Incarnation, req.Seen, req.Wait = 2, reply.Incarnation, reply.Seen, time.Minute
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
@@ -98,9 +93,9 @@
 	}
 }
 
-// A replica starts anew while entries call it. Their calls leave out what the life before
-// was told of; taken for all that they have counted, windows would be reported with too
-// little.
+// A replica restarts while entries call it. Guards against recording a request for its
+// earlier incarnation, which leaves out counts, so that windows would be reported with
+// too little usage.
 func TestUsageForEarlierIncarnationIsIgnored(t *testing.T) {
 	c := newIdleReplica(t)
 	c.acceptCatalogue(0, []byte("first"))
@@ -110,15 +105,15 @@
 		require.NoError(t, err)
 		return reply
 	}
-	reply := call(c.incarnation+1, 100) // left out: what it counted in other windows
+	reply := call(c.incarnation+1, 100) // leaves out other windows
 	require.Equal(t, c.incarnation, reply.Incarnation)
 	require.Empty(t, c.usage.sum(1))
 	call(reply.Incarnation, 5010)
 	require.Equal(t, map[string]int64{"w": 5010}, c.usage.sum(1))
 }
 
-// Callers wait for an entry that has just started until it knows its share of the limits.
-// It is told at once, and not when a call has been kept waiting for news.
+// An entry that has just started refuses callers until it has its share of the limits.
+// Guards against delaying the vote by the wait of the call.
 func TestStartingEntryGetsShareVoteImmediately(t *testing.T) {
 	c := newIdleReplica(t)
 	c.shares = newShareRegistry(c.now(), true)
@@ -133,9 +128,8 @@
 	require.Equal(t, limit.ShareVote{Entries: 1, Allowed: true}, reply.ShareVote)
 }
 
-// Hundreds of entries follow each of some replicas. One of these tells an entry what all
-// others have running and which entries there are; told by each, the replicas would do
-// little else.
+// Guards against every replica sending the loads and names of hundreds of entries to
+// each of them: only the one that also sends the catalogue does.
 func TestRevisionOnlyOmitsLoads(t *testing.T) {
 	c := newIdleReplica(t)
 	c.acceptCatalogue(0, []byte("first"))
--- a/coordinator/work_test.go
+++ b/coordinator/work_test.go
@@ -9,10 +9,8 @@
 	"savoryreel.example/savoryreel/coordinator/api"
 )
 
-// A replica that starts later than the entries is told all that they have sent since
-// their start. Counted as work of this moment it would order servers for hours of load.
-//
-// It breaks if the first word of a life counts.
+// A replica starts later than the entries. Guards against counting all tokens since
+// their start as present load, which would order too many servers.
 func TestWorkTable(t *testing.T) {
 	b := newWorkTable()
 	now := time.Unix(0, 0)
@@ -22,7 +20,7 @@
 	report("e1", 1, 1_000_000, 50)
 	require.Zero(t, b.tokens("chat"))
 	report("e1", 1, 1_000_500, 50)
-	report("e1", 1, 1_000_400, 50) // overtaken on its way
+	report("e1", 1, 1_000_400, 50) // delayed
 	report("e1", 1, 1_000_600, 50)
 	require.EqualValues(t, 600, b.tokens("chat"))
 	report("e1", 2, 10, 0) // restarted
@@ -31,7 +29,7 @@
 
 	report("e2", 1, 0, 60)
 	report("e3", 1, 0, 70)
-	require.InDelta(t, 60, b.rate("chat"), 0, "the median of those that have learnt one")
+	require.InDelta(t, 60, b.rate("chat"), 0, "the median of the reported rates")
 	b.expire(now.Add(entryReportTTL + 1))
 	require.Zero(t, b.rate("chat"))
 	require.EqualValues(t, 630, b.tokens("chat"))
