--- a/coordinator/group_test.go
+++ b/coordinator/group_test.go
@@ -161,9 +161,9 @@
 
 	// One replica stops for good and an empty one starts at a new address.
 	c.kill(address(2))
-	added := c.start(address(3), false)
+	replacement := c.start(address(3), false)
 	c.waitForVoters()
-	c.replaceCatalogue(added, 3)
+	c.replaceCatalogue(replacement, 3)
 	c.requireCatalogue(c.replicas[address(0)], 3)
 
 	// All replicas restart.
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -172,17 +172,17 @@
 // new set is in force as soon as it is in the leader's log; without a majority of it,
 // neither the change nor any later entry could be committed.
 func (r *reconciler) majorityWithout(m *member, st host.Status, id uint64) bool {
-	alive, remaining := 0, 0
+	reachable, remaining := 0, 0
 	for _, voter := range st.Voters {
 		if voter == id {
 			continue
 		}
 		remaining++
 		if voter == st.ID || r.sinceLastReply(m, voter) <= maxReplyAge {
-			alive++
+			reachable++
 		}
 	}
-	return remaining > 0 && alive >= remaining/2+1
+	return remaining > 0 && reachable >= remaining/2+1
 }
 
 // sinceLastReply returns the age of the last reply of a replica.
@@ -194,7 +194,7 @@
 // balance promotes learners to an odd number of voters, at most maxVoters, and removes
 // an unreachable voter if a learner can replace it.
 func (r *reconciler) balance(m *member, st host.Status) (ch replica.Change, reason string, ok bool) {
-	ready := r.aliveLearners(m, st)
+	ready := r.reachableLearners(m, st)
 	if len(ready) == 0 {
 		return ch, "", false
 	}
@@ -207,8 +207,8 @@
 	return ch, "", false
 }
 
-// aliveLearners returns the ids of the reachable learners, sorted.
-func (r *reconciler) aliveLearners(m *member, st host.Status) []uint64 {
+// reachableLearners returns the ids of the reachable learners, sorted.
+func (r *reconciler) reachableLearners(m *member, st host.Status) []uint64 {
 	var ready []uint64
 	for _, id := range st.Learners {
 		if r.sinceLastReply(m, id) <= maxReplyAge {
--- a/coordinator/observe.go
+++ b/coordinator/observe.go
@@ -97,6 +97,6 @@
 		return false
 	}
 	now := f.now()
-	quiet := time.Duration(settleHeartbeats * float64(f.announceEvery))
-	return now.Sub(j.lastSeen) >= quiet || now.Sub(j.firstSeen) >= maxSettleTime
+	settleTime := time.Duration(settleHeartbeats * float64(f.announceEvery))
+	return now.Sub(j.lastSeen) >= settleTime || now.Sub(j.firstSeen) >= maxSettleTime
 }
--- a/coordinator/usage.go
+++ b/coordinator/usage.go
@@ -105,9 +105,9 @@
 
 // restarted reports whether a later incarnation of the same entry has reported. The
 // caller holds mu.
-func (b *usageTable) restarted(life entryIncarnation) bool {
+func (b *usageTable) restarted(entry entryIncarnation) bool {
 	for other := range b.incarnations {
-		if other.name == life.name && other.incarnation > life.incarnation {
+		if other.name == entry.name && other.incarnation > entry.incarnation {
 			return true
 		}
 	}
--- a/coordinator/usage_test.go
+++ b/coordinator/usage_test.go
@@ -140,21 +140,21 @@
 // The cloud refuses connections for ten seconds. Guards against giving up after a number
 // of attempts, and against an attempt in every step.
 func TestUsageReportIsRetriedThroughOutage(t *testing.T) {
-	calls, made := make(reportBackoffs), 0
+	backoffs, attempts := make(reportBackoffs), 0
 	start := time.Unix(1_700_000_000, 0)
 	var last time.Time
 	for now := start; now.Sub(start) <= 20*time.Second; now = now.Add(tasksInterval) {
-		if !calls.due(7, now) {
+		if !backoffs.due(7, now) {
 			continue
 		}
-		calls.recordAttempt(7, now)
+		backoffs.recordAttempt(7, now)
 		if !last.IsZero() {
 			require.LessOrEqual(t, now.Sub(last), maxReportDelay)
 		}
 		last = now
-		made++
+		attempts++
 	}
 	require.Greater(t, last.Sub(start), 19*time.Second)
-	require.LessOrEqual(t, made, 23)
-	require.True(t, calls.due(8, start), "other windows are not delayed")
+	require.LessOrEqual(t, attempts, 23)
+	require.True(t, backoffs.due(8, start), "other windows are not delayed")
 }
--- a/coordinator/watch.go
+++ b/coordinator/watch.go
@@ -115,17 +115,17 @@
 	ctx, cancel := context.WithTimeout(ctx, min(max(req.Wait, 0), maxWatchWait))
 	defer cancel()
 	for ctx.Err() == nil {
-		revision, document, revised := c.catalogue.get()
+		revision, document, catalogueChanged := c.catalogue.get()
 		if document != nil && req.WantsRevision(revision) {
 			return
 		}
-		hasChanged, changed := c.directory.ChangedSince(seen)
+		hasChanged, directoryChanged := c.directory.ChangedSince(seen)
 		if hasChanged {
 			return
 		}
 		select {
-		case <-revised:
-		case <-changed:
+		case <-catalogueChanged:
+		case <-directoryChanged:
 		case <-c.stopping:
 			return
 		case <-ctx.Done():
