--- a/coordinator/group.go
+++ b/coordinator/group.go
@@ -22,53 +22,51 @@
 	"savoryreel.example/savoryreel/replica/storage"
 )
 
-// Timing of the replicated log. The instances have a quarter of a core or less
-// and may run several times slower for a while: a leader is missed after 800 ms,
-// well above the pauses that this causes, and a successor is there within two
-// seconds, half of what an operator's change may wait for its acknowledgement.
+// Timing of the replicated log: the election timeout is electionTicks * tickInterval (800 ms),
+// above the scheduling pauses of a throttled instance.
 const (
 	tickInterval   = 25 * time.Millisecond
 	electionTicks  = 32
 	heartbeatTicks = 6
-	// snapshotEvery bounds the log on a disk of some hundred megabytes: whole
-	// catalogues of up to a few hundred kilobytes go into it.
+	// snapshotEvery is the number of log entries between snapshots. It bounds the size of
+	// the log, whose entries may hold whole catalogues.
 	snapshotEvery = 400
 )
 
 const (
-	// reopenPause is the time before a replica whose disk failed tries again.
-	reopenPause = 500 * time.Millisecond
-	// joinEvery is how often a replica that is no member asks to be taken in.
-	joinEvery = 300 * time.Millisecond
-	// leaderless is how long a member hears of no leader before it asks whether it
-	// is still one: longer than an election takes.
-	leaderless = 3 * time.Second
-	// joinTimeout bounds one request for an id.
+	// reopenDelay is the pause before a failed replica is reopened.
+	reopenDelay = 500 * time.Millisecond
+	// joinInterval is the interval of the requests of a replica that is not a member.
+	joinInterval = 300 * time.Millisecond
+	// leaderlessTimeout is how long a member has no leader before it checks whether it was
+	// removed. It is longer than an election.
+	leaderlessTimeout = 3 * time.Second
+	// joinTimeout bounds one register or join call.
 	joinTimeout = time.Second
 )
 
-// errRetired says that this replica's id was given up for good.
+// errRetired reports that the id of this replica was retired by the group.
 var errRetired = errors.New("replica was removed from its group")
 
-// member is one life of this replica: from the opening of the data folder until
-// its disk fails or it is removed.
+// member is one run of the local replica: from opening its data folder until the disk
+// fails, the replica is removed or the process stops.
 type member struct {
-	id       uint64
-	founders []registration
-	host     *host.Host
-	state    *state
-	book     *roster.AddressBook
+	id        uint64
+	founders  []registration
+	host      *host.Host
+	state     *state
+	addresses *roster.AddressBook
 }
 
-// group runs this process's replica of the log, whatever happens to its disk.
+// group runs the local replica of the log and restarts it after a failure.
 type group struct {
-	self   string // own link address
-	store  identityStore
-	pool   *link.Pool
-	log    *slog.Logger
-	now    func() time.Time
-	found  func() []string // link addresses of the founders, if this is a first start
-	others func() []string // link addresses of other replicas that are known
+	self     string // own link address
+	store    identityStore
+	pool     *link.Pool
+	log      *slog.Logger
+	now      func() time.Time
+	founders func() []string // link addresses of the founders, nil unless this is the first start
+	peers    func() []string // link addresses of other known replicas
 
 	onRevision func(revision uint64, document []byte)
 	onMembers  func([]roster.Member)
@@ -76,7 +74,7 @@
 	current atomic.Pointer[member]
 }
 
-// run keeps a replica running until ctx ends.
+// run runs the replica and restarts it after a failure, until ctx ends.
 func (g *group) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := g.runOnce(ctx)
@@ -87,38 +85,39 @@
 		event.Log(ctx, g.log, slog.LevelError, event.ReplicaFailed, slog.Any("error", err))
 		var corrupt *storage.CorruptError
 		if errors.Is(err, errRetired) || errors.As(err, &corrupt) {
-			// Removed for good, or the disk has lost what was synced: either way this
-			// replica comes back as a stranger.
+			// The id was retired, or synced data is lost or corrupt: the replica must
+			// rejoin under a new id.
 			if err := g.store.discard(); err != nil {
 				event.Log(ctx, g.log, slog.LevelError, event.ReplicaFailed, slog.String("error", err.Error()))
 			}
 		}
-		daemon.Pause(ctx, reopenPause)
+		daemon.Pause(ctx, reopenDelay)
 	}
 	return ctx.Err()
 }
 
 // runOnce opens the data folder and runs the replica until it fails.
 func (g *group) runOnce(ctx context.Context) error {
-	id, how, err := g.identify(ctx)
+	id, origin, err := g.identify(ctx)
 	if err != nil {
 		return err
 	}
-	folder, err := storage.Open(storage.Config{Dir: g.store.path(logFolder), Replica: id.ID}, g.store.fs)
+	logStorage, err := storage.Open(storage.Config{Dir: g.store.path(logFolder), Replica: id.ID}, g.store.fs)
 	if err != nil {
 		return trace.Wrap(err, "step=open log")
 	}
-	defer folder.Close()
-	m, err := g.newMember(id, folder)
+	defer logStorage.Close()
+	m, err := g.newMember(id, logStorage)
 	if err != nil {
 		return err
 	}
-	event.Log(ctx, g.log, slog.LevelInfo, event.ReplicaStarted, slog.Uint64("id", id.ID), slog.String("how", how))
+	event.Log(ctx, g.log, slog.LevelInfo, event.ReplicaStarted, slog.Uint64("id", id.ID), slog.String("how", origin))
 	g.current.Store(m)
-	return g.drive(ctx, m)
+	return g.runMember(ctx, m)
 }
 
-func (g *group) newMember(id identity, folder host.Storage) (*member, error) {
+// newMember starts a replica with the given identity and log.
+func (g *group) newMember(id identity, logStorage host.Storage) (*member, error) {
 	founders := make(map[uint64]string, len(id.Founders))
 	cfg := host.Config{
 		ID: id.ID, TickInterval: tickInterval, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
@@ -128,29 +127,29 @@
 		founders[s.ID] = s.Address
 		cfg.Voters = append(cfg.Voters, s.ID)
 	}
-	m := &member{id: id.ID, founders: id.Founders, book: roster.NewAddressBook(founders)}
+	m := &member{id: id.ID, founders: id.Founders, addresses: roster.NewAddressBook(founders)}
 	m.state = newState(g.onRevision, func(list []roster.Member) {
-		m.book.SetMembers(list)
+		m.addresses.SetMembers(list)
 		g.onMembers(list)
 	})
 	var err error
 	m.host, err = host.New(cfg, host.Deps{
-		Storage:   folder,
-		Transport: &roster.Transport{Pool: g.pool, Method: api.MethodReplica, Peers: m.book},
+		Storage:   logStorage,
+		Transport: &roster.Transport{Pool: g.pool, Method: api.MethodReplica, Peers: m.addresses},
 		Machine:   m.state, Logger: g.log, Now: g.now, Rand: rand.Int64N,
 	})
 	return m, trace.Wrap(err, "step=start replica")
 }
 
-// drive runs the log, and beside it asks to be taken in while the replica is no
-// member.
-func (g *group) drive(ctx context.Context, m *member) error {
+// runMember runs the replica and, concurrently, maintainMembership. It returns
+// errRetired if the replica was removed.
+func (g *group) runMember(ctx context.Context, m *member) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	joined := make(chan struct{})
+	joinDone := make(chan struct{})
 	go func() {
-		defer close(joined)
-		if err := g.keepJoined(ctx, m); err != nil {
+		defer close(joinDone)
+		if err := g.maintainMembership(ctx, m); err != nil {
 			cancel(err)
 		}
 	}()
@@ -159,13 +158,13 @@
 		err = cause
 	}
 	cancel(nil)
-	<-joined
+	<-joinDone
 	return err
 }
 
-// identify returns who this replica is: as its data folder says, as a founder,
-// or under a new id that the group has given it.
-func (g *group) identify(ctx context.Context) (id identity, how string, err error) {
+// identify returns the identity of this replica: the one in its data folder, that of a
+// founder, or a new id from the group. origin is the value that is logged.
+func (g *group) identify(ctx context.Context) (id identity, origin string, err error) {
 	id, ok, err := g.store.load()
 	if err != nil {
 		if discardErr := g.store.discard(); discardErr != nil {
@@ -177,12 +176,12 @@
 		return id, "kept", nil
 	}
 	if err := g.store.fs.MkdirAll(g.store.path(logFolder)); err != nil {
-		return id, "", trace.Wrap(err, "step=make log folder")
+		return id, "", trace.Wrap(err, "step=create log folder")
 	}
 	if err := g.store.discardLog(); err != nil {
 		return id, "", err
 	}
-	if registrations := numberFounders(g.found()); len(registrations) > 0 {
+	if registrations := numberFounders(g.founders()); len(registrations) > 0 {
 		for _, s := range registrations {
 			if s.Address == g.self {
 				id = identity{ID: s.ID, Founders: registrations}
@@ -197,8 +196,8 @@
 	return id, "joined", g.store.save(id)
 }
 
-// numberFounders numbers the founders by address. All of them are told the same list,
-// so all arrive at the same numbers.
+// numberFounders assigns ids to the founders in order of their addresses, so that all
+// founders compute the same ids from the same list.
 func numberFounders(addresses []string) []registration {
 	sorted := slices.Compact(slices.Sorted(slices.Values(addresses)))
 	registrations := make([]registration, 0, len(sorted))
@@ -208,11 +207,11 @@
 	return registrations
 }
 
-// requestID asks the others for an id until one answers.
+// requestID requests an id from the other replicas until one replies or ctx ends.
 func (g *group) requestID(ctx context.Context) (uint64, error) {
 	req := api.RegisterRequest{Address: g.self, Nonce: uuid.NewString()}
 	for ctx.Err() == nil {
-		for _, addr := range g.others() {
+		for _, addr := range g.peers() {
 			callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 			reply, err := link.Call[api.RegisterReply](callCtx, g.pool, addr, api.MethodRegister, req)
 			cancel()
@@ -220,21 +219,21 @@
 				return reply.ID, nil
 			}
 			if err != nil {
-				g.log.DebugContext(ctx, "no replica id given", "peer", addr, "error", err)
+				g.log.DebugContext(ctx, "replica id not assigned", "peer", addr, "error", err)
 			}
 		}
-		daemon.Pause(ctx, joinEvery)
+		daemon.Pause(ctx, joinInterval)
 	}
 	return 0, ctx.Err()
 }
 
-// keepJoined asks to be taken in whenever this replica is not among the members
-// that it knows, or hears of no leader. It returns errRetired if its id was given
-// up: the group has gone on without it while it was away.
-func (g *group) keepJoined(ctx context.Context, m *member) error {
-	tick := time.NewTicker(joinEvery)
+// maintainMembership requests to join while this replica is not a member, or while it
+// has had no leader for leaderlessTimeout. It returns errRetired if its id was retired
+// while it was away, and nil when ctx ends.
+func (g *group) maintainMembership(ctx context.Context, m *member) error {
+	tick := time.NewTicker(joinInterval)
 	defer tick.Stop()
-	led := g.now()
+	leaderSeen := g.now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -243,27 +242,27 @@
 		}
 		st := m.host.Status()
 		if st.Leader != 0 {
-			led = g.now()
+			leaderSeen = g.now()
 		}
-		if isMember(st, m.id) && g.now().Sub(led) < leaderless {
+		if isMember(st, m.id) && g.now().Sub(leaderSeen) < leaderlessTimeout {
 			continue
 		}
-		if g.askToJoin(ctx, m.id) {
+		if g.requestJoin(ctx, m.id) {
 			return errRetired
 		}
 	}
 }
 
-// askToJoin asks each replica once and reports whether one knows that the id was
-// given up.
-func (g *group) askToJoin(ctx context.Context, id uint64) (retired bool) {
+// requestJoin sends a join request to the other replicas in turn until one replies, and
+// reports whether that one says that the id was retired.
+func (g *group) requestJoin(ctx context.Context, id uint64) (retired bool) {
 	req := api.JoinRequest{ID: id, Address: g.self}
-	for _, addr := range g.others() {
+	for _, addr := range g.peers() {
 		callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 		reply, err := link.Call[api.JoinReply](callCtx, g.pool, addr, api.MethodJoin, req)
 		cancel()
 		if err != nil {
-			g.log.DebugContext(ctx, "not taken in", "peer", addr, "error", err)
+			g.log.DebugContext(ctx, "join request failed", "peer", addr, "error", err)
 			continue
 		}
 		return reply.Retired
@@ -271,19 +270,22 @@
 	return false
 }
 
+// isMember reports whether a replica is a voter or a learner.
 func isMember(st host.Status, id uint64) bool {
 	return slices.Contains(st.Voters, id) || slices.Contains(st.Learners, id)
 }
 
-// leading reports whether this replica leads as far as it knows.
+// leading reports whether this replica leads according to its own state. Another one may
+// have been elected since.
 func (m *member) leading() bool { return m.host.Status().Role == replica.Leader }
 
-// stepReplica hands a message of the replicated log to this process's replica.
+// stepReplica passes a message of the replicated log to the local replica. It drops
+// messages that are addressed to another id.
 func (c *Coordinator) stepReplica(_ context.Context, from link.PeerInfo, msg replica.Message) {
 	m := c.group.current.Load()
 	if m == nil || msg.To != m.id {
 		return
 	}
-	m.book.Observe(msg.From, from.Address)
+	m.addresses.Observe(msg.From, from.Address)
 	m.host.Step(msg)
 }
--- a/coordinator/live.go
+++ b/coordinator/live.go
@@ -9,30 +9,30 @@
 	"savoryreel.example/savoryreel/directory"
 )
 
-// liveFor is how long a list of the live entries is used. Each of some hundred entries
-// asks for it once a second, and it changes when one comes or falls silent.
-const liveFor = 100 * time.Millisecond
+// liveListTTL is how long a list of the live entries is cached. Hundreds of entries
+// request it every second.
+const liveListTTL = 100 * time.Millisecond
 
-// liveEntries lists the entries that take callers.
+// liveEntries caches the list of the entries that take callers.
 type liveEntries struct {
 	entries func(now time.Time) []directory.Entry
 
-	mu   sync.Mutex
-	list liveList
-	made time.Time
+	mu       sync.Mutex
+	list     liveList
+	listedAt time.Time
 }
 
-// liveList is such a list. It is not changed any more.
+// liveList is such a list. It is immutable.
 type liveList struct {
-	names  []string // in order
-	digest uint64   // of the names; equal lists have equal ones
+	names  []string // sorted
+	digest uint64   // of the names; equal lists have equal digests
 }
 
-// at returns the list as it was within liveFor.
-func (l *liveEntries) at(now time.Time) liveList {
+// current returns the list, at most liveListTTL old.
+func (l *liveEntries) current(now time.Time) liveList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.made.IsZero() && now.Sub(l.made) < liveFor {
+	if !l.listedAt.IsZero() && now.Sub(l.listedAt) < liveListTTL {
 		return l.list
 	}
 	entries := l.entries(now)
@@ -40,8 +40,8 @@
 	digest := xxhash.New()
 	for i := range entries {
 		names = append(names, entries[i].Name)
-		_, _ = digest.WriteString(entries[i].Name + "\n") // a digest never fails
+		_, _ = digest.WriteString(entries[i].Name + "\n") // never fails
 	}
-	l.list, l.made = liveList{names: names, digest: digest.Sum64()}, now
+	l.list, l.listedAt = liveList{names: names, digest: digest.Sum64()}, now
 	return l.list
 }
