--- a/control/operator.go
+++ b/control/operator.go
@@ -51,7 +51,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := request.BearerKey(r.Header)
 		if !contract.HashKey(key).Equal(o.keyHash) {
-			request.NewProblem(request.CodeUnauthorized, request.NotRun, "the operator key is missing or wrong").Write(w)
+			request.NewProblem(request.CodeUnauthorized, request.NotRun, "the operators' key is missing or wrong").Write(w)
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
@@ -99,7 +99,7 @@
 	if text := r.URL.Query().Get("n"); text != "" {
 		var err error
 		if n, err = strconv.Atoi(text); err != nil || n < 1 {
-			request.NewProblem(request.CodeBadRequest, request.NotRun, "n=%q is not a positive number", text).Write(w)
+			request.NewProblem(request.CodeBadRequest, request.NotRun, "n=%q is not a count", text).Write(w)
 			return
 		}
 	}
@@ -124,7 +124,7 @@
 	}
 	base, err := strconv.ParseUint(r.Header.Get(api.HeaderBase), 10, 64)
 	if err != nil {
-		request.NewProblem(request.CodeBadRequest, request.NotRun, "header %s is not a version number", api.HeaderBase).Write(w)
+		request.NewProblem(request.CodeBadRequest, request.NotRun, "header %s names no version", api.HeaderBase).Write(w)
 		return
 	}
 	c, err := contract.Parse(doc)
--- a/control/replicas.go
+++ b/control/replicas.go
@@ -41,7 +41,7 @@
 	case c.ID <= t.HighestID:
 		return api.ReplicaResult{Refused: fmt.Sprintf("id %d is not above %d: an id is never used twice", c.ID, t.HighestID)}
 	case len(t.Replicas) >= api.MaxReplicas:
-		return api.ReplicaResult{Refused: fmt.Sprintf("%d replicas is the maximum: remove one first", len(t.Replicas))}
+		return api.ReplicaResult{Refused: fmt.Sprintf("%d replicas are known: remove one first", len(t.Replicas))}
 	default:
 		t.HighestID = c.ID
 		t.Replicas = slices.Insert(slices.Clone(t.Replicas), pos, api.ReplicaAddress(c))
@@ -67,7 +67,7 @@
 func validateChange(r api.ReplicaChange) error {
 	switch {
 	case r.ID == 0:
-		return invalidf("id 0 is not a replica id")
+		return invalidf("id 0 stands for no replica")
 	case r.Action == api.ReplicaAdd:
 		if err := settings.HostPort(r.Address); err != nil {
 			return invalidf("address: %v", err)
@@ -149,7 +149,7 @@
 func (s *service) addReplica(ctx context.Context, st host.Status, r api.ReplicaChange, isMember bool) error {
 	if isMember {
 		if addr, _ := s.peers.Address(r.ID); addr != r.Address {
-			return invalidf("replica %d is a member already, with address %q", r.ID, addr)
+			return invalidf("replica %d is a member under address %q", r.ID, addr)
 		}
 		return nil
 	}
@@ -225,7 +225,7 @@
 		}
 	}
 	if remaining := len(st.Voters) - 1; reachable < remaining/2+1 {
-		return invalidf("only %d of the %d remaining voters are reachable: add and promote a replica first", reachable, remaining)
+		return invalidf("only %d of the %d voters left would answer: add and promote a replica first", reachable, remaining)
 	}
 	return nil
 }
--- a/control/service.go
+++ b/control/service.go
@@ -148,7 +148,7 @@
 		c.Now = s.now().UnixMilli()
 		return msgpack.Marshal(&c)
 	default:
-		return nil, trace.BadParameter("unknown proposal kind %d", r.Kind)
+		return nil, trace.BadParameter("unknown kind of proposal %d", r.Kind)
 	}
 }
 
