--- a/coordinator/api/api.go
+++ b/coordinator/api/api.go
@@ -18,12 +18,12 @@
 	MaxFrame = MaxEntryBytes + 1<<20
 	// backoffMax is the longest pause between attempts to reach a replica: one that
 	// returns has to be of use within seconds.
-	backoffMax = 500 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
 )
 
 // PoolConfig sets up the links of a process that calls control replicas.
 func PoolConfig(self link.PeerInfo, clusterKey string) link.PoolConfig {
-	return link.PoolConfig{Self: self, ClusterKey: []byte(clusterKey), MaxFrame: MaxFrame, BackoffMax: backoffMax}
+	return link.PoolConfig{Self: self, ClusterKey: []byte(clusterKey), MaxFrame: MaxFrame, BackoffMax: maxBackoff}
 }
 
 // The methods on links.
@@ -129,7 +129,7 @@
 	ShareVote  limit.ShareVote `msgpack:"share"`
 	Clock      time.Time       `msgpack:"clock"` // the replica's time of day
 	// Asked is when the sender made the call, by its own clock.
-	Asked time.Time `msgpack:"-"`
+	SentAt time.Time `msgpack:"-"`
 }
 
 // ReviseRequest brings a catalogue, whole, as the operator sent it.
--- a/coordinator/follow/follow.go
+++ b/coordinator/follow/follow.go
@@ -26,17 +26,17 @@
 	DefaultWait = time.Second
 	// answerSlack is added to the wait before a call counts as lost: the site's
 	// longest round trip with a busy processor on both ends.
-	answerSlack = time.Second
+	replyMargin = time.Second
 	// leastWait is the least wait that a call's time limit is reckoned from. The answer to one
 	// that is not to be kept waiting may bring a whole catalogue over a slow link.
-	leastWait = 400 * time.Millisecond
+	minWait = 400 * time.Millisecond
 	// retryMin and retryMax bound the pause after a call that failed. The longest
 	// pause is a part of the seconds within which a returned replica has to be
 	// noticed.
-	retryMin = 50 * time.Millisecond
-	retryMax = time.Second
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = time.Second
 	// lookEvery is how often the set of replicas is compared with what is followed.
-	lookEvery = 250 * time.Millisecond
+	reconcileInterval = 250 * time.Millisecond
 )
 
 // Config is the settings of a Follower.
@@ -68,18 +68,18 @@
 type Follower struct {
 	cfg    Config
 	deps   Deps
-	source source
+	source catalogueSource
 
-	mu    sync.Mutex
-	peers map[string]*peer
-	told  map[string][]string // replicas named by each one's last reply
+	mu            sync.Mutex
+	peers         map[string]*peer
+	namedReplicas map[string][]string // replicas named by each one's last reply
 }
 
 type peer struct {
-	cancel    context.CancelFunc
-	kick      chan struct{}
-	contacted time.Time // of the last reply
-	lost      bool      // the last call failed
+	cancel      context.CancelFunc
+	wake        chan struct{}
+	lastReply   time.Time // of the last reply
+	unreachable bool      // the last call failed
 }
 
 // New returns a Follower that follows nobody until Run.
@@ -87,17 +87,17 @@
 	if cfg.Wait <= 0 {
 		cfg.Wait = DefaultWait
 	}
-	return &Follower{cfg: cfg, deps: deps, peers: make(map[string]*peer), told: make(map[string][]string)}
+	return &Follower{cfg: cfg, deps: deps, peers: make(map[string]*peer), namedReplicas: make(map[string][]string)}
 }
 
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
-	var work sync.WaitGroup
-	defer work.Wait()
-	tick := time.NewTicker(lookEvery)
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	tick := time.NewTicker(reconcileInterval)
 	defer tick.Stop()
 	for {
-		f.adjust(ctx, &work)
+		f.reconcile(ctx, &wg)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -108,8 +108,8 @@
 
 // adjust follows each replica that is known, and lets go of those that nobody
 // names any more.
-func (f *Follower) adjust(ctx context.Context, work *sync.WaitGroup) {
-	wanted := f.wanted()
+func (f *Follower) reconcile(ctx context.Context, wg *sync.WaitGroup) {
+	wanted := f.wantedReplicas()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for addr := range wanted {
@@ -117,27 +117,27 @@
 			continue
 		}
 		peerCtx, cancel := context.WithCancel(ctx)
-		p := &peer{cancel: cancel, kick: make(chan struct{}, 1)}
+		p := &peer{cancel: cancel, wake: make(chan struct{}, 1)}
 		f.peers[addr] = p
-		work.Go(func() { f.follow(peerCtx, addr, p) })
+		wg.Go(func() { f.followReplica(peerCtx, addr, p) })
 	}
 	for addr, p := range f.peers {
 		if !wanted[addr] {
 			p.cancel()
 			delete(f.peers, addr)
-			delete(f.told, addr)
+			delete(f.namedReplicas, addr)
 		}
 	}
 }
 
-func (f *Follower) wanted() map[string]bool {
+func (f *Follower) wantedReplicas() map[string]bool {
 	wanted := make(map[string]bool)
 	for _, addr := range f.deps.Seeds() {
 		wanted[addr] = true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, list := range f.told {
+	for _, list := range f.namedReplicas {
 		for _, addr := range list {
 			wanted[addr] = true
 		}
@@ -148,83 +148,83 @@
 }
 
 // follow calls one replica again and again.
-func (f *Follower) follow(ctx context.Context, addr string, p *peer) {
+func (f *Follower) followReplica(ctx context.Context, addr string, p *peer) {
 	if f.deps.OnUnreachable != nil {
 		defer f.deps.OnUnreachable(addr)
 	}
-	defer f.source.lost(addr)
-	var life, seen, told uint64
-	var said said
+	defer f.source.markUnreachable(addr)
+	var incarnation, seen, lastRevision uint64
+	var sent sentUsage
 	replied := false
-	pause := retryMin
+	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
 		req := f.deps.Request()
-		req.Incarnation, req.Seen = life, seen
-		said.trim(&req)
+		req.Incarnation, req.Seen = incarnation, seen
+		sent.trimUsage(&req)
 		if req.Wait <= 0 {
 			req.Wait = f.cfg.Wait
 		}
 		if replied {
-			f.source.note(addr, told, req.Lacks(told), f.deps.Now())
+			f.source.observeRevision(addr, lastRevision, req.Lacks(lastRevision), f.deps.Now())
 		}
-		if send, known := f.source.asks(addr); f.cfg.SingleSource && req.HasCatalogue && !send {
-			req.RevisionOnly, req.NotifiedRevision = true, max(known, req.Revision)
+		if send, highestRevision := f.source.shouldSend(addr); f.cfg.SingleSource && req.HasCatalogue && !send {
+			req.RevisionOnly, req.NotifiedRevision = true, max(highestRevision, req.Revision)
 		}
-		asked := f.deps.Now()
+		sentAt := f.deps.Now()
 		reply, err := f.call(ctx, addr, p, req)
-		if err == errKicked {
+		if err == errWoken {
 			continue
 		}
-		f.noteOutcome(ctx, addr, p, err)
+		f.recordOutcome(ctx, addr, p, err)
 		if err != nil {
-			f.source.lost(addr)
-			daemon.Pause(ctx, time.Duration((0.5+rand.Float64()/2)*float64(pause)))
-			pause = min(2*pause, retryMax)
+			f.source.markUnreachable(addr)
+			daemon.Pause(ctx, time.Duration((0.5+rand.Float64()/2)*float64(retryDelay)))
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 			continue
 		}
-		pause = retryMin
+		retryDelay = minRetryDelay
 		if reply.Incarnation == req.Incarnation || req.Incarnation == 0 {
-			said.note(&req)
+			sent.record(&req)
 		}
-		life, seen = reply.Incarnation, reply.Seen
+		incarnation, seen = reply.Incarnation, reply.Seen
 		f.mu.Lock()
-		f.told[addr] = reply.Replicas
+		f.namedReplicas[addr] = reply.Replicas
 		f.mu.Unlock()
-		reply.Asked = asked
+		reply.SentAt = sentAt
 		f.deps.Reply(addr, reply)
-		told, replied = reply.Revision, true
+		lastRevision, replied = reply.Revision, true
 	}
 }
 
 // errKicked ends a call because the process has something new to tell.
-var errKicked = kicked{}
+var errWoken = wokenError{}
 
-type kicked struct{}
+type wokenError struct{}
 
-func (kicked) Error() string { return "there is news to send" }
+func (wokenError) Error() string { return "there is news to send" }
 
 // callLimit is how long a call that is kept waiting for so long may take.
-func callLimit(wait time.Duration) time.Duration { return max(wait, leastWait) + answerSlack }
+func callTimeout(wait time.Duration) time.Duration { return max(wait, minWait) + replyMargin }
 
 func (f *Follower) call(ctx context.Context, addr string, p *peer, req api.WatchRequest) (api.WatchReply, error) {
-	callCtx, cancel := context.WithTimeout(ctx, callLimit(req.Wait))
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout(req.Wait))
 	defer cancel()
 	done := make(chan struct{})
 	defer close(done)
-	wasKicked := make(chan struct{})
+	woken := make(chan struct{})
 	go func() {
 		select {
-		case <-p.kick:
-			close(wasKicked)
+		case <-p.wake:
+			close(woken)
 			cancel()
 		case <-done:
 		}
 	}()
 	reply, err := link.Call[api.WatchReply](callCtx, f.deps.Pool, addr, api.MethodWatch, req)
 	select {
-	case <-wasKicked:
+	case <-woken:
 		if err != nil {
-			return reply, errKicked
+			return reply, errWoken
 		}
 	default:
 	}
@@ -232,26 +232,26 @@
 }
 
 // noteOutcome logs a replica that was lost or came back, once each.
-func (f *Follower) noteOutcome(ctx context.Context, addr string, p *peer, err error) {
+func (f *Follower) recordOutcome(ctx context.Context, addr string, p *peer, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	f.mu.Lock()
-	last, wasLost := p.contacted, p.lost
-	p.lost = err != nil
+	lastReply, wasUnreachable := p.lastReply, p.unreachable
+	p.unreachable = err != nil
 	if err == nil {
-		p.contacted = f.deps.Now()
+		p.lastReply = f.deps.Now()
 	}
 	f.mu.Unlock()
 	switch {
-	case err != nil && !wasLost:
+	case err != nil && !wasUnreachable:
 		if f.deps.OnUnreachable != nil {
 			f.deps.OnUnreachable(addr)
 		}
 		event.Log(ctx, f.deps.Log, slog.LevelWarn, event.ReplicaLost,
-			slog.String("peer", addr), slog.Time("lastReply", last), slog.String("error", err.Error()))
-	case err == nil && (wasLost || last.IsZero()):
-		event.Log(ctx, f.deps.Log, slog.LevelInfo, event.ReplicaRegained, slog.String("peer", addr), slog.Time("lastReply", last))
+			slog.String("peer", addr), slog.Time("lastReply", lastReply), slog.String("error", err.Error()))
+	case err == nil && (wasUnreachable || lastReply.IsZero()):
+		event.Log(ctx, f.deps.Log, slog.LevelInfo, event.ReplicaRegained, slog.String("peer", addr), slog.Time("lastReply", lastReply))
 	}
 }
 
@@ -261,7 +261,7 @@
 	defer f.mu.Unlock()
 	for _, p := range f.peers {
 		select {
-		case p.kick <- struct{}{}:
+		case p.wake <- struct{}{}:
 		default:
 		}
 	}
@@ -272,7 +272,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p := f.peers[addr]; p != nil {
-		return p.contacted
+		return p.lastReply
 	}
 	return time.Time{}
 }
@@ -295,7 +295,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.peers {
-		if !p.contacted.IsZero() && now.Sub(p.contacted) <= age {
+		if !p.lastReply.IsZero() && now.Sub(p.lastReply) <= age {
 			replied++
 		}
 	}
--- a/coordinator/follow/limit_test.go
+++ b/coordinator/follow/limit_test.go
@@ -10,7 +10,7 @@
 // An entry that starts asks for short waits. Its calls must not be given up sooner for it:
 // where each replica's answer brings a large catalogue over a slow link, none would ever
 // arrive, and the entry would serve nobody.
-func TestShortWaitLeavesTimeForTheAnswer(t *testing.T) {
-	require.Equal(t, leastWait+answerSlack, callLimit(30*time.Millisecond))
-	require.Equal(t, 2*time.Second, callLimit(time.Second))
+func TestShortWaitKeepsMinCallTimeout(t *testing.T) {
+	require.Equal(t, minWait+replyMargin, callTimeout(30*time.Millisecond))
+	require.Equal(t, 2*time.Second, callTimeout(time.Second))
 }
--- a/coordinator/follow/said.go
+++ b/coordinator/follow/said.go
@@ -8,19 +8,19 @@
 //
 // A replica that starts anew knows nothing of it. It leaves such a call's counts aside,
 // since the call names the life before, and its reply brings the new life.
-type said struct {
-	life  uint64
-	usage map[int64]int64 // requests by window
+type sentUsage struct {
+	incarnation      uint64
+	requestsByWindow map[int64]int64 // requests by window
 }
 
 // trim takes from a call to a life of a replica what it has been told.
-func (s *said) trim(req *api.WatchRequest) {
-	if req.Incarnation != s.life || s.usage == nil {
-		*s = said{life: req.Incarnation, usage: make(map[int64]int64)}
+func (s *sentUsage) trimUsage(req *api.WatchRequest) {
+	if req.Incarnation != s.incarnation || s.requestsByWindow == nil {
+		*s = sentUsage{incarnation: req.Incarnation, requestsByWindow: make(map[int64]int64)}
 	}
 	var usage []api.WindowUsage
 	for _, w := range req.Usage {
-		if told, known := s.usage[w.Window]; !known || told != total(w) {
+		if sentTotal, known := s.requestsByWindow[w.Window]; !known || sentTotal != totalRequests(w) {
 			usage = append(usage, w)
 		}
 	}
@@ -28,24 +28,24 @@
 }
 
 // note takes that a call was answered.
-func (s *said) note(req *api.WatchRequest) {
+func (s *sentUsage) record(req *api.WatchRequest) {
 	for _, w := range req.Usage {
-		s.usage[w.Window] = total(w)
+		s.requestsByWindow[w.Window] = totalRequests(w)
 	}
-	for w := range s.usage {
-		if w < req.OpenWindow-mostWindows {
-			delete(s.usage, w)
+	for w := range s.requestsByWindow {
+		if w < req.OpenWindow-maxWindows {
+			delete(s.requestsByWindow, w)
 		}
 	}
 }
 
 // mostWindows is for how many windows back it is kept what was told: more than any site
 // has to report.
-const mostWindows = 100
+const maxWindows = 100
 
 // total is how many requests were counted in a window. Counts only grow, so equal totals
 // are equal counts.
-func total(w api.WindowUsage) int64 {
+func totalRequests(w api.WindowUsage) int64 {
 	var n int64
 	for _, c := range w.Counts {
 		n += c
--- a/coordinator/follow/source.go
+++ b/coordinator/follow/source.go
@@ -8,7 +8,7 @@
 // patience is how long the replica that sends the catalogue may take with a revision
 // that another one has told of: several times what the largest catalogue takes on an
 // entry's link. More than half of the time in which a change must be in force is left then.
-const patience = 700 * time.Millisecond
+const maxSourceDelay = 700 * time.Millisecond
 
 // source is the one replica that sends a process the catalogue. The others only tell
 // which revision they have.
@@ -20,43 +20,43 @@
 //
 // The choice changes when the replica is lost, or has not sent for a while what another
 // one tells of: it may be behind, or cut off from the others.
-type source struct {
-	mu    sync.Mutex
-	addr  string    // empty: the next one that is called
-	told  uint64    // highest revision that any replica told of
-	since time.Time // since when a revision that was told of is lacking; zero: none is
+type catalogueSource struct {
+	mu              sync.Mutex
+	addr            string    // empty: the next one that is called
+	highestRevision uint64    // highest revision that any replica told of
+	lackingSince    time.Time // since when a revision that was told of is lacking; zero: none is
 }
 
 // asks reports whether a replica that is called now is to send the catalogue, and the
 // highest revision that is known of.
-func (s *source) asks(addr string) (send bool, told uint64) {
+func (s *catalogueSource) shouldSend(addr string) (send bool, highestRevision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.addr == "" {
 		s.addr = addr
 	}
-	return s.addr == addr, s.told
+	return s.addr == addr, s.highestRevision
 }
 
 // note takes that a replica has told of a revision, and whether the process lacks it.
-func (s *source) note(addr string, revision uint64, lacks bool, now time.Time) {
+func (s *catalogueSource) observeRevision(addr string, revision uint64, lacks bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = max(s.told, revision)
+	s.highestRevision = max(s.highestRevision, revision)
 	switch {
 	case !lacks:
-		if revision == s.told {
-			s.since = time.Time{}
+		if revision == s.highestRevision {
+			s.lackingSince = time.Time{}
 		}
-	case s.since.IsZero():
-		s.since = now
-	case addr != s.addr && now.Sub(s.since) > patience:
-		s.addr, s.since = addr, now
+	case s.lackingSince.IsZero():
+		s.lackingSince = now
+	case addr != s.addr && now.Sub(s.lackingSince) > maxSourceDelay:
+		s.addr, s.lackingSince = addr, now
 	}
 }
 
 // lost takes that a replica does not answer.
-func (s *source) lost(addr string) {
+func (s *catalogueSource) markUnreachable(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.addr == addr {
--- a/directory/silence.go
+++ b/directory/silence.go
@@ -23,86 +23,86 @@
 }
 
 // word is what one replica said last of a server.
-type word struct {
-	unheard, silent bool
+type report struct {
+	overdue, unreachable bool
 }
 
 // source is a replica whose words this process holds.
-type source struct {
-	life uint64
-	lost bool
+type replicaState struct {
+	incarnation uint64
+	unreachable bool
 }
 
 // judges reports whether this process hears the servers itself.
-func (s *Store) judges() bool { return s.cfg.OverdueAfter > 0 }
+func (s *Store) observesHeartbeats() bool { return s.cfg.OverdueAfter > 0 }
 
 // judge marks a server as unheard or heard by the time of its last heartbeat, and
 // reports whether that is new. confirmed says that this replica is in touch with
 // most others.
-func (s *Store) judge(held *heldServer, now time.Time, confirmed bool) bool {
-	unheard := held.State == instance.StateServing && now.Sub(held.heard) > s.cfg.OverdueAfter
-	silent := unheard && (confirmed || held.Unreachable)
-	if unheard == held.Overdue && silent == held.Unreachable {
+func (s *Store) updateOverdue(stored *storedServer, now time.Time, confirmed bool) bool {
+	overdue := stored.State == instance.StateServing && now.Sub(stored.lastHeartbeat) > s.cfg.OverdueAfter
+	unreachable := overdue && (confirmed || stored.Unreachable)
+	if overdue == stored.Overdue && unreachable == stored.Unreachable {
 		return false
 	}
-	held.Overdue, held.Unreachable = unheard, silent
-	s.changeServer(held)
+	stored.Overdue, stored.Unreachable = overdue, unreachable
+	s.recordChange(stored)
 	return true
 }
 
 // silenceOf says whether the replicas' words make a server silent: one says so, and
 // none that answers hears it. Without a word that counts it stays as it was.
-func (s *Store) silenceOf(held *heldServer) bool {
-	if held.State != instance.StateServing {
+func (s *Store) unreachableByReports(stored *storedServer) bool {
+	if stored.State != instance.StateServing {
 		return false
 	}
-	counted, silent := 0, false
-	for replica, w := range held.words {
-		if src := s.sources[replica]; src == nil || src.lost {
+	reporting, unreachable := 0, false
+	for replica, r := range stored.reports {
+		if state := s.replicas[replica]; state == nil || state.unreachable {
 			continue
 		}
-		if !w.unheard {
+		if !r.overdue {
 			return false
 		}
-		counted++
-		silent = silent || w.silent
+		reporting++
+		unreachable = unreachable || r.unreachable
 	}
-	if counted == 0 {
-		return held.Unreachable
+	if reporting == 0 {
+		return stored.Unreachable
 	}
-	return silent
+	return unreachable
 }
 
 // weigh applies the replicas' words to a server and reports whether that is new.
-func (s *Store) weigh(held *heldServer) bool {
-	silent := s.silenceOf(held)
-	if silent == held.Unreachable {
+func (s *Store) applyReports(stored *storedServer) bool {
+	unreachable := s.unreachableByReports(stored)
+	if unreachable == stored.Unreachable {
 		return false
 	}
-	held.Unreachable = silent
-	s.changeServer(held)
+	stored.Unreachable = unreachable
+	s.recordChange(stored)
 	return true
 }
 
 // noteSource takes a sign of life of a replica. Words of an earlier start no longer
 // count: it may have forgotten what it said.
-func (s *Store) noteSource(from Origin) bool {
+func (s *Store) recordReplica(from Origin) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.judges() || from.Replica == "" {
+	if s.observesHeartbeats() || from.Replica == "" {
 		return false
 	}
-	src := s.sources[from.Replica]
+	state := s.replicas[from.Replica]
 	switch {
-	case src != nil && src.life == from.Incarnation && !src.lost:
+	case state != nil && state.incarnation == from.Incarnation && !state.unreachable:
 		return false
-	case src != nil && src.life != from.Incarnation:
-		for _, held := range s.servers {
-			delete(held.words, from.Replica)
+	case state != nil && state.incarnation != from.Incarnation:
+		for _, stored := range s.servers {
+			delete(stored.reports, from.Replica)
 		}
 	}
-	s.sources[from.Replica] = &source{life: from.Incarnation}
-	return s.weighAll()
+	s.replicas[from.Replica] = &replicaState{incarnation: from.Incarnation}
+	return s.applyAllReports()
 }
 
 // MarkUnreachable notes that a replica no longer answers: it may be dead, and what it heard last
@@ -110,18 +110,18 @@
 func (s *Store) MarkUnreachable(replica string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	src := s.sources[replica]
-	if src == nil || src.lost {
+	state := s.replicas[replica]
+	if state == nil || state.unreachable {
 		return false
 	}
-	src.lost = true
-	return s.weighAll()
+	state.unreachable = true
+	return s.applyAllReports()
 }
 
-func (s *Store) weighAll() bool {
+func (s *Store) applyAllReports() bool {
 	changed := false
-	for _, held := range s.servers {
-		changed = s.weigh(held) || changed
+	for _, stored := range s.servers {
+		changed = s.applyReports(stored) || changed
 	}
 	return changed
 }
--- a/directory/silence_test.go
+++ b/directory/silence_test.go
@@ -10,18 +10,18 @@
 )
 
 // relay is a replica with what an entry has been told by it.
-type relay struct {
+type testReplica struct {
 	*Store
 	origin Origin
 	seen   uint64
 }
 
-func newRelay(name string) *relay {
-	return &relay{Store: newStore(), origin: Origin{Replica: name, Incarnation: 1}}
+func newTestReplica(name string) *testReplica {
+	return &testReplica{Store: newStore(), origin: Origin{Replica: name, Incarnation: 1}}
 }
 
 // tell passes on what is new.
-func (r *relay) tell(entry *Store, now time.Time) {
+func (r *testReplica) sendChanges(entry *Store, now time.Time) {
 	changes := r.Since(r.seen, false, now)
 	r.seen = changes.Seq
 	entry.Merge(r.origin, changes.Servers, changes.Entries, now)
@@ -29,59 +29,59 @@
 
 // cutSite is two replicas that no longer reach each other, and an entry that reaches
 // both. One server reported at the first one, and both know of it.
-func cutSite() (hears, others *relay, entry *Store) {
-	hears, others, entry = newRelay("a"), newRelay("b"), NewStore(Config{ForgetAfter: time.Minute})
-	hears.Announce(beat("s1", 1, 1, instance.StateServing), epoch)
-	others.Merge(hears.origin, hears.Since(0, true, epoch).Servers, nil, epoch)
-	hears.tell(entry, epoch)
-	others.tell(entry, epoch)
-	return hears, others, entry
+func partitionedSite() (receiving, others *testReplica, entry *Store) {
+	receiving, others, entry = newTestReplica("a"), newTestReplica("b"), NewStore(Config{ForgetAfter: time.Minute})
+	receiving.Announce(heartbeat("s1", 1, 1, instance.StateServing), epoch)
+	others.Merge(receiving.origin, receiving.Since(0, true, epoch).Servers, nil, epoch)
+	receiving.sendChanges(entry, epoch)
+	others.sendChanges(entry, epoch)
+	return receiving, others, entry
 }
 
-func silent(s *Store) bool { return s.Servers(epoch)[0].Unreachable }
+func isUnreachable(s *Store) bool { return s.Servers(epoch)[0].Unreachable }
 
 // Replicas are cut off from each other for some seconds, and a server goes on
 // reporting at one of the few. The many hear nothing of it and call it silent. Callers
 // would be refused for want of servers while it stands idle.
 //
 // It breaks if the word of any replica is enough.
-func TestServerThatOneReplicaHears(t *testing.T) {
-	hears, others, entry := cutSite()
+func TestServerReportingAtMinorityReplicaStaysReachable(t *testing.T) {
+	receiving, others, entry := partitionedSite()
 	for second := 1; second <= 10; second++ {
 		now := epoch.Add(time.Duration(second) * time.Second)
-		hears.Announce(beat("s1", 1, uint64(second)+1, instance.StateServing), now)
-		hears.Sweep(now, false)
+		receiving.Announce(heartbeat("s1", 1, uint64(second)+1, instance.StateServing), now)
+		receiving.Sweep(now, false)
 		others.Sweep(now, true)
-		hears.tell(entry, now)
-		others.tell(entry, now)
-		require.False(t, silent(entry), "after %d s", second)
+		receiving.sendChanges(entry, now)
+		others.sendChanges(entry, now)
+		require.False(t, isUnreachable(entry), "after %d s", second)
 	}
-	require.True(t, silent(others.Store))
+	require.True(t, isUnreachable(others.Store))
 
 	// The server dies. The replica that heard it says so, though it is cut off itself
 	// and cannot tell what that means.
 	now := epoch.Add(20 * time.Second)
-	hears.Sweep(now, false)
-	hears.tell(entry, now)
-	require.True(t, silent(entry))
+	receiving.Sweep(now, false)
+	receiving.sendChanges(entry, now)
+	require.True(t, isUnreachable(entry))
 
 	// It is heard again.
-	hears.Announce(beat("s1", 1, 20, instance.StateServing), now)
-	hears.tell(entry, now)
-	require.False(t, silent(entry))
+	receiving.Announce(heartbeat("s1", 1, 20, instance.StateServing), now)
+	receiving.sendChanges(entry, now)
+	require.False(t, isUnreachable(entry))
 }
 
 // A replica that hears of no server may be cut off from all of them. An entry that
 // reaches no other one goes on with the servers that it knows.
 //
 // It breaks if being unheard is enough.
-func TestReplicaThatHearsNothing(t *testing.T) {
-	alone, others, entry := cutSite()
+func TestIsolatedReplicaDoesNotMarkServersUnreachable(t *testing.T) {
+	isolated, others, entry := partitionedSite()
 	entry.MarkUnreachable(others.origin.Replica)
 	now := epoch.Add(time.Minute)
-	alone.Sweep(now, false)
-	alone.tell(entry, now)
-	require.False(t, silent(entry))
+	isolated.Sweep(now, false)
+	isolated.sendChanges(entry, now)
+	require.False(t, isUnreachable(entry))
 }
 
 // The replica that heard a server last dies, and the server with it, as when their
@@ -89,18 +89,18 @@
 //
 // It breaks if the words of a replica that is lost count on, or those of an earlier
 // start of one that is back.
-func TestWordsOfALostReplica(t *testing.T) {
-	hears, others, entry := cutSite()
+func TestReportsOfUnreachableReplicaAreIgnored(t *testing.T) {
+	receiving, others, entry := partitionedSite()
 	now := epoch.Add(10 * time.Second)
 	others.Sweep(now, true)
-	others.tell(entry, now)
-	require.False(t, silent(entry))
+	others.sendChanges(entry, now)
+	require.False(t, isUnreachable(entry))
 	require.True(t, entry.MarkUnreachable("a"))
-	require.True(t, silent(entry))
+	require.True(t, isUnreachable(entry))
 
-	hears.tell(entry, now) // it was only slow to answer
-	require.False(t, silent(entry))
+	receiving.sendChanges(entry, now) // it was only slow to answer
+	require.False(t, isUnreachable(entry))
 
 	entry.Merge(Origin{Replica: "a", Incarnation: 2}, nil, nil, now)
-	require.True(t, silent(entry), "it has started anew and knows of no server")
+	require.True(t, isUnreachable(entry), "it has started anew and knows of no server")
 }
--- a/directory/store.go
+++ b/directory/store.go
@@ -33,39 +33,39 @@
 type Store struct {
 	cfg Config
 
-	mu      sync.Mutex
-	seq     uint64 // of the newest change
-	servers map[string]*heldServer
-	byAddr  map[string]string // address -> id of the server that has it
-	entries map[string]*heldEntry
-	sources map[string]*source // by link address; none at a replica
-	changed chan struct{}      // closed at the next change
+	mu       sync.Mutex
+	lastSeq  uint64 // of the newest change
+	servers  map[string]*storedServer
+	byAddr   map[string]string // address -> id of the server that has it
+	entries  map[string]*storedEntry
+	replicas map[string]*replicaState // by link address; none at a replica
+	changed  chan struct{}            // closed at the next change
 }
 
-type heldServer struct {
+type storedServer struct {
 	Server
-	heard   time.Time
-	seq     uint64          // of the change that made the record what it is
-	touched uint64          // of the newest heartbeat
-	words   map[string]word // what each replica said last; none at a replica
+	lastHeartbeat time.Time
+	changeSeq     uint64            // of the change that made the record what it is
+	heartbeatSeq  uint64            // of the newest heartbeat
+	reports       map[string]report // what each replica said last; none at a replica
 }
 
-type heldEntry struct {
+type storedEntry struct {
 	Entry
-	heard   time.Time
-	seq     uint64
-	touched uint64
+	lastHeartbeat time.Time
+	changeSeq     uint64
+	heartbeatSeq  uint64
 }
 
 // NewStore returns an empty store.
 func NewStore(cfg Config) *Store {
 	return &Store{
-		cfg:     cfg,
-		servers: make(map[string]*heldServer),
-		byAddr:  make(map[string]string),
-		entries: make(map[string]*heldEntry),
-		sources: make(map[string]*source),
-		changed: make(chan struct{}),
+		cfg:      cfg,
+		servers:  make(map[string]*storedServer),
+		byAddr:   make(map[string]string),
+		entries:  make(map[string]*storedEntry),
+		replicas: make(map[string]*replicaState),
+		changed:  make(chan struct{}),
 	}
 }
 
@@ -83,8 +83,8 @@
 		incarnation = uint64(now.UnixMilli())
 	}
 	rec := Server{Announcement: instance.Announcement{ID: id, Incarnation: incarnation}}
-	if held, known := s.servers[id]; known && held.Incarnation <= incarnation {
-		rec.Announcement = held.Announcement
+	if stored, known := s.servers[id]; known && stored.Incarnation <= incarnation {
+		rec.Announcement = stored.Announcement
 	}
 	rec.State = instance.StateGone
 	s.mu.Unlock()
@@ -94,7 +94,7 @@
 // Merge takes records that a replica passed on, maybe none. It reports whether that
 // changed what is known.
 func (s *Store) Merge(from Origin, servers []Server, entries []Entry, now time.Time) bool {
-	changed := s.noteSource(from)
+	changed := s.recordReplica(from)
 	for i := range servers {
 		changed = s.mergeServer(from, servers[i], now) || changed
 	}
@@ -107,58 +107,58 @@
 func (s *Store) mergeServer(from Origin, rec Server, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	heard := now.Add(-rec.HeartbeatAge)
-	held, known := s.servers[rec.ID]
-	if known && !rec.version().newerThan(held.version()) {
-		return s.refresh(from, held, rec, now)
+	lastHeartbeat := now.Add(-rec.HeartbeatAge)
+	stored, known := s.servers[rec.ID]
+	if known && !rec.version().newerThan(stored.version()) {
+		return s.refreshServer(from, stored, rec, now)
 	}
-	said := word{rec.Overdue, rec.Unreachable}
+	received := report{rec.Overdue, rec.Unreachable}
 	rec.Overdue, rec.Unreachable = false, false
 	if !s.claimAddress(&rec, now) {
 		return false
 	}
-	next := &heldServer{Server: rec, heard: heard}
+	next := &storedServer{Server: rec, lastHeartbeat: lastHeartbeat}
 	if known {
-		next.seq, next.touched, next.words = held.seq, held.touched, held.words
-		if heard.Before(held.heard) {
-			next.heard = held.heard
+		next.changeSeq, next.heartbeatSeq, next.reports = stored.changeSeq, stored.heartbeatSeq, stored.reports
+		if lastHeartbeat.Before(stored.lastHeartbeat) {
+			next.lastHeartbeat = stored.lastHeartbeat
 		}
 	}
 	s.servers[rec.ID] = next
-	s.settle(from, next, said, now)
-	if known && sameServer(&held.Server, &next.Server) {
-		s.touchServer(next)
+	s.updateReachability(from, next, received, now)
+	if known && sameServer(&stored.Server, &next.Server) {
+		s.recordHeartbeat(next)
 		return false
 	}
-	s.changeServer(next)
+	s.recordChange(next)
 	return true
 }
 
 // settle sets the silence of a record that has just come.
-func (s *Store) settle(from Origin, held *heldServer, said word, now time.Time) bool {
-	if s.judges() {
-		return s.judge(held, now, said.silent)
+func (s *Store) updateReachability(from Origin, stored *storedServer, received report, now time.Time) bool {
+	if s.observesHeartbeats() {
+		return s.updateOverdue(stored, now, received.unreachable)
 	}
 	if from.Replica != "" {
-		if held.words == nil {
-			held.words = make(map[string]word)
+		if stored.reports == nil {
+			stored.reports = make(map[string]report)
 		}
-		held.words[from.Replica] = said
+		stored.reports[from.Replica] = received
 	}
-	return s.weigh(held)
+	return s.applyReports(stored)
 }
 
 // refresh takes what an equal or older record of the same start says besides: when the
 // server was heard, and the replica's word on its silence.
-func (s *Store) refresh(from Origin, held *heldServer, rec Server, now time.Time) bool {
-	if rec.Incarnation != held.Incarnation || rec.State != held.State {
+func (s *Store) refreshServer(from Origin, stored *storedServer, rec Server, now time.Time) bool {
+	if rec.Incarnation != stored.Incarnation || rec.State != stored.State {
 		return false
 	}
-	if heard := now.Add(-rec.HeartbeatAge); rec.version() == held.version() && heard.After(held.heard) {
-		held.heard = heard
-		s.touchServer(held)
+	if lastHeartbeat := now.Add(-rec.HeartbeatAge); rec.version() == stored.version() && lastHeartbeat.After(stored.lastHeartbeat) {
+		stored.lastHeartbeat = lastHeartbeat
+		s.recordHeartbeat(stored)
 	}
-	return s.settle(from, held, word{rec.Overdue, rec.Unreachable}, now)
+	return s.updateReachability(from, stored, report{rec.Overdue, rec.Unreachable}, now)
 }
 
 // claimAddress settles which of two servers has an address, and reports whether
@@ -179,11 +179,11 @@
 		case other.Incarnation > rec.Incarnation:
 			rec.State = instance.StateGone
 			return true
-		case other.Incarnation == rec.Incarnation && now.Sub(other.heard) < s.cfg.AddressHold:
+		case other.Incarnation == rec.Incarnation && now.Sub(other.lastHeartbeat) < s.cfg.AddressHold:
 			return false
 		}
 		other.State = instance.StateGone
-		s.changeServer(other)
+		s.recordChange(other)
 	}
 	s.byAddr[rec.Address] = rec.ID
 	return true
@@ -197,20 +197,20 @@
 		a.LeavingIn == b.LeavingIn && slices.Equal(a.Services, b.Services)
 }
 
-func (s *Store) changeServer(held *heldServer) {
-	s.seq++
-	held.seq, held.touched = s.seq, s.seq
-	s.signal()
+func (s *Store) recordChange(stored *storedServer) {
+	s.lastSeq++
+	stored.changeSeq, stored.heartbeatSeq = s.lastSeq, s.lastSeq
+	s.notify()
 }
 
 // touchServer notes a heartbeat without news. It wakes nobody: entries need no
 // message for it, and replicas take it along with the next one.
-func (s *Store) touchServer(held *heldServer) {
-	s.seq++
-	held.touched = s.seq
+func (s *Store) recordHeartbeat(stored *storedServer) {
+	s.lastSeq++
+	stored.heartbeatSeq = s.lastSeq
 }
 
-func (s *Store) signal() {
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -219,19 +219,19 @@
 func (s *Store) MergeEntry(rec Entry, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	heard := now.Add(-rec.HeartbeatAge)
-	held, known := s.entries[rec.Name]
-	if known && !rec.version().newerThan(held.version()) {
-		if rec.version() == held.version() && heard.After(held.heard) {
-			held.heard = heard
-			s.seq++
-			held.touched = s.seq
+	lastHeartbeat := now.Add(-rec.HeartbeatAge)
+	stored, known := s.entries[rec.Name]
+	if known && !rec.version().newerThan(stored.version()) {
+		if rec.version() == stored.version() && lastHeartbeat.After(stored.lastHeartbeat) {
+			stored.lastHeartbeat = lastHeartbeat
+			s.lastSeq++
+			stored.heartbeatSeq = s.lastSeq
 		}
 		return false
 	}
-	s.seq++
-	s.entries[rec.Name] = &heldEntry{Entry: rec, heard: heard, seq: s.seq, touched: s.seq}
-	s.signal()
+	s.lastSeq++
+	s.entries[rec.Name] = &storedEntry{Entry: rec, lastHeartbeat: lastHeartbeat, changeSeq: s.lastSeq, heartbeatSeq: s.lastSeq}
+	s.notify()
 	return true
 }
 
@@ -244,21 +244,21 @@
 
 // Since returns what changed after seq, and with touches also what was heard
 // again since, ordered by name.
-func (s *Store) Since(seq uint64, touches bool, now time.Time) Changes {
+func (s *Store) Since(seq uint64, withHeartbeats bool, now time.Time) Changes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Changes{Seq: s.seq}
-	for _, held := range s.servers {
-		if held.seq > seq || touches && held.touched > seq {
-			rec := held.Server
-			rec.HeartbeatAge = now.Sub(held.heard)
+	out := Changes{Seq: s.lastSeq}
+	for _, stored := range s.servers {
+		if stored.changeSeq > seq || withHeartbeats && stored.heartbeatSeq > seq {
+			rec := stored.Server
+			rec.HeartbeatAge = now.Sub(stored.lastHeartbeat)
 			out.Servers = append(out.Servers, rec)
 		}
 	}
-	for _, held := range s.entries {
-		if held.seq > seq || touches && held.touched > seq {
-			rec := held.Entry
-			rec.HeartbeatAge = now.Sub(held.heard)
+	for _, stored := range s.entries {
+		if stored.changeSeq > seq || withHeartbeats && stored.heartbeatSeq > seq {
+			rec := stored.Entry
+			rec.HeartbeatAge = now.Sub(stored.lastHeartbeat)
 			out.Entries = append(out.Entries, rec)
 		}
 	}
@@ -269,20 +269,20 @@
 
 // ChangedSince reports whether anything changed after seq. changed is closed at the next
 // change.
-func (s *Store) ChangedSince(seq uint64) (news bool, changed <-chan struct{}) {
+func (s *Store) ChangedSince(seq uint64) (hasChanged bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.newest() > seq, s.changed
+	return s.latestChange() > seq, s.changed
 }
 
 // newest is the number of the newest change, heartbeats without news left out.
-func (s *Store) newest() uint64 {
+func (s *Store) latestChange() uint64 {
 	var n uint64
-	for _, held := range s.servers {
-		n = max(n, held.seq)
+	for _, stored := range s.servers {
+		n = max(n, stored.changeSeq)
 	}
-	for _, held := range s.entries {
-		n = max(n, held.seq)
+	for _, stored := range s.entries {
+		n = max(n, stored.changeSeq)
 	}
 	return n
 }
@@ -293,22 +293,22 @@
 func (s *Store) Sweep(now time.Time, confirmed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, held := range s.servers {
-		age := now.Sub(held.heard)
-		well := held.State == instance.StateServing && !held.Unreachable
-		if age > s.cfg.ForgetAfter && !well {
+	for id, stored := range s.servers {
+		age := now.Sub(stored.lastHeartbeat)
+		healthy := stored.State == instance.StateServing && !stored.Unreachable
+		if age > s.cfg.ForgetAfter && !healthy {
 			delete(s.servers, id)
-			if s.byAddr[held.Address] == id {
-				delete(s.byAddr, held.Address)
+			if s.byAddr[stored.Address] == id {
+				delete(s.byAddr, stored.Address)
 			}
 			continue
 		}
-		if s.judges() {
-			s.judge(held, now, confirmed)
+		if s.observesHeartbeats() {
+			s.updateOverdue(stored, now, confirmed)
 		}
 	}
-	for name, held := range s.entries {
-		if now.Sub(held.heard) > s.cfg.ForgetAfter {
+	for name, stored := range s.entries {
+		if now.Sub(stored.lastHeartbeat) > s.cfg.ForgetAfter {
 			delete(s.entries, name)
 		}
 	}
@@ -319,12 +319,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Server, 0, len(s.servers))
-	for _, held := range s.servers {
-		if held.State == instance.StateGone {
+	for _, stored := range s.servers {
+		if stored.State == instance.StateGone {
 			continue
 		}
-		rec := held.Server
-		rec.HeartbeatAge = now.Sub(held.heard)
+		rec := stored.Server
+		rec.HeartbeatAge = now.Sub(stored.lastHeartbeat)
 		out = append(out, rec)
 	}
 	slices.SortFunc(out, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
@@ -338,13 +338,13 @@
 	defer s.mu.Unlock()
 	out := make([]Entry, 0, len(names))
 	for _, name := range names {
-		held := s.entries[name]
-		if held == nil {
+		stored := s.entries[name]
+		if stored == nil {
 			continue
 		}
-		held.heard = now
-		if held.State == instance.StateServing {
-			out = append(out, held.Entry)
+		stored.lastHeartbeat = now
+		if stored.State == instance.StateServing {
+			out = append(out, stored.Entry)
 		}
 	}
 	return out
@@ -356,9 +356,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Entry, 0, len(s.entries))
-	for _, held := range s.entries {
-		rec := held.Entry
-		rec.HeartbeatAge = now.Sub(held.heard)
+	for _, stored := range s.entries {
+		rec := stored.Entry
+		rec.HeartbeatAge = now.Sub(stored.lastHeartbeat)
 		out = append(out, rec)
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
@@ -371,9 +371,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Entry, 0, len(s.entries))
-	for _, held := range s.entries {
-		if held.State == instance.StateServing && now.Sub(held.heard) <= s.cfg.EntryExpiry {
-			out = append(out, held.Entry)
+	for _, stored := range s.entries {
+		if stored.State == instance.StateServing && now.Sub(stored.lastHeartbeat) <= s.cfg.EntryExpiry {
+			out = append(out, stored.Entry)
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
--- a/directory/store_test.go
+++ b/directory/store_test.go
@@ -17,7 +17,7 @@
 	return NewStore(Config{OverdueAfter: 4 * time.Second, EntryExpiry: 2 * time.Second, AddressHold: 1800 * time.Millisecond, ForgetAfter: time.Minute})
 }
 
-func beat(id string, incarnation, sequence uint64, state instance.State) instance.Announcement {
+func heartbeat(id string, incarnation, sequence uint64, state instance.State) instance.Announcement {
 	return instance.Announcement{
 		ID: id, Incarnation: incarnation, Sequence: sequence, State: state,
 		Address: "10.0.0.1:" + id[1:], Zone: "z", Slots: 4, Services: []string{"web"},
@@ -38,29 +38,29 @@
 // ends, if the late heartbeat brought it back.
 //
 // It breaks without the order of states in version.newerThan.
-func TestLeaveIsFinal(t *testing.T) {
+func TestLateHeartbeatDoesNotRevertLeave(t *testing.T) {
 	s := newStore()
-	s.Announce(beat("s1", 1, 1, instance.StateServing), epoch)
-	s.Announce(beat("s1", 1, 3, instance.StateLeaving), epoch)
-	s.Announce(beat("s1", 1, 2, instance.StateServing), epoch)
+	s.Announce(heartbeat("s1", 1, 1, instance.StateServing), epoch)
+	s.Announce(heartbeat("s1", 1, 3, instance.StateLeaving), epoch)
+	s.Announce(heartbeat("s1", 1, 2, instance.StateServing), epoch)
 	require.Equal(t, instance.StateLeaving, stateOf(s, "s1"))
-	s.Announce(beat("s1", 1, 4, instance.StateServing), epoch)
+	s.Announce(heartbeat("s1", 1, 4, instance.StateServing), epoch)
 	require.Equal(t, instance.StateLeaving, stateOf(s, "s1"))
 	s.Leave("s1", 0, epoch)
-	s.Announce(beat("s1", 1, 5, instance.StateLeaving), epoch)
+	s.Announce(heartbeat("s1", 1, 5, instance.StateLeaving), epoch)
 	require.Equal(t, instance.StateGone, stateOf(s, "s1"))
-	s.Announce(beat("s1", 2, 1, instance.StateServing), epoch)
+	s.Announce(heartbeat("s1", 2, 1, instance.StateServing), epoch)
 	require.Equal(t, instance.StateServing, stateOf(s, "s1"), "it has started again")
 }
 
 // A server crashes, and another one gets its address. Then a heartbeat of the
 // first one arrives. Requests for its service would go to the second one.
-func TestLateHeartbeatFromAUsedAddress(t *testing.T) {
+func TestLateHeartbeatDoesNotReclaimAddress(t *testing.T) {
 	s := newStore()
-	old, reused := beat("s1", 100, 5, instance.StateServing), beat("s2", 200, 1, instance.StateServing)
-	reused.Address, reused.Services = old.Address, []string{"chat"}
+	old, successor := heartbeat("s1", 100, 5, instance.StateServing), heartbeat("s2", 200, 1, instance.StateServing)
+	successor.Address, successor.Services = old.Address, []string{"chat"}
 	s.Announce(old, epoch)
-	s.Announce(reused, epoch)
+	s.Announce(successor, epoch)
 	require.Equal(t, instance.StateGone, stateOf(s, "s1"))
 	old.Sequence = 6
 	s.Announce(old, epoch)
@@ -73,11 +73,11 @@
 // lose its address, and must not be lost with it.
 //
 // It breaks without Config.AddressHold.
-func TestLateHeartbeatWithoutAStartTime(t *testing.T) {
+func TestLateHeartbeatWithoutIncarnationDoesNotReclaimAddress(t *testing.T) {
 	s := newStore()
-	old, reused := beat("s1", 0, 5, instance.StateServing), beat("s2", 0, 1, instance.StateServing)
-	reused.Address = old.Address
-	s.Announce(reused, epoch)
+	old, successor := heartbeat("s1", 0, 5, instance.StateServing), heartbeat("s2", 0, 1, instance.StateServing)
+	successor.Address = old.Address
+	s.Announce(successor, epoch)
 	s.Announce(old, epoch.Add(time.Second))
 	require.Equal(t, instance.StateServing, stateOf(s, "s2"))
 	require.Equal(t, instance.StateGone, stateOf(s, "s1"))
@@ -87,37 +87,37 @@
 
 // A replica that has just started hears a server's leave before it has ever heard
 // of the server. Then another replica tells it of the server as it was before.
-func TestLeaveOfAnUnknownServer(t *testing.T) {
+func TestLeaveBeforeFirstHeartbeat(t *testing.T) {
 	s := newStore()
 	s.Leave("s1", 0, epoch)
-	s.Announce(beat("s1", uint64(epoch.Add(-time.Minute).UnixMilli()), 9, instance.StateServing), epoch)
+	s.Announce(heartbeat("s1", uint64(epoch.Add(-time.Minute).UnixMilli()), 9, instance.StateServing), epoch)
 	require.Equal(t, instance.StateGone, stateOf(s, "s1"))
-	s.Announce(beat("s1", uint64(epoch.Add(time.Second).UnixMilli()), 1, instance.StateServing), epoch)
+	s.Announce(heartbeat("s1", uint64(epoch.Add(time.Second).UnixMilli()), 1, instance.StateServing), epoch)
 	require.Equal(t, instance.StateServing, stateOf(s, "s1"))
 }
 
 // A server stops without a word. A replica that is cut off hears of no server and
 // must not call all of them silent.
-func TestSilence(t *testing.T) {
+func TestOverdueServerIsUnreachableOnlyIfConfirmed(t *testing.T) {
 	s := newStore()
-	s.Announce(beat("s1", 1, 1, instance.StateServing), epoch)
+	s.Announce(heartbeat("s1", 1, 1, instance.StateServing), epoch)
 	s.Sweep(epoch.Add(5*time.Second), false)
 	require.False(t, s.Servers(epoch)[0].Unreachable)
 	s.Sweep(epoch.Add(5*time.Second), true)
 	require.True(t, s.Servers(epoch)[0].Unreachable)
-	s.Announce(beat("s1", 1, 2, instance.StateServing), epoch.Add(6*time.Second))
+	s.Announce(heartbeat("s1", 1, 2, instance.StateServing), epoch.Add(6*time.Second))
 	require.False(t, s.Servers(epoch)[0].Unreachable)
 }
 
 // Records reach two processes in different orders, some twice. Both must end with
 // the same picture, or they would send requests to different servers for good.
-func TestMergeInAnyOrder(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []instance.State{instance.StateServing, instance.StateLeaving, instance.StateGone}
 		var records []Server
 		for range rapid.IntRange(1, 12).Draw(t, "records") {
 			id := fmt.Sprintf("s%d", rapid.IntRange(1, 3).Draw(t, "id"))
-			records = append(records, Server{Announcement: beat(id,
+			records = append(records, Server{Announcement: heartbeat(id,
 				rapid.Uint64Range(1, 2).Draw(t, "incarnation"), rapid.Uint64Range(1, 3).Draw(t, "sequence"),
 				rapid.SampledFrom(states).Draw(t, "state"))})
 		}
@@ -129,24 +129,24 @@
 	})
 }
 
-func TestNews(t *testing.T) {
+func TestHeartbeatAloneIsNoChange(t *testing.T) {
 	s := newStore()
-	s.Announce(beat("s1", 1, 1, instance.StateServing), epoch)
+	s.Announce(heartbeat("s1", 1, 1, instance.StateServing), epoch)
 	seen := s.Since(0, false, epoch).Seq
-	news, changed := s.ChangedSince(seen)
-	require.False(t, news)
-	s.Announce(beat("s1", 1, 2, instance.StateServing), epoch)
-	news, _ = s.ChangedSince(seen)
-	require.False(t, news, "a heartbeat without news wakes nobody")
+	hasChanged, changed := s.ChangedSince(seen)
+	require.False(t, hasChanged)
+	s.Announce(heartbeat("s1", 1, 2, instance.StateServing), epoch)
+	hasChanged, _ = s.ChangedSince(seen)
+	require.False(t, hasChanged, "a heartbeat without news wakes nobody")
 	require.Empty(t, s.Since(seen, false, epoch).Servers)
 	require.Len(t, s.Since(seen, true, epoch).Servers, 1, "but replicas take it along")
-	s.Announce(beat("s1", 1, 3, instance.StateLeaving), epoch)
+	s.Announce(heartbeat("s1", 1, 3, instance.StateLeaving), epoch)
 	<-changed
-	news, _ = s.ChangedSince(seen)
-	require.True(t, news)
+	hasChanged, _ = s.ChangedSince(seen)
+	require.True(t, hasChanged)
 }
 
-func TestEntriesThatAreNamed(t *testing.T) {
+func TestOnlyServingEntriesAreLive(t *testing.T) {
 	s := newStore()
 	s.MergeEntry(Entry{Name: "e1", Incarnation: 1, State: instance.StateServing}, epoch)
 	s.MergeEntry(Entry{Name: "e2", Incarnation: 1, State: instance.StateServing}, epoch.Add(-3*time.Second))
@@ -161,9 +161,9 @@
 // serving, and the entry must still know it when the next change of it comes.
 //
 // It breaks if Sweep drops records by their age alone.
-func TestServerWithoutNewsIsNotForgotten(t *testing.T) {
+func TestUnchangedServerIsNotDropped(t *testing.T) {
 	s := NewStore(Config{ForgetAfter: time.Minute})
-	s.Merge(Origin{Replica: "a"}, []Server{{Announcement: beat("s1", 1, 1, instance.StateServing)}, {Announcement: beat("s2", 1, 1, instance.StateLeaving)}}, nil, epoch)
+	s.Merge(Origin{Replica: "a"}, []Server{{Announcement: heartbeat("s1", 1, 1, instance.StateServing)}, {Announcement: heartbeat("s2", 1, 1, instance.StateLeaving)}}, nil, epoch)
 	s.Sweep(epoch.Add(2*time.Minute), false)
 	require.Equal(t, instance.StateServing, stateOf(s, "s1"))
 	require.Equal(t, instance.StateGone, stateOf(s, "s2"), "one that was leaving is gone")
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -69,7 +69,7 @@
 		g.applyReportedLoads(r.Loads)
 	}
 	g.applyPrefillRates(r.Work)
-	g.shares.recordVote(addr, r.ShareVote, len(r.Replicas), r.Asked)
+	g.shares.recordVote(addr, r.ShareVote, len(r.Replicas), r.SentAt)
 	g.limits.updateShare()
 }
 
