--- a/coordinator/api/api.go
+++ b/coordinator/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds the messages between entries and the control replicas that
-// keep a catalogue of routes, and between those replicas.
+// Package api defines the messages that entries and control replicas exchange, and those that
+// control replicas exchange with each other. The replicas store a catalogue of routes.
 package api
 
 import (
@@ -11,24 +11,25 @@
 )
 
 const (
-	// MaxEntryBytes bounds an entry of the replicated log. It leaves room for the
-	// largest catalogue that callers' limits let an operator send.
+	// MaxEntryBytes bounds an entry of the replicated log. It exceeds the largest catalogue
+	// that an operator can send.
 	MaxEntryBytes = 6 << 20
-	// MaxFrame bounds a message on a link: the largest catalogue with its envelope.
+	// MaxFrame bounds a message on a link, in bytes: the largest catalogue with its envelope.
 	MaxFrame = MaxEntryBytes + 1<<20
-	// backoffMax is the longest pause between attempts to reach a replica: one that
-	// returns has to be of use within seconds.
+	// maxBackoff bounds the delay between attempts to connect to a replica, so that a
+	// recovered replica is used again within seconds.
 	maxBackoff = 500 * time.Millisecond
 )
 
-// PoolConfig sets up the links of a process that calls control replicas.
+// PoolConfig returns the configuration of the links of a process that calls control replicas.
+// self describes that process.
 func PoolConfig(self link.PeerInfo, clusterKey string) link.PoolConfig {
 	return link.PoolConfig{Self: self, ClusterKey: []byte(clusterKey), MaxFrame: MaxFrame, BackoffMax: maxBackoff}
 }
 
-// The methods on links.
+// Names of the methods on links.
 const (
-	MethodReplica  = "coordinator.replica" // notice: a message of the replicated log
+	MethodReplica  = "coordinator.replica" // one-way: a message of the replicated log
 	MethodWatch    = "coordinator.watch"
 	MethodRevise   = "coordinator.revise"
 	MethodRead     = "coordinator.read"
@@ -36,48 +37,49 @@
 	MethodJoin     = "coordinator.join"
 )
 
-// Roles of the processes that watch.
+// Roles of the processes that send a WatchRequest.
 const (
 	RoleEntry   = "entry"
 	RoleControl = "control"
 )
 
-// WatchRequest asks for what is new at a control replica. The call is kept
-// waiting until there is something, or until Wait is over. It is also the sign
-// of life of the process that sends it.
+// WatchRequest requests the changes at a control replica since the sender's last call. The
+// replica holds the call open until something changes, or until Wait has passed. The request
+// is also the heartbeat of its sender.
 type WatchRequest struct {
 	Role  string           `msgpack:"role"`
-	Entry *directory.Entry `msgpack:"entry,omitempty"` // an entry's record of itself
+	Entry *directory.Entry `msgpack:"entry,omitempty"` // the sender's own record, if it is an entry
 
-	// Incarnation and Seen are those of the last reply of this replica; zero at first.
+	// Incarnation and Seen are copied from the last reply of this replica; zero in the first call.
 	Incarnation  uint64        `msgpack:"life"`
 	Seen         uint64        `msgpack:"seen"`
 	HasCatalogue bool          `msgpack:"has"` // the sender has a catalogue
 	Revision     uint64        `msgpack:"rev"` // of that catalogue
 	Wait         time.Duration `msgpack:"wait"`
 
-	// RevisionOnly says that another replica sends the sender the catalogue, and what
-	// other entries have running. It is to be told of revisions above Told, without their
-	// content.
+	// RevisionOnly reports that another replica sends the sender the catalogue, and the loads
+	// and names of other entries. This replica replies with the number of a revision above
+	// NotifiedRevision, without its content.
 	RevisionOnly     bool   `msgpack:"revOnly,omitempty"`
 	NotifiedRevision uint64 `msgpack:"told,omitempty"`
 
-	// LiveDigest is that of the newest list of live entries that the sender has.
+	// LiveDigest is the digest of the newest list of live entries that the sender has.
 	LiveDigest uint64 `msgpack:"liveDigest,omitempty"`
 
-	// Usage leaves out what the replica's life was told of before.
-	Usage []WindowUsage `msgpack:"usage,omitempty"` // all that the sender counted, newest windows
-	// OpenWindow is the window in which the sender counts now: nothing more comes for
-	// earlier ones.
+	// Usage holds the sender's counts of recent windows. The Follower removes those that this
+	// incarnation of the replica has received.
+	Usage []WindowUsage `msgpack:"usage,omitempty"`
+	// OpenWindow is the window in which the sender counts now. Counts of earlier windows are
+	// final.
 	OpenWindow int64        `msgpack:"open,omitempty"`
-	Loads      []ServerLoad `msgpack:"loads,omitempty"` // what the sender has running, none left out
-	// ShareDivisor is the number of which the sender's largest share of the limits is a part;
-	// 0 if it has none.
+	Loads      []ServerLoad `msgpack:"loads,omitempty"` // complete list of what the sender has running
+	// ShareDivisor is 1 divided by the sender's largest share of the limits; 0 if it has no
+	// share.
 	ShareDivisor int           `msgpack:"shareOf,omitempty"`
 	Work         []ServiceWork `msgpack:"work,omitempty"`
 }
 
-// WantsRevision reports whether a catalogue of this revision is news to the sender.
+// WantsRevision reports whether the sender must be notified of a catalogue of this revision.
 func (r *WatchRequest) WantsRevision(revision uint64) bool {
 	if r.RevisionOnly {
 		return revision > r.NotifiedRevision
@@ -85,93 +87,95 @@
 	return r.Lacks(revision)
 }
 
-// ServerLoad is what runs and waits at a backend server.
+// ServerLoad is the load that the requests of entries put on a backend server.
 type ServerLoad struct {
 	Server  string `msgpack:"s"`
-	Running int    `msgpack:"n"`           // requests
-	Prefill int    `msgpack:"p,omitempty"` // prompt tokens of those that have no answer yet
+	Running int    `msgpack:"n"`           // number of requests
+	Prefill int    `msgpack:"p,omitempty"` // prompt tokens of requests that have no answer yet
 }
 
-// ServiceWork is how much the sender has given the servers of a service to read.
+// ServiceWork is the prefill work that the sender has sent to the servers of a service.
 type ServiceWork struct {
 	Service string  `msgpack:"s"`
-	Tokens  uint64  `msgpack:"n"`           // prompt tokens since its start that no server was known to cache
-	Rate    float64 `msgpack:"r,omitempty"` // tokens that a server reads in a second, as it has learnt; 0: not yet
+	Tokens  uint64  `msgpack:"n"`           // prompt tokens, since the sender's start, that no server was known to cache
+	Rate    float64 `msgpack:"r,omitempty"` // estimated prefill rate of a server in tokens per second; 0: no estimate yet
 }
 
-// Lacks reports whether the sender lacks a catalogue of this revision. A first
-// revision may be 0, so having none is not told by the number.
+// Lacks reports whether the sender has no catalogue or one older than revision. The first
+// revision may be 0, so Revision alone does not show whether the sender has a catalogue.
 func (r *WatchRequest) Lacks(revision uint64) bool { return !r.HasCatalogue || revision > r.Revision }
 
-// WindowUsage is what began to run at one entry in one window.
+// WindowUsage counts the requests that started to run at one entry in one window.
 type WindowUsage struct {
 	Window int64            `msgpack:"w"` // Unix time divided by the window's length
 	Counts map[string]int64 `msgpack:"c"` // requests by workspace
 }
 
-// WatchReply is what a control replica knows beyond what the sender has seen.
+// WatchReply holds the changes at a control replica that the sender of the request has not
+// received from it.
 type WatchReply struct {
-	Incarnation uint64             `msgpack:"life"` // changes when the replica starts anew; Seen counts from 0 then
+	Incarnation uint64             `msgpack:"life"` // changes when the replica restarts; Seen then starts from 0
 	Seen        uint64             `msgpack:"seen"`
 	Servers     []directory.Server `msgpack:"servers,omitempty"`
 	Entries     []directory.Entry  `msgpack:"entries,omitempty"`
 	Revision    uint64             `msgpack:"rev"`
-	Document    []byte             `msgpack:"doc,omitempty"` // of Revision, if the sender has an older one and wants it
+	Document    []byte             `msgpack:"doc,omitempty"` // catalogue of Revision, if the sender lacks it and RevisionOnly is not set
 	Replicas    []string           `msgpack:"replicas"`      // link addresses of all replicas
-	LiveEntries int                `msgpack:"live"`          // entries that take callers
-	// LiveDigest stands for those entries, and LiveNames are they, in order, where the
-	// sender has another list: names come from the replica that sends the catalogue.
+	LiveEntries int                `msgpack:"live"`          // number of entries that accept requests of callers
+	// LiveDigest is the digest of the names of those entries. LiveNames holds the sorted names
+	// if the sender's list differs; only the replica that sends the catalogue sends them.
 	LiveDigest uint64          `msgpack:"liveDigest,omitempty"`
 	LiveNames  []string        `msgpack:"liveNames,omitempty"`
 	HasLoads   bool            `msgpack:"hasLoads"`
-	Loads      []ServerLoad    `msgpack:"loads,omitempty"` // what all other entries have running, none left out, if HasLoads
-	Work       []ServiceWork   `msgpack:"work,omitempty"`  // rates that the entries have learnt
+	Loads      []ServerLoad    `msgpack:"loads,omitempty"` // complete list of what all other entries have running, if HasLoads
+	Work       []ServiceWork   `msgpack:"work,omitempty"`  // prefill rates that the entries have estimated
 	ShareVote  limit.ShareVote `msgpack:"share"`
-	Clock      time.Time       `msgpack:"clock"` // the replica's time of day
-	// Asked is when the sender made the call, by its own clock.
+	Clock      time.Time       `msgpack:"clock"` // the replica's current time
+	// SentAt is when the request was sent, by the clock of its sender.
 	SentAt time.Time `msgpack:"-"`
 }
 
-// ReviseRequest brings a catalogue, whole, as the operator sent it.
+// ReviseRequest carries a complete catalogue as the operator sent it.
 type ReviseRequest struct {
 	Revision uint64 `msgpack:"rev"`
 	Document []byte `msgpack:"doc"`
 }
 
-// ReviseReply says which revision is in force after the request.
+// ReviseReply returns the revision that is in force after the request.
 type ReviseReply struct {
 	InForce uint64 `msgpack:"rev"`
 }
 
-// ReadRequest asks the leader for the newest catalogue.
+// ReadRequest requests the newest catalogue from the leader.
 type ReadRequest struct{}
 
-// ReadReply is the newest catalogue that was acknowledged before the request.
+// ReadReply returns a catalogue at least as new as any acknowledged before the request.
 type ReadReply struct {
 	Revision uint64 `msgpack:"rev"`
 	Document []byte `msgpack:"doc"`
 }
 
-// RegisterRequest asks for a replica id that was never used. The same nonce gets the
-// same id.
+// RegisterRequest requests a replica id that was never used. Requests with the same nonce
+// get the same id, so that a retry is safe.
 type RegisterRequest struct {
 	Address string `msgpack:"addr"`
 	Nonce   string `msgpack:"nonce"`
 }
 
-// RegisterReply gives the id.
+// RegisterReply returns the id.
 type RegisterReply struct {
 	ID uint64 `msgpack:"id"`
 }
 
-// JoinRequest asks to be taken in as a learner, again and again until it is.
+// JoinRequest asks to add the replica as a learner. The replica repeats it until it is a
+// member.
 type JoinRequest struct {
 	ID      uint64 `msgpack:"id"`
 	Address string `msgpack:"addr"`
 }
 
-// JoinReply says where the replica stands.
+// JoinReply returns the membership status of the replica.
 type JoinReply struct {
 	Member  bool `msgpack:"member"`
-	Retired bool `msgpack:"retired"` // its id was given up for good; it must begin anew
+	Retired bool `msgpack:"retired"` // the id is no longer valid; the replica must register a new one
 }
--- a/coordinator/follow/follow.go
+++ b/coordinator/follow/follow.go
@@ -1,9 +1,9 @@
-// Package follow keeps a process up to date with the control replicas: it keeps
-// a call waiting at each of them, and finds new ones by what they tell.
+// Package follow keeps a process up to date with the control replicas. It holds a
+// long-polling call open at each replica and discovers replicas from the replies.
 //
-// A process follows all replicas and not one of them: any replica may be cut off
-// with a heartbeat that only it has received, or behind with the catalogue. What
-// they tell is merged by version, so the newest word of any of them counts.
+// A process follows all replicas because any single one may have an outdated catalogue,
+// or may be partitioned while it holds a heartbeat that no other replica has received.
+// The caller merges the replies by version, so that the newest record wins.
 package follow
 
 import (
@@ -21,46 +21,50 @@
 )
 
 const (
-	// DefaultWait is how long a replica keeps a call waiting without news. It is
-	// also how often it sees a sign of life.
+	// DefaultWait is how long a replica holds a call open when nothing has changed. It is
+	// also the interval at which the replica receives a heartbeat of this process.
 	DefaultWait = time.Second
-	// answerSlack is added to the wait before a call counts as lost: the site's
-	// longest round trip with a busy processor on both ends.
+	// replyMargin is added to the wait of a call to obtain its timeout. It covers the
+	// longest round trip of the site with a busy processor at both ends.
 	replyMargin = time.Second
-	// leastWait is the least wait that a call's time limit is reckoned from. The answer to one
-	// that is not to be kept waiting may bring a whole catalogue over a slow link.
+	// minWait is the shortest wait from which the timeout of a call is computed. Even a call
+	// that returns at once may bring a whole catalogue over a slow link.
 	minWait = 400 * time.Millisecond
-	// retryMin and retryMax bound the pause after a call that failed. The longest
-	// pause is a part of the seconds within which a returned replica has to be
-	// noticed.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call. The maximum
+	// limits how long a recovered replica stays undetected.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
-	// lookEvery is how often the set of replicas is compared with what is followed.
+	// reconcileInterval is the interval at which calls are started for new replicas and
+	// ended for removed ones.
 	reconcileInterval = 250 * time.Millisecond
 )
 
-// Config is the settings of a Follower.
+// Config holds the settings of a Follower.
 type Config struct {
-	Self string // own link address, which is not followed; empty at an entry
-	Wait time.Duration
-	// SingleSource has the catalogue sent by one replica at a time, once there is a first
-	// one. It is for processes on thin links.
+	Self string        // own link address, which is not followed; empty at an entry
+	Wait time.Duration // how long a replica may hold a call open; DefaultWait if not positive
+	// SingleSource makes only one replica at a time send the catalogue, once the process has
+	// a first catalogue. It is for processes on slow links.
 	SingleSource bool
 }
 
-// Deps is what a Follower works with.
+// Deps holds the dependencies of a Follower.
 type Deps struct {
 	Pool *link.Pool
 	Log  *slog.Logger
 	Now  func() time.Time
-	// Request builds a call: everything but what the follower keeps itself.
+	// Request returns the next request to send. The follower sets Incarnation, Seen,
+	// RevisionOnly and NotifiedRevision, sets Wait if it is not positive, and removes usage
+	// that the replica already has.
 	Request func() api.WatchRequest
-	// Reply takes what a replica told. It is called by one goroutine a replica.
+	// Reply handles a reply of the replica at addr. Each replica has its own goroutine, so
+	// calls for different replicas may be concurrent.
 	Reply func(addr string, r api.WatchReply)
-	// OnUnreachable, if set, is called when a replica that replied no longer does, or is no
-	// longer followed. Of one replica, it and Reply are called one after the other.
+	// OnUnreachable, if set, is called when calls to a replica begin to fail and when the
+	// replica is no longer followed. For one replica, it is never concurrent with Reply.
 	OnUnreachable func(addr string)
-	// Seeds returns addresses to begin with, as the settings have them now.
+	// Seeds returns the configured addresses of replicas. It is called repeatedly, so the
+	// result may change.
 	Seeds func() []string
 }
 
@@ -72,17 +76,18 @@
 
 	mu            sync.Mutex
 	peers         map[string]*peer
-	namedReplicas map[string][]string // replicas named by each one's last reply
+	namedReplicas map[string][]string // addresses in the last reply of each replica, by its address
 }
 
+// peer is a replica that is followed.
 type peer struct {
 	cancel      context.CancelFunc
-	wake        chan struct{}
-	lastReply   time.Time // of the last reply
-	unreachable bool      // the last call failed
+	wake        chan struct{} // interrupts the open call
+	lastReply   time.Time     // zero before the first reply
+	unreachable bool          // the last call failed
 }
 
-// New returns a Follower that follows nobody until Run.
+// New returns a Follower that makes no calls until Run.
 func New(cfg Config, deps Deps) *Follower {
 	if cfg.Wait <= 0 {
 		cfg.Wait = DefaultWait
@@ -90,7 +95,7 @@
 	return &Follower{cfg: cfg, deps: deps, peers: make(map[string]*peer), namedReplicas: make(map[string][]string)}
 }
 
-// Run follows until ctx ends.
+// Run follows the replicas until ctx is done, and returns its error after all calls have ended.
 func (f *Follower) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -106,8 +111,8 @@
 	}
 }
 
-// adjust follows each replica that is known, and lets go of those that nobody
-// names any more.
+// reconcile starts a goroutine for each replica that is not followed yet and cancels those
+// of replicas that neither the seeds nor any reply name any more.
 func (f *Follower) reconcile(ctx context.Context, wg *sync.WaitGroup) {
 	wanted := f.wantedReplicas()
 	f.mu.Lock()
@@ -130,6 +135,8 @@
 	}
 }
 
+// wantedReplicas returns the addresses of the seeds and of all replicas named in replies,
+// without this process.
 func (f *Follower) wantedReplicas() map[string]bool {
 	wanted := make(map[string]bool)
 	for _, addr := range f.deps.Seeds() {
@@ -147,7 +154,7 @@
 	return wanted
 }
 
-// follow calls one replica again and again.
+// followReplica calls one replica repeatedly until ctx is done.
 func (f *Follower) followReplica(ctx context.Context, addr string, p *peer) {
 	if f.deps.OnUnreachable != nil {
 		defer f.deps.OnUnreachable(addr)
@@ -196,16 +203,17 @@
 	}
 }
 
-// errKicked ends a call because the process has something new to tell.
+// errWoken reports that SendNow interrupted a call, so that a new request is sent.
 var errWoken = wokenError{}
 
 type wokenError struct{}
 
-func (wokenError) Error() string { return "there is news to send" }
+func (wokenError) Error() string { return "call interrupted by a newer request" }
 
-// callLimit is how long a call that is kept waiting for so long may take.
+// callTimeout returns the timeout of a call that the replica may hold open for wait.
 func callTimeout(wait time.Duration) time.Duration { return max(wait, minWait) + replyMargin }
 
+// call sends req and returns the reply, or errWoken if SendNow interrupted the call.
 func (f *Follower) call(ctx context.Context, addr string, p *peer, req api.WatchRequest) (api.WatchReply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout(req.Wait))
 	defer cancel()
@@ -231,7 +239,8 @@
 	return reply, err
 }
 
-// noteOutcome logs a replica that was lost or came back, once each.
+// recordOutcome records whether a call succeeded. It logs when a replica becomes unreachable
+// and when it first replies or replies again, and calls OnUnreachable.
 func (f *Follower) recordOutcome(ctx context.Context, addr string, p *peer, err error) {
 	if ctx.Err() != nil {
 		return
@@ -255,7 +264,8 @@
 	}
 }
 
-// SendNow has every replica told at once of what Request now returns.
+// SendNow interrupts the open call at each replica, so that the current result of Request is
+// sent at once.
 func (f *Follower) SendNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -267,7 +277,8 @@
 	}
 }
 
-// LastReply returns when a replica last replied; zero if never.
+// LastReply returns the time of the last reply of a replica. It is zero if the replica has
+// not replied or is not followed.
 func (f *Follower) LastReply(addr string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -277,7 +288,7 @@
 	return time.Time{}
 }
 
-// Replicas returns the addresses of all replicas that are followed, in order.
+// Replicas returns the sorted addresses of all replicas that are followed.
 func (f *Follower) Replicas() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -289,7 +300,8 @@
 	return out
 }
 
-// CountReplied returns how many of the replicas that are followed replied within age.
+// CountReplied returns how many of the followed replicas replied within the last age, and
+// how many are followed.
 func (f *Follower) CountReplied(age time.Duration) (replied, all int) {
 	now := f.deps.Now()
 	f.mu.Lock()
--- a/coordinator/follow/limit_test.go
+++ b/coordinator/follow/limit_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An entry that starts asks for short waits. Its calls must not be given up sooner for it:
-// where each replica's answer brings a large catalogue over a slow link, none would ever
-// arrive, and the entry would serve nobody.
+// Guards against a call timeout that shrinks with a short wait. A starting entry uses short
+// waits; with a large catalogue and a slow link each call would time out before its reply
+// arrives, and the entry would never serve requests.
 func TestShortWaitKeepsMinCallTimeout(t *testing.T) {
 	require.Equal(t, minWait+replyMargin, callTimeout(30*time.Millisecond))
 	require.Equal(t, 2*time.Second, callTimeout(time.Second))
--- a/coordinator/follow/said.go
+++ b/coordinator/follow/said.go
@@ -2,18 +2,18 @@
 
 import "savoryreel.example/savoryreel/coordinator/api"
 
-// said is what one life of a replica has been told of this process's counts, so that
-// it is not told again: with some hundred entries, most of what a replica reads would be
-// counts that have not changed since the last call.
+// sentUsage records the usage that one incarnation of a replica has received from this
+// process, so that only changed counts are sent. With hundreds of entries, unchanged counts
+// would otherwise be most of what a replica reads.
 //
-// A replica that starts anew knows nothing of it. It leaves such a call's counts aside,
-// since the call names the life before, and its reply brings the new life.
+// A restarted replica ignores the usage in a request that carries its previous incarnation.
+// Its reply carries the new incarnation, after which all usage is sent again.
 type sentUsage struct {
 	incarnation      uint64
-	requestsByWindow map[int64]int64 // requests by window
+	requestsByWindow map[int64]int64
 }
 
-// trim takes from a call to a life of a replica what it has been told.
+// trimUsage removes from req the usage that this incarnation of the replica has received.
 func (s *sentUsage) trimUsage(req *api.WatchRequest) {
 	if req.Incarnation != s.incarnation || s.requestsByWindow == nil {
 		*s = sentUsage{incarnation: req.Incarnation, requestsByWindow: make(map[int64]int64)}
@@ -27,7 +27,8 @@
 	req.Usage = usage
 }
 
-// note takes that a call was answered.
+// record records that the replica has replied to req, and drops windows that are too old to
+// be sent again.
 func (s *sentUsage) record(req *api.WatchRequest) {
 	for _, w := range req.Usage {
 		s.requestsByWindow[w.Window] = totalRequests(w)
@@ -39,12 +40,12 @@
 	}
 }
 
-// mostWindows is for how many windows back it is kept what was told: more than any site
-// has to report.
+// maxWindows is how many windows before the open one are recorded. It exceeds the number of
+// windows that a process reports.
 const maxWindows = 100
 
-// total is how many requests were counted in a window. Counts only grow, so equal totals
-// are equal counts.
+// totalRequests returns the number of requests in a window over all workspaces. Counts never
+// decrease, so equal totals imply equal counts.
 func totalRequests(w api.WindowUsage) int64 {
 	var n int64
 	for _, c := range w.Counts {
--- a/coordinator/follow/said_test.go
+++ b/coordinator/follow/said_test.go
@@ -8,6 +8,7 @@
 	"savoryreel.example/savoryreel/coordinator/api"
 )
 
+// newRequest returns a request with usage of one workspace; counts has requests by window.
 func newRequest(incarnation uint64, openWindow int64, counts map[int64]int64) *api.WatchRequest {
 	req := &api.WatchRequest{Incarnation: incarnation, OpenWindow: openWindow}
 	for w, n := range counts {
@@ -16,8 +17,8 @@
 	return req
 }
 
-// A replica is told of a count once, and again when it has grown or when the call in
-// which it was told got no answer.
+// Guards against lost or repeated usage: a count is sent again if it has grown or if the
+// call that carried it got no reply, and otherwise only once.
 func TestUsageIsSentUntilAnswered(t *testing.T) {
 	var s sentUsage
 	first := newRequest(7, 2, map[int64]int64{1: 5, 2: 1})
@@ -35,8 +36,8 @@
 	s.record(third)
 }
 
-// A replica starts anew and knows nothing. It must be told everything again, or usage of
-// the windows before would be missing in its reports when it leads.
+// Guards against usage that a restarted replica never receives: its usage reports would lack
+// the earlier windows once it is the leader.
 func TestAllUsageIsSentAfterRestart(t *testing.T) {
 	var s sentUsage
 	first := newRequest(7, 2, map[int64]int64{1: 5})
@@ -47,7 +48,7 @@
 	require.Len(t, afterRestart.Usage, 1)
 }
 
-// Windows go by for days. What was told of old ones is not kept.
+// Guards against unbounded memory: records of old windows are dropped.
 func TestOldWindowsAreDropped(t *testing.T) {
 	var s sentUsage
 	for w := range int64(10_000) {
--- a/coordinator/follow/source.go
+++ b/coordinator/follow/source.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// patience is how long the replica that sends the catalogue may take with a revision
-// that another one has told of: several times what the largest catalogue takes on an
-// entry's link. More than half of the time in which a change must be in force is left then.
+// maxSourceDelay is how long the source may take to send a revision that another replica
+// has. It exceeds the transfer time of the largest catalogue over an entry's link, and leaves
+// time for another replica to send the revision before it must be in force.
 const maxSourceDelay = 700 * time.Millisecond
 
-// source is the one replica that sends a process the catalogue. The others only tell
-// which revision they have.
+// catalogueSource selects the one replica that sends this process the catalogue. The other
+// replicas send only the number of their revision.
 //
-// A catalogue may have hundreds of kilobytes and an entry's link ten megabits a
-// second. If each replica sent each revision, a few changes in a row would take the
-// link for seconds: the change would not be in force in time, and news of servers that
-// leave would wait behind it.
+// If each replica sent each revision, a few changes in a row could occupy a slow link for
+// seconds. A change would miss its deadline, and announcements of leaving servers would queue
+// behind it.
 //
-// The choice changes when the replica is lost, or has not sent for a while what another
-// one tells of: it may be behind, or cut off from the others.
+// Another replica is selected when the source is unreachable, or when it has not sent within
+// maxSourceDelay a revision that another replica has: it may be outdated or partitioned.
 type catalogueSource struct {
 	mu              sync.Mutex
-	addr            string    // empty: the next one that is called
-	highestRevision uint64    // highest revision that any replica told of
-	lackingSince    time.Time // since when a revision that was told of is lacking; zero: none is
+	addr            string    // of the source; empty: the next replica that is called becomes the source
+	highestRevision uint64    // highest revision that any replica has reported
+	lackingSince    time.Time // since when the process lacks a reported revision; zero: it lacks none
 }
 
-// asks reports whether a replica that is called now is to send the catalogue, and the
-// highest revision that is known of.
+// shouldSend reports whether the replica that is about to be called should send the
+// catalogue, and returns the highest reported revision. If there is no source, the replica
+// becomes the source.
 func (s *catalogueSource) shouldSend(addr string) (send bool, highestRevision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,8 @@
 	return s.addr == addr, s.highestRevision
 }
 
-// note takes that a replica has told of a revision, and whether the process lacks it.
+// observeRevision records the revision that a replica has reported and whether the process
+// lacks it. It makes that replica the source if the source has been too slow.
 func (s *catalogueSource) observeRevision(addr string, revision uint64, lacks bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +56,7 @@
 	}
 }
 
-// lost takes that a replica does not answer.
+// markUnreachable deselects the source if it is the replica at addr.
 func (s *catalogueSource) markUnreachable(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordinator/follow/source_test.go
+++ b/coordinator/follow/source_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// senders returns which of the replicas would be asked for the catalogue now.
+// senders returns which of the replicas would send the catalogue if they were called in this
+// order.
 func (s *catalogueSource) senders(addrs ...string) []string {
 	var out []string
 	for _, addr := range addrs {
@@ -20,20 +21,20 @@
 
 var startTime = time.Unix(1_700_000_000, 0)
 
-// An entry follows three replicas. If each sent it every catalogue, its link would be
-// taken for seconds by a few changes in a row.
+// Guards against every replica sending every catalogue, which would occupy an entry's slow
+// link for seconds after a few changes in a row.
 func TestOneReplicaSendsTheCatalogue(t *testing.T) {
 	var s catalogueSource
 	require.Equal(t, []string{"a"}, s.senders("a", "b", "c"))
 	s.observeRevision("b", 7, true, startTime)
 	s.observeRevision("a", 7, false, startTime.Add(maxSourceDelay/2))
 	s.observeRevision("c", 7, false, startTime.Add(2*maxSourceDelay))
-	require.Equal(t, []string{"a"}, s.senders("c", "b", "a"), "it has sent it in time")
+	require.Equal(t, []string{"a"}, s.senders("c", "b", "a"), "the source has sent the revision in time")
 	_, highestRevision := s.shouldSend("b")
 	require.EqualValues(t, 7, highestRevision)
 }
 
-// The replica that sends the catalogue is lost. Changes must be in force all the same.
+// Guards against an entry that receives no catalogue after its source becomes unreachable.
 func TestUnreachableSourceIsReplaced(t *testing.T) {
 	var s catalogueSource
 	s.senders("a", "b")
@@ -43,20 +44,18 @@
 	require.Equal(t, []string{"b"}, s.senders("b", "a"))
 }
 
-// The replica that sends the catalogue is cut off from the others: it answers, and has
-// no new one. Another one tells of it.
-//
-// It breaks if the choice is kept for as long as the replica answers.
+// Guards against keeping a source that replies but is partitioned from the other replicas:
+// the entry would not receive revisions that the others have.
 func TestOutdatedSourceIsReplaced(t *testing.T) {
 	var s catalogueSource
 	s.senders("a", "b", "c")
 	s.observeRevision("b", 8, true, startTime)
 	s.observeRevision("a", 7, false, startTime.Add(maxSourceDelay/2))
 	s.observeRevision("c", 8, true, startTime.Add(maxSourceDelay-time.Millisecond))
-	require.Equal(t, []string{"a"}, s.senders("a", "b", "c"), "it may be on its way")
+	require.Equal(t, []string{"a"}, s.senders("a", "b", "c"), "the revision may be in transit")
 	s.observeRevision("a", 7, false, startTime.Add(maxSourceDelay))
 	s.observeRevision("b", 8, true, startTime.Add(maxSourceDelay+time.Millisecond))
 	require.Equal(t, []string{"b"}, s.senders("a", "b", "c"))
 	s.observeRevision("c", 8, true, startTime.Add(maxSourceDelay+2*time.Millisecond))
-	require.Equal(t, []string{"b"}, s.senders("a", "b", "c"), "it has as much time")
+	require.Equal(t, []string{"b"}, s.senders("a", "b", "c"), "a new source has the full delay")
 }
--- a/directory/record.go
+++ b/directory/record.go
@@ -6,43 +6,43 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Server is a backend server as one process passes it on to another.
+// Server is the record of a backend server, as processes send it to each other.
 type Server struct {
 	instance.Announcement `msgpack:"a"`
 
-	// HeartbeatAge is how long before the message the last heartbeat came, and Overdue
-	// says that it came too long ago for a server that is well.
+	// HeartbeatAge is the age of the last heartbeat when the record was sent. Overdue reports
+	// that a replica has received no heartbeat for longer than Config.OverdueAfter.
 	HeartbeatAge time.Duration `msgpack:"ago"`
 	Overdue      bool          `msgpack:"unheard"`
 
-	// Unreachable says that the server is taken to be lost: at a replica, that it is
-	// unheard while most other replicas are in touch; at any other process, that
-	// silenceOf says so.
+	// Unreachable reports that the server is judged unreachable. At a replica: it is overdue,
+	// and the replica was in contact with most other replicas or another replica reported it
+	// unreachable. At any other process: see Store.unreachableByReports.
 	Unreachable bool `msgpack:"silent"`
 }
 
-// Entry is an entry of the system.
+// Entry is the record of an entry.
 type Entry struct {
 	Name         string         `msgpack:"name"`
-	Incarnation  uint64         `msgpack:"inc"` // Unix milliseconds of its start
-	Sequence     uint64         `msgpack:"seq"` // one more at each change of State
+	Incarnation  uint64         `msgpack:"inc"` // start time in Unix milliseconds
+	Sequence     uint64         `msgpack:"seq"` // increases by one at each change of State
 	State        instance.State `msgpack:"state"`
-	Address      string         `msgpack:"addr"` // host:port for callers
+	Address      string         `msgpack:"addr"` // host:port at which callers reach it
 	Zone         string         `msgpack:"zone"`
 	Region       string         `msgpack:"region"`
 	HeartbeatAge time.Duration  `msgpack:"ago"`
 }
 
-// version orders the records of one id.
+// version orders the records of one server or entry; see newerThan.
 type version struct {
 	incarnation uint64
 	state       int
 	sequence    uint64
 }
 
-// stateOrder makes a leave final within an incarnation. A heartbeat that was
-// sent before the leave and arrives after it would otherwise bring the server
-// back, and requests would be sent to it until it is gone.
+// stateOrder orders states so that leaving is final within an incarnation. Otherwise a
+// heartbeat that was sent before the leave and arrives after it would return the server to
+// serving, and requests would be sent to a server that is about to end.
 func stateOrder(s instance.State) int {
 	switch s {
 	case instance.StateServing:
@@ -54,6 +54,7 @@
 	}
 }
 
+// newerThan compares incarnation, then state, then sequence.
 func (v version) newerThan(o version) bool {
 	if v.incarnation != o.incarnation {
 		return v.incarnation > o.incarnation
@@ -72,7 +73,7 @@
 	return version{e.Incarnation, stateOrder(e.State), e.Sequence}
 }
 
-// Classes of backend servers, by how they are paid for.
+// Classes of backend servers, by purchase option.
 const (
 	ClassOnDemand    = "on-demand"
 	ClassReclaimable = "reclaimable"
--- a/directory/silence.go
+++ b/directory/silence.go
@@ -6,39 +6,40 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Replicas hear the servers' heartbeats and judge by them which server is silent;
-// other processes go by what the replicas say. A server reports at one replica, which
-// passes its heartbeats on to the others. When replicas are cut off from each other,
-// most of them may hear nothing of a server that is well and reports at one of the
-// rest. The word of the one that hears it counts then: a process that believed the
-// others would refuse requests for want of servers while some stand idle.
+// Control replicas receive the servers' heartbeats and derive from them which servers are
+// unreachable; other processes use the replicas' reports. A server sends its heartbeats to
+// one replica, which forwards them to the others. During a partition most replicas may
+// receive no heartbeats of a healthy server that reports at a replica of the minority. The
+// report of that replica then has precedence: otherwise requests would be refused for lack of
+// capacity while servers are idle.
 //
-// A replica that hears nothing of a server may be the one that is cut off, so it says
-// two things apart: that it hears nothing, and whether that is to be believed.
+// A replica that receives no heartbeats of a server may itself be isolated, so it reports two
+// conditions separately: the heartbeat is overdue, and the server is judged unreachable.
 
-// Origin says which replica told something.
+// Origin identifies the replica that sent a record. It is zero for a record that did not
+// come from a followed replica.
 type Origin struct {
 	Replica     string // link address
-	Incarnation uint64 // of that start of the replica
+	Incarnation uint64
 }
 
-// word is what one replica said last of a server.
+// report is a replica's last report on a server.
 type report struct {
 	overdue, unreachable bool
 }
 
-// source is a replica whose words this process holds.
+// replicaState is the state of a replica whose reports this process stores.
 type replicaState struct {
 	incarnation uint64
 	unreachable bool
 }
 
-// judges reports whether this process hears the servers itself.
+// observesHeartbeats reports whether this process receives the servers' heartbeats itself.
 func (s *Store) observesHeartbeats() bool { return s.cfg.OverdueAfter > 0 }
 
-// judge marks a server as unheard or heard by the time of its last heartbeat, and
-// reports whether that is new. confirmed says that this replica is in touch with
-// most others.
+// updateOverdue sets Overdue and Unreachable by the time of the last heartbeat and reports
+// whether either changed. confirmed means that this replica is in contact with most others
+// or that another replica reports the server unreachable. The caller holds s.mu.
 func (s *Store) updateOverdue(stored *storedServer, now time.Time, confirmed bool) bool {
 	overdue := stored.State == instance.StateServing && now.Sub(stored.lastHeartbeat) > s.cfg.OverdueAfter
 	unreachable := overdue && (confirmed || stored.Unreachable)
@@ -50,8 +51,10 @@
 	return true
 }
 
-// silenceOf says whether the replicas' words make a server silent: one says so, and
-// none that answers hears it. Without a word that counts it stays as it was.
+// unreachableByReports reports whether a server is unreachable by the replicas' reports: at
+// least one judges it unreachable, and its heartbeat is overdue at every replica that has
+// reported on it. Reports of unreachable replicas are ignored. Without any report the
+// previous state stays. The caller holds s.mu.
 func (s *Store) unreachableByReports(stored *storedServer) bool {
 	if stored.State != instance.StateServing {
 		return false
@@ -73,7 +76,8 @@
 	return unreachable
 }
 
-// weigh applies the replicas' words to a server and reports whether that is new.
+// applyReports sets Unreachable by the replicas' reports and reports whether it changed. The
+// caller holds s.mu.
 func (s *Store) applyReports(stored *storedServer) bool {
 	unreachable := s.unreachableByReports(stored)
 	if unreachable == stored.Unreachable {
@@ -84,8 +88,9 @@
 	return true
 }
 
-// noteSource takes a sign of life of a replica. Words of an earlier start no longer
-// count: it may have forgotten what it said.
+// recordReplica marks a replica as reachable and reports whether a server's state changed.
+// It drops reports of an earlier incarnation, since a restarted replica may have lost the
+// heartbeats that they were based on.
 func (s *Store) recordReplica(from Origin) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,8 +110,9 @@
 	return s.applyAllReports()
 }
 
-// MarkUnreachable notes that a replica no longer answers: it may be dead, and what it heard last
-// must not keep a dead server in use. It reports whether that changed what is known.
+// MarkUnreachable records that a replica does not answer, and reports whether the state of a
+// server changed. Reports of the replica are ignored until it answers again: an outdated
+// report must not keep a server that has ended in use.
 func (s *Store) MarkUnreachable(replica string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,6 +124,8 @@
 	return s.applyAllReports()
 }
 
+// applyAllReports calls applyReports for all servers and reports whether any changed. The
+// caller holds s.mu.
 func (s *Store) applyAllReports() bool {
 	changed := false
 	for _, stored := range s.servers {
