--- a/directory/silence_test.go
+++ b/directory/silence_test.go
@@ -9,7 +9,8 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// relay is a replica with what an entry has been told by it.
+// testReplica is a replica's store. seen is the sequence number up to which sendChanges has
+// sent its changes.
 type testReplica struct {
 	*Store
 	origin Origin
@@ -20,15 +21,16 @@
 	return &testReplica{Store: newStore(), origin: Origin{Replica: name, Incarnation: 1}}
 }
 
-// tell passes on what is new.
+// sendChanges merges the changes since the last call into an entry's store.
 func (r *testReplica) sendChanges(entry *Store, now time.Time) {
 	changes := r.Since(r.seen, false, now)
 	r.seen = changes.Seq
 	entry.Merge(r.origin, changes.Servers, changes.Entries, now)
 }
 
-// cutSite is two replicas that no longer reach each other, and an entry that reaches
-// both. One server reported at the first one, and both know of it.
+// partitionedSite returns two replicas that no longer reach each other, and an entry that
+// reaches both. Server s1 has announced itself at the first replica, and all three have its
+// record.
 func partitionedSite() (receiving, others *testReplica, entry *Store) {
 	receiving, others, entry = newTestReplica("a"), newTestReplica("b"), NewStore(Config{ForgetAfter: time.Minute})
 	receiving.Announce(heartbeat("s1", 1, 1, instance.StateServing), epoch)
@@ -40,11 +42,9 @@
 
 func isUnreachable(s *Store) bool { return s.Servers(epoch)[0].Unreachable }
 
-// Replicas are cut off from each other for some seconds, and a server goes on
-// reporting at one of the few. The many hear nothing of it and call it silent. Callers
-// would be refused for want of servers while it stands idle.
-//
-// It breaks if the word of any replica is enough.
+// Guards against trusting any single report of unreachability: during a partition a healthy
+// server that reports at a replica of the minority would get no requests, and callers would be
+// refused while it is idle.
 func TestServerReportingAtMinorityReplicaStaysReachable(t *testing.T) {
 	receiving, others, entry := partitionedSite()
 	for second := 1; second <= 10; second++ {
@@ -58,23 +58,21 @@
 	}
 	require.True(t, isUnreachable(others.Store))
 
-	// The server dies. The replica that heard it says so, though it is cut off itself
-	// and cannot tell what that means.
+	// The server ends. Its own replica reports it as overdue only, since that replica is
+	// isolated; the other replica's judgement then applies.
 	now := epoch.Add(20 * time.Second)
 	receiving.Sweep(now, false)
 	receiving.sendChanges(entry, now)
 	require.True(t, isUnreachable(entry))
 
-	// It is heard again.
+	// Its heartbeats resume.
 	receiving.Announce(heartbeat("s1", 1, 20, instance.StateServing), now)
 	receiving.sendChanges(entry, now)
 	require.False(t, isUnreachable(entry))
 }
 
-// A replica that hears of no server may be cut off from all of them. An entry that
-// reaches no other one goes on with the servers that it knows.
-//
-// It breaks if being unheard is enough.
+// Guards against treating overdue servers as unreachable: an isolated replica receives no
+// heartbeats at all, and an entry that reaches only this replica must keep using its servers.
 func TestIsolatedReplicaDoesNotMarkServersUnreachable(t *testing.T) {
 	isolated, others, entry := partitionedSite()
 	entry.MarkUnreachable(others.origin.Replica)
@@ -84,11 +82,9 @@
 	require.False(t, isUnreachable(entry))
 }
 
-// The replica that heard a server last dies, and the server with it, as when their
-// zone is lost. What the replica said must not keep the server in use.
-//
-// It breaks if the words of a replica that is lost count on, or those of an earlier
-// start of one that is back.
+// Guards against using reports of an unreachable replica or of its earlier incarnation: when a
+// zone fails with a server and its replica, the replica's last report would keep the server in
+// use.
 func TestReportsOfUnreachableReplicaAreIgnored(t *testing.T) {
 	receiving, others, entry := partitionedSite()
 	now := epoch.Add(10 * time.Second)
@@ -98,9 +94,9 @@
 	require.True(t, entry.MarkUnreachable("a"))
 	require.True(t, isUnreachable(entry))
 
-	receiving.sendChanges(entry, now) // it was only slow to answer
+	receiving.sendChanges(entry, now) // the replica was only slow to answer
 	require.False(t, isUnreachable(entry))
 
 	entry.Merge(Origin{Replica: "a", Incarnation: 2}, nil, nil, now)
-	require.True(t, isUnreachable(entry), "it has started anew and knows of no server")
+	require.True(t, isUnreachable(entry), "the restarted replica has no record of the server")
 }
--- a/directory/store.go
+++ b/directory/store.go
@@ -9,45 +9,45 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Config sets when records count as old.
+// Config holds the ages at which records become overdue, expire or are dropped.
 type Config struct {
-	// OverdueAfter is the time without a heartbeat after which a server counts as
-	// unheard; 0 at a process that hears no server itself.
+	// OverdueAfter is the time without a heartbeat after which a server is overdue; 0 at a
+	// process that receives no heartbeats itself.
 	OverdueAfter time.Duration
-	// EntryExpiry is the time without a sign of life after which an entry is
-	// no longer named to callers.
+	// EntryExpiry is the time without a heartbeat after which an entry is no longer live, so
+	// that callers are no longer referred to it.
 	EntryExpiry time.Duration
-	// AddressHold is how long after a server's last heartbeat no other one can have
-	// its address.
+	// AddressHold is the time after a server's last heartbeat during which another server
+	// cannot claim its address unless it has a later incarnation.
 	AddressHold time.Duration
-	// ForgetAfter is the time after which a server's record is dropped that does not
-	// serve or is silent, and an entry's that gave no sign of life. It must outlast
-	// every heartbeat that is still on its way.
+	// ForgetAfter is the time without a heartbeat after which Sweep drops the record of an
+	// entry, or of a server that is unreachable or not serving. It must exceed the longest
+	// delay of a heartbeat, or a delayed one would add the record again.
 	ForgetAfter time.Duration
 }
 
-// DefaultForgetAfter is far above the seconds by which a heartbeat may be late.
+// DefaultForgetAfter far exceeds the longest delay of a heartbeat.
 const DefaultForgetAfter = 2 * time.Minute
 
-// Store is a set of records. It is safe for concurrent use.
+// Store stores the records of servers and entries. It is safe for concurrent use.
 type Store struct {
 	cfg Config
 
 	mu       sync.Mutex
-	lastSeq  uint64 // of the newest change
+	lastSeq  uint64 // of the newest change or heartbeat
 	servers  map[string]*storedServer
 	byAddr   map[string]string // address -> id of the server that has it
 	entries  map[string]*storedEntry
-	replicas map[string]*replicaState // by link address; none at a replica
+	replicas map[string]*replicaState // by link address; empty at a replica
 	changed  chan struct{}            // closed at the next change
 }
 
 type storedServer struct {
 	Server
 	lastHeartbeat time.Time
-	changeSeq     uint64            // of the change that made the record what it is
-	heartbeatSeq  uint64            // of the newest heartbeat
-	reports       map[string]report // what each replica said last; none at a replica
+	changeSeq     uint64            // of the last change of the record
+	heartbeatSeq  uint64            // of the last change or heartbeat
+	reports       map[string]report // last report of each replica, by link address; empty at a replica
 }
 
 type storedEntry struct {
@@ -69,14 +69,15 @@
 	}
 }
 
-// Announce takes a heartbeat that this process has received and reports whether
-// it changed what is known beyond the time of the last one.
+// Announce records a heartbeat that this process has received from a server. It reports
+// whether anything but the time of the last heartbeat changed.
 func (s *Store) Announce(a instance.Announcement, now time.Time) bool {
 	return s.mergeServer(Origin{}, Server{Announcement: a}, now)
 }
 
-// Leave notes that a server has said that it is gone. incarnation 0 stands for
-// every incarnation up to now, for a server that doesn't say which one it is.
+// Leave records a server's announcement that it is gone and reports whether its record
+// changed. incarnation 0 means every incarnation that started before now, for a server that
+// does not send its incarnation.
 func (s *Store) Leave(id string, incarnation uint64, now time.Time) bool {
 	s.mu.Lock()
 	if incarnation == 0 {
@@ -91,8 +92,8 @@
 	return s.mergeServer(Origin{}, rec, now)
 }
 
-// Merge takes records that a replica passed on, maybe none. It reports whether that
-// changed what is known.
+// Merge records what a replica has sent, and that the replica is reachable; both slices may
+// be empty. It reports whether anything but heartbeat times changed.
 func (s *Store) Merge(from Origin, servers []Server, entries []Entry, now time.Time) bool {
 	changed := s.recordReplica(from)
 	for i := range servers {
@@ -104,6 +105,8 @@
 	return changed
 }
 
+// mergeServer merges one record of a server and reports whether anything but the time of the
+// last heartbeat changed.
 func (s *Store) mergeServer(from Origin, rec Server, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +137,8 @@
 	return true
 }
 
-// settle sets the silence of a record that has just come.
+// updateReachability sets Overdue and Unreachable of a record that has just been received,
+// and reports whether either changed. The caller holds s.mu.
 func (s *Store) updateReachability(from Origin, stored *storedServer, received report, now time.Time) bool {
 	if s.observesHeartbeats() {
 		return s.updateOverdue(stored, now, received.unreachable)
@@ -148,8 +152,9 @@
 	return s.applyReports(stored)
 }
 
-// refresh takes what an equal or older record of the same start says besides: when the
-// server was heard, and the replica's word on its silence.
+// refreshServer merges a record that is no newer than the stored one. If incarnation and
+// state are the same, it still applies the time of the heartbeat and the replica's report. It
+// reports whether Overdue or Unreachable changed. The caller holds s.mu.
 func (s *Store) refreshServer(from Origin, stored *storedServer, rec Server, now time.Time) bool {
 	if rec.Incarnation != stored.Incarnation || rec.State != stored.State {
 		return false
@@ -161,14 +166,14 @@
 	return s.updateReachability(from, stored, report{rec.Overdue, rec.Unreachable}, now)
 }
 
-// claimAddress settles which of two servers has an address, and reports whether
-// the record is to be taken at all. Addresses of lost servers are used again; a
-// heartbeat of the old server that was held up on its way would otherwise send
-// its requests to the new one.
+// claimAddress decides which of two servers has an address, and reports whether rec should be
+// stored. Addresses of ended servers are reused: without this check a delayed heartbeat of the
+// previous server would direct its requests to the new one.
 //
-// The later start counts. Where neither says when it started, the server that has
-// been heard just now still has its address, and the record is one that was held
-// up; a real successor comes again with its next heartbeat.
+// The later incarnation wins. If the incarnations are equal, as for servers that send none, a
+// server keeps its address for AddressHold after its last heartbeat, and rec is taken to be a
+// delayed heartbeat. A real successor claims the address with a later heartbeat. The caller
+// holds s.mu.
 func (s *Store) claimAddress(rec *Server, now time.Time) bool {
 	if rec.State == instance.StateGone || rec.Address == "" {
 		return true
@@ -189,33 +194,38 @@
 	return true
 }
 
-// sameServer reports whether two announcements differ only in their number and
-// in what is measured anew each time.
+// sameServer reports whether two records differ at most in sequence number and in fields that
+// are measured for each heartbeat.
 func sameServer(a, b *Server) bool {
 	return a.Incarnation == b.Incarnation && a.State == b.State && a.Address == b.Address && a.Zone == b.Zone &&
 		a.Overdue == b.Overdue && a.Unreachable == b.Unreachable && a.Slots == b.Slots && a.Class == b.Class && a.Version == b.Version &&
 		a.LeavingIn == b.LeavingIn && slices.Equal(a.Services, b.Services)
 }
 
+// recordChange gives the record a new sequence number and wakes those who wait for a change.
+// The caller holds s.mu.
 func (s *Store) recordChange(stored *storedServer) {
 	s.lastSeq++
 	stored.changeSeq, stored.heartbeatSeq = s.lastSeq, s.lastSeq
 	s.notify()
 }
 
-// touchServer notes a heartbeat without news. It wakes nobody: entries need no
-// message for it, and replicas take it along with the next one.
+// recordHeartbeat gives a new sequence number to a heartbeat that changes nothing else. It
+// does not wake waiting calls: entries need no message for it, and replicas receive it with
+// the next message. The caller holds s.mu.
 func (s *Store) recordHeartbeat(stored *storedServer) {
 	s.lastSeq++
 	stored.heartbeatSeq = s.lastSeq
 }
 
+// notify closes s.changed and replaces it. The caller holds s.mu.
 func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// MergeEntry takes a record of an entry, its own or passed on.
+// MergeEntry records an entry's own record of itself or one that another process has
+// forwarded. It reports whether anything but the time of the last heartbeat changed.
 func (s *Store) MergeEntry(rec Entry, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,15 +245,16 @@
 	return true
 }
 
-// Changes are records that changed after a point.
+// Changes holds the records that changed after a sequence number. Seq is the number to pass
+// to the next call of Since.
 type Changes struct {
 	Seq     uint64
 	Servers []Server
 	Entries []Entry
 }
 
-// Since returns what changed after seq, and with touches also what was heard
-// again since, ordered by name.
+// Since returns the records that changed after seq, sorted by id and name. withHeartbeats
+// adds the records that only had a heartbeat since.
 func (s *Store) Since(seq uint64, withHeartbeats bool, now time.Time) Changes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,15 +278,16 @@
 	return out
 }
 
-// ChangedSince reports whether anything changed after seq. changed is closed at the next
-// change.
+// ChangedSince reports whether any record changed after seq, heartbeats without a change
+// aside. The channel is closed at the next change.
 func (s *Store) ChangedSince(seq uint64) (hasChanged bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latestChange() > seq, s.changed
 }
 
-// newest is the number of the newest change, heartbeats without news left out.
+// latestChange returns the sequence number of the last change, not counting heartbeats
+// without a change. The caller holds s.mu.
 func (s *Store) latestChange() uint64 {
 	var n uint64
 	for _, stored := range s.servers {
@@ -287,9 +299,11 @@
 	return n
 }
 
-// Sweep marks servers that fell silent, if this process hears them itself, and drops
-// what is long gone. confirmed says that this replica is in touch with most others:
-// one that is cut off hears nothing of servers that are well.
+// Sweep drops records without a heartbeat for Config.ForgetAfter, except those of healthy
+// servers. If this process receives heartbeats itself, it also marks overdue servers.
+// confirmed means that this replica is in contact with most others: only then does it judge
+// overdue servers unreachable, since an isolated replica receives no heartbeats of healthy
+// servers.
 func (s *Store) Sweep(now time.Time, confirmed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -314,7 +328,7 @@
 	}
 }
 
-// Servers returns the servers that are not gone, ordered by id.
+// Servers returns the servers that are not gone, sorted by id.
 func (s *Store) Servers(now time.Time) []Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -331,8 +345,9 @@
 	return out
 }
 
-// Refresh notes that another process hears these entries, and returns what is known of
-// them. A process that is told only of changes would drop them otherwise.
+// Refresh records a heartbeat of each named entry at now, because another process reports it
+// live, and returns the records of those that are serving. Without it, a process that
+// receives only changes would drop entries that do not change.
 func (s *Store) Refresh(names []string, now time.Time) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -350,8 +365,8 @@
 	return out
 }
 
-// Entries returns all entries that are known, ordered by name. Those that were not heard of
-// late may be gone.
+// Entries returns the records of all entries, sorted by name, including entries that are
+// leaving or whose heartbeats have stopped.
 func (s *Store) Entries(now time.Time) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -365,8 +380,8 @@
 	return out
 }
 
-// LiveEntries returns the entries that serve and have been heard within
-// EntryExpiry, ordered by name.
+// LiveEntries returns the entries that are serving and whose last heartbeat is no older than
+// Config.EntryExpiry, sorted by name.
 func (s *Store) LiveEntries(now time.Time) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/directory/store_test.go
+++ b/directory/store_test.go
@@ -33,11 +33,8 @@
 	return instance.StateGone
 }
 
-// A server says that it leaves, and a heartbeat that it sent before arrives after
-// that, held up on its way. Users would see their requests cut off when the server
-// ends, if the late heartbeat brought it back.
-//
-// It breaks without the order of states in version.newerThan.
+// Guards against a delayed heartbeat that returns a leaving server to serving: requests sent
+// to it would be cut off when it ends. Depends on the order of states in version.newerThan.
 func TestLateHeartbeatDoesNotRevertLeave(t *testing.T) {
 	s := newStore()
 	s.Announce(heartbeat("s1", 1, 1, instance.StateServing), epoch)
@@ -50,11 +47,11 @@
 	s.Announce(heartbeat("s1", 1, 5, instance.StateLeaving), epoch)
 	require.Equal(t, instance.StateGone, stateOf(s, "s1"))
 	s.Announce(heartbeat("s1", 2, 1, instance.StateServing), epoch)
-	require.Equal(t, instance.StateServing, stateOf(s, "s1"), "it has started again")
+	require.Equal(t, instance.StateServing, stateOf(s, "s1"), "the server has restarted")
 }
 
-// A server crashes, and another one gets its address. Then a heartbeat of the
-// first one arrives. Requests for its service would go to the second one.
+// Guards against a delayed heartbeat of a crashed server whose address another server has
+// taken: requests for the service of the first would go to the second.
 func TestLateHeartbeatDoesNotReclaimAddress(t *testing.T) {
 	s := newStore()
 	old, successor := heartbeat("s1", 100, 5, instance.StateServing), heartbeat("s2", 200, 1, instance.StateServing)
@@ -68,11 +65,9 @@
 	require.Equal(t, instance.StateServing, stateOf(s, "s2"))
 }
 
-// The same where servers do not say when they started, and the first heartbeat
-// that a replica gets of the old server is the late one. The new server must not
-// lose its address, and must not be lost with it.
-//
-// It breaks without Config.AddressHold.
+// Guards against the same failure for servers without an incarnation, if the delayed heartbeat
+// is the first that the replica receives of the old server: the new server would lose its
+// address and be marked gone. Depends on Config.AddressHold.
 func TestLateHeartbeatWithoutIncarnationDoesNotReclaimAddress(t *testing.T) {
 	s := newStore()
 	old, successor := heartbeat("s1", 0, 5, instance.StateServing), heartbeat("s2", 0, 1, instance.StateServing)
@@ -82,11 +77,11 @@
 	require.Equal(t, instance.StateServing, stateOf(s, "s2"))
 	require.Equal(t, instance.StateGone, stateOf(s, "s1"))
 	s.Announce(old, epoch.Add(3*time.Second))
-	require.Equal(t, instance.StateServing, stateOf(s, "s1"), "the other one was silent for so long that its address is free")
+	require.Equal(t, instance.StateServing, stateOf(s, "s1"), "the address is free once AddressHold has passed since the last heartbeat of the other server")
 }
 
-// A replica that has just started hears a server's leave before it has ever heard
-// of the server. Then another replica tells it of the server as it was before.
+// Guards against a server that returns after its leave: a replica that has just started
+// receives the leave first, and then an older record of the server from another replica.
 func TestLeaveBeforeFirstHeartbeat(t *testing.T) {
 	s := newStore()
 	s.Leave("s1", 0, epoch)
@@ -96,8 +91,8 @@
 	require.Equal(t, instance.StateServing, stateOf(s, "s1"))
 }
 
-// A server stops without a word. A replica that is cut off hears of no server and
-// must not call all of them silent.
+// Guards against an isolated replica that marks all servers unreachable, and against a server
+// that stops without an announcement and stays in use.
 func TestOverdueServerIsUnreachableOnlyIfConfirmed(t *testing.T) {
 	s := newStore()
 	s.Announce(heartbeat("s1", 1, 1, instance.StateServing), epoch)
@@ -109,8 +104,8 @@
 	require.False(t, s.Servers(epoch)[0].Unreachable)
 }
 
-// Records reach two processes in different orders, some twice. Both must end with
-// the same picture, or they would send requests to different servers for good.
+// Guards against stores that differ permanently because the same records arrived in another
+// order or twice: their processes would send requests to different servers.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []instance.State{instance.StateServing, instance.StateLeaving, instance.StateGone}
@@ -129,6 +124,8 @@
 	})
 }
 
+// Guards against waking every waiting call at each heartbeat, and against heartbeats that are
+// not forwarded to other replicas.
 func TestHeartbeatAloneIsNoChange(t *testing.T) {
 	s := newStore()
 	s.Announce(heartbeat("s1", 1, 1, instance.StateServing), epoch)
@@ -137,15 +134,16 @@
 	require.False(t, hasChanged)
 	s.Announce(heartbeat("s1", 1, 2, instance.StateServing), epoch)
 	hasChanged, _ = s.ChangedSince(seen)
-	require.False(t, hasChanged, "a heartbeat without news wakes nobody")
+	require.False(t, hasChanged, "a heartbeat without a change must not wake waiting calls")
 	require.Empty(t, s.Since(seen, false, epoch).Servers)
-	require.Len(t, s.Since(seen, true, epoch).Servers, 1, "but replicas take it along")
+	require.Len(t, s.Since(seen, true, epoch).Servers, 1, "the heartbeat must be sent to replicas with the next message")
 	s.Announce(heartbeat("s1", 1, 3, instance.StateLeaving), epoch)
 	<-changed
 	hasChanged, _ = s.ChangedSince(seen)
 	require.True(t, hasChanged)
 }
 
+// Guards against referring callers to entries that are leaving or whose heartbeats stopped.
 func TestOnlyServingEntriesAreLive(t *testing.T) {
 	s := newStore()
 	s.MergeEntry(Entry{Name: "e1", Incarnation: 1, State: instance.StateServing}, epoch)
@@ -153,18 +151,15 @@
 	require.Len(t, s.LiveEntries(epoch), 1)
 	s.MergeEntry(Entry{Name: "e1", Incarnation: 1, Sequence: 1, State: instance.StateLeaving}, epoch)
 	s.MergeEntry(Entry{Name: "e1", Incarnation: 1, State: instance.StateServing}, epoch)
-	require.Empty(t, s.LiveEntries(epoch), "an entry that leaves is named no more")
+	require.Empty(t, s.LiveEntries(epoch), "a leaving entry is not live")
 }
 
-// An entry is told of a server when it starts, and then of nothing for minutes: each
-// heartbeat that has no news would cost every entry a message. The server goes on
-// serving, and the entry must still know it when the next change of it comes.
-//
-// It breaks if Sweep drops records by their age alone.
+// Guards against Sweep dropping records by age alone: an entry receives no heartbeats, only
+// changes, so a server that serves unchanged for minutes would disappear from it.
 func TestUnchangedServerIsNotDropped(t *testing.T) {
 	s := NewStore(Config{ForgetAfter: time.Minute})
 	s.Merge(Origin{Replica: "a"}, []Server{{Announcement: heartbeat("s1", 1, 1, instance.StateServing)}, {Announcement: heartbeat("s2", 1, 1, instance.StateLeaving)}}, nil, epoch)
 	s.Sweep(epoch.Add(2*time.Minute), false)
 	require.Equal(t, instance.StateServing, stateOf(s, "s1"))
-	require.Equal(t, instance.StateGone, stateOf(s, "s2"), "one that was leaving is gone")
+	require.Equal(t, instance.StateGone, stateOf(s, "s2"), "the record of a leaving server is dropped")
 }
