--- a/coordinator/follow/said.go
+++ b/coordinator/follow/said.go
@@ -2,50 +2,51 @@
 
 import "savoryreel.example/savoryreel/coordinator/api"
 
-// said is what one life of a replica has been told of this process's counts, so that
-// it is not told again: with some hundred entries, most of what a replica reads would be
-// counts that have not changed since the last call.
+// sentUsage records the usage that one incarnation of a replica has received from this
+// process, so that only changed counts are sent. With hundreds of entries, unchanged counts
+// would otherwise be most of what a replica reads.
 //
-// A replica that starts anew knows nothing of it. It leaves such a call's counts aside,
-// since the call names the life before, and its reply brings the new life.
-type said struct {
-	life  uint64
-	usage map[int64]int64 // requests by window
+// A restarted replica ignores the usage in a request that carries its previous incarnation.
+// Its reply carries the new incarnation, after which all usage is sent again.
+type sentUsage struct {
+	incarnation      uint64
+	requestsByWindow map[int64]int64
 }
 
-// trim takes from a call to a life of a replica what it has been told.
-func (s *said) trim(req *api.WatchRequest) {
-	if req.Incarnation != s.life || s.usage == nil {
-		*s = said{life: req.Incarnation, usage: make(map[int64]int64)}
+// trimUsage removes from req the usage that this incarnation of the replica has received.
+func (s *sentUsage) trimUsage(req *api.WatchRequest) {
+	if req.Incarnation != s.incarnation || s.requestsByWindow == nil {
+		*s = sentUsage{incarnation: req.Incarnation, requestsByWindow: make(map[int64]int64)}
 	}
 	var usage []api.WindowUsage
 	for _, w := range req.Usage {
-		if told, known := s.usage[w.Window]; !known || told != total(w) {
+		if sentTotal, known := s.requestsByWindow[w.Window]; !known || sentTotal != totalRequests(w) {
 			usage = append(usage, w)
 		}
 	}
 	req.Usage = usage
 }
 
-// note takes that a call was answered.
-func (s *said) note(req *api.WatchRequest) {
+// record records that the replica has replied to req, and drops windows that are too old to
+// be sent again.
+func (s *sentUsage) record(req *api.WatchRequest) {
 	for _, w := range req.Usage {
-		s.usage[w.Window] = total(w)
+		s.requestsByWindow[w.Window] = totalRequests(w)
 	}
-	for w := range s.usage {
-		if w < req.OpenWindow-mostWindows {
-			delete(s.usage, w)
+	for w := range s.requestsByWindow {
+		if w < req.OpenWindow-maxWindows {
+			delete(s.requestsByWindow, w)
 		}
 	}
 }
 
-// mostWindows is for how many windows back it is kept what was told: more than any site
-// has to report.
-const mostWindows = 100
+// maxWindows is how many windows before the open one are recorded. It exceeds the number of
+// windows that a process reports.
+const maxWindows = 100
 
-// total is how many requests were counted in a window. Counts only grow, so equal totals
-// are equal counts.
-func total(w api.WindowUsage) int64 {
+// totalRequests returns the number of requests in a window over all workspaces. Counts never
+// decrease, so equal totals imply equal counts.
+func totalRequests(w api.WindowUsage) int64 {
 	var n int64
 	for _, c := range w.Counts {
 		n += c
--- a/directory/silence_test.go
+++ b/directory/silence_test.go
@@ -9,98 +9,94 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// relay is a replica with what an entry has been told by it.
-type relay struct {
+// testReplica is a replica's store. seen is the sequence number up to which sendChanges has
+// sent its changes.
+type testReplica struct {
 	*Store
 	origin Origin
 	seen   uint64
 }
 
-func newRelay(name string) *relay {
-	return &relay{Store: newStore(), origin: Origin{Replica: name, Incarnation: 1}}
+func newTestReplica(name string) *testReplica {
+	return &testReplica{Store: newStore(), origin: Origin{Replica: name, Incarnation: 1}}
 }
 
-// tell passes on what is new.
-func (r *relay) tell(entry *Store, now time.Time) {
+// sendChanges merges the changes since the last call into an entry's store.
+func (r *testReplica) sendChanges(entry *Store, now time.Time) {
 	changes := r.Since(r.seen, false, now)
 	r.seen = changes.Seq
 	entry.Merge(r.origin, changes.Servers, changes.Entries, now)
 }
 
-// cutSite is two replicas that no longer reach each other, and an entry that reaches
-// both. One server reported at the first one, and both know of it.
-func cutSite() (hears, others *relay, entry *Store) {
-	hears, others, entry = newRelay("a"), newRelay("b"), NewStore(Config{ForgetAfter: time.Minute})
-	hears.Announce(beat("s1", 1, 1, instance.StateServing), epoch)
-	others.Merge(hears.origin, hears.Since(0, true, epoch).Servers, nil, epoch)
-	hears.tell(entry, epoch)
-	others.tell(entry, epoch)
-	return hears, others, entry
+// partitionedSite returns two replicas that no longer reach each other, and an entry that
+// reaches both. Server s1 has announced itself at the first replica, and all three have its
+// record.
+func partitionedSite() (receiving, others *testReplica, entry *Store) {
+	receiving, others, entry = newTestReplica("a"), newTestReplica("b"), NewStore(Config{ForgetAfter: time.Minute})
+	receiving.Announce(heartbeat("s1", 1, 1, instance.StateServing), epoch)
+	others.Merge(receiving.origin, receiving.Since(0, true, epoch).Servers, nil, epoch)
+	receiving.sendChanges(entry, epoch)
+	others.sendChanges(entry, epoch)
+	return receiving, others, entry
 }
 
-func silent(s *Store) bool { return s.Servers(epoch)[0].Unreachable }
+func isUnreachable(s *Store) bool { return s.Servers(epoch)[0].Unreachable }
 
-// Replicas are cut off from each other for some seconds, and a server goes on
-// reporting at one of the few. The many hear nothing of it and call it silent. Callers
-// would be refused for want of servers while it stands idle.
-//
-// It breaks if the word of any replica is enough.
-func TestServerThatOneReplicaHears(t *testing.T) {
-	hears, others, entry := cutSite()
+// Guards against trusting any single report of unreachability: during a partition a healthy
+// server that reports at a replica of the minority would get no requests, and callers would be
+// refused while it is idle.
+func TestServerReportingAtMinorityReplicaStaysReachable(t *testing.T) {
+	receiving, others, entry := partitionedSite()
 	for second := 1; second <= 10; second++ {
 		now := epoch.Add(time.Duration(second) * time.Second)
-		hears.Announce(beat("s1", 1, uint64(second)+1, instance.StateServing), now)
-		hears.Sweep(now, false)
+		receiving.Announce(heartbeat("s1", 1, uint64(second)+1, instance.StateServing), now)
+		receiving.Sweep(now, false)
 		others.Sweep(now, true)
-		hears.tell(entry, now)
-		others.tell(entry, now)
-		require.False(t, silent(entry), "after %d s", second)
+		receiving.sendChanges(entry, now)
+		others.sendChanges(entry, now)
+		require.False(t, isUnreachable(entry), "after %d s", second)
 	}
-	require.True(t, silent(others.Store))
+	require.True(t, isUnreachable(others.Store))
 
-	// The server dies. The replica that heard it says so, though it is cut off itself
-	// and cannot tell what that means.
+	// The server ends. Its own replica reports it as overdue only, since that replica is
+	// isolated; the other replica's judgement then applies.
 	now := epoch.Add(20 * time.Second)
-	hears.Sweep(now, false)
-	hears.tell(entry, now)
-	require.True(t, silent(entry))
+	receiving.Sweep(now, false)
+	receiving.sendChanges(entry, now)
+	require.True(t, isUnreachable(entry))
 
-	// It is heard again.
-	hears.Announce(beat("s1", 1, 20, instance.StateServing), now)
-	hears.tell(entry, now)
-	require.False(t, silent(entry))
+	// Its heartbeats resume.
+	receiving.Announce(heartbeat("s1", 1, 20, instance.StateServing), now)
+	receiving.sendChanges(entry, now)
+	require.False(t, isUnreachable(entry))
 }
 
-// A replica that hears of no server may be cut off from all of them. An entry that
-// reaches no other one goes on with the servers that it knows.
-//
-// It breaks if being unheard is enough.
-func TestReplicaThatHearsNothing(t *testing.T) {
-	alone, others, entry := cutSite()
+// Guards against treating overdue servers as unreachable: an isolated replica receives no
+// heartbeats at all, and an entry that reaches only this replica must keep using its servers.
+func TestIsolatedReplicaDoesNotMarkServersUnreachable(t *testing.T) {
+	isolated, others, entry := partitionedSite()
 	entry.MarkUnreachable(others.origin.Replica)
 	now := epoch.Add(time.Minute)
-	alone.Sweep(now, false)
-	alone.tell(entry, now)
-	require.False(t, silent(entry))
+	isolated.Sweep(now, false)
+	isolated.sendChanges(entry, now)
+	require.False(t, isUnreachable(entry))
 }
 
-// The replica that heard a server last dies, and the server with it, as when their
-// zone is lost. What the replica said must not keep the server in use.
-//
-// It breaks if the words of a replica that is lost count on, or those of an earlier
-// start of one that is back.
-func TestWordsOfALostReplica(t *testing.T) {
-	hears, others, entry := cutSite()
+// Guards against using reports of an unreachable replica or of its earlier incarnation: when a
+// zone fails with a server and its replica, the replica's last report would keep the server in
+// use.
+func TestReportsOfUnreachableReplicaAreIgnored(t *testing.T) {
+	receiving, others, entry := partitionedSite()
 	now := epoch.Add(10 * time.Second)
 	others.Sweep(now, true)
-	others.tell(entry, now)
-	require.False(t, silent(entry))
+	others.sendChanges(entry, now)
+	require.False(t, isUnreachable(entry))
 	require.True(t, entry.MarkUnreachable("a"))
-	require.True(t, silent(entry))
+	require.True(t, isUnreachable(entry))
 
-	hears.tell(entry, now) // it was only slow to answer
-	require.False(t, silent(entry))
+	receiving.sendChanges(entry, now) // the replica was only slow to answer
+	require.False(t, isUnreachable(entry))
 
 	entry.Merge(Origin{Replica: "a", Incarnation: 2}, nil, nil, now)
-	require.True(t, silent(entry), "it has started anew and knows of no server")
+	require.True(t, isUnreachable(entry), "the restarted replica has no record of the server")
 }
--- a/directory/store.go
+++ b/directory/store.go
@@ -9,92 +9,93 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Config sets when records count as old.
+// Config holds the ages at which records become overdue, expire or are dropped.
 type Config struct {
-	// OverdueAfter is the time without a heartbeat after which a server counts as
-	// unheard; 0 at a process that hears no server itself.
+	// OverdueAfter is the time without a heartbeat after which a server is overdue; 0 at a
+	// process that receives no heartbeats itself.
 	OverdueAfter time.Duration
-	// EntryExpiry is the time without a sign of life after which an entry is
-	// no longer named to callers.
+	// EntryExpiry is the time without a heartbeat after which an entry is no longer live, so
+	// that callers are no longer referred to it.
 	EntryExpiry time.Duration
-	// AddressHold is how long after a server's last heartbeat no other one can have
-	// its address.
+	// AddressHold is the time after a server's last heartbeat during which another server
+	// cannot claim its address unless it has a later incarnation.
 	AddressHold time.Duration
-	// ForgetAfter is the time after which a server's record is dropped that does not
-	// serve or is silent, and an entry's that gave no sign of life. It must outlast
-	// every heartbeat that is still on its way.
+	// ForgetAfter is the time without a heartbeat after which Sweep drops the record of an
+	// entry, or of a server that is unreachable or not serving. It must exceed the longest
+	// delay of a heartbeat, or a delayed one would add the record again.
 	ForgetAfter time.Duration
 }
 
-// DefaultForgetAfter is far above the seconds by which a heartbeat may be late.
+// DefaultForgetAfter far exceeds the longest delay of a heartbeat.
 const DefaultForgetAfter = 2 * time.Minute
 
-// Store is a set of records. It is safe for concurrent use.
+// Store stores the records of servers and entries. It is safe for concurrent use.
 type Store struct {
 	cfg Config
 
-	mu      sync.Mutex
-	seq     uint64 // of the newest change
-	servers map[string]*heldServer
-	byAddr  map[string]string // address -> id of the server that has it
-	entries map[string]*heldEntry
-	sources map[string]*source // by link address; none at a replica
-	changed chan struct{}      // closed at the next change
+	mu       sync.Mutex
+	lastSeq  uint64 // of the newest change or heartbeat
+	servers  map[string]*storedServer
+	byAddr   map[string]string // address -> id of the server that has it
+	entries  map[string]*storedEntry
+	replicas map[string]*replicaState // by link address; empty at a replica
+	changed  chan struct{}            // closed at the next change
 }
 
-type heldServer struct {
+type storedServer struct {
 	Server
-	heard   time.Time
-	seq     uint64          // of the change that made the record what it is
-	touched uint64          // of the newest heartbeat
-	words   map[string]word // what each replica said last; none at a replica
+	lastHeartbeat time.Time
+	changeSeq     uint64            // of the last change of the record
+	heartbeatSeq  uint64            // of the last change or heartbeat
+	reports       map[string]report // last report of each replica, by link address; empty at a replica
 }
 
-type heldEntry struct {
+type storedEntry struct {
 	Entry
-	heard   time.Time
-	seq     uint64
-	touched uint64
+	lastHeartbeat time.Time
+	changeSeq     uint64
+	heartbeatSeq  uint64
 }
 
 // NewStore returns an empty store.
 func NewStore(cfg Config) *Store {
 	return &Store{
-		cfg:     cfg,
-		servers: make(map[string]*heldServer),
-		byAddr:  make(map[string]string),
-		entries: make(map[string]*heldEntry),
-		sources: make(map[string]*source),
-		changed: make(chan struct{}),
+		cfg:      cfg,
+		servers:  make(map[string]*storedServer),
+		byAddr:   make(map[string]string),
+		entries:  make(map[string]*storedEntry),
+		replicas: make(map[string]*replicaState),
+		changed:  make(chan struct{}),
 	}
 }
 
-// Announce takes a heartbeat that this process has received and reports whether
-// it changed what is known beyond the time of the last one.
+// Announce records a heartbeat that this process has received from a server. It reports
+// whether anything but the time of the last heartbeat changed.
 func (s *Store) Announce(a instance.Announcement, now time.Time) bool {
 	return s.mergeServer(Origin{}, Server{Announcement: a}, now)
 }
 
-// Leave notes that a server has said that it is gone. incarnation 0 stands for
-// every incarnation up to now, for a server that doesn't say which one it is.
+// Leave records a server's announcement that it is gone and reports whether its record
+// changed. incarnation 0 means every incarnation that started before now, for a server that
+// does not send its incarnation.
 func (s *Store) Leave(id string, incarnation uint64, now time.Time) bool {
 	s.mu.Lock()
 	if incarnation == 0 {
 		incarnation = uint64(now.UnixMilli())
 	}
 	rec := Server{Announcement: instance.Announcement{ID: id, Incarnation: incarnation}}
-	if held, known := s.servers[id]; known && held.Incarnation <= incarnation {
-		rec.Announcement = held.Announcement
+	if stored, known := s.servers[id]; known && stored.Incarnation <= incarnation {
+		rec.Announcement = stored.Announcement
 	}
 	rec.State = instance.StateGone
 	s.mu.Unlock()
 	return s.mergeServer(Origin{}, rec, now)
 }
 
-// Merge takes records that a replica passed on, maybe none. It reports whether that
-// changed what is known.
+// Merge records what a replica has sent, and that the replica is reachable; both slices may
+// be empty. It reports whether anything but heartbeat times changed.
 func (s *Store) Merge(from Origin, servers []Server, entries []Entry, now time.Time) bool {
-	changed := s.noteSource(from)
+	changed := s.recordReplica(from)
 	for i := range servers {
 		changed = s.mergeServer(from, servers[i], now) || changed
 	}
@@ -104,71 +105,75 @@
 	return changed
 }
 
+// mergeServer merges one record of a server and reports whether anything but the time of the
+// last heartbeat changed.
 func (s *Store) mergeServer(from Origin, rec Server, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	heard := now.Add(-rec.HeartbeatAge)
-	held, known := s.servers[rec.ID]
-	if known && !rec.version().newerThan(held.version()) {
-		return s.refresh(from, held, rec, now)
+	lastHeartbeat := now.Add(-rec.HeartbeatAge)
+	stored, known := s.servers[rec.ID]
+	if known && !rec.version().newerThan(stored.version()) {
+		return s.refreshServer(from, stored, rec, now)
 	}
-	said := word{rec.Overdue, rec.Unreachable}
+	received := report{rec.Overdue, rec.Unreachable}
 	rec.Overdue, rec.Unreachable = false, false
 	if !s.claimAddress(&rec, now) {
 		return false
 	}
-	next := &heldServer{Server: rec, heard: heard}
+	next := &storedServer{Server: rec, lastHeartbeat: lastHeartbeat}
 	if known {
-		next.seq, next.touched, next.words = held.seq, held.touched, held.words
-		if heard.Before(held.heard) {
-			next.heard = held.heard
+		next.changeSeq, next.heartbeatSeq, next.reports = stored.changeSeq, stored.heartbeatSeq, stored.reports
+		if lastHeartbeat.Before(stored.lastHeartbeat) {
+			next.lastHeartbeat = stored.lastHeartbeat
 		}
 	}
 	s.servers[rec.ID] = next
-	s.settle(from, next, said, now)
-	if known && sameServer(&held.Server, &next.Server) {
-		s.touchServer(next)
+	s.updateReachability(from, next, received, now)
+	if known && sameServer(&stored.Server, &next.Server) {
+		s.recordHeartbeat(next)
 		return false
 	}
-	s.changeServer(next)
+	s.recordChange(next)
 	return true
 }
 
-// settle sets the silence of a record that has just come.
-func (s *Store) settle(from Origin, held *heldServer, said word, now time.Time) bool {
-	if s.judges() {
-		return s.judge(held, now, said.silent)
+// updateReachability sets Overdue and Unreachable of a record that has just been received,
+// and reports whether either changed. The caller holds s.mu.
+func (s *Store) updateReachability(from Origin, stored *storedServer, received report, now time.Time) bool {
+	if s.observesHeartbeats() {
+		return s.updateOverdue(stored, now, received.unreachable)
 	}
 	if from.Replica != "" {
-		if held.words == nil {
-			held.words = make(map[string]word)
+		if stored.reports == nil {
+			stored.reports = make(map[string]report)
 		}
-		held.words[from.Replica] = said
+		stored.reports[from.Replica] = received
 	}
-	return s.weigh(held)
+	return s.applyReports(stored)
 }
 
-// refresh takes what an equal or older record of the same start says besides: when the
-// server was heard, and the replica's word on its silence.
-func (s *Store) refresh(from Origin, held *heldServer, rec Server, now time.Time) bool {
-	if rec.Incarnation != held.Incarnation || rec.State != held.State {
+// refreshServer merges a record that is no newer than the stored one. If incarnation and
+// state are the same, it still applies the time of the heartbeat and the replica's report. It
+// reports whether Overdue or Unreachable changed. The caller holds s.mu.
+func (s *Store) refreshServer(from Origin, stored *storedServer, rec Server, now time.Time) bool {
+	if rec.Incarnation != stored.Incarnation || rec.State != stored.State {
 		return false
 	}
-	if heard := now.Add(-rec.HeartbeatAge); rec.version() == held.version() && heard.After(held.heard) {
-		held.heard = heard
-		s.touchServer(held)
+	if lastHeartbeat := now.Add(-rec.HeartbeatAge); rec.version() == stored.version() && lastHeartbeat.After(stored.lastHeartbeat) {
+		stored.lastHeartbeat = lastHeartbeat
+		s.recordHeartbeat(stored)
 	}
-	return s.settle(from, held, word{rec.Overdue, rec.Unreachable}, now)
+	return s.updateReachability(from, stored, report{rec.Overdue, rec.Unreachable}, now)
 }
 
-// claimAddress settles which of two servers has an address, and reports whether
-// the record is to be taken at all. Addresses of lost servers are used again; a
-// heartbeat of the old server that was held up on its way would otherwise send
-// its requests to the new one.
+// claimAddress decides which of two servers has an address, and reports whether rec should be
+// stored. Addresses of ended servers are reused: without this check a delayed heartbeat of the
+// previous server would direct its requests to the new one.
 //
-// The later start counts. Where neither says when it started, the server that has
-// been heard just now still has its address, and the record is one that was held
-// up; a real successor comes again with its next heartbeat.
+// The later incarnation wins. If the incarnations are equal, as for servers that send none, a
+// server keeps its address for AddressHold after its last heartbeat, and rec is taken to be a
+// delayed heartbeat. A real successor claims the address with a later heartbeat. The caller
+// holds s.mu.
 func (s *Store) claimAddress(rec *Server, now time.Time) bool {
 	if rec.State == instance.StateGone || rec.Address == "" {
 		return true
@@ -179,86 +184,92 @@
 		case other.Incarnation > rec.Incarnation:
 			rec.State = instance.StateGone
 			return true
-		case other.Incarnation == rec.Incarnation && now.Sub(other.heard) < s.cfg.AddressHold:
+		case other.Incarnation == rec.Incarnation && now.Sub(other.lastHeartbeat) < s.cfg.AddressHold:
 			return false
 		}
 		other.State = instance.StateGone
-		s.changeServer(other)
+		s.recordChange(other)
 	}
 	s.byAddr[rec.Address] = rec.ID
 	return true
 }
 
-// sameServer reports whether two announcements differ only in their number and
-// in what is measured anew each time.
+// sameServer reports whether two records differ at most in sequence number and in fields that
+// are measured for each heartbeat.
 func sameServer(a, b *Server) bool {
 	return a.Incarnation == b.Incarnation && a.State == b.State && a.Address == b.Address && a.Zone == b.Zone &&
 		a.Overdue == b.Overdue && a.Unreachable == b.Unreachable && a.Slots == b.Slots && a.Class == b.Class && a.Version == b.Version &&
 		a.LeavingIn == b.LeavingIn && slices.Equal(a.Services, b.Services)
 }
 
-func (s *Store) changeServer(held *heldServer) {
-	s.seq++
-	held.seq, held.touched = s.seq, s.seq
-	s.signal()
+// recordChange gives the record a new sequence number and wakes those who wait for a change.
+// The caller holds s.mu.
+func (s *Store) recordChange(stored *storedServer) {
+	s.lastSeq++
+	stored.changeSeq, stored.heartbeatSeq = s.lastSeq, s.lastSeq
+	s.notify()
 }
 
-// touchServer notes a heartbeat without news. It wakes nobody: entries need no
-// message for it, and replicas take it along with the next one.
-func (s *Store) touchServer(held *heldServer) {
-	s.seq++
-	held.touched = s.seq
+// recordHeartbeat gives a new sequence number to a heartbeat that changes nothing else. It
+// does not wake waiting calls: entries need no message for it, and replicas receive it with
+// the next message. The caller holds s.mu.
+func (s *Store) recordHeartbeat(stored *storedServer) {
+	s.lastSeq++
+	stored.heartbeatSeq = s.lastSeq
 }
 
-func (s *Store) signal() {
+// notify closes s.changed and replaces it. The caller holds s.mu.
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// MergeEntry takes a record of an entry, its own or passed on.
+// MergeEntry records an entry's own record of itself or one that another process has
+// forwarded. It reports whether anything but the time of the last heartbeat changed.
 func (s *Store) MergeEntry(rec Entry, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	heard := now.Add(-rec.HeartbeatAge)
-	held, known := s.entries[rec.Name]
-	if known && !rec.version().newerThan(held.version()) {
-		if rec.version() == held.version() && heard.After(held.heard) {
-			held.heard = heard
-			s.seq++
-			held.touched = s.seq
+	lastHeartbeat := now.Add(-rec.HeartbeatAge)
+	stored, known := s.entries[rec.Name]
+	if known && !rec.version().newerThan(stored.version()) {
+		if rec.version() == stored.version() && lastHeartbeat.After(stored.lastHeartbeat) {
+			stored.lastHeartbeat = lastHeartbeat
+			s.lastSeq++
+			stored.heartbeatSeq = s.lastSeq
 		}
 		return false
 	}
-	s.seq++
-	s.entries[rec.Name] = &heldEntry{Entry: rec, heard: heard, seq: s.seq, touched: s.seq}
-	s.signal()
+	s.lastSeq++
+	s.entries[rec.Name] = &storedEntry{Entry: rec, lastHeartbeat: lastHeartbeat, changeSeq: s.lastSeq, heartbeatSeq: s.lastSeq}
+	s.notify()
 	return true
 }
 
-// Changes are records that changed after a point.
+// Changes holds the records that changed after a sequence number. Seq is the number to pass
+// to the next call of Since.
 type Changes struct {
 	Seq     uint64
 	Servers []Server
 	Entries []Entry
 }
 
-// Since returns what changed after seq, and with touches also what was heard
-// again since, ordered by name.
-func (s *Store) Since(seq uint64, touches bool, now time.Time) Changes {
+// Since returns the records that changed after seq, sorted by id and name. withHeartbeats
+// adds the records that only had a heartbeat since.
+func (s *Store) Since(seq uint64, withHeartbeats bool, now time.Time) Changes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Changes{Seq: s.seq}
-	for _, held := range s.servers {
-		if held.seq > seq || touches && held.touched > seq {
-			rec := held.Server
-			rec.HeartbeatAge = now.Sub(held.heard)
+	out := Changes{Seq: s.lastSeq}
+	for _, stored := range s.servers {
+		if stored.changeSeq > seq || withHeartbeats && stored.heartbeatSeq > seq {
+			rec := stored.Server
+			rec.HeartbeatAge = now.Sub(stored.lastHeartbeat)
 			out.Servers = append(out.Servers, rec)
 		}
 	}
-	for _, held := range s.entries {
-		if held.seq > seq || touches && held.touched > seq {
-			rec := held.Entry
-			rec.HeartbeatAge = now.Sub(held.heard)
+	for _, stored := range s.entries {
+		if stored.changeSeq > seq || withHeartbeats && stored.heartbeatSeq > seq {
+			rec := stored.Entry
+			rec.HeartbeatAge = now.Sub(stored.lastHeartbeat)
 			out.Entries = append(out.Entries, rec)
 		}
 	}
@@ -267,113 +278,117 @@
 	return out
 }
 
-// ChangedSince reports whether anything changed after seq. changed is closed at the next
-// change.
-func (s *Store) ChangedSince(seq uint64) (news bool, changed <-chan struct{}) {
+// ChangedSince reports whether any record changed after seq, heartbeats without a change
+// aside. The channel is closed at the next change.
+func (s *Store) ChangedSince(seq uint64) (hasChanged bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.newest() > seq, s.changed
+	return s.latestChange() > seq, s.changed
 }
 
-// newest is the number of the newest change, heartbeats without news left out.
-func (s *Store) newest() uint64 {
+// latestChange returns the sequence number of the last change, not counting heartbeats
+// without a change. The caller holds s.mu.
+func (s *Store) latestChange() uint64 {
 	var n uint64
-	for _, held := range s.servers {
-		n = max(n, held.seq)
+	for _, stored := range s.servers {
+		n = max(n, stored.changeSeq)
 	}
-	for _, held := range s.entries {
-		n = max(n, held.seq)
+	for _, stored := range s.entries {
+		n = max(n, stored.changeSeq)
 	}
 	return n
 }
 
-// Sweep marks servers that fell silent, if this process hears them itself, and drops
-// what is long gone. confirmed says that this replica is in touch with most others:
-// one that is cut off hears nothing of servers that are well.
+// Sweep drops records without a heartbeat for Config.ForgetAfter, except those of healthy
+// servers. If this process receives heartbeats itself, it also marks overdue servers.
+// confirmed means that this replica is in contact with most others: only then does it judge
+// overdue servers unreachable, since an isolated replica receives no heartbeats of healthy
+// servers.
 func (s *Store) Sweep(now time.Time, confirmed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, held := range s.servers {
-		age := now.Sub(held.heard)
-		well := held.State == instance.StateServing && !held.Unreachable
-		if age > s.cfg.ForgetAfter && !well {
+	for id, stored := range s.servers {
+		age := now.Sub(stored.lastHeartbeat)
+		healthy := stored.State == instance.StateServing && !stored.Unreachable
+		if age > s.cfg.ForgetAfter && !healthy {
 			delete(s.servers, id)
-			if s.byAddr[held.Address] == id {
-				delete(s.byAddr, held.Address)
+			if s.byAddr[stored.Address] == id {
+				delete(s.byAddr, stored.Address)
 			}
 			continue
 		}
-		if s.judges() {
-			s.judge(held, now, confirmed)
+		if s.observesHeartbeats() {
+			s.updateOverdue(stored, now, confirmed)
 		}
 	}
-	for name, held := range s.entries {
-		if now.Sub(held.heard) > s.cfg.ForgetAfter {
+	for name, stored := range s.entries {
+		if now.Sub(stored.lastHeartbeat) > s.cfg.ForgetAfter {
 			delete(s.entries, name)
 		}
 	}
 }
 
-// Servers returns the servers that are not gone, ordered by id.
+// Servers returns the servers that are not gone, sorted by id.
 func (s *Store) Servers(now time.Time) []Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Server, 0, len(s.servers))
-	for _, held := range s.servers {
-		if held.State == instance.StateGone {
+	for _, stored := range s.servers {
+		if stored.State == instance.StateGone {
 			continue
 		}
-		rec := held.Server
-		rec.HeartbeatAge = now.Sub(held.heard)
+		rec := stored.Server
+		rec.HeartbeatAge = now.Sub(stored.lastHeartbeat)
 		out = append(out, rec)
 	}
 	slices.SortFunc(out, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
-// Refresh notes that another process hears these entries, and returns what is known of
-// them. A process that is told only of changes would drop them otherwise.
+// Refresh records a heartbeat of each named entry at now, because another process reports it
+// live, and returns the records of those that are serving. Without it, a process that
+// receives only changes would drop entries that do not change.
 func (s *Store) Refresh(names []string, now time.Time) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Entry, 0, len(names))
 	for _, name := range names {
-		held := s.entries[name]
-		if held == nil {
+		stored := s.entries[name]
+		if stored == nil {
 			continue
 		}
-		held.heard = now
-		if held.State == instance.StateServing {
-			out = append(out, held.Entry)
+		stored.lastHeartbeat = now
+		if stored.State == instance.StateServing {
+			out = append(out, stored.Entry)
 		}
 	}
 	return out
 }
 
-// Entries returns all entries that are known, ordered by name. Those that were not heard of
-// late may be gone.
+// Entries returns the records of all entries, sorted by name, including entries that are
+// leaving or whose heartbeats have stopped.
 func (s *Store) Entries(now time.Time) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Entry, 0, len(s.entries))
-	for _, held := range s.entries {
-		rec := held.Entry
-		rec.HeartbeatAge = now.Sub(held.heard)
+	for _, stored := range s.entries {
+		rec := stored.Entry
+		rec.HeartbeatAge = now.Sub(stored.lastHeartbeat)
 		out = append(out, rec)
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
-// LiveEntries returns the entries that serve and have been heard within
-// EntryExpiry, ordered by name.
+// LiveEntries returns the entries that are serving and whose last heartbeat is no older than
+// Config.EntryExpiry, sorted by name.
 func (s *Store) LiveEntries(now time.Time) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Entry, 0, len(s.entries))
-	for _, held := range s.entries {
-		if held.State == instance.StateServing && now.Sub(held.heard) <= s.cfg.EntryExpiry {
-			out = append(out, held.Entry)
+	for _, stored := range s.entries {
+		if stored.State == instance.StateServing && now.Sub(stored.lastHeartbeat) <= s.cfg.EntryExpiry {
+			out = append(out, stored.Entry)
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
