--- a/entry/answer.go
+++ b/entry/answer.go
@@ -31,7 +31,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 || n > available {
-		return 0, request.NewProblem(request.CodeBadRequest, request.NotRun, "%s: %q is not the id of an event of this answer", request.HeaderEventID, text)
+		return 0, request.NewProblem(request.CodeBadRequest, request.NotRun, "%s %q names no token of this answer", request.HeaderEventID, text)
 	}
 	return n, nil
 }
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -59,7 +59,7 @@
 func (e *Entry) decodeFromServer(w http.ResponseWriter, r *http.Request, into any) bool {
 	key, _ := request.BearerKey(r.Header)
 	if !contract.HashKey(key).Equal(e.announceKey) {
-		e.refuseAnnouncement(w, r, request.NewProblem(request.CodeUnauthorized, request.NotRun, "the announcement key is missing or wrong"))
+		e.refuseAnnouncement(w, r, request.NewProblem(request.CodeUnauthorized, request.NotRun, "the announcers' key is missing or wrong"))
 		return false
 	}
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes)).Decode(into); err != nil {
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -133,7 +133,7 @@
 	if errors.As(err, &maxBytesErr) {
 		return nil, tooLargeProblem(limit)
 	}
-	return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "cannot read the request body: %v", err)
+	return nil, request.NewProblem(request.CodeBadRequest, request.NotRun, "the request body broke off: %v", err)
 }
 
 func tooLargeProblem(limit int64) *request.Problem {
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -70,17 +70,17 @@
 	var chat native.ChatRequest
 	dec := json.NewDecoder(bytes.NewReader(body))
 	if err := dec.Decode(&chat); err != nil {
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "the body is not a chat request: %v", err)
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "the body is no chat request: %v", err)
 	}
 	switch {
 	case chat.Model == "":
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "model is missing; it must name a service")
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "model is missing: it names the service")
 	case len(chat.Messages) == 0:
 		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "messages is empty")
 	case chat.MaxTokens < 0 || chat.MaxTokens > maxAnswerTokens:
 		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "max_tokens %d is out of range 0..%d", chat.MaxTokens, maxAnswerTokens)
 	case chat.Resume != nil:
-		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "resume may not be set by callers")
+		return chat, request.NewProblem(request.CodeBadRequest, request.NotRun, "resume is not for callers")
 	}
 	return chat, nil
 }
@@ -188,7 +188,7 @@
 		return e.applyDecision(wk, <-wk.ticket.decision)
 	}
 	if wk.ctx.Err() != nil {
-		wk.journal.Finish(request.End{Problem: request.NewProblem(request.CodeDeadlineExpired, request.NotRun, "the request ended while it was queued")})
+		wk.journal.Finish(request.End{Problem: request.NewProblem(request.CodeDeadlineExpired, request.NotRun, "the request was given up while it waited")})
 	}
 	return nil
 }
@@ -242,7 +242,7 @@
 	id := request.ID(r.PathValue("id"))
 	wk, known := e.registry.get(id)
 	if !known {
-		e.refuse(w, r, request.NewProblem(request.CodeNoSuchAnswer, request.Unknown, "this entry has no request %s", id))
+		e.refuse(w, r, request.NewProblem(request.CodeNoSuchAnswer, request.Unknown, "request %s is not here", id))
 		return
 	}
 	from, p := parseLastEventID(r, len(wk.journal.Tokens()))
--- a/entry/guard.go
+++ b/entry/guard.go
@@ -102,7 +102,7 @@
 				slog.String("request", string(t.request.ID)), slog.String("workspace", t.request.Workspace),
 				slog.String("fingerprint", strconv.FormatUint(fingerprint, 16)), slog.Time("until", v.Until))
 			return nil, request.NewProblem(request.CodeQuarantined, request.NotRun,
-				"backend servers crashed while they ran this request; it is refused until %s", v.Until.UTC().Format(time.RFC3339))
+				"backend servers stopped while they ran this request; it is refused until %s", v.Until.UTC().Format(time.RFC3339))
 		case quarantine.ActionRun:
 			if moved, ok := t.lane.exchangeGrant(t, g, v.Server); ok {
 				moved.quarantineRun = q.start(fingerprint, v)
--- a/entry/life.go
+++ b/entry/life.go
@@ -177,7 +177,7 @@
 func (e *Entry) handleLeave(w http.ResponseWriter, r *http.Request) {
 	notice, err := time.ParseDuration(r.URL.Query().Get("notice"))
 	if err != nil || notice <= 0 {
-		request.NewProblem(request.CodeBadRequest, request.NotRun, "notice must be a positive duration such as 20s").Write(w)
+		request.NewProblem(request.CodeBadRequest, request.NotRun, "notice is not a duration such as 20s").Write(w)
 		return
 	}
 	e.leaveWithin(notice)
--- a/gateway/leave.go
+++ b/gateway/leave.go
@@ -20,7 +20,7 @@
 	case g.leaving.Load():
 		return trace.ConnectionProblem(nil, "leaving")
 	case g.table.Load() == nil:
-		return trace.ConnectionProblem(nil, "no catalogue received yet")
+		return trace.ConnectionProblem(nil, "no catalogue is known yet")
 	default:
 		return nil
 	}
