--- a/entry/answer_test.go
+++ b/entry/answer_test.go
@@ -12,7 +12,8 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// answerOf streams the answer of a journal to a caller that has so many tokens.
+// streamAnswer streams the answer of a journal to a caller that has received the given number
+// of tokens.
 func streamAnswer(t *testing.T, j *request.Journal, received int) *httptest.ResponseRecorder {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -24,9 +25,8 @@
 	return w
 }
 
-// A caller's connection breaks, and it asks again with the id of the last event
-// it got. It must read the next token and none twice. Broken by a.next++ after
-// the event in stream.
+// Guards against a caller that reconnects with Last-Event-ID and gets a token twice or not at
+// all. Fails if stream increments a.next after it has written the event.
 func TestStreamResumesAfterLastEventID(t *testing.T) {
 	for received := range 4 {
 		j := request.NewJournal([]string{"a", "b", "c"})
@@ -49,10 +49,10 @@
 	}
 }
 
-// A request moves to another entry. Before the first byte its caller is sent
-// there by a redirect that any client follows; later only an event can tell it,
-// and a redirect written into the stream would end it as a broken answer. Broken
-// by leaving out !a.begun for moved answers in streamEnd.
+// Guards against a caller that loses its answer when the request moves to another entry: it
+// must get a redirect before the first byte and an event afterwards. A redirect written into
+// the stream would corrupt the answer. Fails if !a.headerSent is removed for moved answers in
+// streamEnd.
 func TestMovedAnswerRedirectsOrSendsEvent(t *testing.T) {
 	const location = "http://127.0.0.1:7001/v1/answers/r1-1"
 	end := request.End{MovedTo: "127.0.0.1:7001"}
@@ -69,12 +69,12 @@
 	require.Equal(t, 200, w.Code)
 	require.Empty(t, w.Header().Get("Location"))
 	require.Contains(t, w.Body.String(), "id: 1\nevent: moved\nretry: 0\ndata: {\"location\":\""+location+"\"}\n\n")
-	require.Empty(t, w.Result().Trailer.Get(request.HeaderOutcome), "the other entry tells the outcome")
+	require.Empty(t, w.Result().Trailer.Get(request.HeaderOutcome), "the other entry reports the outcome")
 }
 
-// Every server fails on a request. Its caller must learn the outcome: by the
-// status before the first byte, and by an event and the trailer afterwards.
-// Broken by leaving out the trailer in streamProblem.
+// Guards against a failed request whose caller does not get the outcome: in a header before
+// the first byte, and in an event and the trailer afterwards. Fails if streamProblem does not
+// set the trailer.
 func TestProblemReachesCallerWithOutcome(t *testing.T) {
 	end := request.End{Problem: request.NewProblem(request.CodeServerFailed, request.Unknown, "gone")}
 	early := request.NewJournal(nil)
@@ -94,8 +94,9 @@
 	require.Equal(t, string(request.Unknown), w.Result().Trailer.Get(request.HeaderOutcome))
 }
 
-// A caller sends an id that this answer never had. Taken as it stands it would
-// wait for a token that never comes. Broken by removing n > have in eventID.
+// Guards against accepting a Last-Event-ID that is not the id of an event of this answer: the
+// caller would wait for a token that is never generated. Fails if the check n > available in
+// parseLastEventID is removed.
 func TestLastEventIDRejectsInvalidValues(t *testing.T) {
 	for text, want := range map[string]int{"": 0, "0": 0, "5": 5, "-1": -1, "6": -1, "x": -1, "1.5": -1, "99999999999999999999": -1} {
 		r := httptest.NewRequest("GET", "/", nil)
--- a/entry/catalogue_test.go
+++ b/entry/catalogue_test.go
@@ -18,10 +18,10 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-// testFreshFor is how long a confirmation holds in these tests.
+// testFreshFor is how long a confirmation is valid in these tests.
 const testFreshFor = 4 * time.Second
 
-// testClock is a clock that moves only when told to.
+// testClock is a clock that only advance moves.
 type testClock struct{ at time.Time }
 
 func newTestClock() *testClock { return &testClock{at: time.Unix(1_800_000_000, 0)} }
@@ -29,8 +29,8 @@
 func (c *testClock) now() time.Time           { return c.at }
 func (c *testClock) advance(by time.Duration) { c.at = c.at.Add(by) }
 
-// fakeControl is control as an entry sees it. accepted holds when each change
-// was accepted; change i+1 has index i+1.
+// fakeControl implements controlClient. acceptedAt holds when each change was accepted;
+// acceptedAt[i] is that of the change with index i+1.
 type fakeControl struct {
 	clock      *testClock
 	t          *rapid.T
@@ -39,19 +39,21 @@
 
 var errLost = errors.New("answer lost")
 
+// advanceClock advances the clock by a drawn time, which may exceed testFreshFor.
 func (c *fakeControl) advanceClock(label string) {
 	c.clock.advance(time.Duration(rapid.SampledFrom([]int{0, 0, 1, 30, 900, 3900, 9000}).Draw(c.t, label)) * time.Millisecond)
 }
 
-// accept takes n changes now.
+// acceptChanges accepts n changes now.
 func (c *fakeControl) acceptChanges(n int) {
 	for range n {
 		c.acceptedAt = append(c.acceptedAt, c.clock.at)
 	}
 }
 
-// Confirm names at least what was accepted when it was asked; replicas may have
-// more in their logs. The way there and back takes time, in which changes are accepted.
+// Confirm returns as Needed the index of the last change accepted when the request arrives;
+// Newest may be higher, since logs of replicas may contain more. Request and response take
+// time, and changes are accepted in between.
 func (c *fakeControl) Confirm(context.Context) (api.Confirmation, error) {
 	c.advanceClock("way there")
 	needed := uint64(len(c.acceptedAt))
@@ -63,7 +65,7 @@
 	return api.Confirmation{Needed: needed, Newest: needed + uint64(rapid.IntRange(0, 1).Draw(c.t, "uncommitted"))}, nil
 }
 
-// Catalogue answers as a replica that may lag behind.
+// Catalogue replies as a replica that may lag.
 func (c *fakeControl) Catalogue(_ context.Context, have uint64) (api.CatalogueReply, error) {
 	c.advanceClock("fetch")
 	if rapid.IntRange(0, 4).Draw(c.t, "catalogue lost") == 0 {
@@ -80,12 +82,11 @@
 	}
 }
 
-// An operator's change is accepted while this entry's answers are late, lost or
-// old, or its process is frozen for a while. Callers of a workspace that was cut
-// off would still be served. Whenever a catalogue is in force at t, every change
-// accepted before t - freshFor is in it, and its index never falls. Broken by
-// taking asked after the answer in pollControl, by removing the index check in
-// confirm, and by removing the one in take.
+// Guards against serving callers of a disabled workspace by an old catalogue while responses
+// are late, lost or stale, or the process is frozen. Whenever a catalogue is in force at t, it
+// contains every change accepted before t - freshFor, and its index never decreases. Fails if
+// pollControl passes the time after the response instead of askedAt, if the index check in recordConfirmation is
+// removed, or if the one in applyReply is.
 func TestCatalogueInForceHasEveryOldChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := newTestClock()
@@ -114,8 +115,8 @@
 	})
 }
 
-// serveFollower answers other entries' questions for f until the test ends, and
-// returns its link address.
+// serveFollower serves other entries' calls to f until the test ends, and returns its link
+// address.
 func serveFollower(t *testing.T, f *follower) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -132,17 +133,16 @@
 	return listener.Addr().String()
 }
 
-// refusingControl is control that this entry cannot reach.
+// refusingControl is a controlClient whose Confirm always fails.
 type refusingControl struct{ controlClient }
 
 func (refusingControl) Confirm(context.Context) (api.Confirmation, error) {
 	return api.Confirmation{}, errLost
 }
 
-// This entry cannot reach control, and another entry that can tells what it has
-// confirmed, on a clock that differs by an hour. Its word is as old as its own
-// confirmation; taken as fresh, the two could keep each other serving by an old
-// catalogue for good. Broken by leaving out Add(-reply.Age) in pollPeers.
+// Guards against treating a peer's confirmation as newer than it is: two entries without
+// control could confirm each other's old catalogue forever. The peer's clock differs by an
+// hour. Fails if Add(-reply.Age) in pollPeers is removed.
 func TestPeerConfirmationKeepsItsAge(t *testing.T) {
 	peerClock, clock := newTestClock(), newTestClock()
 	peerClock.advance(time.Hour)
@@ -161,8 +161,7 @@
 	require.Nil(t, own.inForce(), "the peer's confirmation is older than freshFor now")
 }
 
-// awaitLock returns once a goroutine waits for a lock within the function of
-// this name.
+// awaitLock returns once a goroutine waits for a mutex within the named function.
 func awaitLock(t *testing.T, function string) {
 	t.Helper()
 	buf := make([]byte, 1<<20)
@@ -176,8 +175,8 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// replaceWhileLocked runs ask while its follower is in the middle of a poll that
-// brings catalogue 2 and its confirmation after a long time without any.
+// replaceWhileLocked calls call, waits until it blocks on f.mu within the named function,
+// then stores catalogue 2 and its confirmation, as a poll does, and returns call's result.
 func replaceWhileLocked[T any](t *testing.T, f *follower, function string, call func() T) T {
 	t.Helper()
 	f.mu.Lock()
@@ -190,11 +189,9 @@
 	return <-result
 }
 
-// An entry was cut off for long, and its first poll afterwards brings the
-// catalogue in which a workspace is cut off. A request that arrives in the same
-// moment must be judged by that one or refused, never by the old catalogue under
-// the new confirmation. Broken by loading the catalogue before the freshness is
-// looked at in inForce.
+// Guards against admitting a request by the old catalogue under the confirmation of the new
+// one, if it arrives during the first poll after a partition: a workspace disabled meanwhile
+// would be served. Fails if inForce loads the catalogue before it calls isFresh.
 func TestInForceNeverPairsOldCatalogueWithNewConfirmation(t *testing.T) {
 	clock := newTestClock()
 	f := newTestFollower(nil, clock.now)
@@ -204,10 +201,9 @@
 	require.Equal(t, uint64(2), c.reply.Index)
 }
 
-// Another entry asks this one in the moment in which it takes a new catalogue.
-// The answer must not pair the old index with the new confirmation: the other
-// entry would keep its old catalogue in force by it. Broken by loading the
-// catalogue before the lock in describe.
+// Guards against a reply with the old index and the new confirmation, if another entry calls
+// while this one applies a new catalogue: the other entry would keep its old catalogue in
+// force. Fails if describe loads the catalogue before it locks f.mu.
 func TestDescribeNeverPairsOldIndexWithNewConfirmation(t *testing.T) {
 	clock := newTestClock()
 	f := newTestFollower(nil, clock.now)
@@ -217,8 +213,8 @@
 	require.Equal(t, confirmedReply{Index: 2, Known: true}, reply)
 }
 
-// A system has just started and its first catalogue is on its way. A caller with a
-// good key must be told to come back, and not that nobody holds its key.
+// Guards against refusing a valid key as unknown before the first catalogue has been
+// accepted: the caller would not retry.
 func TestEmptyCatalogueIsDetected(t *testing.T) {
 	require.True(t, newCatalogue(api.CatalogueReply{}).empty())
 	full := newCatalogue(api.CatalogueReply{Catalogue: contract.Catalogue{
--- a/entry/chat_test.go
+++ b/entry/chat_test.go
@@ -11,10 +11,9 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// Callers send what they like. A body that is let in though it names no model, no
-// message or an endless answer would hold a slot for nothing, and one that
-// resumes would read another caller's KV cache. Broken by removing any case in
-// decodeChat.
+// Guards against admitting an invalid chat request. One without a model or messages, or with
+// an unbounded answer, would occupy a slot for nothing; one with resume would read another
+// caller's KV cache. Fails if any case in decodeChat is removed.
 func FuzzDecodeChat(f *testing.F) {
 	for _, body := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"hi"}],"stream":true,"max_tokens":5,"tools":[]}`,
@@ -40,9 +39,9 @@
 	})
 }
 
-// A faulty server announces nonsense. Slots of zero would divide by zero in the
-// router, and endless lists fill every entry's memory. Broken by removing
-// the lower bound of slots, or the check for a model or service, in
+// Guards against accepting an invalid announcement of a faulty server: zero slots would cause
+// a division by zero in the router, and unbounded lists would exhaust every entry's memory.
+// Fails if the lower bound of slots, or the check for a model or service, is removed in
 // instance.Announcement.Validate.
 func FuzzAnnouncement(f *testing.F) {
 	for _, body := range []string{
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry is the daemon that callers connect to. It tells them which entry to use,
+// Package entry is the daemon that callers connect to. It returns the list of entries,
 // admits their requests, queues them by workspace, routes them to backend servers and
 // streams the answers. When its instance is reclaimed it hands its requests over to other
 // entries.
@@ -247,7 +247,7 @@
 	e.publishVersion(c.reply.Version)
 }
 
-// refreshPlannedStops applies the planned stops again, since some may have begun or ended.
+// refreshPlannedStops applies the planned stops again, since some may have started or ended.
 func (e *Entry) refreshPlannedStops() {
 	if c := e.follower.current.Load(); c != nil {
 		e.applyPlannedStops(c)
--- a/entry/grant.go
+++ b/entry/grant.go
@@ -20,7 +20,7 @@
 	closed        bool  // set by the first call of end
 }
 
-// firstToken records that the server has begun to answer. took is the time since the
+// firstToken records that the server has started to answer. took is the time since the
 // request was sent.
 func (g *grant) firstToken(took time.Duration) {
 	g.lane.mu.Lock()
--- a/entry/lane_test.go
+++ b/entry/lane_test.go
@@ -15,7 +15,7 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// testLane is a lane with a clock of its own and what it has granted.
+// testLane is a lane with its own clock and the tickets submitted to it.
 type testLane struct {
 	*lane
 	clock    *testClock
@@ -30,6 +30,7 @@
 	return &testLane{lane: l, clock: clock}
 }
 
+// server returns the next announcement of a serving server.
 func (l *testLane) server(id string, slots, running int) *instance.Announcement {
 	l.sequence++
 	return &instance.Announcement{
@@ -38,7 +39,7 @@
 	}
 }
 
-// ask submits a request of a workspace with this deadline.
+// submitRequest submits a request of a workspace whose deadline is timeout from now.
 func (l *testLane) submitRequest(workspace string, timeout time.Duration) (*ticket, *request.Problem) {
 	now := l.clock.now()
 	t := &ticket{
@@ -46,14 +47,14 @@
 			ID: request.ID(fmt.Sprintf("%s-%d", workspace, len(l.tickets))), Workspace: workspace, Service: "s",
 			Class: contract.ClassStandard, Deadline: now.Add(timeout), Accepted: now, Cost: 100,
 		},
-		weight: 1, lane: l.lane, decision: make(chan decision, 2), // room for one too many
+		weight: 1, lane: l.lane, decision: make(chan decision, 2), // buffers a second decision, so that tests can detect one
 		route: route.Request{PromptTokens: 10, Zone: "z1", Region: "r1"},
 	}
 	l.tickets = append(l.tickets, t)
 	return t, l.submit(t)
 }
 
-// granted takes the ticket's grant, or nil if there is no decision yet.
+// takeGrant returns the ticket's grant, or nil if there is no decision yet.
 func takeGrant(t require.TestingT, k *ticket) *grant {
 	if len(k.decision) == 0 {
 		return nil
@@ -63,10 +64,9 @@
 	return d.grant
 }
 
-// One workspace sends a burst that holds every slot and fills the queue. The one
-// request of another workspace must not wait behind the burst: its caller would
-// see a first token that is seconds late. Broken by returning queue.Waits
-// in startNext for the quiet workspace while the burst waits.
+// Guards against a workspace's single request that waits behind another workspace's burst,
+// which occupies every slot and the queue: its first token would be seconds late. Fails if
+// dispatchNext returns queue.Waits for the quiet workspace while the burst waits.
 func TestBurstDoesNotDelayAnotherWorkspace(t *testing.T) {
 	l := newTestLane(t)
 	l.announce(l.server("a", 4, 0), l.clock.now())
@@ -86,10 +86,9 @@
 	require.NotNil(t, takeGrant(t, quiet), "the next slot is the quiet workspace's")
 }
 
-// A queue is full, and the backlog's requests are dropped or pass their deadlines
-// there. Each caller must be told at once and once; one that is not told waits
-// until its connection breaks. Broken by leaving out refuse in pump, or the loop
-// over the evicted in submit.
+// Guards against a request that is evicted or expires in the queue without a decision, whose
+// caller would wait until its connection breaks, or with two. Fails if the call of refuse in
+// dispatch, or the loop over verdict.Evicted in submit, is removed.
 func TestDroppedRequestsGetOneDecisionAtOnce(t *testing.T) {
 	l := newTestLane(t)
 	l.announce(l.server("a", 1, 1), l.clock.now())
@@ -102,7 +101,7 @@
 		}
 	}
 	_, p := l.submitRequest("late", 10*time.Second)
-	require.Nil(t, p, "a workspace with nothing waiting takes the place of one with much")
+	require.Nil(t, p, "a workspace without waiting requests evicts one of a workspace with many")
 	evicted := 0
 	for _, k := range l.tickets {
 		evicted += len(k.decision)
@@ -122,11 +121,10 @@
 	require.Empty(t, l.lane.tickets)
 }
 
-// Requests come, leave and end in any order while servers report their loads.
-// More grants than slots would queue requests inside a server, where nobody
-// can move them; a grant that is counted twice at its end frees a slot that is
-// taken. Broken by removing the check of over in end, queue.Remove in withdraw, and the
-// NoSlot check in queue.Starter.
+// Guards against more grants than slots while requests arrive, are withdrawn and end in any
+// order: the excess would queue inside a server, where it cannot be moved. A grant that is
+// closed twice must not free two slots. Fails if the check of g.closed in grant.end,
+// queue.Remove in withdraw, or the NoSlot check in queue.Starter is removed.
 func TestGrantsNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newTestLane(t)
@@ -146,7 +144,7 @@
 			for _, k := range l.tickets {
 				if g := takeGrant(t, k); g != nil {
 					require.False(t, withdrawn[k], "a withdrawn request was granted a server")
-					g.firstToken(time.Millisecond) // a silent server is eased off, and its load goes to the others
+					g.firstToken(time.Millisecond) // a server without one counts as slow, and the other gets its requests
 					running = append(running, g)
 				}
 			}
@@ -154,7 +152,7 @@
 		report := func() {
 			for _, id := range []string{"a", "b"} {
 				l.announce(l.server(id, slots[id], perServer(id)), l.clock.now())
-				collect() // what the first announcement lets start is in the second's report
+				collect() // the second announcement includes what the first one has started
 			}
 		}
 		report()
@@ -204,9 +202,9 @@
 	})
 }
 
-// An operator stops a server, which may go on announcing itself as serving, and
-// takes the stop back. In between nothing may be sent there, and afterwards it
-// must work again. Broken by removing router.Leave in leave, and remove in restore.
+// Guards against sending work to a server under a planned stop, although it still announces
+// itself as serving, and against sending none after the stop is cancelled. Fails if
+// router.MarkLeaving in markLeaving, or remove in restore, is removed.
 func TestStoppedServerGetsNoWorkUntilRestored(t *testing.T) {
 	l := newTestLane(t)
 	l.announce(l.server("a", 4, 0), l.clock.now())
@@ -221,8 +219,9 @@
 	require.NotNil(t, takeGrant(t, k))
 }
 
-// count as room for work that the router sends to the other: that one would get
-// the whole queue, and neither fairness nor deadlines hold for what waits inside it.
+// Guards against counting the free slots of a slow server as capacity for requests that the
+// router sends to the other server: that one would get the whole queue, and neither fairness
+// nor deadlines hold for requests that wait inside a server.
 func TestSlowServerSlotsDoNotOverloadOthers(t *testing.T) {
 	l := newTestLane(t)
 	slots := map[string]int{"a": 2, "b": 8}
--- a/entry/members.go
+++ b/entry/members.go
@@ -15,7 +15,7 @@
 	"savoryreel.example/savoryreel/records"
 )
 
-// join builds this entry's part in the membership.
+// join creates this entry's membership node. Run starts it.
 func (e *Entry) join() error {
 	var err error
 	e.members, err = membership.New(membership.Config{
@@ -32,24 +32,24 @@
 	return nil
 }
 
-// publishLeaving spreads that this entry leaves for good.
+// publishLeaving publishes that this entry is leaving for good.
 func (e *Entry) publishLeaving() {
 	e.members.SetSelf(func(m *instance.Member) { m.State = instance.StateLeaving })
 }
 
-// publishLoad spreads how much of its capacity this entry uses.
+// publishLoad publishes the fraction of its capacity that this entry uses.
 func (e *Entry) publishLoad() {
 	load := float64(e.unfinished()) / float64(e.cfg.Capacity)
 	e.members.SetSelf(func(m *instance.Member) { m.Load = load })
 }
 
-// publishVersion spreads which catalogue version is in force here.
+// publishVersion publishes the catalogue version of this entry.
 func (e *Entry) publishVersion(version uint64) {
 	e.members.SetSelf(func(m *instance.Member) { m.Catalogue = version })
 }
 
-// servingEntries lists the entries that callers may be sent to: those that serve
-// and that no planned stop covers.
+// servingEntries lists the entries that callers may be sent to: those that are serving, are
+// not suspected and are not covered by a planned stop in force.
 func (e *Entry) servingEntries() []*instance.Member {
 	c, now := e.follower.current.Load(), e.deps.Now()
 	var out []*instance.Member
@@ -62,7 +62,7 @@
 	return out
 }
 
-// peerLinks lists the link addresses of other entries.
+// peerLinks lists the link addresses of the other entries.
 func (e *Entry) peerLinks() []string {
 	var out []string
 	for _, m := range e.members.View().Members(instance.RoleEntry) {
@@ -73,7 +73,7 @@
 	return out
 }
 
-// StatusView is an entry's state for operators.
+// StatusView is an entry's state as the operations listener returns it, in JSON.
 type StatusView struct {
 	ID             string             `json:"id"`
 	Zone           string             `json:"zone"`
@@ -96,10 +96,10 @@
 		v.ConfirmedAgeMs = e.follower.describe().Age.Milliseconds()
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the operator's connection is gone: nobody to tell
+	_ = json.NewEncoder(w).Encode(v) // an error means that the operator has disconnected
 }
 
-// memberEvent takes in one change of the membership.
+// memberEvent applies one change of the membership.
 func (e *Entry) memberEvent(ev membership.Event) {
 	switch {
 	case ev.Server != nil:
@@ -138,23 +138,23 @@
 	e.updateEntryCount()
 }
 
-// onLeavingServer reports whether an attempt's server is known to leave or to be gone:
-// its work goes on elsewhere and is no retry.
+// onLeavingServer reports whether the server of an attempt is leaving, gone or restarted. A
+// new attempt on another server then does not count as a retry.
 func (e *Entry) onLeavingServer(g *grant) bool {
 	s, known := e.members.View().Server(g.verdict.Server)
 	return known && (s.State != instance.StateServing || s.Incarnation != g.verdict.Incarnation)
 }
 
-// updateEntryCount tells the lanes how many entries send work to the servers. Those
-// that leave still do, for what they have accepted.
+// updateEntryCount sets the lanes' number of entries that share the servers. It includes
+// leaving entries, which still send the requests that they have accepted.
 func (e *Entry) updateEntryCount() {
 	members := e.members.View().Members(instance.RoleEntry)
 	index := slices.IndexFunc(members, func(m *instance.Member) bool { return m.ID == e.cfg.ID })
 	e.lanes.setEntries(max(1, len(members)), max(0, index))
 }
 
-// recordChanged takes in a shared record. One that cannot be read is passed
-// over: it was written by a process of another version.
+// recordChanged applies a shared record. It ignores a record that it cannot decode, which
+// a process of another version has written.
 func (e *Entry) recordChanged(r *instance.Record) {
 	switch {
 	case records.IsQuarantine(r.Key):
@@ -168,9 +168,9 @@
 	}
 }
 
-// applyNotice follows a reclaim notice: for this entry's own instance it leaves; a
-// backend server gets no new work from now on, whatever it says of itself, and
-// its requests are moved off in time.
+// applyNotice applies a reclaim notice. If it is for this entry's own instance, the entry
+// leaves. A backend server gets no new work from now on, whatever state it announces, and
+// its requests are moved off before the notice ends.
 func (e *Entry) applyNotice(n fleet.Notice) {
 	remaining := n.Ends().Sub(e.deps.Now())
 	if remaining <= 0 {
@@ -189,23 +189,25 @@
 	}
 }
 
-// reclaimNotices are the reclaim notices of backend servers.
+// reclaimNotices holds the reclaim notices of backend servers.
 type reclaimNotices struct {
 	mu   sync.Mutex
-	ends map[string]time.Time // by instance
+	ends map[string]time.Time // by instance; includes noticeGrace
 }
 
-// add notes a notice until a while after its end.
+// add records a notice, which expires noticeGrace after its end.
 func (t *reclaimNotices) add(n fleet.Notice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ends[n.Instance] = n.Ends().Add(noticeGrace)
 }
 
-// noticeGrace is how long after its end a notice still keeps work from a server. By
-// then the instance is gone; one that was spared after all serves again.
+// noticeGrace is how long after its end a notice still keeps new work off a server. A server
+// that has not been reclaimed by then gets work again.
 const noticeGrace = time.Minute
 
+// covers reports whether a notice for the instance has not expired. It removes an expired
+// one.
 func (t *reclaimNotices) covers(id string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -8,8 +8,7 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// Metrics are an entry's counters, all in one set that the operations listener
-// shows.
+// Metrics holds an entry's metrics. The operations listener exposes their set.
 type Metrics struct {
 	set *metrics.Set
 
@@ -23,8 +22,8 @@
 	takenOver        *metrics.Counter
 	quarantined      *metrics.Counter
 	queueWait        *metrics.Histogram
-	firstToken       *metrics.Histogram // from arrival at this entry
-	engineFirstToken *metrics.Histogram // from sending to the engine
+	firstToken       *metrics.Histogram // since the request was accepted
+	engineFirstToken *metrics.Histogram // since the attempt was sent to the engine
 	betweenTokens    *metrics.Histogram
 	ledgerCommit     *metrics.Histogram
 }
@@ -50,7 +49,8 @@
 	}
 }
 
-// requestEnded counts one request by outcome and, where it has one, problem code.
+// requestEnded counts one request by outcome and problem code. The code of a request without
+// a problem is empty.
 func (m *Metrics) requestEnded(o request.Outcome, c request.Code) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("savoryreel_requests_total{outcome=%q,code=%q}", o, c)).Inc()
 }
--- a/entry/once.go
+++ b/entry/once.go
@@ -13,43 +13,42 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// ledgerClient is how an entry reaches the ledger; api.Client is one.
+// ledgerClient sends commands to the ledger. api.Client implements it.
 type ledgerClient interface {
 	Ledger(ctx context.Context, cmd ledger.Command) (ledger.Result, error)
 }
 
-// Bounds of the ledger's use.
+// Timeouts and delays of the ledger's use.
 const (
-	// recordTimeout is how long a request waits for its record to be committed:
-	// an election at the default settings, with room.
+	// recordTimeout bounds the wait for a request's record to be committed. It exceeds the
+	// duration of an election at the default settings.
 	recordTimeout = 3 * time.Second
-	// ledgerUpdateTimeout bounds one try to tell the ledger how a request ended; a log
-	// line follows each.
+	// ledgerUpdateTimeout bounds one attempt to record in the ledger how a request ended.
+	// Each failed attempt is logged.
 	ledgerUpdateTimeout = 30 * time.Second
-	// minAttachInterval and attachMax are how often a second arrival looks whether the
-	// first has ended: soon at first, for most calls are short.
+	// The interval at which a resend checks whether the first arrival has ended doubles
+	// between these bounds. It starts low, since most calls are short.
 	minAttachInterval = 50 * time.Millisecond
 	maxAttachInterval = time.Second
-	// ledgerRetryDelay is when a caller should come back after a request that could
-	// not be recorded: an election takes less.
+	// ledgerRetryDelay is sent as Retry-After if a request could not be recorded. It exceeds
+	// the duration of an election.
 	ledgerRetryDelay = 2 * time.Second
 )
 
-// recordAndRun runs a call that may run at most recordAndRun.
+// recordAndRun runs a call that may run at most once.
 //
-// Its key is committed by a majority of control replicas before the first byte
-// goes to a backend server. A caller whose connection breaks sends the call
-// again, often to another entry; without the record that entry would run it a
-// second time, and a cedent would be credited twice.
+// A majority of control replicas commits its key before the first byte is sent to a backend
+// server. A caller whose connection breaks resends the call, often to another entry. Without
+// the record, that entry would run the call a second time.
 //
-// The key is recorded before the call queues for a server: a slot that is held
-// while control elects a leader serves nobody, and a second arrival needs none.
+// The key is recorded before the call queues for a server, so that no slot is held idle
+// while control elects a leader, and a resend takes none.
 func (c *plainCall) recordAndRun() *request.Problem {
 	c.entry.onceCalls.add(string(c.request.ID))
 	defer c.entry.onceCalls.remove(string(c.request.ID))
 	result, err := c.recordKey()
 	if err != nil {
-		c.updateLedger(ledger.OpRelease, nil) // it may have been recorded all the same
+		c.updateLedger(ledger.OpRelease, nil) // the key may have been committed despite the error
 		return request.NewProblem(request.CodeLedger, request.NotRun, "%v", err).After(ledgerRetryDelay)
 	}
 	if result.Verdict != ledger.VerdictStarted {
@@ -68,7 +67,8 @@
 	return c.sendOnce(g)
 }
 
-// recordKey records the request's key. It is called before any byte goes out.
+// recordKey records the request's key in the ledger. It is called before any byte is sent to
+// a backend server.
 func (c *plainCall) recordKey() (ledger.Result, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, recordTimeout)
 	defer cancel()
@@ -100,8 +100,9 @@
 	return ledger.Owner{Entry: e.cfg.ID, Incarnation: e.incarnation}
 }
 
-// sendOnce sends the call. Only an attempt of which surely no byte was written,
-// or which the server refused before running it, is followed by another.
+// sendOnce sends the call to the granted server. Another attempt follows only if the last one
+// surely did not run: no byte of it was written, or the server refused it before running it.
+// Otherwise the outcome is unknown.
 func (c *plainCall) sendOnce(g *grant) *request.Problem {
 	for n := 1; ; n++ {
 		resp, sent, err := c.send(g, c.entry.plainClient.DoOnce)
@@ -121,8 +122,9 @@
 	}
 }
 
-// relayOnce holds a small answer until it is whole, then sends it and has it
-// kept for resends. A larger one is streamed, and only its end is kept.
+// relayOnce buffers an answer of up to maxBufferedAnswerBytes until it is complete, sends it
+// and stores it in the ledger for resends. A larger answer is streamed, and the ledger stores
+// only that the call was answered.
 func (c *plainCall) relayOnce(g *grant, resp *http.Response) *request.Problem {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswerBytes+1))
@@ -131,7 +133,7 @@
 		c.closeGrant(g, nil)
 		c.updateLedger(ledger.OpFinish, answer)
 		c.writeHeader(resp)
-		_, _ = c.writer.Write(body) // the caller is gone; a resend finds the kept answer
+		_, _ = c.writer.Write(body) // an error means that the caller has disconnected; a resend gets the stored answer
 		c.entry.logEnd(c.request, request.Answered, "", 0)
 		return nil
 	}
@@ -147,16 +149,16 @@
 	if err != nil {
 		c.updateLedger(ledger.OpGiveUp, nil)
 		c.entry.logEnd(c.request, request.Unknown, request.CodeOutcomeUnknown, 0)
-		panic(http.ErrAbortHandler) // part of an answer must not pass for the whole
+		panic(http.ErrAbortHandler) // the caller must not take a truncated answer for a complete one
 	}
 	c.updateLedger(ledger.OpFinish, &ledger.Answer{Status: answer.Status, ContentType: answer.ContentType, Omitted: true})
 	c.entry.logEnd(c.request, request.Answered, "", 0)
 	return nil
 }
 
-// updateLedger tells the ledger how the request ended, in the background and
-// again and again until it is committed: a record left as begun makes every
-// resend wait although this entry knows better.
+// updateLedger records in the ledger how the request ended. It retries in the background
+// until the command is committed or the entry ends. Without the update, the record would
+// stay in the running state, and every resend would wait.
 func (c *plainCall) updateLedger(op ledger.Op, a *ledger.Answer) {
 	cmd := c.command(op, a)
 	e := c.entry
@@ -176,7 +178,7 @@
 	})
 }
 
-// answerRecorded answers a call whose key is in the ledger already.
+// answerRecorded answers a call whose key the ledger has already recorded.
 func (c *plainCall) answerRecorded(r ledger.Result) *request.Problem {
 	switch r.Verdict {
 	case ledger.VerdictAnswered:
@@ -192,7 +194,7 @@
 	}
 }
 
-// sendStoredAnswer gives a resend the answer of the first arrival.
+// sendStoredAnswer answers a resend with the stored answer of the first arrival.
 func (c *plainCall) sendStoredAnswer(r *ledger.Record) *request.Problem {
 	a := r.Answer
 	if a == nil || a.Omitted {
@@ -203,13 +205,14 @@
 	h.Set(request.HeaderRequestID, r.RequestID)
 	h.Set(request.HeaderOutcome, string(request.Answered))
 	c.writer.WriteHeader(a.Status)
-	_, _ = c.writer.Write(a.Body) // the caller is gone; it may ask again
+	_, _ = c.writer.Write(a.Body) // an error means that the caller has disconnected; it may resend
 	c.entry.logEnd(c.request, request.Answered, "", 0)
 	return nil
 }
 
-// waitForFirstArrival waits for the first arrival to end, for as long as the entry that runs
-// it lives. When that entry is gone, nobody can tell whether the call ran.
+// waitForFirstArrival waits, at most until the call's deadline, for the first arrival to end,
+// and answers by its outcome. If the entry that ran it has ended, it records the outcome as
+// unknown.
 func (c *plainCall) waitForFirstArrival(r *ledger.Record) *request.Problem {
 	for interval := minAttachInterval; ; interval = min(2*interval, maxAttachInterval) {
 		if c.entry.ownerEnded(r.Owner) {
@@ -236,7 +239,8 @@
 	}
 }
 
-// recordUnknown records that nobody can tell whether the call of a dead entry ran.
+// recordUnknown records that the outcome of a call is unknown because the entry that ran it
+// has ended.
 func (c *plainCall) recordUnknown(r *ledger.Record) *request.Problem {
 	ctx, cancel := context.WithTimeout(c.ctx, recordTimeout)
 	defer cancel()
--- a/entry/owner.go
+++ b/entry/owner.go
@@ -10,17 +10,17 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-// methodOwner asks an entry whether it still runs a once-only request.
+// methodOwner asks the entry that owns a ledger record whether the request still runs there.
 const methodOwner = "entry.owner"
 
-// ownerTimeout bounds that question.
+// ownerTimeout bounds one such call.
 const ownerTimeout = time.Second
 
-// onces is the set of once-only requests that this entry runs, or whose end it
-// has yet to tell the ledger.
+// onceCalls is the set of at-most-once requests that run on this entry or whose end the
+// ledger has not committed yet.
 type onceCalls struct {
 	mu   sync.Mutex
-	uses map[string]int // by request id; the uses of each
+	uses map[string]int // number of uses by request id
 }
 
 func newOnceCalls() *onceCalls { return &onceCalls{uses: map[string]int{}} }
@@ -51,22 +51,21 @@
 	return len(o.uses)
 }
 
-// ownerRequest names the record in question.
+// ownerRequest carries the record that is checked.
 type ownerRequest struct {
 	Record ledger.Record `msgpack:"r"`
 }
 
-// ownerReply says whether the request still runs there.
+// ownerReply reports whether the request may still run.
 type ownerReply struct {
 	Running bool `msgpack:"run"`
 }
 
-// answerOwner answers another entry's question about a record that this entry
-// owns. A record that names this life of this entry although it neither runs
-// the request nor has its end to tell is what remains when a command to begin
-// was held up on its way, by a frozen replica, until after the command to
-// release had passed it. The request never ran. Left alone, such a record would
-// keep its key for good and each resend of the caller would wait in vain.
+// handleOwner reports whether a request still runs here, and releases the record of one that
+// never ran. Such a record names this incarnation, although the request is not in onceCalls:
+// its OpBegin was delayed, for example by a frozen replica, and committed after its
+// OpRelease. If the record stayed, every resend of the request would wait until its
+// deadline.
 func (e *Entry) handleOwner(ctx context.Context, _ link.PeerInfo, q ownerRequest) (ownerReply, error) {
 	r := q.Record
 	if r.Owner != e.ledgerOwner() || e.onceCalls.has(r.RequestID) {
@@ -78,22 +77,22 @@
 	return ownerReply{}, err
 }
 
-// askOwner has the owner of a record look after it. An owner that cannot be
-// reached is asked again at the next look.
+// checkOwner calls handleOwner at the owner of a record. Errors are ignored, since
+// waitForFirstArrival calls checkOwner again.
 func (e *Entry) checkOwner(ctx context.Context, r *ledger.Record) {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	q := ownerRequest{Record: *r}
 	if r.Owner == e.ledgerOwner() {
-		_, _ = e.handleOwner(ctx, link.PeerInfo{}, q) // asked again at the next look
+		_, _ = e.handleOwner(ctx, link.PeerInfo{}, q) // repeated at the next check
 		return
 	}
 	if m, known := e.members.View().Member(r.Owner.Entry); known {
-		_, _ = link.Call[ownerReply](ctx, e.pool, m.LinkAddress, methodOwner, q) // asked again at the next look
+		_, _ = link.Call[ownerReply](ctx, e.pool, m.LinkAddress, methodOwner, q) // repeated at the next check
 	}
 }
 
-// ownerGone reports whether the entry life that owns a record is over.
+// ownerEnded reports whether the incarnation of the entry that owns a record has ended.
 func (e *Entry) ownerEnded(o ledger.Owner) bool {
 	if o.Entry == e.cfg.ID {
 		return o.Incarnation != e.incarnation
--- a/entry/ownership.go
+++ b/entry/ownership.go
@@ -11,19 +11,18 @@
 	"savoryreel.example/savoryreel/records"
 )
 
-// askMessage passes a request's fingerprint to its owner with what is known. The
-// record goes along only where it holds something: most requests have run
-// nowhere yet, and entries ask this for each of them.
+// quarantineAdmitRequest asks the owner of a request's fingerprint for a verdict. It is sent
+// for each request, so Record is omitted unless it has exposures.
 type quarantineAdmitRequest struct {
 	Fingerprint uint64             `msgpack:"f"`
 	Record      *quarantine.Record `msgpack:"r,omitempty"`
-	Server      quarantine.Server  `msgpack:"s"` // where routing would send it
-	Kind        contract.Kind      `msgpack:"k"` // of the pool whose servers can run it
+	Server      quarantine.Server  `msgpack:"s"` // the server that routing has chosen
+	Kind        contract.Kind      `msgpack:"k"` // of the pool whose servers can run the request
 	Pool        string             `msgpack:"p"`
 }
 
-// askReply is the owner's verdict. Server and Record go along only where they
-// differ from what the asking entry knows or must be told.
+// quarantineAdmitReply is the owner's verdict. Server is omitted if it is the requested one,
+// and Record unless the request has crashed a server.
 type quarantineAdmitReply struct {
 	Action quarantine.Action  `msgpack:"a"`
 	Reason quarantine.Reason  `msgpack:"y"`
@@ -33,7 +32,7 @@
 	Record *quarantine.Record `msgpack:"r,omitempty"`
 }
 
-// answer decides as the owner of a fingerprint.
+// handleAdmit returns the verdict as the owner of a fingerprint.
 func (q *guard) handleAdmit(_ context.Context, _ link.PeerInfo, m quarantineAdmitRequest) (quarantineAdmitReply, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,7 +54,7 @@
 	return reply, nil
 }
 
-// verdict restores the owner's verdict at the entry that asked.
+// verdict converts the reply to the verdict of the query, at the entry that sent the request.
 func (r *quarantineAdmitReply) verdict(query quarantine.Query) quarantine.Verdict {
 	v := quarantine.Verdict{Action: r.Action, Reason: r.Reason, Server: query.Server, Grant: r.Grant}
 	if r.Server != nil {
@@ -76,16 +75,16 @@
 	return v
 }
 
-// membersChanged notes that an entry or a server came or went. Who owns what is
-// worked out at the next question: when a data centre goes, hundreds of changes
-// come within a second, and each would otherwise be worked out for nothing.
+// membersChanged marks the views as stale after a change of entries or servers. They are
+// rebuilt at the next decision, since hundreds of changes arrive within a second when a data
+// centre fails.
 func (q *guard) membersChanged() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.viewsStale = true
 }
 
-// rebuild works out who owns what. The lock is held; the view takes none.
+// rebuildViews builds the view of each pool from the membership. The lock is held.
 func (q *guard) rebuildViews() {
 	var entries []string
 	for _, m := range q.entry.members.View().Members(instance.RoleEntry) {
@@ -109,12 +108,12 @@
 	q.views, q.viewsStale = views, false
 }
 
-// rebuildEvery bounds how often it is worked out who owns what: 2 ms each at 370
-// entries, so 2 in 100 of a core while a data centre goes. Entries differ by more
-// than that in when they hear of a change.
+// minRebuildInterval bounds the processor time for rebuilding views while many changes
+// arrive. Entries receive a change at times that differ by more than this interval.
 const minRebuildInterval = 100 * time.Millisecond
 
-// view is the picture of one pool. The lock is held.
+// view returns the view of one pool, after rebuilding stale ones. It is empty for an unknown
+// pool. The lock is held.
 func (q *guard) view(key laneKey) *quarantine.View {
 	if now := q.now(); q.viewsStale && now.Sub(q.viewsBuiltAt) >= minRebuildInterval {
 		q.rebuildViews()
@@ -126,8 +125,8 @@
 	return quarantine.NewView(q.entry.cfg.ID, nil, nil)
 }
 
-// decide asks this entry's own records and, where another entry owns the
-// fingerprint, that one.
+// decide returns the verdict of this entry's own records or, if another entry owns the
+// fingerprint, that of the owner.
 func (q *guard) decide(ctx context.Context, key laneKey, fingerprint uint64, server quarantine.Server) quarantine.Verdict {
 	query := quarantine.Query{Now: q.now(), Fingerprint: fingerprint, Server: server}
 	v := q.admit(key, query)
@@ -153,12 +152,11 @@
 	return granted
 }
 
-// unasked decides where the owner cannot be reached. A suspect waits: its owner
-// may have a trial open elsewhere. A request that nothing speaks against runs:
-// else each loss of an entry would hold up the requests that it owned until the
-// others have noticed, some seconds in which callers of a healthy system wait.
-// While owners are out of reach, a request that crashes servers can take one
-// more than two for each entry that it comes through.
+// decideWithoutOwner returns the verdict if the owner is unreachable. A suspect waits, since
+// the owner may have started a trial on another server. Other requests run; otherwise the
+// loss of an entry would delay the requests whose fingerprints it owned for the seconds until
+// the membership detects the loss. While owners are unreachable, a request that crashes
+// servers can crash one more than the usual two for each entry that receives it.
 func (q *guard) decideWithoutOwner(key laneKey, query quarantine.Query, v quarantine.Verdict) quarantine.Verdict {
 	if v.Record.EverCrashed {
 		query.Unreachable = true
@@ -174,11 +172,11 @@
 	return q.set.Admit(query)
 }
 
-// spread gives a record to all entries.
+// broadcast publishes a record to all entries.
 func (q *guard) broadcast(r quarantine.Record) {
 	body, err := records.EncodeQuarantine(r)
 	if err != nil {
-		return // numbers, strings and times always encode
+		return // unreachable: numbers, strings and times always encode
 	}
 	q.entry.members.Put(records.QuarantineKey(r.Fingerprint), uint64(q.now().UnixMilli()), body)
 }
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -21,14 +21,14 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// plainClient is how an entry calls plain services; native.PlainClient is one.
+// plainClient calls plain services. native.PlainClient implements it. The bool is
+// false only if the error proves that the request did not run.
 type plainClient interface {
 	Do(ctx context.Context, address string, req *http.Request) (*http.Response, bool, error)
 	DoOnce(ctx context.Context, address string, req *http.Request) (*http.Response, bool, error)
 }
 
-// plainCost is the work of a plain call in tokens: about what one short call
-// takes of a web server compared with a model's slot.
+// plainCallTokens is the nominal cost of a plain call in tokens.
 const plainCallTokens = 32
 
 // plainCall is one accepted call of a plain service.
@@ -42,7 +42,7 @@
 	ctx     context.Context
 }
 
-// handlePlain takes a call of a plain service under /svc/{service}/.
+// handlePlain handles a call of a plain service under /svc/{service}/.
 func (e *Entry) handlePlain(w http.ResponseWriter, r *http.Request) {
 	c, p := e.authenticate(r)
 	if p != nil {
@@ -66,10 +66,9 @@
 	}
 }
 
-// callContext is the context of a call's run. A call that may run once goes on
-// when its caller's connection breaks: cut off there, it would end as unknown
-// although the server was about to answer, and the resend that follows a broken
-// connection would get no answer, nor any later one.
+// callContext returns the context in which a call runs. A call that may run only once
+// continues after its caller has disconnected. If it were cancelled, its outcome would be
+// unknown although the server may be about to answer, and no resend could get the answer.
 func callContext(caller context.Context, r *request.Request) context.Context {
 	if r.Idempotent {
 		return caller
@@ -77,7 +76,7 @@
 	return context.WithoutCancel(caller)
 }
 
-// acceptPlain checks a plain call and has it admitted.
+// acceptPlain validates and admits a plain call.
 func (e *Entry) acceptPlain(w http.ResponseWriter, c *call) (*plainCall, *request.Problem) {
 	s, p := c.service(c.http.PathValue("service"), contract.KindPlain)
 	if p != nil {
@@ -113,7 +112,7 @@
 	return &plainCall{entry: e, service: s, request: req, ticket: t, http: c.http, writer: w}, nil
 }
 
-// serve runs the call and answers the caller, or returns its problem.
+// serve runs the call and answers the caller, or returns the problem to answer with.
 func (c *plainCall) serve() *request.Problem {
 	if !c.request.Idempotent {
 		return c.recordAndRun()
@@ -125,7 +124,7 @@
 	return c.runRepeatable(g)
 }
 
-// acquire queues the call until a server is granted.
+// acquire queues the call until a server is granted and the quarantine admits it there.
 func (c *plainCall) acquire() (*grant, *request.Problem) {
 	if p := c.ticket.lane.submit(c.ticket); p != nil {
 		return nil, p
@@ -138,7 +137,7 @@
 	return c.checkGrant(g)
 }
 
-// await waits for the queue's grant.
+// awaitGrant waits for the queue's decision.
 func (c *plainCall) awaitGrant() (*grant, *request.Problem) {
 	select {
 	case d := <-c.ticket.decision:
@@ -154,7 +153,8 @@
 	return nil, expiredProblem()
 }
 
-// cleared has the quarantine decide where the granted call may run.
+// checkGrant waits for the quarantine's decision and returns the grant, perhaps on another
+// server, or the call's final problem.
 func (c *plainCall) checkGrant(g *grant) (*grant, *request.Problem) {
 	g, err := c.entry.guard.checkGrant(c.ctx, c.ticket, g)
 	var final *request.Problem
@@ -167,8 +167,8 @@
 	return g, nil
 }
 
-// repeat runs a call that may be repeated: another server is tried for as long
-// as no byte of an answer has gone to the caller.
+// runRepeatable runs a call that may be repeated. It tries other servers until one answers,
+// or returns the call's final problem. No byte has been sent to the caller by then.
 func (c *plainCall) runRepeatable(g *grant) *request.Problem {
 	outcome := request.NotRun
 	for attempts := 1; ; attempts++ {
@@ -178,7 +178,7 @@
 			return nil
 		}
 		if !native.NotRun(err) {
-			outcome = request.Unknown // and stays so, whatever later attempts meet
+			outcome = request.Unknown // even if a later attempt does not run
 		}
 		if c.ctx.Err() != nil {
 			return request.NewProblem(request.CodeDeadlineExpired, outcome, "the deadline passed while the call ran")
@@ -191,8 +191,8 @@
 	}
 }
 
-// another grants the next server after a failed attempt, if the retry budgets
-// allow one, or returns the call's final problem.
+// nextGrant returns a grant on another server after a failed attempt, if the retry budgets
+// allow a further attempt, and else the call's final problem.
 func (c *plainCall) nextGrant(g *grant, attempts int, err error, outcome request.Outcome) (*grant, *request.Problem) {
 	failed := request.NewProblem(request.CodeServerFailed, outcome, "%v", err).After(time.Second)
 	v := c.entry.retries.attemptFailed(c.entry.deps.Now(), g.verdict.Server, retry.Failure{
@@ -219,7 +219,8 @@
 	return next, p
 }
 
-// send makes one attempt and closes its grant if it failed.
+// send makes one attempt, and closes its grant if it fails. The bool is false only if the error
+// proves that the request did not run.
 func (c *plainCall) send(g *grant, do func(context.Context, string, *http.Request) (*http.Response, bool, error)) (*http.Response, bool, error) {
 	out, err := c.backendRequest()
 	if err != nil {
@@ -245,14 +246,14 @@
 	return nil, sent, err
 }
 
-// hopByHop lists the headers that belong to one connection (RFC 9110 section
-// 7.6.1) and those that are between the caller and this system.
+// hopByHopHeaders lists the headers that apply to one connection (RFC 9110 section 7.6.1)
+// and those that only this system reads.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", request.HeaderKeep, request.HeaderClass,
 }
 
-// outgoing is the request as the backend server gets it.
+// backendRequest returns the request that is sent to the backend server.
 func (c *plainCall) backendRequest() (*http.Request, error) {
 	out, err := http.NewRequestWithContext(c.ctx, c.request.Method, "http://backend"+c.request.Path, bytes.NewReader(c.request.Body))
 	if err != nil {
@@ -276,9 +277,8 @@
 	}
 }
 
-// relay streams a server's answer to the caller. An answer that breaks off half
-// way breaks the caller's connection too: a clean end would pass a part of the
-// answer off as the whole.
+// relay streams a server's answer to the caller. If the answer is truncated, it aborts the
+// caller's connection, so that the caller does not take the answer for a complete one.
 func (c *plainCall) relay(g *grant, resp *http.Response) {
 	defer resp.Body.Close()
 	c.writeHeader(resp)
@@ -291,7 +291,8 @@
 	c.entry.logEnd(c.request, request.Answered, "", 0)
 }
 
-// settle closes the attempt's grant by how the answer's body ended.
+// closeGrant closes the attempt's grant. err is the error that ended the answer's body, or
+// nil if the body is complete.
 func (c *plainCall) closeGrant(g *grant, err error) {
 	var callErr *native.CallError
 	switch {
@@ -302,11 +303,11 @@
 		g.failed()
 		c.entry.guard.attemptFailed(c.ctx, g, err)
 	default:
-		c.cancelAttempt(g) // the caller left or its deadline passed
+		c.cancelAttempt(g) // the caller has disconnected or the deadline has passed
 	}
 }
 
-// cancelled closes an attempt that was given up here.
+// cancelAttempt closes an attempt that ended here, without a fault of the server.
 func (c *plainCall) cancelAttempt(g *grant) {
 	g.cancelled()
 	c.entry.guard.end(g.lane.key, g.quarantineRun)
@@ -323,13 +324,13 @@
 	c.writer.WriteHeader(resp.StatusCode)
 }
 
-// flushWriter pushes each piece of a streamed answer out as it comes.
+// flushWriter flushes after each write, so that a streamed answer is sent without delay.
 type flushWriter struct{ http.ResponseWriter }
 
 // Write writes and flushes p.
 func (w flushWriter) Write(p []byte) (int, error) {
 	rc := http.NewResponseController(w.ResponseWriter)
-	_ = rc.SetWriteDeadline(time.Now().Add(flushTimeout)) // not every writer has one; then the kernel's bound holds
+	_ = rc.SetWriteDeadline(time.Now().Add(flushTimeout)) // if the writer supports no deadline, the kernel's retransmission timeout applies
 	n, err := w.ResponseWriter.Write(p)
 	if err == nil {
 		err = rc.Flush()
@@ -337,6 +338,6 @@
 	return n, err
 }
 
-// maxHeldAnswer bounds what of a once-only call's answer is held back until it
-// is whole, so that a small answer, as a statement credit's, is all or nothing.
+// maxBufferedAnswerBytes bounds the answer of an at-most-once call that is buffered until it
+// is complete, so that the caller gets all of a small answer or a problem.
 const maxBufferedAnswerBytes = ledger.MaxAnswer
--- a/entry/prefixes.go
+++ b/entry/prefixes.go
@@ -22,13 +22,12 @@
 // listingTimeout bounds one fetch of a listing.
 const listingTimeout = 2 * time.Second
 
-// prefixes feeds the lanes' prefix indexes with cache events, and repairs an
-// index whose events have a gap by the server's full listing.
+// prefixes applies cache events to the lanes' prefix indexes. After a gap in a server's
+// events, it fetches the server's full listing.
 //
-// Events get lost and come late. An index that missed an eviction sends
-// requests to a server that must prefill them again; one that missed a store
-// sends them elsewhere. Neither shows but as recomputed tokens, for as long as
-// the gap is not repaired.
+// Events may be lost or late. An index that lacks an eviction routes requests to a server
+// that must prefill their prompts again; one that lacks a stored prefix routes them to other
+// servers. Neither causes an error, only recomputed tokens until the gap is repaired.
 type prefixes struct {
 	entry      *Entry
 	lanes      *lanes
@@ -41,15 +40,15 @@
 	fetches map[string]bool // servers whose listing is being fetched
 }
 
-// methodCacheEvents passes a server's cache events on to other entries.
+// methodCacheEvents forwards a server's cache events to other entries.
 const methodCacheEvents = "entry.cache_events"
 
-// cachePeers is the most entries that pass cache events on to each other. At
-// more, the events of hundreds of servers would take more than all other control
-// traffic, and affinity rests on rendezvous hashing, which needs none.
+// maxCacheEventPeers is the number of other entries from which on cache events are not
+// forwarded, since their traffic would exceed all other control traffic. Affinity then
+// relies on rendezvous hashing, which needs no events.
 const maxCacheEventPeers = 16
 
-// cacheMessage is a batch of events passed on.
+// cacheEventsMessage is a forwarded batch of one server's cache events.
 type cacheEventsMessage struct {
 	Server      string                `msgpack:"s"`
 	Incarnation uint64                `msgpack:"i"`
@@ -62,7 +61,8 @@
 	})
 }
 
-// heard takes events that a server sent here and passes them on.
+// receive applies events that a server has sent to this entry and forwards them to the other
+// entries.
 func (p *prefixes) receive(server string, incarnation uint64, events []instance.CacheEvent) {
 	p.apply(server, incarnation, events)
 	peers := p.entry.peerLinks()
@@ -70,16 +70,17 @@
 		return
 	}
 	for _, addr := range peers {
-		// A lost batch shows there as a gap and is repaired by a listing.
+		// A lost batch causes a gap at the peer, which then fetches the listing.
 		_ = link.Notify(p.entry.pool, addr, methodCacheEvents, cacheEventsMessage{server, incarnation, events})
 	}
 }
 
-// take applies a batch of events of one incarnation of a server.
+// apply applies a batch of events of one incarnation of a server, and fetches the listing if
+// events are missing.
 func (p *prefixes) apply(server string, incarnation uint64, events []instance.CacheEvent) {
 	l, address, ok := p.modelLane(server, incarnation)
 	if !ok {
-		return // not announced here yet: its listing is fetched when it is
+		return // the server is not announced here yet; once it is, its next events show the gap
 	}
 	if l.applyCacheEvents(server, incarnation, events) {
 		return
@@ -87,6 +88,8 @@
 	p.fetchListing(l, server, address)
 }
 
+// modelLane returns the lane and the address of a model server. ok is false unless this
+// incarnation of it is announced here.
 func (p *prefixes) modelLane(server string, incarnation uint64) (*lane, string, bool) {
 	p.lanes.mu.RLock()
 	h, known := p.lanes.servers[server]
@@ -99,7 +102,8 @@
 	return l, a.Address, err == nil
 }
 
-// repair fetches the full listing, once at a time for each server.
+// fetchListing fetches a server's full listing in the background, unless a fetch for the
+// server is running already.
 func (p *prefixes) fetchListing(l *lane, server, address string) {
 	p.mu.Lock()
 	fetching := p.fetches[server]
@@ -115,7 +119,7 @@
 		defer cancel()
 		listing, err := p.engines.Listing(ctx, address)
 		if err != nil {
-			return // the next events show the gap again
+			return // the next events show the gap again, and the fetch is repeated
 		}
 		l.applyCacheListing(server, listing)
 	})
@@ -127,7 +131,7 @@
 	delete(p.fetches, server)
 }
 
-// cacheEvents applies events and reports false where some are missing.
+// applyCacheEvents applies events to the prefix index. It reports false if some are missing.
 func (l *lane) applyCacheEvents(server string, incarnation uint64, events []instance.CacheEvent) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,6 +144,7 @@
 	return complete
 }
 
+// applyCacheListing replaces a server's prefixes in the index by its listing.
 func (l *lane) applyCacheListing(server string, c native.CacheListing) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -9,7 +9,7 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// retries holds the retry budgets of this entry.
+// retries holds this entry's retry budgets. It is safe for concurrent use.
 type retries struct {
 	mu     sync.Mutex
 	policy *retry.Policy
@@ -27,15 +27,15 @@
 	return retry.Call{Workspace: r.Workspace, Service: r.Service, Class: r.Class, Idempotent: r.Idempotent, Deadline: r.Deadline}
 }
 
-// first notes the first attempt of a request, which fills the budgets.
+// firstAttempt records the first attempt of a request, which adds to the budgets.
 func (t *retries) firstAttempt(now time.Time, r *request.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.policy.RecordFirstAttempt(now, retryCall(r))
 }
 
-// failed notes a failed attempt on a server and decides whether another may
-// follow.
+// attemptFailed records a failed attempt on a server and decides whether the request may be
+// retried.
 func (t *retries) attemptFailed(now time.Time, server string, f retry.Failure) retry.Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,8 +43,8 @@
 	return t.policy.Failed(now, f, rand.Float64())
 }
 
-// setServers tells how many backend servers there are, by which a wave of
-// failures is told from single ones.
+// setServers sets the number of backend servers. The policy detects a wave of failures by
+// the fraction of servers that fail.
 func (t *retries) setServers(count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Why a watch ended an attempt.
+// Causes with which streamWatch ends an attempt.
 var (
-	// errSilent: the server answers neither on the stream nor on a new connection.
+	// errUnreachable: the stream is idle and a probe on a new connection fails.
 	errUnreachable = errors.New("stream silent, server answers no probe")
-	// errStalled: the server is alive, but its stream brings nothing.
+	// errStalled: the server answers probes, but its stream is idle for too long.
 	errStalled = errors.New("stream stalled, server answers probes")
 )
 
-// watch tells a silent stream from a slow one. A server that died without a
-// word, or a connection that something between the ends has lost track of,
-// leaves a stream that is open and brings nothing, for good; the caller would
-// wait for its whole deadline. A probe on a new connection tells the first
-// from a slow server at once; the second shows only by time.
+// streamWatch ends an attempt whose stream is broken. A server that ended without closing its
+// connections, or a middlebox that dropped a connection, leaves the stream open but idle, and
+// the caller would wait until its deadline. In the first case, a probe on a new connection
+// fails. In the second, the probe succeeds as it does for a slow server, so the attempt ends
+// after maxIdle.
 type streamWatch struct {
 	runner       *runner
 	address      string
 	cancel       context.CancelCauseFunc
-	lastReceived atomic.Int64 // Unix nanoseconds when the stream last brought something
-	received     atomic.Bool  // whether it has brought anything
+	lastReceived atomic.Int64 // Unix nanoseconds when a chunk was last received, or the attempt began
+	received     atomic.Bool  // whether a chunk has been received
 }
 
 func newStreamWatch(r *runner, address string, cancel context.CancelCauseFunc) *streamWatch {
@@ -34,13 +34,14 @@
 	return w
 }
 
-// heard notes that the stream has brought something.
+// observe records that a chunk has been received.
 func (w *streamWatch) observe() {
 	w.lastReceived.Store(w.runner.now().UnixNano())
 	w.received.Store(true)
 }
 
-// run looks after the stream until ctx ends.
+// run checks the stream until ctx ends, and cancels the attempt with the cause if the stream
+// is broken.
 func (w *streamWatch) run(ctx context.Context) {
 	tick := time.NewTicker(probeAfterIdle / 4)
 	defer tick.Stop()
@@ -57,7 +58,7 @@
 	}
 }
 
-// judge returns why the attempt should end, or nil.
+// check returns the cause with which the attempt should end, or nil.
 func (w *streamWatch) check(ctx context.Context) error {
 	idle := w.idle()
 	if idle < probeAfterIdle {
@@ -78,6 +79,7 @@
 	return time.Duration(w.runner.now().UnixNano() - w.lastReceived.Load())
 }
 
+// maxIdle returns how long the stream may be idle while its server answers probes.
 func (w *streamWatch) maxIdle() time.Duration {
 	if w.received.Load() {
 		return streamIdleTimeout
--- a/entry/work.go
+++ b/entry/work.go
@@ -10,7 +10,7 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// work is one accepted chat request while this entry holds it.
+// work is an accepted chat request and its answer at this entry.
 type work struct {
 	request *request.Request
 	journal *request.Journal
@@ -20,21 +20,21 @@
 	cancel context.CancelFunc // ends the attempts
 
 	mu               sync.Mutex
-	followers        int       // callers that read the answer now
-	lastFollowerLeft time.Time // when the last follower left; zero: none has
-	takenOver        bool      // came from another entry: its caller may still be on the way
-	endedAt          time.Time // when the answer ended; zero: it goes on
-	currentGrant     *grant    // where the attempt runs; nil: nowhere
-	kvSource         string    // address of the engine whose KV cache goes along
-	interrupt        context.CancelCauseFunc
-	paused           chan struct{} // not nil: the work is to pause; closed once it has
-	resumed          chan struct{} // closed when the work may go on
-}
-
-// errPaused is why an attempt ends when its request is to be handed over.
+	followers        int                     // number of callers that read the answer now
+	lastFollowerLeft time.Time               // when the last caller stopped reading, or the work was taken over
+	takenOver        bool                    // taken over from another entry, and its caller has not connected yet
+	endedAt          time.Time               // when the answer ended; zero if it has not
+	currentGrant     *grant                  // of the running attempt, or nil
+	kvSource         string                  // address of the engine from which the next attempt imports the KV cache, or empty
+	interrupt        context.CancelCauseFunc // cancels the current step
+	paused           chan struct{}           // not nil while a pause is requested; closed once attempts have stopped
+	resumed          chan struct{}           // closed when the work may continue
+}
+
+// errPaused is the cause of the end of an attempt whose request is to be handed over.
 var errPaused = errors.New("paused for a hand-over")
 
-// arm returns the context of the next step, which a pause interrupts.
+// stepContext returns the context of the next step, which pause cancels with errPaused.
 func (w *work) stepContext() (context.Context, context.CancelCauseFunc) {
 	ctx, cancel := context.WithCancelCause(w.ctx)
 	w.mu.Lock()
@@ -46,7 +46,8 @@
 	return ctx, cancel
 }
 
-// park waits out a pause. It reports false when the work has ended meanwhile.
+// waitForResume confirms a requested pause and waits until the work is resumed. Without a
+// pause it returns at once. It reports false if the work's context has ended.
 func (w *work) waitForResume() bool {
 	w.mu.Lock()
 	paused, resumed := w.paused, w.resumed
@@ -63,9 +64,9 @@
 	}
 }
 
-// pause stops the work's attempts and returns once no more tokens can come. It
-// reports false when the answer has ended or is about to: its deadline passed or
-// nobody waits for it.
+// pause stops the work's attempts and returns true once no more tokens can be appended. It
+// returns false if the work is being paused already, if the answer has ended, or if it is
+// about to end because the work's context has ended.
 func (w *work) pause() bool {
 	w.mu.Lock()
 	if w.paused != nil || w.journal.Ended() != nil {
@@ -81,12 +82,12 @@
 	select {
 	case <-paused:
 	case <-w.ctx.Done():
-		return false // a token may still be on its way, which a copy of the journal would lack
+		return false // the attempt may still append a token, which a copy of the journal would lack
 	}
 	return w.journal.Ended() == nil
 }
 
-// resume lets paused work go on.
+// resume continues paused work.
 func (w *work) resume() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,24 +95,24 @@
 	w.paused = nil
 }
 
-// orphaned reports whether the work came from another entry and its caller has
-// not come for it.
+// orphaned reports whether the work was taken over from another entry and its caller has not
+// connected here within timeout.
 func (w *work) orphaned(now time.Time, timeout time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.takenOver && w.followers == 0 && !w.request.Keep && now.Sub(w.lastFollowerLeft) > timeout
 }
 
-// follow counts a caller that reads the answer.
+// addFollower counts a caller that begins to read the answer.
 func (w *work) addFollower() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.followers++
-	w.takenOver = false // its caller has come
+	w.takenOver = false // its caller has connected
 }
 
-// unfollow counts a caller that stopped reading and reports whether nobody is
-// left who wants the answer.
+// removeFollower counts a caller that stops reading. It reports whether the work can be
+// cancelled: no caller reads the answer, and the request is not to be kept.
 func (w *work) removeFollower(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,27 +121,27 @@
 	return w.followers == 0 && !w.request.Keep && !w.takenOver
 }
 
-// ended notes when the answer ended: from then on it is only held for callers
-// that come back.
+// markEnded records when the answer ended. From then on the work is stored only for callers
+// that reconnect.
 func (w *work) markEnded(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endedAt = now
 }
 
-// disposable reports whether the answer has ended and nobody has asked for it
-// for long.
+// expired reports whether the answer ended more than ttl ago and no caller has read it
+// within ttl.
 func (w *work) expired(now time.Time, ttl time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.endedAt.IsZero() && w.followers == 0 && now.Sub(w.endedAt) > ttl && now.Sub(w.lastFollowerLeft) > ttl
 }
 
-// registryShards is a power of two well above the number of cores, so that two
-// requests seldom want the same shard at once.
+// registryShards is a power of two well above the usual number of cores, so that concurrent
+// requests seldom contend for a shard.
 const registryShards = 64
 
-// registry holds this entry's work by request id.
+// registry holds this entry's work by request id, sharded to reduce lock contention.
 type registry struct {
 	seed   maphash.Seed
 	shards [registryShards]registryShard
@@ -163,8 +164,8 @@
 	return &r.shards[maphash.String(r.seed, string(id))%registryShards]
 }
 
-// add registers w unless its id is registered already, and returns what is
-// registered: a request handed over twice must run once.
+// add registers w and reports true. If its id is registered already, add returns the
+// registered work and false, so that a request that is handed over twice runs once.
 func (r *registry) add(w *work) (*work, bool) {
 	s := r.shard(w.request.ID)
 	s.mu.Lock()
@@ -191,7 +192,7 @@
 	delete(s.work, id)
 }
 
-// all returns the work held now.
+// all returns all registered work.
 func (r *registry) all() []*work {
 	var out []*work
 	for i := range r.shards {
@@ -205,7 +206,7 @@
 	return out
 }
 
-// unfinished counts the work whose answer is not whole yet.
+// unfinished counts the work whose answer has not ended.
 func (r *registry) unfinished() int {
 	n := 0
 	for _, w := range r.all() {
@@ -216,12 +217,12 @@
 	return n
 }
 
-// cost is the request's work in tokens as it turned out.
+// cost returns the request's cost by the tokens generated so far.
 func (w *work) cost() int {
 	return answerCost(w.ticket.route.PromptTokens, len(w.journal.Tokens()))
 }
 
-// followed counts the callers that read an answer now.
+// followerCount counts the callers that read an answer now.
 func (r *registry) followerCount() int {
 	n := 0
 	for _, w := range r.all() {
--- a/entry/work_test.go
+++ b/entry/work_test.go
@@ -20,15 +20,14 @@
 	return &work{request: &request.Request{ID: "r1-1"}, journal: request.NewJournal(nil), ctx: ctx, cancel: cancel}
 }
 
-// generate appends a token each 10 ms, in attempts as the runner makes them,
-// until the answer has as many as given. It notices an interruption only after
-// the token that was on its way.
+// generate appends a token every 10 ms until the answer has the given number of tokens. It
+// makes attempts as the runner does, and detects an interruption only after the next token.
 func generate(w *work, tokens int) {
 	defer w.cancel()
 	for {
 		ctx, cancel := w.stepContext()
 		for ctx.Err() == nil && len(w.journal.Tokens()) < tokens {
-			virtualWait(10 * time.Millisecond) // virtual: an engine's pace
+			virtualWait(10 * time.Millisecond) // time between the engine's tokens
 			w.journal.Append(fmt.Sprint(len(w.journal.Tokens())))
 		}
 		cause := context.Cause(ctx)
@@ -44,11 +43,10 @@
 	}
 }
 
-// A request is handed over while its tokens stream in. A token that came after
-// the journal was copied would reach the caller here and be generated again at
-// the other entry: the caller reads it twice. Nobody takes the request, so it
-// goes on, and is paused once more. Broken by not waiting for parked in pause,
-// and by not setting parked to nil in resume.
+// Guards against a token that is appended after the journal was copied for a hand-over: the
+// other entry would generate it again, and the caller would get it twice. No entry accepts the
+// request, so it is resumed and paused a second time. Fails if pause does not wait for
+// w.paused, or if resume does not set it to nil.
 func TestPauseStopsTokensUntilResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestWork(t)
@@ -56,7 +54,7 @@
 		for round := range 2 {
 			virtualWait(35 * time.Millisecond)
 			require.True(t, w.pause())
-			require.False(t, w.pause(), "a second pause at once is refused")
+			require.False(t, w.pause(), "a second pause returns false while the work is paused")
 			copied := len(w.journal.Tokens())
 			virtualWait(time.Second)
 			require.Len(t, w.journal.Tokens(), copied, "round %d", round)
@@ -69,10 +67,9 @@
 	})
 }
 
-// The answer ends in the moment of the pause, at each point of its course. The
-// hand-over must neither hang nor take a finished answer for one that goes on:
-// the other entry would generate the end again. Broken by not waiting for w.ctx
-// in pause, which then hangs.
+// Guards against a hand-over that hangs, or that hands over a finished answer, if the answer
+// ends during the pause: the other entry would generate its end again. Fails, by hanging, if
+// pause does not wait for w.ctx.
 func TestPauseRacesWithEndOfAnswer(t *testing.T) {
 	for at := range 32 {
 		synctest.Test(t, func(t *testing.T) {
@@ -91,10 +88,9 @@
 	}
 }
 
-// The deadline passes or the only caller leaves while a pause waits for the
-// attempt, which has a token on its way. Pause must not promise that no more
-// come: the hand-over would copy the journal without that token. Broken by
-// passing on whether the journal has ended when w.ctx ends in pause.
+// Guards against a pause that returns true although the attempt may still append a token,
+// because the work's context ended: the hand-over would copy the journal without that token.
+// Fails if pause returns whether the journal has not ended when w.ctx ends.
 func TestPauseOfCancelledWorkMissesNoToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestWork(t)
@@ -112,6 +108,6 @@
 	})
 }
 
-// virtualWait waits for a time on the clock of a synctest bubble, which moves only
-// when every goroutine of the test waits.
+// virtualWait waits for d on the clock of a synctest bubble, which advances only while every
+// goroutine of the bubble is blocked.
 func virtualWait(d time.Duration) { <-time.After(d) }
