--- a/entry/lane_test.go
+++ b/entry/lane_test.go
@@ -124,7 +124,8 @@
 // Guards against more grants than slots while requests arrive, are withdrawn and end in any
 // order: the excess would queue inside a server, where it cannot be moved. A grant that is
 // closed twice must not free two slots. Fails if the check of g.closed in grant.end,
-// queue.Remove in withdraw, or the NoSlot check in queue.Starter is removed.
+// queue.Remove in withdraw, or both the NoSlot and the AssignedElsewhere check in
+// queue.Starter.DecideBehind are removed.
 func TestGrantsNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newTestLane(t)
@@ -221,7 +222,8 @@
 
 // Guards against counting the free slots of a slow server as capacity for requests that the
 // router sends to the other server: that one would get the whole queue, and neither fairness
-// nor deadlines hold for requests that wait inside a server.
+// nor deadlines hold for requests that wait inside a server. Fails if Router.Occupancies does
+// not scale the slots by the server's relative weight.
 func TestSlowServerSlotsDoNotOverloadOthers(t *testing.T) {
 	l := newTestLane(t)
 	slots := map[string]int{"a": 2, "b": 8}
--- a/entry/work_test.go
+++ b/entry/work_test.go
@@ -68,7 +68,7 @@
 }
 
 // Guards against a hand-over that hangs, or that hands over a finished answer, if the answer
-// ends during the pause: the other entry would generate its end again. Fails, by hanging, if
+// ends during the pause: the other entry would generate its end again. Fails with a deadlock if
 // pause does not wait for w.ctx.
 func TestPauseRacesWithEndOfAnswer(t *testing.T) {
 	for at := range 32 {
