--- a/routes/validate.go
+++ b/routes/validate.go
@@ -26,7 +26,7 @@
 			return nil, trace.BadParameter("service %d has no name", i)
 		}
 		if seen[s.Name] {
-			return nil, trace.BadParameter("duplicate service name %s", s.Name)
+			return nil, trace.BadParameter("service %s is named twice", s.Name)
 		}
 		seen[s.Name] = true
 	}
@@ -59,7 +59,7 @@
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return trace.BadParameter("route %s: prefix %q doesn't begin and end with a slash", r.Name, r.Prefix)
 	case r.Kind < Idempotent || r.Kind > Stream:
-		return trace.BadParameter("route %s has an unknown kind", r.Name)
+		return trace.BadParameter("route %s has no known kind", r.Name)
 	case r.Timeout <= 0:
 		return trace.BadParameter("route %s has no timeout", r.Name)
 	}
@@ -78,7 +78,7 @@
 		totalWeight += s.Weight
 	}
 	if totalWeight <= 0 {
-		return trace.BadParameter("route %s: sum of the weights is not positive", r.Name)
+		return trace.BadParameter("route %s: weights add up to nothing", r.Name)
 	}
 	return nil
 }
@@ -94,7 +94,7 @@
 			return trace.BadParameter("workspace %d has no name", i)
 		}
 		if seen[w.Name] {
-			return trace.BadParameter("duplicate workspace name %s", w.Name)
+			return trace.BadParameter("workspace %s is named twice", w.Name)
 		}
 		seen[w.Name] = true
 		for _, key := range w.Keys {
