--- a/cmd/savoryreel/operate.go
+++ b/cmd/savoryreel/operate.go
@@ -119,7 +119,7 @@
 // readDocument reads a file, or standard input for "-".
 func readDocument(cmd *cobra.Command, name string) ([]byte, error) {
 	if name == "-" {
-		return io.ReadAll(io.LimitReader(cmd.InOrStdin(), contract.MaxDocument+1))
+		return io.ReadAll(io.LimitReader(cmd.InOrStdin(), contract.MaxDocumentBytes+1))
 	}
 	return os.ReadFile(name)
 }
--- a/contract/book.go
+++ b/contract/book.go
@@ -19,36 +19,36 @@
 // deterministic, so every replica that applies the same changes in the same
 // order holds the same State. It is not safe for concurrent use.
 type State struct {
-	version   uint64
-	catalogue Catalogue
-	stops     []Stop // by id
-	history   []Entry
-	results   map[string]rememberedResult
-	order     []string // change ids, oldest first
+	version     uint64
+	catalogue   Catalogue
+	stops       []Stop // by id
+	history     []Entry
+	results     map[string]storedResult
+	resultOrder []string // change ids, oldest first
 }
 
-type rememberedResult struct {
+type storedResult struct {
 	Digest string `msgpack:"d"` // of the change, to tell a resend from a reused id
 	Result Result `msgpack:"r"`
 }
 
 // NewState returns the empty State, at version 0.
 func NewState() *State {
-	return &State{results: map[string]rememberedResult{}}
+	return &State{results: map[string]storedResult{}}
 }
 
 // Version is the number of the last accepted change.
-func (b *State) Version() uint64 { return b.version }
+func (s *State) Version() uint64 { return s.version }
 
 // Catalogue returns the catalogue in force. The caller must not change it.
-func (b *State) Catalogue() Catalogue { return b.catalogue }
+func (s *State) Catalogue() Catalogue { return s.catalogue }
 
 // Stops returns the planned stops in force, by id.
-func (b *State) Stops() []Stop { return slices.Clone(b.stops) }
+func (s *State) Stops() []Stop { return slices.Clone(s.stops) }
 
 // History returns the newest n accepted changes, newest first.
-func (b *State) History(n int) []Entry {
-	out := slices.Clone(b.history[max(0, len(b.history)-n):])
+func (s *State) History(n int) []Entry {
+	out := slices.Clone(s.history[max(0, len(s.history)-n):])
 	slices.Reverse(out)
 	return out
 }
@@ -57,93 +57,93 @@
 // change would otherwise be refused as a conflict with itself, and its operator
 // would believe that it had not taken hold; so the first result is kept by
 // change id and given again.
-func (b *State) Apply(c Change) Result {
+func (s *State) Apply(c Change) Result {
 	digest := changeDigest(c)
-	if known, resent := b.results[c.ID]; resent {
-		if known.Digest != digest {
-			return Result{Code: CodeReused, Version: b.version, Reason: "this change id belongs to another change"}
+	if stored, resent := s.results[c.ID]; resent {
+		if stored.Digest != digest {
+			return Result{Code: CodeReused, Version: s.version, Reason: "this change id belongs to another change"}
 		}
-		return known.Result
+		return stored.Result
 	}
-	r := b.apply(c)
-	b.remember(c.ID, rememberedResult{Digest: digest, Result: r})
+	r := s.apply(c)
+	s.storeResult(c.ID, storedResult{Digest: digest, Result: r})
 	return r
 }
 
-func (b *State) apply(c Change) Result {
+func (s *State) apply(c Change) Result {
 	switch c.Kind {
 	case ChangeApply:
-		return b.applyCatalogue(c)
+		return s.applyCatalogue(c)
 	case ChangeStopPlan:
-		return b.planStop(c)
+		return s.planStop(c)
 	case ChangeStopCancel:
-		return b.cancelStop(c)
+		return s.cancelStop(c)
 	default:
-		return b.refuse(CodeInvalid, fmt.Sprintf("unknown kind of change %d", c.Kind))
+		return s.refuse(CodeInvalid, fmt.Sprintf("unknown kind of change %d", c.Kind))
 	}
 }
 
-func (b *State) applyCatalogue(c Change) Result {
+func (s *State) applyCatalogue(c Change) Result {
 	if c.Catalogue == nil {
-		return b.refuse(CodeInvalid, "no catalogue in the change")
+		return s.refuse(CodeInvalid, "no catalogue in the change")
 	}
 	if err := c.Catalogue.Validate(); err != nil {
-		return b.refuse(CodeInvalid, err.Error())
+		return s.refuse(CodeInvalid, err.Error())
 	}
-	if c.Base != b.version {
-		return b.conflict(c)
+	if c.Base != s.version {
+		return s.refuseConflict(c)
 	}
 	var summary []string
-	for _, d := range Diff(b.catalogue, *c.Catalogue) {
+	for _, d := range Diff(s.catalogue, *c.Catalogue) {
 		summary = append(summary, d.String())
 	}
-	b.catalogue = *c.Catalogue
-	return b.accept(c, summary)
+	s.catalogue = *c.Catalogue
+	return s.accept(c, summary)
 }
 
 // conflict answers a change made against another version than the one in
 // force: of two changes with equal versions the first wins, and the other
 // operator sees which change won in place of silently undoing it.
-func (b *State) conflict(c Change) Result {
-	r := b.refuse(CodeConflict, fmt.Sprintf("made against version %d, in force is %d", c.Base, b.version))
-	for i := range b.history {
-		if b.history[i].Version == c.Base+1 {
-			winner := b.history[i]
+func (s *State) refuseConflict(c Change) Result {
+	r := s.refuse(CodeConflict, fmt.Sprintf("made against version %d, in force is %d", c.Base, s.version))
+	for i := range s.history {
+		if s.history[i].Version == c.Base+1 {
+			winner := s.history[i]
 			r.Winner = &winner
 		}
 	}
 	return r
 }
 
-func (b *State) planStop(c Change) Result {
+func (s *State) planStop(c Change) Result {
 	if c.Stop == nil {
-		return b.refuse(CodeInvalid, "no stop in the change")
+		return s.refuse(CodeInvalid, "no stop in the change")
 	}
 	if err := c.Stop.Validate(); err != nil {
-		return b.refuse(CodeInvalid, err.Error())
+		return s.refuse(CodeInvalid, err.Error())
 	}
-	at, found := b.findStop(c.Stop.ID)
+	index, found := s.findStop(c.Stop.ID)
 	if found {
-		return b.refuse(CodeInvalid, fmt.Sprintf("stop %q is planned already", c.Stop.ID))
+		return s.refuse(CodeInvalid, fmt.Sprintf("stop %q is planned already", c.Stop.ID))
 	}
-	b.stops = slices.Insert(b.stops, at, *c.Stop)
-	return b.accept(c, []string{"stop " + c.Stop.ID + ": " + string(c.Stop.Scope) + " " + c.Stop.Name})
+	s.stops = slices.Insert(s.stops, index, *c.Stop)
+	return s.accept(c, []string{"stop " + c.Stop.ID + ": " + string(c.Stop.Scope) + " " + c.Stop.Name})
 }
 
-func (b *State) cancelStop(c Change) Result {
+func (s *State) cancelStop(c Change) Result {
 	if c.Stop == nil {
-		return b.refuse(CodeInvalid, "no stop in the change")
+		return s.refuse(CodeInvalid, "no stop in the change")
 	}
-	at, found := b.findStop(c.Stop.ID)
+	at, found := s.findStop(c.Stop.ID)
 	if !found {
-		return b.refuse(CodeNotFound, fmt.Sprintf("no stop %q is planned", c.Stop.ID))
+		return s.refuse(CodeNotFound, fmt.Sprintf("no stop %q is planned", c.Stop.ID))
 	}
-	b.stops = slices.Delete(b.stops, at, at+1)
-	return b.accept(c, []string{"stop " + c.Stop.ID + ": cancelled"})
+	s.stops = slices.Delete(s.stops, at, at+1)
+	return s.accept(c, []string{"stop " + c.Stop.ID + ": cancelled"})
 }
 
-func (b *State) findStop(id string) (int, bool) {
-	return slices.BinarySearchFunc(b.stops, id, func(s Stop, id string) int {
+func (s *State) findStop(id string) (int, bool) {
+	return slices.BinarySearchFunc(s.stops, id, func(s Stop, id string) int {
 		switch {
 		case s.ID < id:
 			return -1
@@ -155,27 +155,27 @@
 	})
 }
 
-func (b *State) accept(c Change, summary []string) Result {
-	b.version++
-	b.history = append(b.history, Entry{
-		Version: b.version, ChangeID: c.ID, By: c.By, At: c.At, Kind: c.Kind.String(), Summary: summary,
+func (s *State) accept(c Change, summary []string) Result {
+	s.version++
+	s.history = append(s.history, Entry{
+		Version: s.version, ChangeID: c.ID, By: c.By, At: c.At, Kind: c.Kind.String(), Summary: summary,
 	})
-	if len(b.history) > HistoryLength {
-		b.history = slices.Delete(b.history, 0, len(b.history)-HistoryLength)
+	if len(s.history) > HistoryLength {
+		s.history = slices.Delete(s.history, 0, len(s.history)-HistoryLength)
 	}
-	return Result{Code: CodeAccepted, Version: b.version}
+	return Result{Code: CodeAccepted, Version: s.version}
 }
 
-func (b *State) refuse(code Code, reason string) Result {
-	return Result{Code: code, Version: b.version, Reason: reason}
+func (s *State) refuse(code Code, reason string) Result {
+	return Result{Code: code, Version: s.version, Reason: reason}
 }
 
-func (b *State) remember(id string, r rememberedResult) {
-	b.results[id] = r
-	b.order = append(b.order, id)
-	if len(b.order) > HistoryLength {
-		delete(b.results, b.order[0])
-		b.order = slices.Delete(b.order, 0, 1)
+func (s *State) storeResult(changeID string, r storedResult) {
+	s.results[changeID] = r
+	s.resultOrder = append(s.resultOrder, changeID)
+	if len(s.resultOrder) > HistoryLength {
+		delete(s.results, s.resultOrder[0])
+		s.resultOrder = slices.Delete(s.resultOrder, 0, 1)
 	}
 }
 
@@ -191,35 +191,35 @@
 }
 
 // bookSnapshot is a State as it is written to disk.
-type bookSnapshot struct {
-	Version   uint64                      `msgpack:"version"`
-	Catalogue Catalogue                   `msgpack:"catalogue"`
-	Stops     []Stop                      `msgpack:"stops"`
-	History   []Entry                     `msgpack:"history"`
-	Results   map[string]rememberedResult `msgpack:"results"`
-	Order     []string                    `msgpack:"order"`
+type stateSnapshot struct {
+	Version   uint64                  `msgpack:"version"`
+	Catalogue Catalogue               `msgpack:"catalogue"`
+	Stops     []Stop                  `msgpack:"stops"`
+	History   []Entry                 `msgpack:"history"`
+	Results   map[string]storedResult `msgpack:"results"`
+	Order     []string                `msgpack:"order"`
 }
 
 // Snapshot encodes the whole State.
-func (b *State) Snapshot() ([]byte, error) {
-	enc, err := msgpack.Marshal(&bookSnapshot{
-		Version: b.version, Catalogue: b.catalogue, Stops: b.stops,
-		History: b.history, Results: b.results, Order: b.order,
+func (s *State) Snapshot() ([]byte, error) {
+	enc, err := msgpack.Marshal(&stateSnapshot{
+		Version: s.version, Catalogue: s.catalogue, Stops: s.stops,
+		History: s.history, Results: s.results, Order: s.resultOrder,
 	})
 	return enc, trace.Wrap(err, "step=snapshot catalogue")
 }
 
 // RestoreState decodes what Snapshot wrote.
 func RestoreState(enc []byte) (*State, error) {
-	var s bookSnapshot
+	var s stateSnapshot
 	if err := msgpack.Unmarshal(enc, &s); err != nil {
 		return nil, trace.Wrap(err, "step=restore catalogue")
 	}
 	if s.Results == nil {
-		s.Results = map[string]rememberedResult{}
+		s.Results = map[string]storedResult{}
 	}
 	return &State{
 		version: s.Version, catalogue: s.Catalogue, stops: s.Stops,
-		history: s.History, results: s.Results, order: s.Order,
+		history: s.History, results: s.Results, resultOrder: s.Order,
 	}, nil
 }
--- a/contract/book_test.go
+++ b/contract/book_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func catalogueOf(names ...string) *Catalogue {
+func catalogueWithWorkspaces(names ...string) *Catalogue {
 	c := &Catalogue{}
 	for _, n := range names {
 		c.Workspaces = append(c.Workspaces, Workspace{
@@ -19,14 +19,14 @@
 }
 
 func applyChange(id string, base uint64, names ...string) Change {
-	return Change{ID: id, Kind: ChangeApply, Base: base, Catalogue: catalogueOf(names...)}
+	return Change{ID: id, Kind: ChangeApply, Base: base, Catalogue: catalogueWithWorkspaces(names...)}
 }
 
 // Two operators edit the same version at the same time. Were the second change
 // taken too, it would silently undo the first, and the first operator would
 // find his workspace gone the next morning.
 // Without the comparison of Base in applyCatalogue this test fails.
-func TestBookRefusesTheSecondOfTwoEqualVersions(t *testing.T) {
+func TestApplyRefusesOutdatedBase(t *testing.T) {
 	b := NewState()
 	require.Equal(t, CodeAccepted, b.Apply(applyChange("one", 0, "a")).Code)
 	r := b.Apply(applyChange("two", 0, "b"))
@@ -39,16 +39,16 @@
 // the change again. Judged anew it would conflict with itself, and the operator
 // would believe that it had not taken hold.
 // Without the look-up in State.Apply this test fails.
-func TestBookAnswersAResendWithTheFirstResult(t *testing.T) {
+func TestApplyReturnsFirstResultToResend(t *testing.T) {
 	b := NewState()
-	first := b.Apply(applyChange("one", 0, "a"))
+	firstResult := b.Apply(applyChange("one", 0, "a"))
 	b.Apply(applyChange("two", 1, "a", "b"))
-	require.Equal(t, first, b.Apply(applyChange("one", 0, "a")))
+	require.Equal(t, firstResult, b.Apply(applyChange("one", 0, "a")))
 	require.EqualValues(t, 2, b.Version())
 	require.Equal(t, CodeReused, b.Apply(applyChange("one", 2, "c")).Code)
 }
 
-func TestBookPlansAndCancelsStops(t *testing.T) {
+func TestApplyPlansAndCancelsStops(t *testing.T) {
 	b := NewState()
 	stop := &Stop{ID: "zone-z1", Scope: StopZone, Name: "z1"}
 	require.Equal(t, CodeAccepted, b.Apply(Change{ID: "1", Kind: ChangeStopPlan, Stop: stop}).Code)
@@ -63,14 +63,14 @@
 // replica restarts from a snapshot at a moment of its own. If versions could
 // repeat, skip or go back, or two replicas come to differ, an accepted change
 // would be in force at one entry and not at another.
-func TestBookKeepsAcceptedChanges(t *testing.T) {
+func TestReplicasAgreeAndVersionsAreConsecutive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
 		var sent []Change
 		for i := range rapid.IntRange(1, 60).Draw(t, "changes") {
 			c := applyChange(fmt.Sprint("c", i), a.Version(), fmt.Sprint("w", i))
-			if back := rapid.Uint64Range(0, 2).Draw(t, "behind"); back <= c.Base {
-				c.Base -= back
+			if behind := rapid.Uint64Range(0, 2).Draw(t, "behind"); behind <= c.Base {
+				c.Base -= behind
 			}
 			if len(sent) > 0 && rapid.Bool().Draw(t, "resend") {
 				c = rapid.SampledFrom(sent).Draw(t, "which")
--- a/contract/catalogue.go
+++ b/contract/catalogue.go
@@ -28,11 +28,11 @@
 
 // Lower returns the less urgent of the contract's class c and the class that a
 // caller asked for. An empty or unknown request keeps the contract's class.
-func (c Class) Lower(asked Class) Class {
-	if !asked.Valid() || asked.Rank() < c.Rank() {
+func (c Class) Lower(requested Class) Class {
+	if !requested.Valid() || requested.Rank() < c.Rank() {
 		return c
 	}
-	return asked
+	return requested
 }
 
 // Valid reports whether c is one of the three classes.
@@ -108,7 +108,7 @@
 }
 
 // DefaultMaxBody bounds a request body where a service names no bound: 4 MiB.
-const DefaultMaxBody int64 = 4 << 20
+const DefaultMaxBodyBytes int64 = 4 << 20
 
 // StopScope says what a planned stop covers.
 type StopScope string
--- a/contract/diff.go
+++ b/contract/diff.go
@@ -30,16 +30,16 @@
 }
 
 func diffObjects[T any](kind string, a, b []T, name func(T) string) []Difference {
-	before := make(map[string]T, len(a))
+	oldByName := make(map[string]T, len(a))
 	for _, o := range a {
-		before[name(o)] = o
+		oldByName[name(o)] = o
 	}
 	var out []Difference
 	for _, o := range b {
-		old, had := before[name(o)]
-		delete(before, name(o))
+		old, existed := oldByName[name(o)]
+		delete(oldByName, name(o))
 		object := kind + " " + name(o)
-		if !had {
+		if !existed {
 			out = append(out, Difference{Object: object, Change: "added"})
 			continue
 		}
@@ -47,8 +47,8 @@
 			out = append(out, Difference{Object: object, Change: "changed", Fields: fields})
 		}
 	}
-	for gone := range before {
-		out = append(out, Difference{Object: kind + " " + gone, Change: "removed"})
+	for removed := range oldByName {
+		out = append(out, Difference{Object: kind + " " + removed, Change: "removed"})
 	}
 	return out
 }
--- a/contract/parse.go
+++ b/contract/parse.go
@@ -12,14 +12,14 @@
 )
 
 // MaxDocument bounds a catalogue document: 4 MiB, some ten thousand workspaces.
-const MaxDocument = 4 << 20
+const MaxDocumentBytes = 4 << 20
 
 // Parse reads a catalogue from YAML. Decoding is strict: an unknown field, a
 // duplicate key, a value out of range or a dangling reference is refused with
 // its line. A refusal is an *InvalidError; nothing of the document is returned.
 func Parse(doc []byte) (Catalogue, error) {
-	if len(doc) > MaxDocument {
-		return Catalogue{}, trace.LimitExceeded("catalogue is %d bytes, at most %d", len(doc), MaxDocument)
+	if len(doc) > MaxDocumentBytes {
+		return Catalogue{}, trace.LimitExceeded("catalogue is %d bytes, at most %d", len(doc), MaxDocumentBytes)
 	}
 	file, err := parser.ParseBytes(doc, 0)
 	if err != nil {
@@ -47,11 +47,11 @@
 // syntaxError turns a decoder's error into a violation with its line.
 func syntaxError(err error) error {
 	v := Violation{Path: "$", Reason: err.Error()}
-	var located yaml.Error
-	if errors.As(err, &located) {
-		v.Reason = located.GetMessage()
-		if t := located.GetToken(); t != nil {
-			v.Line = t.Position.Line
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) {
+		v.Reason = yamlErr.GetMessage()
+		if token := yamlErr.GetToken(); token != nil {
+			v.Line = token.Position.Line
 		}
 	}
 	return &InvalidError{Violations: []Violation{v}}
@@ -59,11 +59,11 @@
 
 // addLines finds each violation's place in the document. A value that the
 // document leaves out is shown at the line of the nearest thing around it.
-func addLines(vs []Violation, file *ast.File) {
-	for i := range vs {
-		vs[i].Line = lineOf(vs[i].Path, file)
+func addLines(violations []Violation, file *ast.File) {
+	for i := range violations {
+		violations[i].Line = lineOf(violations[i].Path, file)
 	}
-	slices.SortStableFunc(vs, func(a, b Violation) int { return a.Line - b.Line })
+	slices.SortStableFunc(violations, func(a, b Violation) int { return a.Line - b.Line })
 }
 
 func lineOf(path string, file *ast.File) int {
@@ -82,9 +82,9 @@
 
 // parentPath cuts the last step: $.a[1].b, $.a[1], $.a, $.
 func parentPath(path string) string {
-	cut := max(bytes.LastIndexByte([]byte(path), '.'), bytes.LastIndexByte([]byte(path), '['))
-	if cut < 0 {
+	lastStep := max(bytes.LastIndexByte([]byte(path), '.'), bytes.LastIndexByte([]byte(path), '['))
+	if lastStep < 0 {
 		return ""
 	}
-	return path[:cut]
+	return path[:lastStep]
 }
--- a/contract/parse_test.go
+++ b/contract/parse_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const goodDoc = `workspaces:
+const validDoc = `workspaces:
   - name: brokers
     owner: ana@drava.example
     class: interactive
@@ -35,20 +35,20 @@
         idempotent: false
 `
 
-func TestParseReadsWhatFormatWrites(t *testing.T) {
-	c, err := Parse([]byte(goodDoc))
+func TestFormatParseRoundTrip(t *testing.T) {
+	c, err := Parse([]byte(validDoc))
 	require.NoError(t, err)
 	doc, err := Format(c)
 	require.NoError(t, err)
-	again, err := Parse(doc)
+	reparsed, err := Parse(doc)
 	require.NoError(t, err)
-	require.Empty(t, Diff(c, again))
+	require.Empty(t, Diff(c, reparsed))
 }
 
 // An operator mistypes one thing in a long file. Without the line and the
 // reason he would search the whole file, and a document taken in part would put
 // half a change in force.
-func TestParseRefusesEachFaultWithItsLine(t *testing.T) {
+func TestParseReportsLineOfEachViolation(t *testing.T) {
 	cases := []struct {
 		name, old, new string
 		line           int
@@ -68,7 +68,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(goodDoc, c.old, c.new, 1)))
+			_, err := Parse([]byte(strings.Replace(validDoc, c.old, c.new, 1)))
 			var invalid *InvalidError
 			require.ErrorAs(t, err, &invalid)
 			require.Contains(t, invalid.Violations[0].Reason, c.reason)
@@ -79,8 +79,8 @@
 	}
 }
 
-func TestParseListsAllFaultsTogether(t *testing.T) {
-	doc := strings.NewReplacer("weight: 4", "weight: 0", "kind: plain", "kind: web").Replace(goodDoc)
+func TestParseListsAllViolations(t *testing.T) {
+	doc := strings.NewReplacer("weight: 4", "weight: 0", "kind: plain", "kind: web").Replace(validDoc)
 	_, err := Parse([]byte(doc))
 	var invalid *InvalidError
 	require.ErrorAs(t, err, &invalid)
@@ -88,7 +88,7 @@
 }
 
 func TestServiceIdempotent(t *testing.T) {
-	c, err := Parse([]byte(goodDoc))
+	c, err := Parse([]byte(validDoc))
 	require.NoError(t, err)
 	credits := &c.Services[1]
 	require.False(t, credits.Idempotent("POST", "/credit/7"))
@@ -104,7 +104,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(goodDoc))
+	f.Add([]byte(validDoc))
 	f.Add([]byte("workspaces: [{name: a, keys: [sha256:]}]"))
 	f.Add([]byte("&a [*a]"))
 	f.Fuzz(func(t *testing.T, doc []byte) {
--- a/contract/validate.go
+++ b/contract/validate.go
@@ -11,13 +11,13 @@
 // Bounds of catalogue values. They keep a slip of the keyboard from becoming a
 // change that takes hold everywhere.
 const (
-	MaxWeight       = 1000
-	MaxConcurrency  = 1_000_000
-	MaxRate         = 1e9       // requests or tokens a second
-	MaxMaxBody      = 256 << 20 // bytes
-	MaxTarget       = 10 * time.Minute
-	MaxNameLength   = 63
-	MaxKeysPerSpace = 16
+	MaxWeight           = 1000
+	MaxConcurrency      = 1_000_000
+	MaxRate             = 1e9       // requests or tokens a second
+	MaxBodyBytes        = 256 << 20 // bytes
+	MaxLatencyTarget    = 10 * time.Minute
+	MaxNameLength       = 63
+	MaxKeysPerWorkspace = 16
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
@@ -55,143 +55,143 @@
 // Validate checks every value and reference of c. It returns nil or an
 // *InvalidError that lists all faults.
 func (c *Catalogue) Validate() error {
-	v := validator{workspaces: map[string]bool{}, services: map[string]bool{}, keys: map[KeyHash]string{}}
+	v := validator{workspaceNames: map[string]bool{}, serviceNames: map[string]bool{}, workspaceByKey: map[KeyHash]string{}}
 	for i := range c.Workspaces {
-		v.workspace(fmt.Sprintf("$.workspaces[%d]", i), &c.Workspaces[i])
+		v.checkWorkspace(fmt.Sprintf("$.workspaces[%d]", i), &c.Workspaces[i])
 	}
 	for i := range c.Services {
-		v.service(fmt.Sprintf("$.services[%d]", i), &c.Services[i])
+		v.checkService(fmt.Sprintf("$.services[%d]", i), &c.Services[i])
 	}
-	if len(v.found) == 0 {
+	if len(v.violations) == 0 {
 		return nil
 	}
-	return &InvalidError{Violations: v.found}
+	return &InvalidError{Violations: v.violations}
 }
 
 type validator struct {
-	found      []Violation
-	workspaces map[string]bool
-	services   map[string]bool
-	keys       map[KeyHash]string // hash to the workspace that has it
+	violations     []Violation
+	workspaceNames map[string]bool
+	serviceNames   map[string]bool
+	workspaceByKey map[KeyHash]string // hash to the workspace that has it
 }
 
-func (v *validator) fault(path, format string, args ...any) {
-	v.found = append(v.found, Violation{Path: path, Reason: fmt.Sprintf(format, args...)})
+func (v *validator) addViolation(path, format string, args ...any) {
+	v.violations = append(v.violations, Violation{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
-func (v *validator) name(path, name string, seen map[string]bool) {
+func (v *validator) checkName(path, name string, seen map[string]bool) {
 	switch {
 	case len(name) > MaxNameLength:
-		v.fault(path, "%d characters, at most %d", len(name), MaxNameLength)
+		v.addViolation(path, "%d characters, at most %d", len(name), MaxNameLength)
 	case !namePattern.MatchString(name):
-		v.fault(path, "%q is not a name: lower-case letters, digits, '-' and '.'", name)
+		v.addViolation(path, "%q is not a name: lower-case letters, digits, '-' and '.'", name)
 	case seen[name]:
-		v.fault(path, "duplicate name %q", name)
+		v.addViolation(path, "duplicate name %q", name)
 	}
 	seen[name] = true
 }
 
-func (v *validator) workspace(path string, w *Workspace) {
-	v.name(path+".name", w.Name, v.workspaces)
+func (v *validator) checkWorkspace(path string, w *Workspace) {
+	v.checkName(path+".name", w.Name, v.workspaceNames)
 	if w.Owner == "" {
-		v.fault(path+".owner", "missing")
+		v.addViolation(path+".owner", "missing")
 	}
 	if !w.Class.Valid() {
-		v.fault(path+".class", "%q is not one of interactive, standard, batch", w.Class)
+		v.addViolation(path+".class", "%q is not one of interactive, standard, batch", w.Class)
 	}
 	if w.Weight < 1 || w.Weight > MaxWeight {
-		v.fault(path+".weight", "%d is out of range 1..%d", w.Weight, MaxWeight)
+		v.addViolation(path+".weight", "%d is out of range 1..%d", w.Weight, MaxWeight)
 	}
-	v.limits(path+".limits", w.Limits)
-	v.workspaceKeys(path+".keys", w)
+	v.checkLimits(path+".limits", w.Limits)
+	v.checkKeys(path+".keys", w)
 }
 
-func (v *validator) limits(path string, l Limits) {
+func (v *validator) checkLimits(path string, l Limits) {
 	if !(l.RequestsPerSecond >= 0 && l.RequestsPerSecond <= MaxRate) {
-		v.fault(path+".requestsPerSecond", "%g is out of range 0..%g", l.RequestsPerSecond, MaxRate)
+		v.addViolation(path+".requestsPerSecond", "%g is out of range 0..%g", l.RequestsPerSecond, MaxRate)
 	}
 	if l.Concurrency < 0 || l.Concurrency > MaxConcurrency {
-		v.fault(path+".concurrency", "%d is out of range 0..%d", l.Concurrency, MaxConcurrency)
+		v.addViolation(path+".concurrency", "%d is out of range 0..%d", l.Concurrency, MaxConcurrency)
 	}
 	if !(l.TokensPerSecond >= 0 && l.TokensPerSecond <= MaxRate) {
-		v.fault(path+".tokensPerSecond", "%g is out of range 0..%g", l.TokensPerSecond, MaxRate)
+		v.addViolation(path+".tokensPerSecond", "%g is out of range 0..%g", l.TokensPerSecond, MaxRate)
 	}
 }
 
-func (v *validator) workspaceKeys(path string, w *Workspace) {
+func (v *validator) checkKeys(path string, w *Workspace) {
 	if len(w.Keys) == 0 {
-		v.fault(path, "missing: without a key nobody can call")
+		v.addViolation(path, "missing: without a key nobody can call")
 	}
-	if len(w.Keys) > MaxKeysPerSpace {
-		v.fault(path, "%d keys, at most %d", len(w.Keys), MaxKeysPerSpace)
+	if len(w.Keys) > MaxKeysPerWorkspace {
+		v.addViolation(path, "%d keys, at most %d", len(w.Keys), MaxKeysPerWorkspace)
 	}
 	for i, k := range w.Keys {
-		at := fmt.Sprintf("%s[%d]", path, i)
+		keyPath := fmt.Sprintf("%s[%d]", path, i)
 		if !k.Valid() {
-			v.fault(at, "not a key hash: \"sha256:\" and 64 lower-case hex digits")
+			v.addViolation(keyPath, "not a key hash: \"sha256:\" and 64 lower-case hex digits")
 			continue
 		}
-		if owner, dup := v.keys[k]; dup {
-			v.fault(at, "duplicate key: workspace %q has it too", owner)
+		if other, duplicate := v.workspaceByKey[k]; duplicate {
+			v.addViolation(keyPath, "duplicate key: workspace %q has it too", other)
 		}
-		v.keys[k] = w.Name
+		v.workspaceByKey[k] = w.Name
 	}
 }
 
-func (v *validator) service(path string, s *Service) {
-	v.name(path+".name", s.Name, v.services)
+func (v *validator) checkService(path string, s *Service) {
+	v.checkName(path+".name", s.Name, v.serviceNames)
 	if s.Owner == "" {
-		v.fault(path+".owner", "missing")
+		v.addViolation(path+".owner", "missing")
 	}
 	switch s.Kind {
 	case KindModel:
-		v.modelService(path, s)
+		v.checkModelService(path, s)
 	case KindPlain:
-		v.plainService(path, s)
+		v.checkPlainService(path, s)
 	default:
-		v.fault(path+".kind", "%q is not one of model, plain", s.Kind)
+		v.addViolation(path+".kind", "%q is not one of model, plain", s.Kind)
 	}
 	for i, name := range s.Workspaces {
-		if !v.workspaces[name] {
-			v.fault(fmt.Sprintf("%s.workspaces[%d]", path, i), "no workspace %q", name)
+		if !v.workspaceNames[name] {
+			v.addViolation(fmt.Sprintf("%s.workspaces[%d]", path, i), "no workspace %q", name)
 		}
 	}
-	if s.MaxBody < 0 || s.MaxBody > MaxMaxBody {
-		v.fault(path+".maxBodyBytes", "%d is out of range 0..%d", s.MaxBody, MaxMaxBody)
+	if s.MaxBody < 0 || s.MaxBody > MaxBodyBytes {
+		v.addViolation(path+".maxBodyBytes", "%d is out of range 0..%d", s.MaxBody, MaxBodyBytes)
 	}
-	v.target(path+".target.firstToken", s.Target.FirstToken)
-	v.target(path+".target.betweenTokens", s.Target.BetweenTokens)
+	v.checkLatency(path+".target.firstToken", s.Target.FirstToken)
+	v.checkLatency(path+".target.betweenTokens", s.Target.BetweenTokens)
 }
 
-func (v *validator) target(path string, d time.Duration) {
-	if d < 0 || d > MaxTarget {
-		v.fault(path, "%s is out of range 0..%s", d, MaxTarget)
+func (v *validator) checkLatency(path string, d time.Duration) {
+	if d < 0 || d > MaxLatencyTarget {
+		v.addViolation(path, "%s is out of range 0..%s", d, MaxLatencyTarget)
 	}
 }
 
-func (v *validator) modelService(path string, s *Service) {
+func (v *validator) checkModelService(path string, s *Service) {
 	if s.Model == "" {
-		v.fault(path+".model", "missing: a model service names its model")
+		v.addViolation(path+".model", "missing: a model service names its model")
 	}
 	if len(s.Calls) > 0 {
-		v.fault(path+".calls", "only plain services have call rules")
+		v.addViolation(path+".calls", "only plain services have call rules")
 	}
 }
 
-func (v *validator) plainService(path string, s *Service) {
+func (v *validator) checkPlainService(path string, s *Service) {
 	if s.Model != "" {
-		v.fault(path+".model", "only model services name a model")
+		v.addViolation(path+".model", "only model services name a model")
 	}
 	if s.Adapter != "" {
-		v.fault(path+".adapter", "only model services name an adapter")
+		v.addViolation(path+".adapter", "only model services name an adapter")
 	}
 	for i, r := range s.Calls {
-		at := fmt.Sprintf("%s.calls[%d]", path, i)
+		rulePath := fmt.Sprintf("%s.calls[%d]", path, i)
 		if r.Method == "" || r.Method != strings.ToUpper(r.Method) {
-			v.fault(at+".method", "%q is not an upper-case method or \"*\"", r.Method)
+			v.addViolation(rulePath+".method", "%q is not an upper-case method or \"*\"", r.Method)
 		}
 		if !strings.HasPrefix(r.PathPrefix, "/") {
-			v.fault(at+".pathPrefix", "%q does not begin with /", r.PathPrefix)
+			v.addViolation(rulePath+".pathPrefix", "%q does not begin with /", r.PathPrefix)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 // BodyLimit is the largest request body in bytes that the service takes.
 func (s *Service) BodyLimit() int64 {
 	if s.MaxBody == 0 {
-		return DefaultMaxBody
+		return DefaultMaxBodyBytes
 	}
 	return s.MaxBody
 }
--- a/control/operator.go
+++ b/control/operator.go
@@ -117,7 +117,7 @@
 }
 
 func (o *operatorAPI) putCatalogue(w http.ResponseWriter, r *http.Request) {
-	doc, err := io.ReadAll(http.MaxBytesReader(w, r.Body, contract.MaxDocument))
+	doc, err := io.ReadAll(http.MaxBytesReader(w, r.Body, contract.MaxDocumentBytes))
 	if err != nil {
 		request.NewProblem(request.CodeTooLarge, request.NotRun, "%v", err).Write(w)
 		return
@@ -138,7 +138,7 @@
 // readDocument decodes the JSON body into v, a pointer. If it returns false, it has
 // written the error response.
 func readDocument(w http.ResponseWriter, r *http.Request, v any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, contract.MaxDocument))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, contract.MaxDocumentBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
 		request.NewProblem(request.CodeBadRequest, request.NotRun, "%v", err).Write(w)
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -339,4 +339,4 @@
 
 // maxHeldAnswer bounds what of a once-only call's answer is held back until it
 // is whole, so that a small answer, as a statement credit's, is all or nothing.
-const maxBufferedAnswerBytes = ledger.MaxAnswer
+const maxBufferedAnswerBytes = ledger.MaxAnswerBytes
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -26,7 +26,7 @@
 	// forgetting an old one early could run its request twice.
 	MaxRecords = 1_000_000
 	// MaxAnswer is the largest answer in bytes that is kept for a resend.
-	MaxAnswer = 16 << 10
+	MaxAnswerBytes = 16 << 10
 )
 
 // State is how far a recorded request has come.
@@ -73,7 +73,7 @@
 	Fingerprint uint64  `msgpack:"f"` // of service, method, path and body
 	RequestID   string  `msgpack:"r"`
 	Owner       Owner   `msgpack:"o"`
-	Touched     int64   `msgpack:"t"` // Unix milliseconds of the last command
+	UpdatedAt   int64   `msgpack:"t"` // Unix milliseconds of the last command
 	Answer      *Answer `msgpack:"a,omitempty"`
 }
 
@@ -128,20 +128,20 @@
 
 // Ledger holds the records. It is not safe for concurrent use.
 type Ledger struct {
-	records map[Key]*Record
-	ended   []expiry // finished records in the order of their end
-	clock   int64    // highest command time seen
-	limit   int
+	records    map[Key]*Record
+	finished   []finishedRecord // finished records in the order of their end
+	clock      int64            // highest command time seen
+	maxRecords int
 }
 
-type expiry struct {
+type finishedRecord struct {
 	Key Key   `msgpack:"k"`
 	At  int64 `msgpack:"t"`
 }
 
 // New returns an empty ledger that holds at most limit records.
-func New(limit int) *Ledger {
-	return &Ledger{records: map[Key]*Record{}, limit: limit}
+func New(maxRecords int) *Ledger {
+	return &Ledger{records: map[Key]*Record{}, maxRecords: maxRecords}
 }
 
 // Len is the number of records.
@@ -163,8 +163,8 @@
 	if c.Op == OpBegin {
 		return l.begin(c)
 	}
-	r, known := l.records[c.Key]
-	if !known {
+	r, found := l.records[c.Key]
+	if !found {
 		return Result{Verdict: VerdictStale}
 	}
 	switch c.Op {
@@ -180,36 +180,36 @@
 }
 
 func (l *Ledger) begin(c Command) Result {
-	if r, known := l.records[c.Key]; known {
-		return l.again(r, c)
+	if r, found := l.records[c.Key]; found {
+		return l.beginExisting(r, c)
 	}
-	if len(l.records) >= l.limit {
+	if len(l.records) >= l.maxRecords {
 		return Result{Verdict: VerdictFull}
 	}
 	r := &Record{
 		Key: c.Key, State: Begun, Fingerprint: c.Fingerprint, RequestID: c.RequestID,
-		Owner: c.Owner, Touched: l.clock,
+		Owner: c.Owner, UpdatedAt: l.clock,
 	}
 	l.records[c.Key] = r
-	return result(VerdictStarted, r)
+	return newResult(VerdictStarted, r)
 }
 
 // again answers a second arrival of a key. The same entry asking again for the
 // same request id has lost the answer to its first question and may run it:
 // without this, a lost answer between entry and control would turn a request
 // that never ran into one whose outcome is unknown.
-func (l *Ledger) again(r *Record, c Command) Result {
+func (l *Ledger) beginExisting(r *Record, c Command) Result {
 	switch {
 	case r.Fingerprint != c.Fingerprint:
-		return result(VerdictMismatch, r)
+		return newResult(VerdictMismatch, r)
 	case r.State == Answered:
-		return result(VerdictAnswered, r)
+		return newResult(VerdictAnswered, r)
 	case r.State == Unknown:
-		return result(VerdictUnknown, r)
+		return newResult(VerdictUnknown, r)
 	case r.Owner == c.Owner && r.RequestID == c.RequestID:
-		return result(VerdictStarted, r)
+		return newResult(VerdictStarted, r)
 	default:
-		return result(VerdictRunning, r)
+		return newResult(VerdictRunning, r)
 	}
 }
 
@@ -217,18 +217,18 @@
 // given up: the request did end, and its answer is better than "unknown".
 func (l *Ledger) finish(r *Record, c Command) Result {
 	if r.Owner != c.Owner || r.RequestID != c.RequestID {
-		return result(VerdictStale, r)
+		return newResult(VerdictStale, r)
 	}
 	if r.State == Answered {
-		return result(VerdictDone, r)
+		return newResult(VerdictDone, r)
 	}
-	r.Answer = boundAnswer(c.Answer)
-	l.end(r, Answered)
-	return result(VerdictDone, r)
+	r.Answer = omitLargeBody(c.Answer)
+	l.markFinished(r, Answered)
+	return newResult(VerdictDone, r)
 }
 
-func boundAnswer(a *Answer) *Answer {
-	if a == nil || len(a.Body) <= MaxAnswer {
+func omitLargeBody(a *Answer) *Answer {
+	if a == nil || len(a.Body) <= MaxAnswerBytes {
 		return a
 	}
 	return &Answer{Status: a.Status, ContentType: a.ContentType, Omitted: true}
@@ -238,7 +238,7 @@
 // know that, and only before the record has been given up.
 func (l *Ledger) release(r *Record, c Command) Result {
 	if r.State != Begun || r.Owner != c.Owner || r.RequestID != c.RequestID {
-		return result(VerdictStale, r)
+		return newResult(VerdictStale, r)
 	}
 	delete(l.records, r.Key)
 	return Result{Verdict: VerdictDone}
@@ -249,50 +249,50 @@
 // another request that took the key meanwhile.
 func (l *Ledger) giveUp(r *Record, c Command) Result {
 	if r.RequestID != c.RequestID || r.State == Answered {
-		return result(VerdictStale, r)
+		return newResult(VerdictStale, r)
 	}
 	if r.State == Begun {
-		l.end(r, Unknown)
+		l.markFinished(r, Unknown)
 	}
-	return result(VerdictDone, r)
+	return newResult(VerdictDone, r)
 }
 
-func (l *Ledger) end(r *Record, s State) {
-	r.State = s
-	r.Touched = l.clock
-	l.ended = append(l.ended, expiry{Key: r.Key, At: l.clock})
+func (l *Ledger) markFinished(r *Record, state State) {
+	r.State = state
+	r.UpdatedAt = l.clock
+	l.finished = append(l.finished, finishedRecord{Key: r.Key, At: l.clock})
 }
 
 // expire forgets finished records after Retention. A record that is still begun
 // stays: forgetting it could let its request run twice.
 func (l *Ledger) expire() {
-	horizon := l.clock - Retention.Milliseconds()
-	n := 0
-	for n < len(l.ended) && l.ended[n].At < horizon {
-		e := l.ended[n]
-		n++
-		r, known := l.records[e.Key]
-		if known && r.State != Begun && r.Touched == e.At {
+	cutoff := l.clock - Retention.Milliseconds()
+	expired := 0
+	for expired < len(l.finished) && l.finished[expired].At < cutoff {
+		e := l.finished[expired]
+		expired++
+		r, found := l.records[e.Key]
+		if found && r.State != Begun && r.UpdatedAt == e.At {
 			delete(l.records, e.Key)
 		}
 	}
-	l.ended = slices.Delete(l.ended, 0, n)
+	l.finished = slices.Delete(l.finished, 0, expired)
 }
 
-func result(v Verdict, r *Record) Result {
+func newResult(v Verdict, r *Record) Result {
 	c := *r
 	return Result{Verdict: v, Record: &c}
 }
 
-type snapshot struct {
-	Records []*Record `msgpack:"r"`
-	Ended   []expiry  `msgpack:"e"`
-	Clock   int64     `msgpack:"c"`
+type ledgerSnapshot struct {
+	Records []*Record        `msgpack:"r"`
+	Ended   []finishedRecord `msgpack:"e"`
+	Clock   int64            `msgpack:"c"`
 }
 
 // Snapshot encodes the whole ledger.
 func (l *Ledger) Snapshot() ([]byte, error) {
-	s := snapshot{Ended: l.ended, Clock: l.clock, Records: make([]*Record, 0, len(l.records))}
+	s := ledgerSnapshot{Ended: l.finished, Clock: l.clock, Records: make([]*Record, 0, len(l.records))}
 	for _, r := range l.records {
 		s.Records = append(s.Records, r)
 	}
@@ -301,13 +301,13 @@
 }
 
 // Restore decodes what Snapshot wrote.
-func Restore(enc []byte, limit int) (*Ledger, error) {
-	var s snapshot
+func Restore(enc []byte, maxRecords int) (*Ledger, error) {
+	var s ledgerSnapshot
 	if err := msgpack.Unmarshal(enc, &s); err != nil {
 		return nil, trace.Wrap(err, "step=restore ledger")
 	}
-	l := New(limit)
-	l.ended, l.clock = s.Ended, s.Clock
+	l := New(maxRecords)
+	l.finished, l.clock = s.Ended, s.Clock
 	for _, r := range s.Records {
 		l.records[r.Key] = r
 	}
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -15,12 +15,12 @@
 	entryB = Owner{Entry: "b", Incarnation: 1}
 )
 
-func begin(id string, o Owner) Command {
+func beginCommand(id string, o Owner) Command {
 	return Command{Op: OpBegin, Key: key, Fingerprint: 7, RequestID: id, Owner: o, Now: 1000}
 }
 
-func settle(op Op, id string, o Owner) Command {
-	c := begin(id, o)
+func commandFor(op Op, id string, o Owner) Command {
+	c := beginCommand(id, o)
 	c.Op = op
 	return c
 }
@@ -29,23 +29,23 @@
 // another entry, while the first one still runs. A second start would credit
 // the cedent twice.
 // Without the look-up in begin this test fails.
-func TestLedgerStartsAKeyOnce(t *testing.T) {
+func TestKeyStartsOnce(t *testing.T) {
 	l := New(10)
-	require.Equal(t, VerdictStarted, l.Apply(begin("r1", entryA)).Verdict)
-	require.Equal(t, VerdictRunning, l.Apply(begin("r2", entryB)).Verdict)
-	require.Equal(t, VerdictStarted, l.Apply(begin("r1", entryA)).Verdict, "the same question again")
-	finish := settle(OpFinish, "r1", entryA)
+	require.Equal(t, VerdictStarted, l.Apply(beginCommand("r1", entryA)).Verdict)
+	require.Equal(t, VerdictRunning, l.Apply(beginCommand("r2", entryB)).Verdict)
+	require.Equal(t, VerdictStarted, l.Apply(beginCommand("r1", entryA)).Verdict, "the same question again")
+	finish := commandFor(OpFinish, "r1", entryA)
 	finish.Answer = &Answer{Status: 200, Body: []byte("ok")}
 	require.Equal(t, VerdictDone, l.Apply(finish).Verdict)
-	r := l.Apply(begin("r3", entryB))
+	r := l.Apply(beginCommand("r3", entryB))
 	require.Equal(t, VerdictAnswered, r.Verdict)
 	require.Equal(t, []byte("ok"), r.Record.Answer.Body)
 }
 
-func TestLedgerTellsAReusedKey(t *testing.T) {
+func TestReusedKeyIsMismatch(t *testing.T) {
 	l := New(10)
-	l.Apply(begin("r1", entryA))
-	other := begin("r2", entryA)
+	l.Apply(beginCommand("r1", entryA))
+	other := beginCommand("r2", entryA)
 	other.Fingerprint = 8
 	require.Equal(t, VerdictMismatch, l.Apply(other).Verdict)
 }
@@ -53,31 +53,31 @@
 // The entry that ran a call dies, another entry gives the call up as unknown,
 // and then the first one's report, held up on its way, says that it was
 // answered. The caller should get the answer and not "unknown".
-func TestLedgerPrefersALateAnswerToUnknown(t *testing.T) {
+func TestLateAnswerReplacesUnknown(t *testing.T) {
 	l := New(10)
-	l.Apply(begin("r1", entryA))
-	require.Equal(t, VerdictDone, l.Apply(settle(OpGiveUp, "r1", entryA)).Verdict)
-	require.Equal(t, VerdictUnknown, l.Apply(begin("r2", entryB)).Verdict)
-	require.Equal(t, VerdictDone, l.Apply(settle(OpFinish, "r1", entryA)).Verdict)
-	require.Equal(t, VerdictAnswered, l.Apply(begin("r2", entryB)).Verdict)
+	l.Apply(beginCommand("r1", entryA))
+	require.Equal(t, VerdictDone, l.Apply(commandFor(OpGiveUp, "r1", entryA)).Verdict)
+	require.Equal(t, VerdictUnknown, l.Apply(beginCommand("r2", entryB)).Verdict)
+	require.Equal(t, VerdictDone, l.Apply(commandFor(OpFinish, "r1", entryA)).Verdict)
+	require.Equal(t, VerdictAnswered, l.Apply(beginCommand("r2", entryB)).Verdict)
 }
 
-func TestLedgerRefusesWhenFullAndForgetsAfterRetention(t *testing.T) {
+func TestFullLedgerRefusesUntilRecordsExpire(t *testing.T) {
 	l := New(1)
-	l.Apply(begin("r1", entryA))
-	other := begin("r2", entryB)
+	l.Apply(beginCommand("r1", entryA))
+	other := beginCommand("r2", entryB)
 	other.Key.Value = "credit-2"
 	require.Equal(t, VerdictFull, l.Apply(other).Verdict)
-	l.Apply(settle(OpFinish, "r1", entryA))
+	l.Apply(commandFor(OpFinish, "r1", entryA))
 	other.Now += Retention.Milliseconds() + int64(time.Second/time.Millisecond)
 	require.Equal(t, VerdictStarted, l.Apply(other).Verdict)
 	require.Equal(t, 1, l.Len())
 }
 
-func TestLedgerNeverForgetsWhatMayRun(t *testing.T) {
+func TestBegunRecordNeverExpires(t *testing.T) {
 	l := New(10)
-	l.Apply(begin("r1", entryA))
-	late := begin("r2", entryB)
+	l.Apply(beginCommand("r1", entryA))
+	late := beginCommand("r2", entryB)
 	late.Now += 10 * Retention.Milliseconds()
 	require.Equal(t, VerdictRunning, l.Apply(late).Verdict)
 }
@@ -86,10 +86,10 @@
 // also twice, and a replica restarts from a snapshot in between. If a key could
 // be started again after a start that was not released, its request would run
 // twice.
-func TestLedgerNeverStartsTwiceUnlessReleased(t *testing.T) {
+func TestKeyStartsAgainOnlyAfterRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(100)
-		running := map[Key]string{} // request id by key, since its last release
+		startedBy := map[Key]string{} // request id by key, since its last release
 		for i := range rapid.IntRange(1, 80).Draw(t, "commands") {
 			c := Command{
 				Op:          Op(rapid.IntRange(1, 4).Draw(t, "op")),
@@ -103,13 +103,13 @@
 			r := l.Apply(c)
 			switch {
 			case c.Op == OpBegin && r.Verdict == VerdictStarted:
-				if id, taken := running[c.Key]; taken {
+				if id, started := startedBy[c.Key]; started {
 					require.Equal(t, id, c.RequestID, "started twice")
 				}
-				running[c.Key] = c.RequestID
+				startedBy[c.Key] = c.RequestID
 			case c.Op == OpRelease && r.Verdict == VerdictDone:
-				require.Equal(t, running[c.Key], c.RequestID, "released by another")
-				delete(running, c.Key)
+				require.Equal(t, startedBy[c.Key], c.RequestID, "released by another")
+				delete(startedBy, c.Key)
 			}
 			if rapid.Bool().Draw(t, "restart") {
 				snap, err := l.Snapshot()
--- a/records/records.go
+++ b/records/records.go
@@ -51,14 +51,14 @@
 // DecodeNotice reads the body of the notice under a key. A body that belongs to
 // another key is an error.
 func DecodeNotice(key string, body []byte) (fleet.Notice, error) {
-	n, err := fleet.DecodeNotice(body)
+	notice, err := fleet.DecodeNotice(body)
 	if err != nil {
-		return n, err
+		return notice, err
 	}
-	if fleet.NoticeKey(n.Instance) != key {
-		return n, trace.BadParameter("record %s is of instance %s", key, n.Instance)
+	if fleet.NoticeKey(notice.Instance) != key {
+		return notice, trace.BadParameter("record %s is of instance %s", key, notice.Instance)
 	}
-	return n, nil
+	return notice, nil
 }
 
 // Merge joins two bodies of one record: of a quarantine record the union, of a
@@ -71,7 +71,7 @@
 	case IsNotice(key):
 		return mergeNotices(key, a, b)
 	default:
-		return higher(a, b)
+		return greater(a, b)
 	}
 }
 
@@ -80,7 +80,7 @@
 	rb, errB := DecodeQuarantine(key, b)
 	switch {
 	case errA != nil && errB != nil:
-		return higher(a, b)
+		return greater(a, b)
 	case errA != nil:
 		ra = rb
 	case errB != nil:
@@ -88,7 +88,7 @@
 	}
 	body, err := EncodeQuarantine(quarantine.Merge(ra, rb))
 	if err != nil {
-		return higher(a, b) // numbers, strings and times always encode
+		return greater(a, b) // numbers, strings and times always encode
 	}
 	return body
 }
@@ -98,7 +98,7 @@
 	nb, errB := DecodeNotice(key, b)
 	switch {
 	case errA != nil && errB != nil:
-		return higher(a, b)
+		return greater(a, b)
 	case errA != nil:
 		return b
 	case errB != nil, na.Deadline > nb.Deadline:
@@ -106,11 +106,11 @@
 	case na.Deadline < nb.Deadline:
 		return b
 	default:
-		return higher(a, b)
+		return greater(a, b)
 	}
 }
 
-func higher(a, b []byte) []byte {
+func greater(a, b []byte) []byte {
 	if string(a) > string(b) {
 		return a
 	}
--- a/request/journal.go
+++ b/request/journal.go
@@ -42,7 +42,7 @@
 		return
 	}
 	j.tokens = append(j.tokens, token)
-	j.wake()
+	j.notifyReaders()
 }
 
 // Finish ends the answer. Only the first call counts.
@@ -53,10 +53,10 @@
 		return
 	}
 	j.end = &e
-	j.wake()
+	j.notifyReaders()
 }
 
-func (j *Journal) wake() {
+func (j *Journal) notifyReaders() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
@@ -78,9 +78,9 @@
 // Next returns the tokens from position from on, waiting until there is one or
 // the answer has ended. With tokens it returns no end, even if there is one: a
 // reader asks again. It returns ctx's error when ctx ends first.
-func (j *Journal) Next(ctx context.Context, from int) ([]string, *End, error) {
+func (j *Journal) Next(ctx context.Context, position int) ([]string, *End, error) {
 	for {
-		tokens, end, changed := j.look(from)
+		tokens, end, changed := j.readFrom(position)
 		if len(tokens) > 0 {
 			return tokens, nil, nil
 		}
@@ -95,11 +95,11 @@
 	}
 }
 
-func (j *Journal) look(from int) ([]string, *End, <-chan struct{}) {
+func (j *Journal) readFrom(position int) ([]string, *End, <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if from > len(j.tokens) {
-		from = len(j.tokens)
+	if position > len(j.tokens) {
+		position = len(j.tokens)
 	}
-	return j.tokens[from:len(j.tokens):len(j.tokens)], j.end, j.changed
+	return j.tokens[position:len(j.tokens):len(j.tokens)], j.end, j.changed
 }
--- a/request/journal_test.go
+++ b/request/journal_test.go
@@ -17,12 +17,12 @@
 func TestJournalGivesEveryReaderEveryTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(rapid.String(), 0, 40).Draw(t, "tokens")
-		handed := rapid.IntRange(0, len(want)).Draw(t, "handed over")
-		j := NewJournal(append([]string{}, want[:handed]...))
+		receivedCount := rapid.IntRange(0, len(want)).Draw(t, "handed over")
+		j := NewJournal(append([]string{}, want[:receivedCount]...))
 		var readers sync.WaitGroup
 		got := make([][]string, 3)
 		for i := range got {
-			from := rapid.IntRange(0, handed).Draw(t, "from")
+			from := rapid.IntRange(0, receivedCount).Draw(t, "from")
 			readers.Go(func() {
 				got[i] = append(got[i], want[:from]...)
 				for {
@@ -34,7 +34,7 @@
 				}
 			})
 		}
-		for _, token := range want[handed:] {
+		for _, token := range want[receivedCount:] {
 			j.Append(token)
 		}
 		j.Finish(End{Finish: "stop"})
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestJournalNextEndsWithItsContext(t *testing.T) {
+func TestJournalNextReturnsContextError(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, _, err := NewJournal(nil).Next(ctx, 0)
@@ -64,7 +64,7 @@
 	require.Equal(t, "not_run", w.Header().Get(HeaderOutcome))
 }
 
-func TestFingerprintKeepsPartsApart(t *testing.T) {
+func TestFingerprintSeparatesFields(t *testing.T) {
 	a := &Request{Workspace: "ab", Service: "c"}
 	b := &Request{Workspace: "a", Service: "bc"}
 	require.NotEqual(t, a.Fingerprint(), b.Fingerprint())
--- a/request/problem.go
+++ b/request/problem.go
@@ -70,7 +70,7 @@
 }
 
 // titles holds each code's HTTP status and title.
-var titles = map[Code]struct {
+var problemTypes = map[Code]struct {
 	status int
 	title  string
 }{
@@ -107,14 +107,14 @@
 
 // NewProblem returns the problem of a code. Detail is for people.
 func NewProblem(c Code, o Outcome, format string, args ...any) *Problem {
-	t, known := titles[c]
+	problemType, known := problemTypes[c]
 	if !known {
-		t = titles[CodeInternal]
+		problemType = problemTypes[CodeInternal]
 	}
 	return &Problem{
 		Type:    "https://savoryreel.example/problems/" + string(c),
-		Title:   t.title,
-		Status:  t.status,
+		Title:   problemType.title,
+		Status:  problemType.status,
 		Code:    c,
 		Outcome: o,
 		Detail:  fmt.Sprintf(format, args...),
--- a/request/request.go
+++ b/request/request.go
@@ -17,7 +17,7 @@
 // idBytes is the length of the random part of an ID. 128 bits can't be guessed,
 // so an ID also serves as the right to fetch its answer: a redirect to another
 // entry loses the caller's Authorization header in most HTTP clients.
-const idBytes = 16
+const idRandomBytes = 16
 
 // ID names a request, unguessable and unique over all entries and regions:
 // the region that took it, "-", and 32 hex digits.
@@ -25,7 +25,7 @@
 
 // NewID returns a fresh ID of a region.
 func NewID(region string) ID {
-	var b [idBytes]byte
+	var b [idRandomBytes]byte
 	_, _ = rand.Read(b[:]) // never fails: crypto/rand ends the process instead
 	return ID(region + "-" + hex.EncodeToString(b[:]))
 }
@@ -66,18 +66,18 @@
 // path and body, each with its length.
 func (r *Request) Fingerprint() uint64 {
 	d := xxhash.New()
-	for _, part := range []string{r.Workspace, r.Service, r.Method, r.Path} {
-		writePart(d, []byte(part))
+	for _, field := range []string{r.Workspace, r.Service, r.Method, r.Path} {
+		writeLengthPrefixed(d, []byte(field))
 	}
-	writePart(d, r.Body)
+	writeLengthPrefixed(d, r.Body)
 	return d.Sum64()
 }
 
 // writePart writes the length first, so that no two lists of parts run together
 // into the same bytes.
-func writePart(d *xxhash.Digest, p []byte) {
-	var n [8]byte
-	binary.LittleEndian.PutUint64(n[:], uint64(len(p)))
-	_, _ = d.Write(n[:]) // a hash never fails
-	_, _ = d.Write(p)
+func writeLengthPrefixed(d *xxhash.Digest, value []byte) {
+	var length [8]byte
+	binary.LittleEndian.PutUint64(length[:], uint64(len(value)))
+	_, _ = d.Write(length[:]) // a hash never fails
+	_, _ = d.Write(value)
 }
