--- a/contract/book.go
+++ b/contract/book.go
@@ -9,26 +9,25 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// HistoryLength bounds the changes that a State remembers, and with them the
-// time within which a resend is known for one: at 580 changes a day, three and
-// a half days.
+// HistoryLength is the maximum number of accepted changes in the history, and of
+// changes whose result is stored to detect a resend.
 const HistoryLength = 2048
 
-// State is the state machine of the catalogue: the version in force, the
-// planned stops, the history, and the results of recent changes. It is
-// deterministic, so every replica that applies the same changes in the same
-// order holds the same State. It is not safe for concurrent use.
+// State is the replicated state machine of the catalogue: the version in force,
+// the planned stops, the history, and the results of recent changes. It is
+// deterministic: replicas that apply the same changes in the same order have
+// equal States. It is not safe for concurrent use.
 type State struct {
 	version     uint64
 	catalogue   Catalogue
-	stops       []Stop // by id
-	history     []Entry
-	results     map[string]storedResult
-	resultOrder []string // change ids, oldest first
+	stops       []Stop                  // sorted by id
+	history     []Entry                 // oldest first
+	results     map[string]storedResult // by change id
+	resultOrder []string                // ids of the changes in results, oldest first
 }
 
 type storedResult struct {
-	Digest string `msgpack:"d"` // of the change, to tell a resend from a reused id
+	Digest string `msgpack:"d"` // of the change; distinguishes a resend from a reused id
 	Result Result `msgpack:"r"`
 }
 
@@ -37,26 +36,25 @@
 	return &State{results: map[string]storedResult{}}
 }
 
-// Version is the number of the last accepted change.
+// Version returns the version of the catalogue: the number of accepted changes.
 func (s *State) Version() uint64 { return s.version }
 
 // Catalogue returns the catalogue in force. The caller must not change it.
 func (s *State) Catalogue() Catalogue { return s.catalogue }
 
-// Stops returns the planned stops in force, by id.
+// Stops returns a copy of the planned stops, sorted by id.
 func (s *State) Stops() []Stop { return slices.Clone(s.stops) }
 
-// History returns the newest n accepted changes, newest first.
+// History returns up to n of the latest accepted changes, newest first.
 func (s *State) History(n int) []Entry {
 	out := slices.Clone(s.history[max(0, len(s.history)-n):])
 	slices.Reverse(out)
 	return out
 }
 
-// Apply takes one change and says how it ended. Resent after a lost answer, a
-// change would otherwise be refused as a conflict with itself, and its operator
-// would believe that it had not taken hold; so the first result is kept by
-// change id and given again.
+// Apply applies one change and returns its result. A change that is resent, for
+// example after a lost response, gets the result of its first application;
+// otherwise it would conflict with itself.
 func (s *State) Apply(c Change) Result {
 	digest := changeDigest(c)
 	if stored, resent := s.results[c.ID]; resent {
@@ -101,9 +99,9 @@
 	return s.accept(c, summary)
 }
 
-// conflict answers a change made against another version than the one in
-// force: of two changes with equal versions the first wins, and the other
-// operator sees which change won in place of silently undoing it.
+// refuseConflict refuses a change whose base is not the version in force, since
+// it would undo the changes in between. The result names the change that was
+// accepted on the same base, if the history still contains it.
 func (s *State) refuseConflict(c Change) Result {
 	r := s.refuse(CodeConflict, fmt.Sprintf("made against version %d, in force is %d", c.Base, s.version))
 	for i := range s.history {
@@ -179,8 +177,8 @@
 	}
 }
 
-// changeDigest identifies what a change asks for, apart from the time at which
-// a leader took it.
+// changeDigest returns a hash of the change without its time, which differs
+// between a change and its resend.
 func changeDigest(c Change) string {
 	c.At = time.Time{}
 	enc, err := msgpack.Marshal(&c)
@@ -190,7 +188,7 @@
 	return string(HashKey(string(enc)))
 }
 
-// bookSnapshot is a State as it is written to disk.
+// stateSnapshot is the encoding of a State.
 type stateSnapshot struct {
 	Version   uint64                  `msgpack:"version"`
 	Catalogue Catalogue               `msgpack:"catalogue"`
@@ -200,7 +198,7 @@
 	Order     []string                `msgpack:"order"`
 }
 
-// Snapshot encodes the whole State.
+// Snapshot returns the encoded State.
 func (s *State) Snapshot() ([]byte, error) {
 	enc, err := msgpack.Marshal(&stateSnapshot{
 		Version: s.version, Catalogue: s.catalogue, Stops: s.stops,
@@ -209,7 +207,7 @@
 	return enc, trace.Wrap(err, "step=snapshot catalogue")
 }
 
-// RestoreState decodes what Snapshot wrote.
+// RestoreState decodes a State that Snapshot encoded.
 func RestoreState(enc []byte) (*State, error) {
 	var s stateSnapshot
 	if err := msgpack.Unmarshal(enc, &s); err != nil {
--- a/contract/book_test.go
+++ b/contract/book_test.go
@@ -22,10 +22,8 @@
 	return Change{ID: id, Kind: ChangeApply, Base: base, Catalogue: catalogueWithWorkspaces(names...)}
 }
 
-// Two operators edit the same version at the same time. Were the second change
-// taken too, it would silently undo the first, and the first operator would
-// find his workspace gone the next morning.
-// Without the comparison of Base in applyCatalogue this test fails.
+// Guards against accepting two changes with the same base: the second would
+// silently undo the first.
 func TestApplyRefusesOutdatedBase(t *testing.T) {
 	b := NewState()
 	require.Equal(t, CodeAccepted, b.Apply(applyChange("one", 0, "a")).Code)
@@ -35,10 +33,8 @@
 	require.Equal(t, "a", b.Catalogue().Workspaces[0].Name)
 }
 
-// The answer to an accepted change gets lost and the operator's client sends
-// the change again. Judged anew it would conflict with itself, and the operator
-// would believe that it had not taken hold.
-// Without the look-up in State.Apply this test fails.
+// Guards against refusing a resend of an accepted change as a conflict with
+// itself, and against accepting another change under the same id.
 func TestApplyReturnsFirstResultToResend(t *testing.T) {
 	b := NewState()
 	firstResult := b.Apply(applyChange("one", 0, "a"))
@@ -48,6 +44,7 @@
 	require.Equal(t, CodeReused, b.Apply(applyChange("one", 2, "c")).Code)
 }
 
+// Guards against a stop that is planned twice, and one that cannot be cancelled.
 func TestApplyPlansAndCancelsStops(t *testing.T) {
 	b := NewState()
 	stop := &Stop{ID: "zone-z1", Scope: StopZone, Name: "z1"}
@@ -59,10 +56,9 @@
 	require.Empty(t, b.Stops())
 }
 
-// Operators race each other with equal versions and resend at random, and each
-// replica restarts from a snapshot at a moment of its own. If versions could
-// repeat, skip or go back, or two replicas come to differ, an accepted change
-// would be in force at one entry and not at another.
+// Guards against versions that repeat, skip or decrease, and against replicas
+// that diverge under conflicts, resends and restarts from a snapshot: an accepted
+// change would be in force at some entries only.
 func TestReplicasAgreeAndVersionsAreConsecutive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
--- a/contract/catalogue.go
+++ b/contract/catalogue.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Class is the priority class of a workspace's requests. Higher classes are
-// served first within a workspace's share; they never enlarge the share.
+// Class is the priority class of a request. It orders the requests of one
+// workspace; it does not change the workspace's share.
 type Class string
 
-// The classes, from the most to the least urgent. A caller may lower the class
-// of one request below its workspace's class and never raise it above.
+// The classes, from the most to the least urgent. A caller may request a class
+// less urgent than that of its workspace, but not a more urgent one.
 const (
 	ClassInteractive Class = "interactive"
 	ClassStandard    Class = "standard"
 	ClassBatch       Class = "batch"
 )
 
-// Rank orders classes: 0 is the most urgent. An unknown class ranks last.
+// Rank returns the position of c in the order of urgency; 0 is the most urgent.
+// An unknown class ranks as ClassBatch.
 func (c Class) Rank() int {
 	switch c {
 	case ClassInteractive:
@@ -26,8 +27,8 @@
 	}
 }
 
-// Lower returns the less urgent of the contract's class c and the class that a
-// caller asked for. An empty or unknown request keeps the contract's class.
+// Lower returns the less urgent of c, the class of the workspace, and the class
+// requested by a caller. If requested is empty or unknown, it returns c.
 func (c Class) Lower(requested Class) Class {
 	if !requested.Valid() || requested.Rank() < c.Rank() {
 		return c
@@ -35,50 +36,51 @@
 	return requested
 }
 
-// Valid reports whether c is one of the three classes.
+// Valid reports whether c is a known class.
 func (c Class) Valid() bool {
 	return c == ClassInteractive || c == ClassStandard || c == ClassBatch
 }
 
-// Kind tells the two kinds of service apart.
+// Kind is the kind of a service.
 type Kind string
 
 // The kinds of service.
 const (
 	KindModel Kind = "model" // a language model behind /v1/chat/completions
-	KindPlain Kind = "plain" // any web service, called as it is
+	KindPlain Kind = "plain" // any web service; calls are forwarded unchanged
 )
 
-// Catalogue is everything operators have declared. Version numbers start at 1
-// for the first accepted change; version 0 is the empty catalogue.
+// Catalogue lists the workspaces and services that operators have declared. Its
+// version number is held by State: 0 for the empty catalogue, 1 after the first
+// accepted change.
 type Catalogue struct {
 	Workspaces []Workspace `yaml:"workspaces" json:"workspaces" msgpack:"workspaces"`
 	Services   []Service   `yaml:"services" json:"services" msgpack:"services"`
 }
 
-// Workspace is one customer: who owns it, what it may use, and its keys.
+// Workspace is one customer, with its owner, limits and keys.
 type Workspace struct {
 	Name   string    `yaml:"name" json:"name" msgpack:"name"`
 	Owner  string    `yaml:"owner" json:"owner" msgpack:"owner"`
 	Class  Class     `yaml:"class" json:"class" msgpack:"class"`
-	Weight int       `yaml:"weight" json:"weight" msgpack:"weight"` // share among workspaces, 1..1000
+	Weight int       `yaml:"weight" json:"weight" msgpack:"weight"` // relative to the other workspaces, 1..MaxWeight
 	Limits Limits    `yaml:"limits" json:"limits" msgpack:"limits"`
 	Keys   []KeyHash `yaml:"keys" json:"keys" msgpack:"keys"`
 }
 
-// Limits bound what a workspace may use, over all entries together. Zero means
-// no limit of that sort.
+// Limits bounds the usage of a workspace, summed over all entries. A field that
+// is zero sets no limit.
 type Limits struct {
 	RequestsPerSecond float64 `yaml:"requestsPerSecond" json:"requestsPerSecond" msgpack:"rps"`
 	Concurrency       int     `yaml:"concurrency" json:"concurrency" msgpack:"conc"`
 	TokensPerSecond   float64 `yaml:"tokensPerSecond" json:"tokensPerSecond" msgpack:"tps"`
 }
 
-// KeyHash is "sha256:" and 64 hex digits: the hash of a bearer key. The
-// catalogue never holds a key itself.
+// KeyHash is the hash of a bearer key: "sha256:" and 64 lower-case hex digits.
+// The catalogue does not contain the keys themselves.
 type KeyHash string
 
-// Service is something callers can call by name.
+// Service is a model or a web service that callers address by name.
 type Service struct {
 	Name       string        `yaml:"name" json:"name" msgpack:"name"`
 	Owner      string        `yaml:"owner" json:"owner" msgpack:"owner"`
@@ -86,31 +88,31 @@
 	Model      string        `yaml:"model" json:"model,omitempty" msgpack:"model"`       // model services only
 	Adapter    string        `yaml:"adapter" json:"adapter,omitempty" msgpack:"adapter"` // optional, model services only
 	Version    string        `yaml:"version" json:"version,omitempty" msgpack:"version"`
-	Workspaces []string      `yaml:"workspaces" json:"workspaces,omitempty" msgpack:"ws"` // who may call; empty: all
-	Calls      []CallRule    `yaml:"calls" json:"calls,omitempty" msgpack:"calls"`        // plain services only, first match wins
+	Workspaces []string      `yaml:"workspaces" json:"workspaces,omitempty" msgpack:"ws"` // workspaces that may call it; empty: all
+	Calls      []CallRule    `yaml:"calls" json:"calls,omitempty" msgpack:"calls"`        // plain services only; the first match applies
 	Target     LatencyTarget `yaml:"target" json:"target" msgpack:"target"`
-	MaxBody    int64         `yaml:"maxBodyBytes" json:"maxBodyBytes" msgpack:"max_body"` // bytes; 0: DefaultMaxBody
+	MaxBody    int64         `yaml:"maxBodyBytes" json:"maxBodyBytes" msgpack:"max_body"` // 0: DefaultMaxBodyBytes
 }
 
-// CallRule says whether calls of one method under one path prefix may be
-// repeated. A call that no rule matches is idempotent only by its method, as
-// RFC 9110 section 9.2.2 has it.
+// CallRule states whether calls of a method under a path prefix are idempotent.
+// For a call that matches no rule, the method decides (RFC 9110, section 9.2.2).
 type CallRule struct {
 	Method     string `yaml:"method" json:"method" msgpack:"method"` // upper case; "*": any
 	PathPrefix string `yaml:"pathPrefix" json:"pathPrefix" msgpack:"path"`
 	Idempotent bool   `yaml:"idempotent" json:"idempotent" msgpack:"idem"`
 }
 
-// LatencyTarget is what 95 in 100 requests of a service should meet.
+// LatencyTarget is the latency that 95 % of a service's requests should meet.
 type LatencyTarget struct {
 	FirstToken    time.Duration `yaml:"firstToken" json:"firstToken" msgpack:"first"`
 	BetweenTokens time.Duration `yaml:"betweenTokens" json:"betweenTokens" msgpack:"between"`
 }
 
-// DefaultMaxBody bounds a request body where a service names no bound: 4 MiB.
+// DefaultMaxBodyBytes is the maximum size of a request body of a service whose
+// MaxBody is 0.
 const DefaultMaxBodyBytes int64 = 4 << 20
 
-// StopScope says what a planned stop covers.
+// StopScope is the kind of object that a planned stop covers.
 type StopScope string
 
 // The scopes of a planned stop.
@@ -120,8 +122,8 @@
 	StopService  StopScope = "service"
 )
 
-// Stop is a planned stop: a graceful shutdown that stays in force until it is
-// cancelled. It cuts off no request.
+// Stop is a planned graceful shutdown. It is in force from From until it is
+// cancelled, and does not interrupt running requests.
 type Stop struct {
 	ID     string    `yaml:"id" json:"id" msgpack:"id"`
 	Scope  StopScope `yaml:"scope" json:"scope" msgpack:"scope"`
--- a/contract/change.go
+++ b/contract/change.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ChangeKind says what a change does.
+// ChangeKind is the kind of a Change.
 type ChangeKind uint8
 
 // The kinds of change.
@@ -12,7 +12,7 @@
 	ChangeStopCancel                       // cancels a planned stop by its id
 )
 
-// String names the kind as the history shows it.
+// String returns the name of the kind in the history.
 func (k ChangeKind) String() string {
 	switch k {
 	case ChangeApply:
@@ -26,41 +26,41 @@
 	}
 }
 
-// Change is one operator's change. ID is chosen by the operator's client and
-// stays the same when it resends: a resend gets the first result. Base is the
-// version the change was made against; planning and cancelling a stop commute
-// with other changes, so their Base is not compared.
+// Change is a change requested by an operator. ID is chosen by the operator's
+// client, which reuses it when it resends the change. Base is the version that
+// the change was made against; it is not compared for planning or cancelling a
+// stop.
 type Change struct {
 	ID        string     `msgpack:"id"`
 	By        string     `msgpack:"by"`
-	At        time.Time  `msgpack:"at"` // when the leader took it, by its clock
+	At        time.Time  `msgpack:"at"` // when the leader received it, by the leader's clock
 	Kind      ChangeKind `msgpack:"kind"`
 	Base      uint64     `msgpack:"base"`
 	Catalogue *Catalogue `msgpack:"cat,omitempty"`
-	Stop      *Stop      `msgpack:"stop,omitempty"` // for a cancel only its ID counts
+	Stop      *Stop      `msgpack:"stop,omitempty"` // ChangeStopCancel uses only the ID
 }
 
-// Code says how a change ended.
+// Code is the outcome of a change.
 type Code string
 
 // The codes of a Result.
 const (
 	CodeAccepted Code = "accepted"
-	CodeConflict Code = "conflict" // another change took this version first
+	CodeConflict Code = "conflict" // the base is not the version in force
 	CodeInvalid  Code = "invalid"
-	CodeNotFound Code = "not_found" // no such stop to cancel
-	CodeReused   Code = "change_id_reused"
+	CodeNotFound Code = "not_found"        // no stop with the id to cancel
+	CodeReused   Code = "change_id_reused" // another change has the same id
 )
 
-// Result answers a change. A resend of the same change gets the same result.
+// Result is the result of a change. A resend of the change gets the same result.
 type Result struct {
 	Code    Code   `json:"code" msgpack:"code"`
-	Version uint64 `json:"version" msgpack:"ver"` // the version in force after the change
-	Winner  *Entry `json:"winner,omitempty" msgpack:"win,omitempty"`
+	Version uint64 `json:"version" msgpack:"ver"`                    // in force after the change
+	Winner  *Entry `json:"winner,omitempty" msgpack:"win,omitempty"` // of a conflict: the change accepted on the same base
 	Reason  string `json:"reason,omitempty" msgpack:"why,omitempty"`
 }
 
-// Entry is one accepted change as the history shows it.
+// Entry is an accepted change in the history.
 type Entry struct {
 	Version  uint64    `json:"version" msgpack:"ver"`
 	ChangeID string    `json:"changeId" msgpack:"id"`
--- a/contract/diff.go
+++ b/contract/diff.go
@@ -6,14 +6,14 @@
 	"sort"
 )
 
-// Difference is one object that two catalogues hold differently.
+// Difference is a workspace or service that differs between two catalogues.
 type Difference struct {
-	Object string `json:"object"` // "workspace broker-desk"
-	Change string `json:"change"` // added, removed or changed
-	Fields string `json:"fields,omitempty"`
+	Object string `json:"object"`           // "workspace broker-desk"
+	Change string `json:"change"`           // added, removed or changed
+	Fields string `json:"fields,omitempty"` // of a changed object, separated by ", "
 }
 
-// String gives "workspace broker-desk: changed (limits, weight)".
+// String formats d like "workspace broker-desk: changed (limits, weight)".
 func (d Difference) String() string {
 	if d.Fields == "" {
 		return d.Object + ": " + d.Change
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("%s: %s (%s)", d.Object, d.Change, d.Fields)
 }
 
-// Diff lists what changes from a to b, sorted by object.
+// Diff returns the differences from a to b, sorted by object.
 func Diff(a, b Catalogue) []Difference {
 	out := diffObjects("workspace", a.Workspaces, b.Workspaces, func(w Workspace) string { return w.Name })
 	out = append(out, diffObjects("service", a.Services, b.Services, func(s Service) string { return s.Name })...)
@@ -53,7 +53,7 @@
 	return out
 }
 
-// changedFields names the fields, as YAML spells them, that differ.
+// changedFields returns the YAML names of the fields that differ, separated by ", ".
 func changedFields[T any](a, b T) string {
 	va, vb := reflect.ValueOf(a), reflect.ValueOf(b)
 	names := ""
@@ -69,7 +69,7 @@
 	return names
 }
 
-// sameValue takes an empty list and an absent one as the same.
+// sameValue reports whether a and b are equal; a nil and an empty slice are equal.
 func sameValue(a, b reflect.Value) bool {
 	if a.Kind() == reflect.Slice && a.Len() == 0 && b.Len() == 0 {
 		return true
--- a/contract/doc.go
+++ b/contract/doc.go
@@ -1,7 +1,7 @@
-// Package contract holds what operators promise and what they ask for: the
-// catalogue of workspaces and services, and the planned stops.
+// Package contract defines what operators declare: the catalogue of workspaces
+// and services, and the planned stops. It also contains the replicated state
+// machine that applies their changes.
 //
-// The package does no I/O. Values are immutable once they are part of a
-// Catalogue that Parse or Validate has accepted; share them freely between
-// goroutines, and change them only through a new Catalogue.
+// The package does no I/O. A Catalogue that Parse or Validate has accepted must
+// not be modified afterwards; it may be shared between goroutines.
 package contract
--- a/contract/key.go
+++ b/contract/key.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// keyHashPrefix names the hash function in a KeyHash.
+// keyHashPrefix is the prefix of a KeyHash that names its hash function.
 const keyHashPrefix = "sha256:"
 
-// HashKey returns the hash of a bearer key as the catalogue holds it. Keys are
-// random and long, so a plain hash is enough: there is nothing to guess.
+// HashKey returns the hash of a bearer key. Keys are long and random, so an
+// unsalted fast hash is safe against guessing.
 func HashKey(key string) KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return KeyHash(keyHashPrefix + hex.EncodeToString(sum[:]))
 }
 
-// Valid reports whether h is a well-formed key hash.
+// Valid reports whether h is well formed.
 func (h KeyHash) Valid() bool {
 	digits, ok := strings.CutPrefix(string(h), keyHashPrefix)
 	if !ok || len(digits) != hex.EncodedLen(sha256.Size) {
@@ -27,8 +27,8 @@
 	return err == nil && digits == strings.ToLower(digits)
 }
 
-// Equal compares two hashes in constant time, so that the time a refusal takes
-// tells a caller nothing about how much of a guess was right.
+// Equal reports whether the hashes are equal. It runs in constant time, so that
+// the time of a refusal does not reveal a matching prefix.
 func (h KeyHash) Equal(other KeyHash) bool {
 	return subtle.ConstantTimeCompare([]byte(h), []byte(other)) == 1
 }
--- a/contract/parse.go
+++ b/contract/parse.go
@@ -11,12 +11,13 @@
 	"github.com/gravitational/trace"
 )
 
-// MaxDocument bounds a catalogue document: 4 MiB, some ten thousand workspaces.
+// MaxDocumentBytes is the maximum size of a catalogue document.
 const MaxDocumentBytes = 4 << 20
 
-// Parse reads a catalogue from YAML. Decoding is strict: an unknown field, a
-// duplicate key, a value out of range or a dangling reference is refused with
-// its line. A refusal is an *InvalidError; nothing of the document is returned.
+// Parse decodes and validates a catalogue from YAML. Decoding is strict: an
+// unknown field, a duplicate key, a value out of range or an unknown reference
+// gives an *InvalidError with the line of each violation. A document larger than
+// MaxDocumentBytes gives a trace.LimitExceeded error.
 func Parse(doc []byte) (Catalogue, error) {
 	if len(doc) > MaxDocumentBytes {
 		return Catalogue{}, trace.LimitExceeded("catalogue is %d bytes, at most %d", len(doc), MaxDocumentBytes)
@@ -38,13 +39,14 @@
 	return c, nil
 }
 
-// Format writes a catalogue as YAML that Parse reads back to the same value.
+// Format encodes a catalogue as YAML that Parse decodes to an equal catalogue.
 func Format(c Catalogue) ([]byte, error) {
 	out, err := yaml.Marshal(c)
 	return out, trace.Wrap(err)
 }
 
-// syntaxError turns a decoder's error into a violation with its line.
+// syntaxError converts an error of the YAML decoder into an *InvalidError with its
+// line.
 func syntaxError(err error) error {
 	v := Violation{Path: "$", Reason: err.Error()}
 	var yamlErr yaml.Error
@@ -57,8 +59,8 @@
 	return &InvalidError{Violations: []Violation{v}}
 }
 
-// addLines finds each violation's place in the document. A value that the
-// document leaves out is shown at the line of the nearest thing around it.
+// addLines sets the line of each violation and sorts the violations by line. If
+// the document lacks the value, the line is that of the nearest enclosing node.
 func addLines(violations []Violation, file *ast.File) {
 	for i := range violations {
 		violations[i].Line = lineOf(violations[i].Path, file)
@@ -80,7 +82,7 @@
 	return 0
 }
 
-// parentPath cuts the last step: $.a[1].b, $.a[1], $.a, $.
+// parentPath removes the last step of a path: $.a[1].b, $.a[1], $.a, $.
 func parentPath(path string) string {
 	lastStep := max(bytes.LastIndexByte([]byte(path), '.'), bytes.LastIndexByte([]byte(path), '['))
 	if lastStep < 0 {
--- a/contract/parse_test.go
+++ b/contract/parse_test.go
@@ -35,6 +35,7 @@
         idempotent: false
 `
 
+// Guards against Format losing or changing a value.
 func TestFormatParseRoundTrip(t *testing.T) {
 	c, err := Parse([]byte(validDoc))
 	require.NoError(t, err)
@@ -45,9 +46,8 @@
 	require.Empty(t, Diff(c, reparsed))
 }
 
-// An operator mistypes one thing in a long file. Without the line and the
-// reason he would search the whole file, and a document taken in part would put
-// half a change in force.
+// Guards against accepting an invalid document, and against reporting a violation
+// without its reason or with a wrong line.
 func TestParseReportsLineOfEachViolation(t *testing.T) {
 	cases := []struct {
 		name, old, new string
@@ -79,6 +79,7 @@
 	}
 }
 
+// Guards against Parse stopping at the first violation.
 func TestParseListsAllViolations(t *testing.T) {
 	doc := strings.NewReplacer("weight: 4", "weight: 0", "kind: plain", "kind: web").Replace(validDoc)
 	_, err := Parse([]byte(doc))
@@ -87,6 +88,7 @@
 	require.Len(t, invalid.Violations, 2)
 }
 
+// Guards against repeating a call that is not idempotent.
 func TestServiceIdempotent(t *testing.T) {
 	c, err := Parse([]byte(validDoc))
 	require.NoError(t, err)
@@ -97,12 +99,14 @@
 	require.True(t, c.Services[0].Idempotent("POST", "/v1/chat/completions"))
 }
 
+// Guards against a caller raising its class above that of its workspace.
 func TestClassLower(t *testing.T) {
 	require.Equal(t, ClassBatch, ClassStandard.Lower(ClassBatch))
 	require.Equal(t, ClassStandard, ClassStandard.Lower(ClassInteractive))
 	require.Equal(t, ClassStandard, ClassStandard.Lower("urgent"))
 }
 
+// Guards against Parse returning a catalogue that Validate refuses, or panicking.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validDoc))
 	f.Add([]byte("workspaces: [{name: a, keys: [sha256:]}]"))
--- a/contract/stop.go
+++ b/contract/stop.go
@@ -22,12 +22,13 @@
 	return nil
 }
 
-// InForce reports whether the stop has begun.
+// InForce reports whether the stop has started at time now.
 func (s *Stop) InForce(now time.Time) bool {
 	return !now.Before(s.From)
 }
 
-// Covers reports whether the stop covers the instance with this id and zone.
+// Covers reports whether the stop covers the instance with the given id and zone.
+// A stop of a service covers no instance.
 func (s *Stop) Covers(id, zone string) bool {
 	switch s.Scope {
 	case StopInstance:
--- a/contract/validate.go
+++ b/contract/validate.go
@@ -8,12 +8,11 @@
 	"time"
 )
 
-// Bounds of catalogue values. They keep a slip of the keyboard from becoming a
-// change that takes hold everywhere.
+// Bounds of the values in a catalogue. They catch typing errors.
 const (
 	MaxWeight           = 1000
 	MaxConcurrency      = 1_000_000
-	MaxRate             = 1e9       // requests or tokens a second
+	MaxRate             = 1e9       // requests or tokens per second
 	MaxBodyBytes        = 256 << 20 // bytes
 	MaxLatencyTarget    = 10 * time.Minute
 	MaxNameLength       = 63
@@ -22,15 +21,15 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-// Violation is one fault of a catalogue. Path is a YAML path such as
-// $.workspaces[1].limits.concurrency; Line is 0 where no document is at hand.
+// Violation is an invalid value in a catalogue. Path is a YAML path such as
+// $.workspaces[1].limits.concurrency; Line is 0 if the line is unknown.
 type Violation struct {
 	Path   string `json:"path"`
 	Line   int    `json:"line,omitempty"`
 	Reason string `json:"reason"`
 }
 
-// String gives "line 7: $.workspaces[1].name: reason".
+// String formats v like "line 7: $.workspaces[1].name: reason".
 func (v Violation) String() string {
 	if v.Line == 0 {
 		return v.Path + ": " + v.Reason
@@ -38,12 +37,13 @@
 	return fmt.Sprintf("line %d: %s: %s", v.Line, v.Path, v.Reason)
 }
 
-// InvalidError lists every fault of a catalogue, in document order.
+// InvalidError lists all violations in a catalogue. Those returned by Parse are
+// sorted by line.
 type InvalidError struct {
 	Violations []Violation
 }
 
-// Error joins all violations, one a line.
+// Error returns all violations, one per line.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Violations))
 	for i, v := range e.Violations {
@@ -52,8 +52,8 @@
 	return "catalogue refused:\n  " + strings.Join(lines, "\n  ")
 }
 
-// Validate checks every value and reference of c. It returns nil or an
-// *InvalidError that lists all faults.
+// Validate checks every value and reference in c. It returns nil or an
+// *InvalidError that lists all violations.
 func (c *Catalogue) Validate() error {
 	v := validator{workspaceNames: map[string]bool{}, serviceNames: map[string]bool{}, workspaceByKey: map[KeyHash]string{}}
 	for i := range c.Workspaces {
@@ -72,7 +72,7 @@
 	violations     []Violation
 	workspaceNames map[string]bool
 	serviceNames   map[string]bool
-	workspaceByKey map[KeyHash]string // hash to the workspace that has it
+	workspaceByKey map[KeyHash]string // name of the workspace that has the key
 }
 
 func (v *validator) addViolation(path, format string, args ...any) {
@@ -196,12 +196,12 @@
 	}
 }
 
-// Allows reports whether the service may be called by the workspace.
+// Allows reports whether the workspace may call the service.
 func (s *Service) Allows(workspace string) bool {
 	return len(s.Workspaces) == 0 || slices.Contains(s.Workspaces, workspace)
 }
 
-// BodyLimit is the largest request body in bytes that the service takes.
+// BodyLimit returns the maximum size of a request body in bytes.
 func (s *Service) BodyLimit() int64 {
 	if s.MaxBody == 0 {
 		return DefaultMaxBodyBytes
@@ -209,8 +209,8 @@
 	return s.MaxBody
 }
 
-// Idempotent reports whether a call may be repeated. Model calls may: a second
-// run recomputes the same answer and changes nothing.
+// Idempotent reports whether a call may be repeated. Model calls always may,
+// since they have no side effects.
 func (s *Service) Idempotent(method, path string) bool {
 	if s.Kind == KindModel {
 		return true
