--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,11 +1,11 @@
-// Package ledger records requests that must not run twice. Before the first
-// byte of such a request goes to a backend server, its key is committed here
-// by a majority of control replicas; a second arrival of the same key, at any
-// entry, then finds the first one.
+// Package ledger records the idempotency keys of requests that must not run
+// twice. Before an entry sends such a request to a backend server, a majority of
+// control replicas commits its key to the ledger. A repetition of the request, at
+// any entry, then finds the record of the first.
 //
-// A Ledger is a deterministic state machine: every replica that applies the
-// same commands in the same order holds the same records. Time comes in with
-// the commands.
+// A Ledger is a deterministic state machine: replicas that apply the same
+// commands in the same order have the same records. It uses the time in the
+// commands, not a clock.
 package ledger
 
 import (
@@ -16,76 +16,77 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Bounds of the ledger, part of the replicated state machine: every replica
-// must hold the same values.
+// Bounds of the ledger. All replicas must use the same values, since the results
+// of commands depend on them.
 const (
-	// Retention is how long a finished record is kept. A resend that comes
-	// later would run again, so it is far longer than a client keeps trying.
+	// Retention is how long a finished record is kept. A resend after that time
+	// runs the request again.
 	Retention = 24 * time.Hour
-	// MaxRecords bounds memory. A full ledger refuses new keys, as not run:
-	// forgetting an old one early could run its request twice.
+	// MaxRecords is the maximum number of records. A full ledger refuses new keys;
+	// deleting a record early could run its request twice.
 	MaxRecords = 1_000_000
-	// MaxAnswer is the largest answer in bytes that is kept for a resend.
+	// MaxAnswerBytes is the maximum size of an answer's body that is stored for a
+	// resend.
 	MaxAnswerBytes = 16 << 10
 )
 
-// State is how far a recorded request has come.
+// State is the state of a recorded request.
 type State uint8
 
 // The states of a record. Begun may become Answered or Unknown; Unknown may
-// still become Answered when the entry that ran it reports late.
+// become Answered if the owner reports the answer late.
 const (
-	Begun    State = iota + 1 // it may be running
-	Answered                  // its answer was whole
-	Unknown                   // it may have run: nobody can tell
+	Begun    State = iota + 1 // may be running
+	Answered                  // completely answered
+	Unknown                   // may have run; the outcome cannot be determined
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"none", "begun", "answered", "unknown"}[min(int(s), 3)]
 }
 
-// Key identifies a request: the caller's Idempotency-Key within its workspace.
+// Key identifies a request: its workspace and the caller's Idempotency-Key.
 type Key struct {
 	Workspace string `msgpack:"w"`
 	Value     string `msgpack:"k"`
 }
 
-// Owner is the entry that runs a request, in one of its lives: a request whose
-// owner came back under a higher incarnation is no longer running.
+// Owner is the incarnation of an entry that runs a request. Once the entry has
+// restarted under a higher incarnation, the request is no longer running.
 type Owner struct {
 	Entry       string `msgpack:"e"`
 	Incarnation uint64 `msgpack:"i"`
 }
 
-// Answer is the kept answer of a finished request.
+// Answer is the stored answer of a finished request.
 type Answer struct {
 	Status      int    `msgpack:"s"`
 	ContentType string `msgpack:"t"`
 	Body        []byte `msgpack:"b"`
-	Omitted     bool   `msgpack:"o"` // the body was larger than MaxAnswer
+	Omitted     bool   `msgpack:"o"` // the body was larger than MaxAnswerBytes
 }
 
-// Record is what the ledger knows of one key.
+// Record is the record of one key.
 type Record struct {
 	Key         Key     `msgpack:"k"`
 	State       State   `msgpack:"s"`
-	Fingerprint uint64  `msgpack:"f"` // of service, method, path and body
+	Fingerprint uint64  `msgpack:"f"` // of the request, see request.Request.Fingerprint
 	RequestID   string  `msgpack:"r"`
 	Owner       Owner   `msgpack:"o"`
-	UpdatedAt   int64   `msgpack:"t"` // Unix milliseconds of the last command
+	UpdatedAt   int64   `msgpack:"t"` // Unix milliseconds, when the state last changed
 	Answer      *Answer `msgpack:"a,omitempty"`
 }
 
-// Op is what a command does.
+// Op is the operation of a Command.
 type Op uint8
 
 // The operations.
 const (
-	OpBegin   Op = iota + 1 // record the key, unless it is known
+	OpBegin   Op = iota + 1 // record the key, unless it is recorded
 	OpFinish                // the request was answered
-	OpRelease               // the request surely did not run: forget the key
-	OpGiveUp                // nobody can tell whether it ran
+	OpRelease               // the request did not run: delete the record
+	OpGiveUp                // the request may have run: set the state to Unknown
 )
 
 // Command is one change of the ledger.
@@ -99,55 +100,55 @@
 	Now         int64   `msgpack:"n"` // Unix milliseconds by the leader's clock
 }
 
-// Verdict says what a command met.
+// Verdict is the outcome of a command.
 type Verdict uint8
 
 // The verdicts.
 const (
-	VerdictStarted  Verdict = iota + 1 // the key is new: the request may run now
-	VerdictRunning                     // another arrival of it is running
-	VerdictAnswered                    // it was answered; the record holds the answer
+	VerdictStarted  Verdict = iota + 1 // the key is recorded; the owner may run the request
+	VerdictRunning                     // another attempt with the key is running
+	VerdictAnswered                    // it was answered; the record contains the answer
 	VerdictUnknown                     // it may have run
 	VerdictMismatch                    // the key belongs to another request
-	VerdictFull                        // no room: not run
-	VerdictDone                        // the command took effect
-	VerdictStale                       // the command came from an entry that does not own the record
+	VerdictFull                        // the ledger is full; the key is not recorded
+	VerdictDone                        // the command was applied
+	VerdictStale                       // the record is missing, of another owner or request, or in another state
 )
 
-// String names the verdict as logs show it.
+// String returns the name of the verdict, as logged.
 func (v Verdict) String() string {
 	names := [...]string{"none", "started", "running", "answered", "unknown", "mismatch", "full", "done", "stale"}
 	return names[min(int(v), len(names)-1)]
 }
 
-// Result answers a command.
+// Result is the result of a command.
 type Result struct {
 	Verdict Verdict `msgpack:"v"`
-	Record  *Record `msgpack:"r,omitempty"`
+	Record  *Record `msgpack:"r,omitempty"` // a copy; nil if there is no record
 }
 
 // Ledger holds the records. It is not safe for concurrent use.
 type Ledger struct {
 	records    map[Key]*Record
-	finished   []finishedRecord // finished records in the order of their end
-	clock      int64            // highest command time seen
+	finished   []finishedRecord // in the order in which they finished; for expiry
+	clock      int64            // Unix milliseconds, the highest time of a command
 	maxRecords int
 }
 
 type finishedRecord struct {
 	Key Key   `msgpack:"k"`
-	At  int64 `msgpack:"t"`
+	At  int64 `msgpack:"t"` // Unix milliseconds
 }
 
-// New returns an empty ledger that holds at most limit records.
+// New returns an empty ledger for at most maxRecords records.
 func New(maxRecords int) *Ledger {
 	return &Ledger{records: map[Key]*Record{}, maxRecords: maxRecords}
 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// Get returns a copy of the record of key.
+// Get returns a copy of the record of key and whether it exists.
 func (l *Ledger) Get(key Key) (Record, bool) {
 	r, ok := l.records[key]
 	if !ok {
@@ -156,9 +157,9 @@
 	return *r, true
 }
 
-// Apply takes one command.
+// Apply expires old records, applies one command and returns its result.
 func (l *Ledger) Apply(c Command) Result {
-	l.clock = max(l.clock, c.Now) // a new leader's clock may be behind the old one's
+	l.clock = max(l.clock, c.Now) // the clock of a new leader may be behind
 	l.expire()
 	if c.Op == OpBegin {
 		return l.begin(c)
@@ -194,10 +195,9 @@
 	return newResult(VerdictStarted, r)
 }
 
-// again answers a second arrival of a key. The same entry asking again for the
-// same request id has lost the answer to its first question and may run it:
-// without this, a lost answer between entry and control would turn a request
-// that never ran into one whose outcome is unknown.
+// beginExisting handles OpBegin for a key that is recorded. If owner and request
+// id are those of the record, the entry resends the command because it did not
+// receive the result, and may run the request.
 func (l *Ledger) beginExisting(r *Record, c Command) Result {
 	switch {
 	case r.Fingerprint != c.Fingerprint:
@@ -213,8 +213,8 @@
 	}
 }
 
-// finish keeps the answer. It is taken from the owner also after the record was
-// given up: the request did end, and its answer is better than "unknown".
+// finish stores the answer. It accepts the owner's answer also in state Unknown,
+// since the answer shows that the request ran.
 func (l *Ledger) finish(r *Record, c Command) Result {
 	if r.Owner != c.Owner || r.RequestID != c.RequestID {
 		return newResult(VerdictStale, r)
@@ -227,6 +227,7 @@
 	return newResult(VerdictDone, r)
 }
 
+// omitLargeBody returns a without its body if that exceeds MaxAnswerBytes.
 func omitLargeBody(a *Answer) *Answer {
 	if a == nil || len(a.Body) <= MaxAnswerBytes {
 		return a
@@ -234,8 +235,8 @@
 	return &Answer{Status: a.Status, ContentType: a.ContentType, Omitted: true}
 }
 
-// release forgets a key whose request surely did not run. Only the owner can
-// know that, and only before the record has been given up.
+// release deletes the record of a request that did not run. Only the owner may do
+// so, and only in state Begun.
 func (l *Ledger) release(r *Record, c Command) Result {
 	if r.State != Begun || r.Owner != c.Owner || r.RequestID != c.RequestID {
 		return newResult(VerdictStale, r)
@@ -244,9 +245,9 @@
 	return Result{Verdict: VerdictDone}
 }
 
-// giveUp says that nobody can tell whether the request ran. Any entry may say
-// so of a record whose owner is gone; RequestID guards against giving up
-// another request that took the key meanwhile.
+// giveUp sets the state of a begun record to Unknown. Any entry may do so once the
+// owner has gone; the request id must match, since another request may have
+// recorded the key in the meantime.
 func (l *Ledger) giveUp(r *Record, c Command) Result {
 	if r.RequestID != c.RequestID || r.State == Answered {
 		return newResult(VerdictStale, r)
@@ -263,8 +264,8 @@
 	l.finished = append(l.finished, finishedRecord{Key: r.Key, At: l.clock})
 }
 
-// expire forgets finished records after Retention. A record that is still begun
-// stays: forgetting it could let its request run twice.
+// expire deletes records that finished more than Retention ago. A begun record is
+// not deleted, since its request could then run twice.
 func (l *Ledger) expire() {
 	cutoff := l.clock - Retention.Milliseconds()
 	expired := 0
@@ -290,7 +291,7 @@
 	Clock   int64            `msgpack:"c"`
 }
 
-// Snapshot encodes the whole ledger.
+// Snapshot returns the encoded ledger.
 func (l *Ledger) Snapshot() ([]byte, error) {
 	s := ledgerSnapshot{Ended: l.finished, Clock: l.clock, Records: make([]*Record, 0, len(l.records))}
 	for _, r := range l.records {
@@ -300,7 +301,7 @@
 	return enc, trace.Wrap(err, "step=snapshot ledger")
 }
 
-// Restore decodes what Snapshot wrote.
+// Restore decodes a ledger that Snapshot encoded.
 func Restore(enc []byte, maxRecords int) (*Ledger, error) {
 	var s ledgerSnapshot
 	if err := msgpack.Unmarshal(enc, &s); err != nil {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -25,15 +25,13 @@
 	return c
 }
 
-// A caller loses its connection and sends its statement credit again, to
-// another entry, while the first one still runs. A second start would credit
-// the cedent twice.
-// Without the look-up in begin this test fails.
+// Guards against starting a request a second time when the caller resends it to
+// another entry.
 func TestKeyStartsOnce(t *testing.T) {
 	l := New(10)
 	require.Equal(t, VerdictStarted, l.Apply(beginCommand("r1", entryA)).Verdict)
 	require.Equal(t, VerdictRunning, l.Apply(beginCommand("r2", entryB)).Verdict)
-	require.Equal(t, VerdictStarted, l.Apply(beginCommand("r1", entryA)).Verdict, "the same question again")
+	require.Equal(t, VerdictStarted, l.Apply(beginCommand("r1", entryA)).Verdict, "the same command again")
 	finish := commandFor(OpFinish, "r1", entryA)
 	finish.Answer = &Answer{Status: 200, Body: []byte("ok")}
 	require.Equal(t, VerdictDone, l.Apply(finish).Verdict)
@@ -42,6 +40,8 @@
 	require.Equal(t, []byte("ok"), r.Record.Answer.Body)
 }
 
+// Guards against answering a request with the answer of another one that used the
+// same key.
 func TestReusedKeyIsMismatch(t *testing.T) {
 	l := New(10)
 	l.Apply(beginCommand("r1", entryA))
@@ -50,9 +50,8 @@
 	require.Equal(t, VerdictMismatch, l.Apply(other).Verdict)
 }
 
-// The entry that ran a call dies, another entry gives the call up as unknown,
-// and then the first one's report, held up on its way, says that it was
-// answered. The caller should get the answer and not "unknown".
+// Guards against losing an answer that arrives after another entry has given the
+// request up: the caller would see outcome unknown.
 func TestLateAnswerReplacesUnknown(t *testing.T) {
 	l := New(10)
 	l.Apply(beginCommand("r1", entryA))
@@ -62,6 +61,8 @@
 	require.Equal(t, VerdictAnswered, l.Apply(beginCommand("r2", entryB)).Verdict)
 }
 
+// Guards against unbounded memory, and against a full ledger that never accepts
+// requests again.
 func TestFullLedgerRefusesUntilRecordsExpire(t *testing.T) {
 	l := New(1)
 	l.Apply(beginCommand("r1", entryA))
@@ -74,6 +75,8 @@
 	require.Equal(t, 1, l.Len())
 }
 
+// Guards against starting a request a second time because its record expired while
+// it may be running.
 func TestBegunRecordNeverExpires(t *testing.T) {
 	l := New(10)
 	l.Apply(beginCommand("r1", entryA))
@@ -82,14 +85,12 @@
 	require.Equal(t, VerdictRunning, l.Apply(late).Verdict)
 }
 
-// Entries begin, finish, release and give up the same few keys in any order,
-// also twice, and a replica restarts from a snapshot in between. If a key could
-// be started again after a start that was not released, its request would run
-// twice.
+// Guards against a second start of a key without a release in between, under
+// commands in any order and restarts from a snapshot: the request would run twice.
 func TestKeyStartsAgainOnlyAfterRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(100)
-		startedBy := map[Key]string{} // request id by key, since its last release
+		startedBy := map[Key]string{} // id of the started request by key, deleted by a release
 		for i := range rapid.IntRange(1, 80).Draw(t, "commands") {
 			c := Command{
 				Op:          Op(rapid.IntRange(1, 4).Draw(t, "op")),
@@ -98,7 +99,7 @@
 				Owner:       Owner{Entry: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "entry")), Incarnation: 1},
 				Fingerprint: 1, Now: int64(i),
 			}
-			// A request id is one entry's: ids are drawn at random from 128 bits.
+			// No two entries use the same request id, since ids are random.
 			c.RequestID = c.Owner.Entry + "/" + c.RequestID
 			r := l.Apply(c)
 			switch {
@@ -108,7 +109,7 @@
 				}
 				startedBy[c.Key] = c.RequestID
 			case c.Op == OpRelease && r.Verdict == VerdictDone:
-				require.Equal(t, startedBy[c.Key], c.RequestID, "released by another")
+				require.Equal(t, startedBy[c.Key], c.RequestID, "released by another request")
 				delete(startedBy, c.Key)
 			}
 			if rapid.Bool().Draw(t, "restart") {
--- a/records/records.go
+++ b/records/records.go
@@ -1,9 +1,8 @@
-// Package records holds the small shared records that the membership spreads to
-// every instance, and how two versions of one record become one.
+// Package records encodes and merges the small records that the membership
+// distributes to every instance: quarantine records and reclaim notices.
 //
-// All instances must join records alike. One that joined them otherwise would
-// differ from its neighbours for good, and they would send the record to and fro
-// at each comparison.
+// All instances must merge two versions of a record to the same bytes. Otherwise
+// their records would never converge, and each comparison would send them again.
 package records
 
 import (
@@ -18,52 +17,53 @@
 	"savoryreel.example/savoryreel/policy/quarantine"
 )
 
-// quarantinePrefix begins the keys of quarantine records.
+// quarantinePrefix is the prefix of the keys of quarantine records.
 const quarantinePrefix = "quarantine/"
 
-// QuarantineKey is the key of a fingerprint's quarantine record.
+// QuarantineKey returns the key of the quarantine record of a fingerprint.
 func QuarantineKey(fingerprint uint64) string {
 	return quarantinePrefix + strconv.FormatUint(fingerprint, 16)
 }
 
-// IsQuarantine reports whether a key names a quarantine record.
+// IsQuarantine reports whether key is that of a quarantine record.
 func IsQuarantine(key string) bool { return strings.HasPrefix(key, quarantinePrefix) }
 
-// IsNotice reports whether a key names a reclaim notice.
+// IsNotice reports whether key is that of a reclaim notice.
 func IsNotice(key string) bool { return strings.HasPrefix(key, fleet.NoticePrefix) }
 
-// EncodeQuarantine returns the body of a quarantine record.
+// EncodeQuarantine encodes the body of a quarantine record.
 func EncodeQuarantine(r quarantine.Record) ([]byte, error) { return msgpack.Marshal(&r) }
 
-// DecodeQuarantine reads the body of the quarantine record under a key. A body
-// that belongs to another key is an error.
+// DecodeQuarantine decodes the body of the quarantine record with the given key. It
+// returns an error if the body belongs to another key.
 func DecodeQuarantine(key string, body []byte) (quarantine.Record, error) {
 	var r quarantine.Record
 	if err := link.Unmarshal(body, &r); err != nil {
 		return r, trace.Wrap(err, "step=decode quarantine record")
 	}
 	if QuarantineKey(r.Fingerprint) != key {
-		return r, trace.BadParameter("record %s is of fingerprint %x", key, r.Fingerprint)
+		return r, trace.BadParameter("record %s contains fingerprint %x", key, r.Fingerprint)
 	}
 	return r, nil
 }
 
-// DecodeNotice reads the body of the notice under a key. A body that belongs to
-// another key is an error.
+// DecodeNotice decodes the body of the reclaim notice with the given key. It
+// returns an error if the body belongs to another key.
 func DecodeNotice(key string, body []byte) (fleet.Notice, error) {
 	notice, err := fleet.DecodeNotice(body)
 	if err != nil {
 		return notice, err
 	}
 	if fleet.NoticeKey(notice.Instance) != key {
-		return notice, trace.BadParameter("record %s is of instance %s", key, notice.Instance)
+		return notice, trace.BadParameter("record %s contains instance %s", key, notice.Instance)
 	}
 	return notice, nil
 }
 
-// Merge joins two bodies of one record: of a quarantine record the union, of a
-// notice the one that ends later, of any other the one that sorts higher. A body
-// that cannot be read counts for nothing.
+// Merge merges two bodies of the record with the given key. The result is the union
+// of quarantine records, the reclaim notice with the later deadline, and the
+// greater body by bytes of any other record. A body that cannot be decoded is
+// ignored if the other one can. Merge is commutative, associative and idempotent.
 func Merge(key string, a, b []byte) []byte {
 	switch {
 	case IsQuarantine(key):
@@ -88,7 +88,7 @@
 	}
 	body, err := EncodeQuarantine(quarantine.Merge(ra, rb))
 	if err != nil {
-		return greater(a, b) // numbers, strings and times always encode
+		return greater(a, b) // not reached: a quarantine record always encodes
 	}
 	return body
 }
@@ -110,6 +110,7 @@
 	}
 }
 
+// greater returns the body that is greater in bytewise order.
 func greater(a, b []byte) []byte {
 	if string(a) > string(b) {
 		return a
--- a/records/records_test.go
+++ b/records/records_test.go
@@ -11,6 +11,7 @@
 	"savoryreel.example/savoryreel/policy/quarantine"
 )
 
+// drawBody draws a body for the record with the given key, some of them corrupt.
 func drawBody(t *rapid.T, key string) []byte {
 	if rapid.IntRange(0, 9).Draw(t, "damaged") == 0 {
 		return rapid.SliceOfN(rapid.Byte(), 0, 8).Draw(t, "bytes")
@@ -35,9 +36,9 @@
 	return body
 }
 
-// Records reach instances in any order, doubled and over several ways. If the
-// order mattered, two instances would hold different records for good, and one
-// entry would run what another refuses.
+// Guards against a merge whose result depends on the order or the number of
+// messages: instances would never converge, and one entry would run a request that
+// another refuses as quarantined.
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.SampledFrom([]string{QuarantineKey(7), fleet.NoticeKey("i"), "other"}).Draw(t, "key")
--- a/request/bearer.go
+++ b/request/bearer.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// BearerKey returns the key of an "Authorization: Bearer" header, and whether
-// there was one.
+// BearerKey returns the key in an "Authorization: Bearer" header and whether the
+// header is present.
 func BearerKey(h http.Header) (string, bool) {
 	scheme, key, found := strings.Cut(h.Get("Authorization"), " ")
 	if !found || !strings.EqualFold(scheme, "Bearer") {
--- a/request/journal.go
+++ b/request/journal.go
@@ -5,10 +5,9 @@
 	"sync"
 )
 
-// Journal holds the answer to one chat request as it grows: its tokens in
-// order, and at last how it ended. One goroutine appends; any number read, each
-// from any position, so that a caller that comes back goes on where it was and
-// an answer survives its first caller's connection.
+// Journal buffers the answer to one chat request: its tokens in order, and how it
+// ended. Any number of goroutines may read it, each from its own position, while
+// one appends. A caller that reconnects can thus continue where it stopped.
 type Journal struct {
 	mu      sync.Mutex
 	tokens  []string
@@ -16,25 +15,25 @@
 	changed chan struct{} // closed and replaced at each change
 }
 
-// End is how an answer ended: whole, with a problem, or by moving to another
-// entry.
+// End describes how an answer ended: complete, with a problem, or by moving to
+// another entry.
 type End struct {
-	Finish     string   `msgpack:"f"` // finish reason of a whole answer
+	Finish     string   `msgpack:"f"` // finish reason of a complete answer
 	Prompt     int      `msgpack:"p"` // prompt tokens
 	Cached     int      `msgpack:"c"` // prompt tokens from a prefix cache
 	Recomputed int      `msgpack:"r"` // tokens prefilled again after a resume
-	MovedTo    string   `msgpack:"m"` // the answer goes on at the entry with this caller address
-	Problem    *Problem `msgpack:"-"` // nil: whole or moved
+	MovedTo    string   `msgpack:"m"` // caller address of the entry that continues the answer
+	Problem    *Problem `msgpack:"-"` // nil: complete or moved
 }
 
-// NewJournal returns a journal that begins with tokens received from another
-// entry; none for a new request.
+// NewJournal returns a journal that starts with tokens received from another
+// entry; nil for a new request. It takes ownership of the slice.
 func NewJournal(tokens []string) *Journal {
 	return &Journal{tokens: tokens, changed: make(chan struct{})}
 }
 
-// Append adds one token. After Finish it does nothing: a token that comes in
-// late from an attempt already given up is not part of the answer.
+// Append adds one token. After Finish it does nothing, since the token comes from
+// an abandoned attempt and is not part of the answer.
 func (j *Journal) Append(token string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -45,7 +44,7 @@
 	j.notifyReaders()
 }
 
-// Finish ends the answer. Only the first call counts.
+// Finish ends the answer. Calls after the first have no effect.
 func (j *Journal) Finish(e End) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -56,28 +55,30 @@
 	j.notifyReaders()
 }
 
+// notifyReaders wakes all readers that wait in Next. The caller holds j.mu.
 func (j *Journal) notifyReaders() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
-// Tokens returns the tokens so far. The slice is not changed later.
+// Tokens returns the tokens so far. The caller must not modify them; later tokens
+// do not appear in the returned slice.
 func (j *Journal) Tokens() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.tokens[:len(j.tokens):len(j.tokens)]
 }
 
-// Ended returns how the answer ended, or nil while it goes on.
+// Ended returns how the answer ended, or nil if it has not.
 func (j *Journal) Ended() *End {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.end
 }
 
-// Next returns the tokens from position from on, waiting until there is one or
-// the answer has ended. With tokens it returns no end, even if there is one: a
-// reader asks again. It returns ctx's error when ctx ends first.
+// Next returns the tokens from position on. It waits until there is at least one
+// or the answer has ended. It returns the end only if there are no more tokens,
+// so a reader calls it until then. If ctx ends first, it returns ctx.Err().
 func (j *Journal) Next(ctx context.Context, position int) ([]string, *End, error) {
 	for {
 		tokens, end, changed := j.readFrom(position)
@@ -95,6 +96,8 @@
 	}
 }
 
+// readFrom returns the tokens from position on, the end, and a channel that is
+// closed at the next change.
 func (j *Journal) readFrom(position int) ([]string, *End, <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/request/journal_test.go
+++ b/request/journal_test.go
@@ -11,13 +11,12 @@
 	"pgregory.net/rapid"
 )
 
-// Callers lose their connection and come back at any position while the answer
-// grows. Each must end up with every token once and in order, whatever the
-// interleaving.
+// Guards against a reader that loses, repeats or reorders tokens when it starts at
+// any position while the answer grows.
 func TestJournalGivesEveryReaderEveryTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(rapid.String(), 0, 40).Draw(t, "tokens")
-		receivedCount := rapid.IntRange(0, len(want)).Draw(t, "handed over")
+		receivedCount := rapid.IntRange(0, len(want)).Draw(t, "received")
 		j := NewJournal(append([]string{}, want[:receivedCount]...))
 		var readers sync.WaitGroup
 		got := make([][]string, 3)
@@ -38,7 +37,7 @@
 			j.Append(token)
 		}
 		j.Finish(End{Finish: "stop"})
-		j.Append("late") // from an attempt already given up
+		j.Append("late") // from an abandoned attempt
 		readers.Wait()
 		for i := range got {
 			require.Equal(t, len(want), len(got[i]))
@@ -49,6 +48,7 @@
 	})
 }
 
+// Guards against a reader that waits after its caller has disconnected.
 func TestJournalNextReturnsContextError(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -56,6 +56,7 @@
 	require.ErrorIs(t, err, context.Canceled)
 }
 
+// Guards against a Retry-After that lets the caller retry too early.
 func TestProblemWriteRoundsRetryAfterUp(t *testing.T) {
 	w := httptest.NewRecorder()
 	NewProblem(CodeLimit, NotRun, "busy").After(1200 * time.Millisecond).Write(w)
@@ -64,6 +65,7 @@
 	require.Equal(t, "not_run", w.Header().Get(HeaderOutcome))
 }
 
+// Guards against equal fingerprints of requests whose concatenated fields are equal.
 func TestFingerprintSeparatesFields(t *testing.T) {
 	a := &Request{Workspace: "ab", Service: "c"}
 	b := &Request{Workspace: "a", Service: "bc"}
--- a/request/problem.go
+++ b/request/problem.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// Code is the stable code of a problem. Callers may rely on it; texts change.
+// Code identifies a kind of problem. Codes are stable; titles and details may
+// change.
 type Code string
 
-// The codes.
+// The codes of problems.
 const (
 	CodeBadRequest        Code = "bad_request"
 	CodeUnauthorized      Code = "unauthorized"
@@ -49,15 +50,14 @@
 const (
 	HeaderOutcome   = "Savoryreel-Outcome"
 	HeaderRequestID = "X-Request-Id"
-	HeaderDeadline  = "Savoryreel-Deadline-Ms" // milliseconds left, whole
+	HeaderDeadline  = "Savoryreel-Deadline-Ms" // remaining time in whole milliseconds
 	HeaderClass     = "Savoryreel-Class"
-	HeaderKeep      = "Savoryreel-Keep" // "true": go on when the caller leaves
+	HeaderKeep      = "Savoryreel-Keep" // "true": continue after the caller has disconnected
 	HeaderKey       = "Idempotency-Key"
 	HeaderEventID   = "Last-Event-ID"
 )
 
-// Problem is a final answer that is not the one asked for, in the shape of
-// RFC 9457.
+// Problem is an error response in the format of RFC 9457.
 type Problem struct {
 	Type       string        `json:"type"`
 	Title      string        `json:"title"`
@@ -69,7 +69,7 @@
 	RetryAfter time.Duration `json:"-"` // sent as Retry-After, in whole seconds rounded up
 }
 
-// titles holds each code's HTTP status and title.
+// problemTypes maps each code to its HTTP status and title.
 var problemTypes = map[Code]struct {
 	status int
 	title  string
@@ -105,7 +105,9 @@
 	CodeConcurrentRequest: {http.StatusConflict, "The same request is still running"},
 }
 
-// NewProblem returns the problem of a code. Detail is for people.
+// NewProblem returns a problem with code c and outcome o. The format and its
+// arguments give the detail, a text for people. An unknown code gets the status
+// and title of CodeInternal.
 func NewProblem(c Code, o Outcome, format string, args ...any) *Problem {
 	problemType, known := problemTypes[c]
 	if !known {
@@ -121,19 +123,19 @@
 	}
 }
 
-// After sets when the caller should come back, and returns p.
+// After sets the time after which the caller may retry, and returns p.
 func (p *Problem) After(d time.Duration) *Problem {
 	p.RetryAfter = d
 	return p
 }
 
-// Error makes a Problem usable as an error.
+// Error returns the code, outcome and detail.
 func (p *Problem) Error() string {
 	return fmt.Sprintf("%s (%s): %s", p.Code, p.Outcome, p.Detail)
 }
 
-// Write sends the problem as the whole HTTP answer. An answer "not run" always
-// carries Retry-After when the same request may succeed later.
+// Write writes the problem as the complete HTTP response, with a Retry-After
+// header if RetryAfter is set.
 func (p *Problem) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
@@ -146,5 +148,5 @@
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(p.RetryAfter.Seconds()))))
 	}
 	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p) // the caller is gone; nobody is left to tell
+	_ = json.NewEncoder(w).Encode(p) // fails only if the caller has disconnected
 }
