--- a/contract/book.go
+++ b/contract/book.go
@@ -53,8 +53,8 @@
 }
 
 // Apply applies one change and returns its result. A change that is resent, for
-// example after a lost response, gets the result of its first application;
-// otherwise it would conflict with itself.
+// example after a lost response, gets the result of its first application while
+// that is stored (HistoryLength); otherwise it would conflict with itself.
 func (s *State) Apply(c Change) Result {
 	digest := changeDigest(c)
 	if stored, resent := s.results[c.ID]; resent {
--- a/contract/catalogue.go
+++ b/contract/catalogue.go
@@ -91,7 +91,7 @@
 	Workspaces []string      `yaml:"workspaces" json:"workspaces,omitempty" msgpack:"ws"` // workspaces that may call it; empty: all
 	Calls      []CallRule    `yaml:"calls" json:"calls,omitempty" msgpack:"calls"`        // plain services only; the first match applies
 	Target     LatencyTarget `yaml:"target" json:"target" msgpack:"target"`
-	MaxBody    int64         `yaml:"maxBodyBytes" json:"maxBodyBytes" msgpack:"max_body"` // 0: DefaultMaxBodyBytes
+	MaxBody    int64         `yaml:"maxBodyBytes" json:"maxBodyBytes" msgpack:"max_body"` // bytes; 0: DefaultMaxBodyBytes
 }
 
 // CallRule states whether calls of a method under a path prefix are idempotent.
--- a/contract/validate.go
+++ b/contract/validate.go
@@ -13,7 +13,7 @@
 	MaxWeight           = 1000
 	MaxConcurrency      = 1_000_000
 	MaxRate             = 1e9       // requests or tokens per second
-	MaxBodyBytes        = 256 << 20 // bytes
+	MaxBodyBytes        = 256 << 20 // of a request body
 	MaxLatencyTarget    = 10 * time.Minute
 	MaxNameLength       = 63
 	MaxKeysPerWorkspace = 16
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -258,6 +258,7 @@
 	return newResult(VerdictDone, r)
 }
 
+// markFinished sets the state and queues the record for expiry.
 func (l *Ledger) markFinished(r *Record, state State) {
 	r.State = state
 	r.UpdatedAt = l.clock
@@ -280,6 +281,7 @@
 	l.finished = slices.Delete(l.finished, 0, expired)
 }
 
+// newResult returns a Result with a copy of r.
 func newResult(v Verdict, r *Record) Result {
 	c := *r
 	return Result{Verdict: v, Record: &c}
