--- a/entry/plain.go
+++ b/entry/plain.go
@@ -340,4 +340,4 @@
 
 // maxBufferedAnswerBytes bounds the answer of an at-most-once call that is buffered until it
 // is complete, so that the caller gets all of a small answer or a problem.
-const maxBufferedAnswerBytes = ledger.MaxAnswer
+const maxBufferedAnswerBytes = ledger.MaxAnswerBytes
--- a/request/journal_test.go
+++ b/request/journal_test.go
@@ -11,18 +11,17 @@
 	"pgregory.net/rapid"
 )
 
-// Callers lose their connection and come back at any position while the answer
-// grows. Each must end up with every token once and in order, whatever the
-// interleaving.
+// Guards against a reader that loses, repeats or reorders tokens when it starts at
+// any position while the answer grows.
 func TestJournalGivesEveryReaderEveryTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(rapid.String(), 0, 40).Draw(t, "tokens")
-		handed := rapid.IntRange(0, len(want)).Draw(t, "handed over")
-		j := NewJournal(append([]string{}, want[:handed]...))
+		receivedCount := rapid.IntRange(0, len(want)).Draw(t, "received")
+		j := NewJournal(append([]string{}, want[:receivedCount]...))
 		var readers sync.WaitGroup
 		got := make([][]string, 3)
 		for i := range got {
-			from := rapid.IntRange(0, handed).Draw(t, "from")
+			from := rapid.IntRange(0, receivedCount).Draw(t, "from")
 			readers.Go(func() {
 				got[i] = append(got[i], want[:from]...)
 				for {
@@ -34,11 +33,11 @@
 				}
 			})
 		}
-		for _, token := range want[handed:] {
+		for _, token := range want[receivedCount:] {
 			j.Append(token)
 		}
 		j.Finish(End{Finish: "stop"})
-		j.Append("late") // from an attempt already given up
+		j.Append("late") // from an abandoned attempt
 		readers.Wait()
 		for i := range got {
 			require.Equal(t, len(want), len(got[i]))
@@ -49,13 +48,15 @@
 	})
 }
 
-func TestJournalNextEndsWithItsContext(t *testing.T) {
+// Guards against a reader that waits after its caller has disconnected.
+func TestJournalNextReturnsContextError(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, _, err := NewJournal(nil).Next(ctx, 0)
 	require.ErrorIs(t, err, context.Canceled)
 }
 
+// Guards against a Retry-After that lets the caller retry too early.
 func TestProblemWriteRoundsRetryAfterUp(t *testing.T) {
 	w := httptest.NewRecorder()
 	NewProblem(CodeLimit, NotRun, "busy").After(1200 * time.Millisecond).Write(w)
@@ -64,7 +65,8 @@
 	require.Equal(t, "not_run", w.Header().Get(HeaderOutcome))
 }
 
-func TestFingerprintKeepsPartsApart(t *testing.T) {
+// Guards against equal fingerprints of requests whose concatenated fields are equal.
+func TestFingerprintSeparatesFields(t *testing.T) {
 	a := &Request{Workspace: "ab", Service: "c"}
 	b := &Request{Workspace: "a", Service: "bc"}
 	require.NotEqual(t, a.Fingerprint(), b.Fingerprint())
