--- a/cmd/savoryreel/devplatform.go
+++ b/cmd/savoryreel/devplatform.go
@@ -52,7 +52,7 @@
 			return err
 		}
 		fmt.Printf("savoryreel dev is up. Try, in another terminal:\n\n%s\nStop with Ctrl-C.\n",
-			standin.Tour(devAddress(standin.DirectoryPort), devAddress(standin.CallerPort), devWorkspaceKey))
+			standin.ExampleCommands(devAddress(standin.DirectoryPort), devAddress(standin.CallerPort), devWorkspaceKey))
 		<-c.Done()
 		return nil
 	})
@@ -73,7 +73,7 @@
 	}
 	for _, n := range nodes {
 		s := standin.Settings{
-			IP: devIP, Zone: "z1", Seeds: []string{devAddress(standin.ControlPort)}, First: true, DataDir: n.dataDir, PortBase: devPort,
+			IP: devIP, Zone: "z1", Seeds: []string{devAddress(standin.ControlPort)}, FirstStart: true, DataDir: n.dataDir, PortBase: devPort,
 		}
 		cfg := platformConfig{File: filepath.Join(folder, n.name+".settings"), ClusterKey: devClusterKey}
 		if err := os.WriteFile(cfg.File, []byte(s.File()), 0o600); err != nil {
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
 	catalogue := standin.Catalogue{Revision: 1, Service: "web", Keys: []string{devWorkspaceKey}}
-	err := untilDone(ctx, func() error { return standin.Replace(ctx, devAddress(standin.ControlPort), catalogue) })
+	err := untilDone(ctx, func() error { return standin.ReplaceCatalogue(ctx, devAddress(standin.ControlPort), catalogue) })
 	if err != nil {
 		return trace.Wrap(err, "step=bring the catalogue")
 	}
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -107,7 +107,7 @@
 
 func (p *platformSite) startPlatformControl(i int, first bool) *process {
 	ip := p.host(controlHost(i))
-	return p.startPlatform("control", standin.Settings{IP: ip, First: first, DataDir: filepath.Join(p.folder, ip)})
+	return p.startPlatform("control", standin.Settings{IP: ip, FirstStart: first, DataDir: filepath.Join(p.folder, ip)})
 }
 
 func (p *platformSite) startPlatformEntry(i int) *process {
@@ -117,7 +117,7 @@
 // replace puts a catalogue in force through control replica i.
 func (p *platformSite) replace(i int, c standin.Catalogue) {
 	p.t.Helper()
-	p.eventually(func() bool { return standin.Replace(p.ctx(), p.controlAddrs()[i], c) == nil }, "catalogue is acknowledged")
+	p.eventually(func() bool { return standin.ReplaceCatalogue(p.ctx(), p.controlAddrs()[i], c) == nil }, "catalogue is acknowledged")
 }
 
 func (p *platformSite) runs() (runs []standin.Run) {
@@ -140,11 +140,11 @@
 		body := fmt.Sprintf("body %d", i)
 		a, err := standin.Call(p.ctx(), p.entryAddr(i%2), platformKey, "/web/x", body)
 		require.NoError(t, err)
-		require.Equal(t, standin.Answer{ID: a.ID, Status: 200, Signed: true, Body: body, Whole: true}, a)
+		require.Equal(t, standin.Answer{ID: a.ID, Status: 200, Signed: true, Body: body, Complete: true}, a)
 	}
 	a, err := standin.Call(p.ctx(), p.entryAddr(0), platformKey, "/chat/stream/20", "")
 	require.NoError(t, err)
-	require.True(t, a.Whole && strings.HasSuffix(a.Body, "id: 20\ndata: event 20\n\n"))
+	require.True(t, a.Complete && strings.HasSuffix(a.Body, "id: 20\ndata: event 20\n\n"))
 	a, err = standin.Call(p.ctx(), p.entryAddr(0), "unknown", "/web/x", "")
 	require.NoError(t, err)
 	require.Equal(t, 401, a.Status)
@@ -169,7 +169,7 @@
 			p.controls[0] = p.startPlatformControl(0, false)
 		}
 		extra := fmt.Sprintf("/extra-%d/", revision)
-		p.replace(1, standin.Catalogue{Revision: revision, Service: "web", Keys: []string{platformKey}, Extra: extra})
+		p.replace(1, standin.Catalogue{Revision: revision, Service: "web", Keys: []string{platformKey}, ExtraPrefix: extra})
 		acknowledged := time.Now()
 		for i := range 2 {
 			p.eventually(func() bool {
@@ -204,7 +204,7 @@
 		return err == nil && slices.Equal(list, []string{p.entryAddr(1)})
 	}, "the entry is named no more")
 	a := <-done
-	require.True(t, a.Whole && a.Status == 200, "%+v", a)
+	require.True(t, a.Complete && a.Status == 200, "%+v", a)
 	select {
 	case <-p.entries[0].done:
 		require.NoError(t, p.entries[0].err)
