--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -149,7 +149,7 @@
 	}
 	start := time.Now()
 	fn(n.cluster.now)
-	updates, events := n.core.takeChanges(n.cluster.now)
+	updates, events := n.core.drainChanges(n.cluster.now)
 	n.view.Apply(updates)
 	n.cluster.work += time.Since(start)
 	n.cluster.steps++
--- a/membership/compress.go
+++ b/membership/compress.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// packedMark starts a compressed message. It is the one byte that begins
+	// compressedMarker starts a compressed message. It is the one byte that begins
 	// no msgpack value.
-	packedMark = 0xc1
-	// packAbove is the size from which compression is tried. Whole records
+	compressedMarker = 0xc1
+	// minCompressBytes is the size from which compression is tried. Whole records
 	// repeat addresses, models and zones and shrink to a third; pings and
 	// load reports are short or hold hashes, and don't.
-	packAbove = 1 << 10
-	// maxUnpacked bounds what a message may grow to, so that a small one from
+	minCompressBytes = 1 << 10
+	// maxDecompressedBytes bounds what a message may grow to, so that a small one from
 	// a faulty peer can't fill the memory.
-	maxUnpacked = 64 << 10
+	maxDecompressedBytes = 64 << 10
 )
 
-// packer compresses messages. It keeps its tables, which take far more memory
+// compressor compresses messages. It keeps its tables, which take far more memory
 // than a message.
-type packer struct {
+type compressor struct {
 	w   *flate.Writer
 	buf bytes.Buffer
 }
 
-// pack returns data, or its compressed form if that is clearly shorter.
-func (p *packer) pack(data []byte) ([]byte, error) {
-	if len(data) < packAbove {
+// compress returns data, or its compressed form if that is clearly shorter.
+func (p *compressor) compress(data []byte) ([]byte, error) {
+	if len(data) < minCompressBytes {
 		return data, nil
 	}
 	p.buf.Reset()
-	p.buf.WriteByte(packedMark)
+	p.buf.WriteByte(compressedMarker)
 	if p.w == nil {
 		w, err := flate.NewWriter(&p.buf, flate.BestSpeed)
 		if err != nil {
@@ -55,19 +55,19 @@
 	return bytes.Clone(p.buf.Bytes()), nil
 }
 
-// unpack undoes pack.
-func unpack(data []byte) ([]byte, error) {
-	if len(data) == 0 || data[0] != packedMark {
+// decompress undoes pack.
+func decompress(data []byte) ([]byte, error) {
+	if len(data) == 0 || data[0] != compressedMarker {
 		return data, nil
 	}
 	r := flate.NewReader(bytes.NewReader(data[1:]))
 	defer r.Close()
-	out, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
+	out, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(out) > maxUnpacked {
-		return nil, fmt.Errorf("gossip grows over %d bytes", maxUnpacked)
+	if len(out) > maxDecompressedBytes {
+		return nil, fmt.Errorf("gossip grows over %d bytes", maxDecompressedBytes)
 	}
 	return out, nil
 }
--- a/membership/compress_test.go
+++ b/membership/compress_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestPackRoundTrip(t *testing.T) {
-	var p packer
+	var p compressor
 	rapid.Check(t, func(rt *rapid.T) {
 		unit := rapid.SliceOfN(rapid.Byte(), 1, 64).Draw(rt, "unit")
 		data := append([]byte{0x9a}, bytes.Repeat(unit, rapid.IntRange(1, 200).Draw(rt, "times"))...)
-		packed, err := p.pack(data)
+		packed, err := p.compress(data)
 		require.NoError(rt, err)
 		require.LessOrEqual(rt, len(packed), len(data))
-		out, err := unpack(packed)
+		out, err := decompress(packed)
 		require.NoError(rt, err)
 		require.Equal(rt, data, out)
 	})
@@ -26,10 +26,10 @@
 // receiver must stop at the bound and not run out of memory. Broken by removing
 // the comparison with maxUnpacked.
 func TestUnpackIsBounded(t *testing.T) {
-	var p packer
-	packed, err := p.pack(make([]byte, 64*maxUnpacked))
+	var p compressor
+	packed, err := p.compress(make([]byte, 64*maxDecompressedBytes))
 	require.NoError(t, err)
-	require.Less(t, len(packed), maxUnpacked)
-	_, err = unpack(packed)
+	require.Less(t, len(packed), maxDecompressedBytes)
+	_, err = decompress(packed)
 	require.ErrorContains(t, err, "grows over")
 }
--- a/membership/core.go
+++ b/membership/core.go
@@ -28,38 +28,38 @@
 // leaves messages in out and changes for the view in changed; the runner
 // collects them. It is not safe for concurrent use.
 type core struct {
-	cfg  Config
-	rng  *rand.Rand
-	self *record
-	me   instance.Member
-
-	records   map[uint64]*record
-	ids       map[recordKey]*record
-	addresses map[string]*record // backend servers in use, by address
-
-	ring       ring
-	ringDirty  bool
-	reporting  int                // instances of this region that report their load, as of the last scan
-	boxes      map[string]*outbox // by member id
-	watches    map[string]time.Time
-	probes     map[string]*probe
-	relays     map[uint32]relayed
-	nonce      uint32
-	joined     bool
-	lastTick   time.Time
-	nextScan   time.Time
-	nextDigest time.Time
-	nextJoin   time.Time
-	compare    map[string]bool // link addresses to compare digests with at the next tick
-	nextPush   time.Time
-	nextLoad   time.Time
-	digests    int
-	tokens     float64 // of the budget, in bytes; below zero after urgent news
-
-	packer  packer
-	out     []outgoing
-	changed map[uint64]*record
-	sent    sentBytes
+	cfg        Config
+	rng        *rand.Rand
+	self       *record
+	selfMember instance.Member
+
+	records          map[uint64]*record
+	byID             map[recordKey]*record
+	serversByAddress map[string]*record // backend servers in use, by address
+
+	topology      topology
+	topologyDirty bool
+	reporterCount int                // instances of this region that report their load, as of the last scan
+	outboxes      map[string]*outbox // by member id
+	pushDeadlines map[string]time.Time
+	probes        map[string]*probe
+	relayedProbes map[uint32]relayedProbe
+	nonce         uint32
+	joined        bool
+	lastTick      time.Time
+	nextScan      time.Time
+	nextDigest    time.Time
+	nextJoin      time.Time
+	digestTargets map[string]bool // link addresses to compare digests with at the next tick
+	nextPush      time.Time
+	nextLoad      time.Time
+	digestRounds  int
+	budgetBytes   float64 // of the budget, in bytes; below zero after urgent news
+
+	compressor compressor
+	out        []outgoing
+	changed    map[uint64]*record
+	sent       sentTotals
 }
 
 type recordKey struct {
@@ -67,30 +67,30 @@
 	id   string
 }
 
-// sentBytes counts what this core has sent, before framing.
-type sentBytes struct {
+// sentTotals counts what this core has sent, before framing.
+type sentTotals struct {
 	Messages uint64
 	Bytes    uint64
 }
 
 func newCore(cfg Config, rng *rand.Rand, now time.Time) (*core, error) {
 	c := &core{
-		cfg:       cfg,
-		rng:       rng,
-		me:        cfg.Self,
-		records:   make(map[uint64]*record),
-		ids:       make(map[recordKey]*record),
-		addresses: make(map[string]*record),
-		boxes:     make(map[string]*outbox),
-		watches:   make(map[string]time.Time),
-		probes:    make(map[string]*probe),
-		relays:    make(map[uint32]relayed),
-		changed:   make(map[uint64]*record),
-		compare:   make(map[string]bool),
-		lastTick:  now,
-		tokens:    cfg.BudgetBurst,
-	}
-	c.nextDigest = now.Add(c.jittered(cfg.AntiEntropy))
+		cfg:              cfg,
+		rng:              rng,
+		selfMember:       cfg.Self,
+		records:          make(map[uint64]*record),
+		byID:             make(map[recordKey]*record),
+		serversByAddress: make(map[string]*record),
+		outboxes:         make(map[string]*outbox),
+		pushDeadlines:    make(map[string]time.Time),
+		probes:           make(map[string]*probe),
+		relayedProbes:    make(map[uint32]relayedProbe),
+		changed:          make(map[uint64]*record),
+		digestTargets:    make(map[string]bool),
+		lastTick:         now,
+		budgetBytes:      cfg.BudgetBurstBytes,
+	}
+	c.nextDigest = now.Add(c.jittered(cfg.AntiEntropyInterval))
 	body, err := encode(memberBody{
 		Role: cfg.Self.Role, Region: cfg.Self.Region, Zone: cfg.Self.Zone,
 		Caller: cfg.Self.CallerAddress, Link: cfg.Self.LinkAddress,
@@ -103,10 +103,10 @@
 		return nil, err
 	}
 	c.self.status.Seq = 1
-	c.self.load = packMemberLoad(1, c.me)
+	c.self.load = quantizeMemberLoad(1, c.selfMember)
 	c.self.load.Ref = c.self.ref
 	c.insert(c.self, now)
-	c.rebuildRing(now)
+	c.rebuildTopology(now)
 	c.nextJoin = now
 	return c, nil
 }
@@ -116,43 +116,43 @@
 	return time.Duration(float64(d) * (0.75 + 0.5*c.rng.Float64()))
 }
 
-func (c *core) lookup(k recordKind, id string) *record { return c.ids[recordKey{k, id}] }
+func (c *core) lookup(k recordKind, id string) *record { return c.byID[recordKey{k, id}] }
 
 // insert makes r the record of its id.
 func (c *core) insert(r *record, now time.Time) {
 	c.records[r.ref] = r
-	c.ids[recordKey{r.kind, r.id}] = r
-	c.touched(r, now)
+	c.byID[recordKey{r.kind, r.id}] = r
+	c.updateDerived(r, now)
 }
 
 func (c *core) remove(r *record) {
 	delete(c.records, r.ref)
-	if c.ids[recordKey{r.kind, r.id}] == r {
-		delete(c.ids, recordKey{r.kind, r.id})
+	if c.byID[recordKey{r.kind, r.id}] == r {
+		delete(c.byID, recordKey{r.kind, r.id})
 	}
-	if r.server != nil && c.addresses[r.server.Address] == r {
-		delete(c.addresses, r.server.Address)
+	if r.server != nil && c.serversByAddress[r.server.Address] == r {
+		delete(c.serversByAddress, r.server.Address)
 	}
-	for _, b := range c.boxes {
+	for _, b := range c.outboxes {
 		delete(b.refs, r.ref)
 	}
 }
 
-// touched brings what is derived from r up to date after a change of r.
-func (c *core) touched(r *record, now time.Time) {
+// updateDerived brings what is derived from r up to date after a change of r.
+func (c *core) updateDerived(r *record, now time.Time) {
 	c.changed[r.ref] = r
 	switch r.kind {
 	case recordMember:
-		c.ringDirty = true
-		stamp(&r.suspectAt, r.suspected(), now)
-		stamp(&r.goneAt, r.markedGone(), now)
+		c.topologyDirty = true
+		trackSince(&r.suspectedAt, r.suspected(), now)
+		trackSince(&r.goneAt, r.markedGone(), now)
 	case recordServer:
-		c.settleAddress(r)
+		c.resolveAddressConflict(r)
 	}
 }
 
-// stamp notes the time at which a condition began to hold.
-func stamp(at *time.Time, holds bool, now time.Time) {
+// trackSince notes the time at which a condition began to hold.
+func trackSince(at *time.Time, holds bool, now time.Time) {
 	switch {
 	case !holds:
 		*at = time.Time{}
@@ -161,48 +161,48 @@
 	}
 }
 
-// settleAddress leaves one backend server in use at each address. A machine
+// resolveAddressConflict leaves one backend server in use at each address. A machine
 // that is replaced keeps its address and gets a new id or incarnation; if the
 // old record stayed, work meant for the old process would reach the new one.
 // The choice depends on the two records alone, so every replica makes it alike.
-func (c *core) settleAddress(r *record) {
-	other := c.addresses[r.server.Address]
+func (c *core) resolveAddressConflict(r *record) {
+	other := c.serversByAddress[r.server.Address]
 	if r.left() || r.markedGone() {
 		if other == r {
-			delete(c.addresses, r.server.Address)
+			delete(c.serversByAddress, r.server.Address)
 		}
 		return
 	}
 	if other == nil || other == r || c.records[other.ref] != other || other.server.Address != r.server.Address {
-		c.addresses[r.server.Address] = r
+		c.serversByAddress[r.server.Address] = r
 		return
 	}
 	winner, loser := r, other
 	if other.inc > r.inc || (other.inc == r.inc && other.id > r.id) {
 		winner, loser = other, r
 	}
-	c.addresses[r.server.Address] = winner
-	loser.joinStatus(statusDelta{Flags: flagLeaving | flagLeft})
+	c.serversByAddress[r.server.Address] = winner
+	loser.mergeStatus(statusDelta{Flags: flagLeaving | flagLeft})
 	c.changed[loser.ref] = loser
 }
 
-// learnFull takes in a whole record. It returns the record that holds now, or
+// applyFull takes in a whole record. It returns the record that holds now, or
 // nil if the delta was not taken, and what has changed.
-func (c *core) learnFull(f fullDelta, now time.Time) (*record, change) {
+func (c *core) applyFull(f fullDelta, now time.Time) (*record, change) {
 	r := c.lookup(f.Kind, f.ID)
 	if r != nil && r.inc > f.Inc {
 		return r, 0
 	}
 	if r == nil || r.inc < f.Inc {
-		return c.learnNew(f, r, now)
+		return c.applyNew(f, r, now)
 	}
-	if r == c.self && c.earlierLife(f.Status) {
-		c.outbid(f.Inc, now)
+	if r == c.self && c.fromEarlierProcess(f.Status) {
+		c.raiseIncarnation(f.Inc, now)
 		return c.self, 0
 	}
-	ch := c.joinFull(r, f)
+	ch := c.mergeFull(r, f)
 	if ch&(changedBody|changedStatus) != 0 {
-		c.touched(r, now)
+		c.updateDerived(r, now)
 		c.refute(r, now)
 	} else if ch != 0 {
 		c.changed[r.ref] = r
@@ -210,21 +210,21 @@
 	return r, ch
 }
 
-// learnNew takes in a record of a new id or a new incarnation. One that is gone
+// applyNew takes in a record of a new id or a new incarnation. One that is gone
 // already is not taken: else records that some have forgotten would go round
 // for ever.
-func (c *core) learnNew(f fullDelta, old *record, now time.Time) (*record, change) {
+func (c *core) applyNew(f fullDelta, old *record, now time.Time) (*record, change) {
 	r := newRecord(f.Kind, f.ID, f.Inc)
 	if err := r.setBody(f.BodySeq, f.Body); err != nil {
 		return nil, 0
 	}
-	r.joinStatus(f.Status)
-	r.joinLoad(f.Load)
+	r.mergeStatus(f.Status)
+	r.mergeLoad(f.Load)
 	if old == nil && (r.left() || r.markedGone()) {
 		return nil, 0
 	}
 	if f.Kind == recordMember && f.ID == c.self.id {
-		c.outbid(f.Inc, now)
+		c.raiseIncarnation(f.Inc, now)
 		return c.self, 0
 	}
 	c.replace(old, r, now)
@@ -234,28 +234,28 @@
 // replace puts r in the place of an earlier incarnation, which may be nil.
 func (c *core) replace(old, r *record, now time.Time) {
 	if old != nil {
-		r.shown = old.shown
+		r.published = old.published
 		c.remove(old)
 	}
 	c.insert(r, now)
 }
 
-// joinFull joins a delta of the same incarnation.
-func (c *core) joinFull(r *record, f fullDelta) change {
+// mergeFull joins a delta of the same incarnation.
+func (c *core) mergeFull(r *record, f fullDelta) change {
 	if r.kind == recordShared {
-		return c.joinShared(r, f.BodySeq, f.Body)
+		return c.mergeShared(r, f.BodySeq, f.Body)
 	}
-	ch, err := r.joinBody(f.BodySeq, f.Body)
+	ch, err := r.mergeBody(f.BodySeq, f.Body)
 	if err != nil {
 		return 0
 	}
-	return ch | r.joinStatus(f.Status) | r.joinLoad(f.Load)
+	return ch | r.mergeStatus(f.Status) | r.mergeLoad(f.Load)
 }
 
-func (c *core) joinShared(r *record, version uint64, body []byte) change {
+func (c *core) mergeShared(r *record, version uint64, body []byte) change {
 	if c.cfg.Merge == nil {
 		// The body of a shared record is opaque: setBody can't fail.
-		ch, _ := r.joinBody(version, body)
+		ch, _ := r.mergeBody(version, body)
 		return ch
 	}
 	merged := c.cfg.Merge(r.id, r.body, body)
@@ -277,11 +277,11 @@
 	if err != nil {
 		return err
 	}
-	if size := len(a.ID) + len(body); size > MaxShared {
-		return trace.LimitExceeded("announcement of %d bytes, bound %d", size, MaxShared)
+	if size := len(a.ID) + len(body); size > MaxSharedBytes {
+		return trace.LimitExceeded("announcement of %d bytes, bound %d", size, MaxSharedBytes)
 	}
 	r := c.lookup(recordServer, a.ID)
-	if r != nil && (r.inc > a.Incarnation || (r.inc == a.Incarnation && r.heardSeq >= a.Sequence)) {
+	if r != nil && (r.inc > a.Incarnation || (r.inc == a.Incarnation && r.announcedSeq >= a.Sequence)) {
 		return nil
 	}
 	status := statusDelta{Flags: flagsOf(a.State), Notice: uint32(max(0, a.LeavingIn))}
@@ -291,9 +291,9 @@
 			return err
 		}
 	} else {
-		c.heardServer(r, a, body, status, now)
+		c.applyAnnouncement(r, a, body, status, now)
 	}
-	r.heardSeq, r.heardAt = a.Sequence, now
+	r.announcedSeq, r.announcedAt = a.Sequence, now
 	c.reportLoad(r, a, now)
 	return nil
 }
@@ -315,101 +315,101 @@
 		return nil, err
 	}
 	status.Seq, status.HomeSeq, status.Home = a.Sequence, a.Sequence, homeRef(c.self.id)
-	r.joinStatus(status)
-	r.notice = now
+	r.mergeStatus(status)
+	r.homeChangedAt = now
 	c.replace(old, r, now)
-	c.spread(r, changedBody|changedStatus, "")
+	c.disseminate(r, changedBody|changedStatus, "")
 	return r, nil
 }
 
-// heardServer spreads an announcement's news. The sequence of a plain heartbeat
+// applyAnnouncement spreads an announcement's news. The sequence of a plain heartbeat
 // is not news and stays here: see the package comment.
-func (c *core) heardServer(r *record, a instance.Announcement, body []byte, status statusDelta, now time.Time) {
+func (c *core) applyAnnouncement(r *record, a instance.Announcement, body []byte, status statusDelta, now time.Time) {
 	var ch change
 	if !slices.Equal(body, r.body) {
-		bodyChange, err := r.joinBody(a.Sequence, body)
+		bodyChange, err := r.mergeBody(a.Sequence, body)
 		if err == nil {
 			ch |= bodyChange
 		}
 	}
-	if c.mustTakeOver(r, now) {
+	if c.shouldBecomeHome(r, now) {
 		status.HomeSeq, status.Home = a.Sequence, homeRef(c.self.id)
-		r.notice = now
+		r.homeChangedAt = now
 	}
-	news := status.Home != 0 || ch != 0 || status.Flags&^r.status.Flags != 0
-	if news || (r.markedGone() && a.Sequence > r.status.Gone) {
+	hasChanged := status.Home != 0 || ch != 0 || status.Flags&^r.status.Flags != 0
+	if hasChanged || (r.markedGone() && a.Sequence > r.status.Gone) {
 		status.Seq = a.Sequence
 	}
-	ch |= r.joinStatus(status)
+	ch |= r.mergeStatus(status)
 	if ch != 0 {
-		c.touched(r, now)
-		c.spread(r, ch, "")
+		c.updateDerived(r, now)
+		c.disseminate(r, ch, "")
 	}
 }
 
-// mustTakeOver says whether to become the home of a server that another entry
+// shouldBecomeHome says whether to become the home of a server that another entry
 // is named for. A server that goes to and fro between entries would make news
 // with each heartbeat, so the home changes at most once in two thirds of the
 // silence bound, in time for the old home not to miss it.
-func (c *core) mustTakeOver(r *record, now time.Time) bool {
-	return r.status.Home != homeRef(c.self.id) && now.Sub(r.notice) >= c.cfg.ServerSilence*2/3
+func (c *core) shouldBecomeHome(r *record, now time.Time) bool {
+	return r.status.Home != homeRef(c.self.id) && now.Sub(r.homeChangedAt) >= c.cfg.ServerTimeout*2/3
 }
 
 func (c *core) reportLoad(r *record, a instance.Announcement, now time.Time) {
-	next := packLoad(a.Sequence, a.Load)
+	next := quantizeLoad(a.Sequence, a.Load)
 	next.Ref = r.ref
-	r.loadFull = a.Load
+	r.exactLoad = a.Load
 	c.changed[r.ref] = r
-	if now.Sub(r.loadAt) < c.loadInterval() || !loadMoved(r.load, next, a.Slots) {
+	if now.Sub(r.loadSentAt) < c.loadInterval() || !loadChanged(r.load, next, a.Slots) {
 		return
 	}
-	r.loadAt = now
-	if ch := r.joinLoad(next); ch != 0 {
-		c.spread(r, ch, "")
+	r.loadSentAt = now
+	if ch := r.mergeLoad(next); ch != 0 {
+		c.disseminate(r, ch, "")
 	}
 }
 
 // loadInterval grows with the instances of the region, so that their reports
 // together stay under LoadPerSecond however many they are.
 func (c *core) loadInterval() time.Duration {
-	need := time.Duration(float64(c.reporting) / c.cfg.LoadPerSecond * float64(time.Second))
-	return max(c.cfg.LoadInterval, need)
+	paced := time.Duration(float64(c.reporterCount) / c.cfg.LoadReportsPerSecond * float64(time.Second))
+	return max(c.cfg.MinLoadInterval, paced)
 }
 
 // setSelf takes the state, load and catalogue version from m.
 func (c *core) setSelf(m instance.Member, now time.Time) {
-	c.me.State, c.me.Load, c.me.Catalogue = m.State, m.Load, m.Catalogue
+	c.selfMember.State, c.selfMember.Load, c.selfMember.Catalogue = m.State, m.Load, m.Catalogue
 	status := statusDelta{Flags: flagsOf(m.State)}
 	if status.Flags&^c.self.status.Flags != 0 {
 		status.Seq = c.self.status.Seq + 1
 	}
-	if ch := c.self.joinStatus(status); ch != 0 {
-		c.touched(c.self, now)
-		c.spread(c.self, ch, "")
+	if ch := c.self.mergeStatus(status); ch != 0 {
+		c.updateDerived(c.self, now)
+		c.disseminate(c.self, ch, "")
 	}
 	c.reportSelf(now)
 }
 
 func (c *core) reportSelf(now time.Time) {
-	next := packMemberLoad(c.self.load.Seq+1, c.me)
-	if now.Sub(c.self.loadAt) < c.loadInterval() || !memberLoadMoved(c.self.load, next) {
+	next := quantizeMemberLoad(c.self.load.Seq+1, c.selfMember)
+	if now.Sub(c.self.loadSentAt) < c.loadInterval() || !memberLoadChanged(c.self.load, next) {
 		return
 	}
-	far := next.Catalogue != c.self.load.Catalogue
-	c.self.loadAt = now
-	ch := c.self.joinLoad(next)
+	catalogueChanged := next.Catalogue != c.self.load.Catalogue
+	c.self.loadSentAt = now
+	ch := c.self.mergeLoad(next)
 	c.changed[c.self.ref] = c.self
-	c.spread(c.self, ch, "")
-	if far {
-		c.spreadFar(c.self, "")
+	c.disseminate(c.self, ch, "")
+	if catalogueChanged {
+		c.disseminateLoadGlobally(c.self, "")
 	}
 }
 
 // put takes in a shared record from this process.
 func (c *core) put(key string, version uint64, body []byte, now time.Time) {
-	r, ch := c.learnFull(fullDelta{Kind: recordShared, ID: key, BodySeq: version, Body: body}, now)
+	r, ch := c.applyFull(fullDelta{Kind: recordShared, ID: key, BodySeq: version, Body: body}, now)
 	if ch != 0 {
-		c.spread(r, ch, "")
+		c.disseminate(r, ch, "")
 	}
 }
 
@@ -420,28 +420,28 @@
 	if r != c.self || r.left() || !(r.markedGone() || r.suspected()) {
 		return
 	}
-	r.joinStatus(statusDelta{Seq: max(r.status.Gone, r.status.Suspect) + 1})
-	c.touched(r, now)
-	c.spread(r, changedStatus, "")
+	r.mergeStatus(statusDelta{Seq: max(r.status.Gone, r.status.Suspect) + 1})
+	c.updateDerived(r, now)
+	c.disseminate(r, changedStatus, "")
 }
 
-// earlierLife says whether a status of this member can only stem from an
+// fromEarlierProcess says whether a status of this member can only stem from an
 // earlier process that ran under the same incarnation: this one alone raises
 // its sequence and sets its flags.
-func (c *core) earlierLife(d statusDelta) bool {
+func (c *core) fromEarlierProcess(d statusDelta) bool {
 	return d.Seq > c.self.status.Seq || d.Flags&^c.self.status.Flags != 0
 }
 
-// outbid raises this member's incarnation over inc, which it had in an earlier
+// raiseIncarnation raises this member's incarnation over inc, which it had in an earlier
 // life by a clock that ran ahead. Otherwise the dead record would win over it.
-func (c *core) outbid(inc uint64, now time.Time) {
+func (c *core) raiseIncarnation(inc uint64, now time.Time) {
 	old := c.self
 	r := newRecord(recordMember, old.id, inc+1)
 	r.bodySeq, r.body, r.member = old.bodySeq, old.body, old.member
 	r.status.Seq, r.status.Flags = 1, old.status.Flags
 	r.load = old.load
 	r.load.Ref = r.ref
-	c.self, c.me.Incarnation = r, inc+1
+	c.self, c.selfMember.Incarnation = r, inc+1
 	c.replace(old, r, now)
-	c.spread(r, changedBody|changedStatus, "")
+	c.disseminate(r, changedBody|changedStatus, "")
 }
--- a/membership/core_test.go
+++ b/membership/core_test.go
@@ -106,7 +106,7 @@
 	renamed.announce()
 	late := c.nodes[1].core.lookup(recordServer, "s").full()
 	late.ID, late.Inc, late.Status.Seq = "t", 6, 2000
-	c.nodes[3].do(func(now time.Time) { c.nodes[3].core.learnFull(late, now) })
+	c.nodes[3].do(func(now time.Time) { c.nodes[3].core.applyFull(late, now) })
 	c.run(2 * time.Second)
 	for _, n := range c.nodes {
 		got, _ := n.view.Server("t")
@@ -122,7 +122,7 @@
 	s := c.serve("s", 1, "region-0", "zone-0", c.homesIn("region-0"))
 	c.run(5 * time.Second)
 	s.mute = true
-	c.run(c.cfg.ServerSilence + 2*time.Second)
+	c.run(c.cfg.ServerTimeout + 2*time.Second)
 	c.requireState(t, "s", instance.StateGone)
 	s.mute = false
 	s.beat()
@@ -275,7 +275,7 @@
 	c := start(11, 2)
 	n := c.nodes[0].core
 	n.nextDigest = c.now.Add(time.Hour)
-	n.linkLost(c.nodes[1].addr)
+	n.connectionLost(c.nodes[1].addr)
 	c.now = c.now.Add(n.cfg.Tick)
 	n.tick(c.now)
 	require.NotEmpty(t, n.out)
@@ -307,14 +307,14 @@
 		require.Equal(t, want, got.Load.Waiting, "at %s", n.id)
 	}
 	n := c.nodes[0].core
-	require.Equal(t, n.cfg.LoadInterval, n.loadInterval())
+	require.Equal(t, n.cfg.MinLoadInterval, n.loadInterval())
 	for i := range 600 {
 		a := s.a
 		a.ID, a.Address = fmt.Sprintf("x%d", i), fmt.Sprintf("x%d:1", i)
 		require.NoError(t, n.announce(a, c.now))
 	}
 	n.scan(c.now)
-	require.InDelta(t, 604/n.cfg.LoadPerSecond, n.loadInterval().Seconds(), 0.01)
+	require.InDelta(t, 604/n.cfg.LoadReportsPerSecond, n.loadInterval().Seconds(), 0.01)
 }
 
 func TestSharedRecordsMerge(t *testing.T) {
--- a/membership/detect.go
+++ b/membership/detect.go
@@ -17,59 +17,59 @@
 	indirect bool // others have been asked
 }
 
-// relayed is a probe that this member makes for another.
-type relayed struct {
-	asker    sender
-	nonce    uint32 // of the one who asked
-	deadline time.Time
+// relayedProbe is a probe that this member makes for another.
+type relayedProbe struct {
+	requester      sender
+	requesterNonce uint32 // of the one who asked
+	deadline       time.Time
 }
 
-const scanEvery = 250 * time.Millisecond
+const scanInterval = 250 * time.Millisecond
 
 // tick does all that is due at time now.
 func (c *core) tick(now time.Time) {
 	gap := now.Sub(c.lastTick)
 	c.lastTick = now
-	c.tokens = min(c.cfg.BudgetBurst, c.tokens+gap.Seconds()*c.cfg.Budget)
-	if gap > c.cfg.FreezeBound {
-		c.thaw(gap, now)
+	c.budgetBytes = min(c.cfg.BudgetBurstBytes, c.budgetBytes+gap.Seconds()*c.cfg.BudgetBytesPerSecond)
+	if gap > c.cfg.FreezeThreshold {
+		c.resumeAfterFreeze(gap, now)
 	}
 	if !now.Before(c.nextScan) {
-		c.nextScan = now.Add(scanEvery)
+		c.nextScan = now.Add(scanInterval)
 		c.scan(now)
 	}
-	if c.ringDirty {
-		c.rebuildRing(now)
+	if c.topologyDirty {
+		c.rebuildTopology(now)
 	}
-	c.join(now)
+	c.sendJoin(now)
 	c.antiEntropy(now)
 	c.flush(now)
 }
 
-// thaw is called when this process was stopped or starved for a while: its own
+// resumeAfterFreeze is called when this process was stopped or starved for a while: its own
 // clock jumped between two ticks. Everybody else seems to have been silent for
 // just as long. Without this it would count all members that it watches and all
 // backend servers that it hears as gone at once, though only it was away, and
 // callers would find no server. So all its waiting starts anew, and it compares
 // its state with its neighbours at once to learn what it has missed.
-func (c *core) thaw(gap time.Duration, now time.Time) {
+func (c *core) resumeAfterFreeze(gap time.Duration, now time.Time) {
 	clear(c.probes)
-	for _, nb := range c.ring.neighbours {
-		c.compare[c.addressOf(nb.id, "")] = true
+	for _, nb := range c.topology.neighbours {
+		c.digestTargets[c.addressOf(nb.id, "")] = true
 	}
-	for id := range c.watches {
-		c.watches[id] = now.Add(c.cfg.MemberSilence)
+	for id := range c.pushDeadlines {
+		c.pushDeadlines[id] = now.Add(c.cfg.MemberTimeout)
 	}
 	for _, r := range c.records {
-		for _, at := range []*time.Time{&r.heardAt, &r.suspectAt, &r.goneAt, &r.orphanAt} {
+		for _, at := range []*time.Time{&r.announcedAt, &r.suspectedAt, &r.goneAt, &r.orphanedAt} {
 			if !at.IsZero() {
-				*at = earlier(at.Add(gap), now)
+				*at = earlierOf(at.Add(gap), now)
 			}
 		}
 	}
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
@@ -78,9 +78,9 @@
 
 // scan looks for bounds that have run out.
 func (c *core) scan(now time.Time) {
-	for _, id := range sortedKeys(c.watches) {
-		if now.After(c.watches[id]) {
-			delete(c.watches, id)
+	for _, id := range sortedKeys(c.pushDeadlines) {
+		if now.After(c.pushDeadlines[id]) {
+			delete(c.pushDeadlines, id)
 			c.startProbe(id, now)
 		}
 	}
@@ -89,12 +89,12 @@
 			c.probeFailed(id, c.probes[id], now)
 		}
 	}
-	for nonce, r := range c.relays {
+	for nonce, r := range c.relayedProbes {
 		if now.After(r.deadline) {
-			delete(c.relays, nonce)
+			delete(c.relayedProbes, nonce)
 		}
 	}
-	c.reporting = 0
+	c.reporterCount = 0
 	for _, r := range c.records { // in any order: each is judged by itself
 		c.scanRecord(r, now)
 	}
@@ -116,23 +116,23 @@
 		// that is gone. Nobody is told, every member judges this alike.
 		r.lastState = state
 		c.changed[r.ref] = r
-		c.ringDirty = c.ringDirty || r.kind == recordMember
+		c.topologyDirty = c.topologyDirty || r.kind == recordMember
 	}
 	if state != instance.StateGone && c.regionOf(r) == c.self.member.Region {
-		c.reporting++
+		c.reporterCount++
 	}
-	stamp(&r.deadSince, state == instance.StateGone, now)
-	if state == instance.StateGone && now.Sub(r.deadSince) >= c.cfg.Forget && r != c.self {
+	trackSince(&r.goneSince, state == instance.StateGone, now)
+	if state == instance.StateGone && now.Sub(r.goneSince) >= c.cfg.GoneTTL && r != c.self {
 		c.remove(r)
 		c.changed[r.ref] = r
 	}
 }
 
 func (c *core) scanMember(r *record, now time.Time) {
-	if r.suspected() && !r.markedGone() && !r.left() && r != c.self && now.Sub(r.suspectAt) >= c.cfg.SuspectFor {
-		r.joinStatus(statusDelta{Gone: r.status.Seq})
-		c.touched(r, now)
-		c.spread(r, changedStatus, "")
+	if r.suspected() && !r.markedGone() && !r.left() && r != c.self && now.Sub(r.suspectedAt) >= c.cfg.SuspicionTimeout {
+		r.mergeStatus(statusDelta{Gone: r.status.Seq})
+		c.updateDerived(r, now)
+		c.disseminate(r, changedStatus, "")
 	}
 }
 
@@ -143,33 +143,33 @@
 		return
 	}
 	if r.status.Home == homeRef(c.self.id) {
-		c.scanOwn(r, now)
+		c.scanHomedServer(r, now)
 		return
 	}
 	// Each entry judges this by itself and spreads nothing: after a partition
 	// the other region must not be told that its own servers are gone.
-	stamp(&r.orphanAt, c.homeOf(r) == "", now)
+	trackSince(&r.orphanedAt, c.homeOf(r) == "", now)
 }
 
-// scanOwn counts a backend server as gone that this member alone should hear
+// scanHomedServer counts a backend server as gone that this member alone should hear
 // and doesn't. If another entry has heard it since, its higher sequence refutes.
-func (c *core) scanOwn(r *record, now time.Time) {
-	r.orphanAt = time.Time{}
-	if r.heardAt.IsZero() {
+func (c *core) scanHomedServer(r *record, now time.Time) {
+	r.orphanedAt = time.Time{}
+	if r.announcedAt.IsZero() {
 		// This member is named as home, by an earlier life of its own.
-		r.heardAt = now
+		r.announcedAt = now
 	}
-	if now.Sub(r.heardAt) < c.cfg.ServerSilence {
+	if now.Sub(r.announcedAt) < c.cfg.ServerTimeout {
 		return
 	}
-	seq := max(r.heardSeq, r.status.Seq)
-	r.joinStatus(statusDelta{Seq: seq, Gone: seq})
-	c.touched(r, now)
-	c.spread(r, changedStatus, "")
+	seq := max(r.announcedSeq, r.status.Seq)
+	r.mergeStatus(statusDelta{Seq: seq, Gone: seq})
+	c.updateDerived(r, now)
+	c.disseminate(r, changedStatus, "")
 }
 
-// unreachable is called when the runner couldn't send to a member.
-func (c *core) unreachable(id string, now time.Time) {
+// sendFailed is called when the runner couldn't send to a member.
+func (c *core) sendFailed(id string, now time.Time) {
 	r := c.lookup(recordMember, id)
 	if r == nil || r.state(now, &c.cfg) == instance.StateGone {
 		return
@@ -184,7 +184,7 @@
 	}
 	c.nonce++
 	c.probes[id] = &probe{nonce: c.nonce, deadline: now.Add(c.cfg.ProbeTimeout)}
-	c.ringDirty = true // news goes another way until this is settled
+	c.topologyDirty = true // news goes another way until this is settled
 	c.send(r.member.Link, id, &message{Kind: kindPing, Nonce: c.nonce, Target: id}, true)
 }
 
@@ -195,9 +195,9 @@
 		delete(c.probes, id)
 		return
 	}
-	if !p.indirect && len(c.ring.alive) > 1 {
+	if !p.indirect && len(c.topology.alive) > 1 {
 		p.indirect, p.deadline = true, now.Add(c.cfg.ProbeTimeout)
-		for _, helper := range c.draw(indirectProbes, id) {
+		for _, helper := range c.randomMembers(indirectProbes, id) {
 			c.send(helper.member.Link, helper.id, &message{Kind: kindPingReq, Nonce: p.nonce, Target: id}, true)
 		}
 		return
@@ -206,21 +206,21 @@
 	if r.left() || r.suspected() {
 		return
 	}
-	r.joinStatus(statusDelta{Suspect: r.status.Seq})
-	c.touched(r, now)
-	c.spread(r, changedStatus, "")
+	r.mergeStatus(statusDelta{Suspect: r.status.Seq})
+	c.updateDerived(r, now)
+	c.disseminate(r, changedStatus, "")
 	// The member itself gets it too: it may be alive behind a one-way cut.
-	c.enqueue(c.box(id), r, needStatus)
+	c.enqueue(c.outboxFor(id), r, deltaStatus)
 	if !c.isNeighbour(id) {
-		c.box(id).temporary = true
+		c.outboxFor(id).temporary = true
 	}
 }
 
-// draw picks up to n live members other than the one named.
-func (c *core) draw(n int, except string) []*record {
+// randomMembers picks up to n live members other than the one named.
+func (c *core) randomMembers(n int, except string) []*record {
 	var picked []*record
-	for _, i := range c.rng.Perm(len(c.ring.alive)) {
-		r := c.ring.alive[i]
+	for _, i := range c.rng.Perm(len(c.topology.alive)) {
+		r := c.topology.alive[i]
 		if r.id != except && !r.suspected() && len(picked) < n {
 			picked = append(picked, r)
 		}
@@ -228,28 +228,28 @@
 	return picked
 }
 
-// probeFor pings a member for another that doesn't hear it.
-func (c *core) probeFor(from sender, m *message, now time.Time) {
+// relayProbe pings a member for another that doesn't hear it.
+func (c *core) relayProbe(from sender, m *message, now time.Time) {
 	r := c.lookup(recordMember, m.Target)
-	if r == nil || len(c.relays) >= maxRelays {
+	if r == nil || len(c.relayedProbes) >= maxRelays {
 		return
 	}
 	c.nonce++
-	c.relays[c.nonce] = relayed{asker: from, nonce: m.Nonce, deadline: now.Add(c.cfg.ProbeTimeout)}
+	c.relayedProbes[c.nonce] = relayedProbe{requester: from, requesterNonce: m.Nonce, deadline: now.Add(c.cfg.ProbeTimeout)}
 	c.send(r.member.Link, r.id, &message{Kind: kindPing, Nonce: c.nonce, Target: r.id}, true)
 }
 
 const maxRelays = 1024
 
-// acknowledged takes an ack, its own or one to pass on.
-func (c *core) acknowledged(m *message, now time.Time) {
-	if r, ok := c.relays[m.Nonce]; ok {
-		delete(c.relays, m.Nonce)
-		c.send(c.addressOf(r.asker.ID, r.asker.Address), r.asker.ID, &message{Kind: kindAck, Nonce: r.nonce, Target: m.Target}, true)
+// handleAck takes an ack, its own or one to pass on.
+func (c *core) handleAck(m *message, now time.Time) {
+	if r, ok := c.relayedProbes[m.Nonce]; ok {
+		delete(c.relayedProbes, m.Nonce)
+		c.send(c.addressOf(r.requester.ID, r.requester.Address), r.requester.ID, &message{Kind: kindAck, Nonce: r.requesterNonce, Target: m.Target}, true)
 		return
 	}
 	if p := c.probes[m.Target]; p != nil && p.nonce == m.Nonce {
 		delete(c.probes, m.Target)
-		c.ringDirty = true
+		c.topologyDirty = true
 	}
 }
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -5,133 +5,133 @@
 	"time"
 )
 
-// buckets is the number of parts that a digest compares. With 1,000 records a
+// bucketCount is the number of parts that a digest compares. With 1,000 records a
 // bucket that differs costs some 30 items.
 const (
-	buckets     = 32
+	bucketCount = 32
 	bucketShift = 64 - 5
 )
 
-// randomEvery: each so many comparisons one goes to a member drawn from all,
+// randomPartnerRounds: each so many comparisons one goes to a member drawn from all,
 // gone ones and seeds included. It finds the other side again after a partition,
 // and it closes gaps that all neighbours share.
-const randomEvery = 3
+const randomPartnerRounds = 3
 
 func bucketOf(ref uint64) uint8 { return uint8(ref >> bucketShift) }
 
 func (c *core) digest() []uint32 {
-	sums := make([]uint32, buckets)
+	sums := make([]uint32, bucketCount)
 	for ref, r := range c.records {
-		if c.current(r) {
+		if c.isLive(r) {
 			sums[bucketOf(ref)] ^= uint32(r.hash())
 		}
 	}
 	return sums
 }
 
-// join asks a seed for the state until some push has come.
-func (c *core) join(now time.Time) {
+// sendJoin asks a seed for the state until some push has come.
+func (c *core) sendJoin(now time.Time) {
 	if c.joined || now.Before(c.nextJoin) {
 		return
 	}
-	c.nextJoin = now.Add(c.jittered(c.cfg.Heartbeat))
-	if to, ok := c.seed(); ok {
+	c.nextJoin = now.Add(c.jittered(c.cfg.HeartbeatInterval))
+	if to, ok := c.randomSeed(); ok {
 		c.send(to, "", &message{Kind: kindJoin, Fulls: []fullDelta{c.self.full()}}, true)
 	}
 }
 
-// seed draws one of the seeds, not itself.
-func (c *core) seed() (string, bool) {
-	others := slices.DeleteFunc(slices.Clone(c.cfg.Seeds), func(s string) bool { return s == c.me.LinkAddress })
+// randomSeed draws one of the seeds, not itself.
+func (c *core) randomSeed() (string, bool) {
+	others := slices.DeleteFunc(slices.Clone(c.cfg.Seeds), func(s string) bool { return s == c.selfMember.LinkAddress })
 	if len(others) == 0 {
 		return "", false
 	}
 	return others[c.rng.IntN(len(others))], true
 }
 
-// linkLost is called when a connection to a member has ended. The news that was
+// connectionLost is called when a connection to a member has ended. The news that was
 // written to it last may be lost: compare at once, not at the next interval.
-func (c *core) linkLost(address string) { c.compare[address] = true }
+func (c *core) connectionLost(address string) { c.digestTargets[address] = true }
 
 // antiEntropy starts a comparison with one member, and with those whose
 // connection was lost.
 func (c *core) antiEntropy(now time.Time) {
-	for _, address := range sortedKeys(c.compare) {
+	for _, address := range sortedKeys(c.digestTargets) {
 		c.send(address, "", &message{Kind: kindDigest, Buckets: c.digest()}, true)
 	}
-	clear(c.compare)
+	clear(c.digestTargets)
 	if now.Before(c.nextDigest) {
 		return
 	}
-	c.nextDigest = now.Add(c.jittered(c.cfg.AntiEntropy))
-	c.digests++
-	id, to := c.partner()
+	c.nextDigest = now.Add(c.jittered(c.cfg.AntiEntropyInterval))
+	c.digestRounds++
+	id, to := c.choosePartner()
 	if to == "" {
 		return
 	}
 	if id != "" {
-		c.watchReply(id, now)
+		c.expectReply(id, now)
 	}
 	c.send(to, id, &message{Kind: kindDigest, Buckets: c.digest()}, false)
 }
 
-func (c *core) watchReply(id string, now time.Time) {
+func (c *core) expectReply(id string, now time.Time) {
 	if r := c.lookup(recordMember, id); r != nil && !r.markedGone() {
-		if _, watched := c.watches[id]; !watched {
-			c.watches[id] = now.Add(c.cfg.MemberSilence)
+		if _, watched := c.pushDeadlines[id]; !watched {
+			c.pushDeadlines[id] = now.Add(c.cfg.MemberTimeout)
 		}
 	}
 }
 
-// partner chooses whom to compare with.
-func (c *core) partner() (id, address string) {
-	if c.digests%randomEvery != 0 && len(c.ring.neighbours) > 0 {
-		nb := c.ring.neighbours[c.rng.IntN(len(c.ring.neighbours))]
+// choosePartner chooses whom to compare with.
+func (c *core) choosePartner() (id, address string) {
+	if c.digestRounds%randomPartnerRounds != 0 && len(c.topology.neighbours) > 0 {
+		nb := c.topology.neighbours[c.rng.IntN(len(c.topology.neighbours))]
 		return nb.id, c.addressOf(nb.id, "")
 	}
-	n := len(c.ring.alive) + len(c.ring.gone)
-	pick := c.rng.IntN(n + 1)
+	n := len(c.topology.alive) + len(c.topology.gone)
+	index := c.rng.IntN(n + 1)
 	switch {
-	case pick < len(c.ring.alive):
-		r := c.ring.alive[pick]
+	case index < len(c.topology.alive):
+		r := c.topology.alive[index]
 		return r.id, r.member.Link
-	case pick < n:
-		r := c.ring.gone[pick-len(c.ring.alive)]
+	case index < n:
+		r := c.topology.gone[index-len(c.topology.alive)]
 		return r.id, r.member.Link
 	default:
-		address, _ = c.seed()
+		address, _ = c.randomSeed()
 		return "", address
 	}
 }
 
-// compareDigest answers with what this member holds in the buckets that differ.
+// handleDigest answers with what this member holds in the buckets that differ.
 // Nothing in an answer means agreement.
-func (c *core) compareDigest(from sender, m *message, now time.Time) {
-	if len(m.Buckets) != buckets {
+func (c *core) handleDigest(from sender, m *message, now time.Time) {
+	if len(m.Buckets) != bucketCount {
 		return
 	}
-	answer := &message{Kind: kindItems}
-	mine := c.digest()
-	room := (c.cfg.MaxMessage - messageOverhead) / itemSize
-	for b := range buckets {
-		if mine[b] == m.Buckets[b] {
+	reply := &message{Kind: kindItems}
+	own := c.digest()
+	remaining := (c.cfg.MaxMessageBytes - messageOverheadBytes) / itemBytes
+	for b := range bucketCount {
+		if own[b] == m.Buckets[b] {
 			continue
 		}
-		items := c.itemsOf(uint8(b))
-		if len(items) > room {
+		items := c.bucketItems(uint8(b))
+		if len(items) > remaining {
 			break // the rest differs still and comes with the next digest
 		}
-		room -= len(items)
-		answer.Which = append(answer.Which, uint8(b))
-		answer.Items = append(answer.Items, items...)
+		remaining -= len(items)
+		reply.Which = append(reply.Which, uint8(b))
+		reply.Items = append(reply.Items, items...)
 	}
-	c.send(c.addressOf(from.ID, from.Address), from.ID, answer, false)
+	c.send(c.addressOf(from.ID, from.Address), from.ID, reply, false)
 }
 
-func (c *core) itemsOf(bucket uint8) []digestItem {
+func (c *core) bucketItems(bucket uint8) []digestItem {
 	var items []digestItem
 	for ref, r := range c.records {
-		if bucketOf(ref) == bucket && c.current(r) {
+		if bucketOf(ref) == bucket && c.isLive(r) {
 			items = append(items, digestItem{Ref: ref, Hash: uint32(r.hash()), BodySeq: r.bodySeq})
 		}
 	}
@@ -144,25 +144,25 @@
 	return items
 }
 
-// compareItems sends what the other side lacks and asks for what this one does.
-func (c *core) compareItems(from sender, m *message, now time.Time) {
+// handleItems sends what the other side lacks and asks for what this one does.
+func (c *core) handleItems(from sender, m *message, now time.Time) {
 	if len(m.Which) == 0 {
 		return
 	}
-	b := c.reply(from)
+	b := c.replyOutbox(from)
 	listed := make(map[uint64]bool, len(m.Items))
 	for _, it := range m.Items {
 		listed[it.Ref] = true
-		c.compareItem(b, it)
+		c.handleItem(b, it)
 	}
 	for ref, r := range c.records {
-		if !listed[ref] && slices.Contains(m.Which, bucketOf(ref)) && c.current(r) {
-			c.enqueue(b, r, needFull)
+		if !listed[ref] && slices.Contains(m.Which, bucketOf(ref)) && c.isLive(r) {
+			c.enqueue(b, r, deltaFull)
 		}
 	}
 }
 
-func (c *core) compareItem(b *outbox, it digestItem) {
+func (c *core) handleItem(b *outbox, it digestItem) {
 	r := c.records[it.Ref]
 	switch {
 	case r == nil:
@@ -170,10 +170,10 @@
 	case uint32(r.hash()) == it.Hash:
 	case r.bodySeq == it.BodySeq && r.kind != recordShared:
 		// Statuses travel both ways: neither side need be ahead in all parts.
-		c.enqueue(b, r, needStatus)
+		c.enqueue(b, r, deltaStatus)
 		b.pull(it.Ref)
 	default:
-		c.enqueue(b, r, needFull)
+		c.enqueue(b, r, deltaFull)
 		b.pull(it.Ref)
 	}
 }
--- a/membership/event.go
+++ b/membership/event.go
@@ -31,9 +31,9 @@
 	Record *instance.Record
 }
 
-// takeChanges returns what has changed since the last call, for the view and
+// drainChanges returns what has changed since the last call, for the view and
 // for subscribers, in a fixed order.
-func (c *core) takeChanges(now time.Time) ([]instance.Update, []Event) {
+func (c *core) drainChanges(now time.Time) ([]instance.Update, []Event) {
 	if len(c.changed) == 0 {
 		return nil, nil
 	}
@@ -41,11 +41,11 @@
 	var events []Event
 	for _, ref := range sortedKeys(c.changed) {
 		r := c.changed[ref]
-		if c.ids[recordKey{r.kind, r.id}] != r {
-			updates = c.forget(updates, r)
+		if c.byID[recordKey{r.kind, r.id}] != r {
+			updates = c.appendRemoval(updates, r)
 			continue
 		}
-		u, e := c.describe(r, now)
+		u, e := c.describeChange(r, now)
 		updates = append(updates, u)
 		if e.Kind != 0 {
 			events = append(events, e)
@@ -53,18 +53,18 @@
 	}
 	clear(c.changed)
 	// A forgotten incarnation must not follow the one that replaced it.
-	slices.SortStableFunc(updates, func(a, b instance.Update) int { return forgets(b) - forgets(a) })
+	slices.SortStableFunc(updates, func(a, b instance.Update) int { return removalRank(b) - removalRank(a) })
 	return updates, events
 }
 
-func forgets(u instance.Update) int {
+func removalRank(u instance.Update) int {
 	if u.ForgetServer != "" || u.ForgetMember != "" {
 		return 1
 	}
 	return 0
 }
 
-func (c *core) forget(updates []instance.Update, r *record) []instance.Update {
+func (c *core) appendRemoval(updates []instance.Update, r *record) []instance.Update {
 	switch r.kind {
 	case recordServer:
 		return append(updates, instance.Update{ForgetServer: r.id})
@@ -75,32 +75,32 @@
 	}
 }
 
-func (c *core) describe(r *record, now time.Time) (instance.Update, Event) {
+func (c *core) describeChange(r *record, now time.Time) (instance.Update, Event) {
 	if r.kind == recordShared {
 		rec := &instance.Record{Key: r.id, Version: r.bodySeq, Body: r.body}
 		return instance.Update{Record: rec}, Event{Kind: RecordChanged, Record: rec}
 	}
 	state := r.state(now, &c.cfg)
-	shown := appearance{state: state, inc: r.inc, bodySeq: r.bodySeq, suspected: r.suspected()}
-	before := r.shown
-	r.shown = shown
+	published := publishedState{state: state, inc: r.inc, bodySeq: r.bodySeq, suspected: r.suspected()}
+	before := r.published
+	r.published = published
 	if r.kind == recordServer {
-		s := c.serverOf(r, state, now)
-		return instance.Update{Server: s}, Event{Kind: serverEvent(before, shown), Server: s}
+		s := c.viewServer(r, state, now)
+		return instance.Update{Server: s}, Event{Kind: serverEvent(before, published), Server: s}
 	}
-	m := c.memberOf(r, state)
-	return instance.Update{Member: m}, Event{Kind: memberEvent(before, shown), Member: m}
+	m := c.viewMember(r, state)
+	return instance.Update{Member: m}, Event{Kind: memberEvent(before, published), Member: m}
 }
 
-// appearance is what subscribers were last told of an instance.
-type appearance struct {
+// publishedState is what subscribers were last told of an instance.
+type publishedState struct {
 	state     instance.State // empty: nothing yet
 	inc       uint64
 	bodySeq   uint64
 	suspected bool
 }
 
-func serverEvent(before, after appearance) EventKind {
+func serverEvent(before, after publishedState) EventKind {
 	switch {
 	case after == before:
 		return 0
@@ -117,7 +117,7 @@
 	}
 }
 
-func memberEvent(before, after appearance) EventKind {
+func memberEvent(before, after publishedState) EventKind {
 	switch serverEvent(before, after) {
 	case ServerJoined:
 		return MemberJoined
@@ -132,7 +132,7 @@
 	}
 }
 
-func (c *core) serverOf(r *record, state instance.State, now time.Time) *instance.Server {
+func (c *core) viewServer(r *record, state instance.State, now time.Time) *instance.Server {
 	b := r.server
 	s := &instance.Server{Announcement: instance.Announcement{
 		ID: r.id, Incarnation: r.inc, Sequence: r.status.Seq, Address: b.Address,
@@ -140,18 +140,18 @@
 		Model: b.Model, Version: b.Version, Role: b.Role,
 		Adapters: b.Adapters, Services: b.Services,
 		Slots: b.Slots, ChecksFences: b.ChecksFences,
-		Load: unpackLoad(r.load, now), LeavingIn: int(r.status.Notice),
+		Load: restoreLoad(r.load, now), LeavingIn: int(r.status.Notice),
 	}}
-	if r.heardSeq >= r.load.Seq && !r.heardAt.IsZero() {
-		s.Load = r.loadFull
+	if r.announcedSeq >= r.load.Seq && !r.announcedAt.IsZero() {
+		s.Load = r.exactLoad
 	}
 	s.HeardBy = c.homeOf(r)
 	return s
 }
 
-func (c *core) homeOf(r *record) string { return c.ring.homes[r.status.Home] }
+func (c *core) homeOf(r *record) string { return c.topology.homes[r.status.Home] }
 
-func (c *core) memberOf(r *record, state instance.State) *instance.Member {
+func (c *core) viewMember(r *record, state instance.State) *instance.Member {
 	b := r.member
 	return &instance.Member{
 		ID: r.id, Incarnation: r.inc, Role: b.Role, Region: b.Region, Zone: b.Zone,
--- a/membership/load.go
+++ b/membership/load.go
@@ -15,13 +15,13 @@
 // reports by their own counts, so smaller moves would cost bytes and change no
 // decision.
 const (
-	runningStep = 1.0 / 8 // of the slots
-	cacheStep   = 10      // hundredths
-	tokensStep  = 1.0 / 4 // of the last report
-	memberStep  = 5       // hundredths of a member's load
+	runningStepFraction = 1.0 / 8 // of the slots
+	cacheStepPercent    = 10      // hundredths
+	tokensStepFraction  = 1.0 / 4 // of the last report
+	memberStepPercent   = 5       // hundredths of a member's load
 )
 
-func packLoad(seq uint64, l instance.Load) loadDelta {
+func quantizeLoad(seq uint64, l instance.Load) loadDelta {
 	return loadDelta{
 		Seq:     seq,
 		At:      uint16(l.At.UnixMilli() / loadTimeUnit.Milliseconds()),
@@ -36,8 +36,8 @@
 	return uint32(min(math.MaxUint32, max(0, v)))
 }
 
-// unpackLoad restores a report near time now.
-func unpackLoad(d loadDelta, now time.Time) instance.Load {
+// restoreLoad restores a report near time now.
+func restoreLoad(d loadDelta, now time.Time) instance.Load {
 	if d.Seq == 0 {
 		return instance.Load{}
 	}
@@ -52,30 +52,30 @@
 	}
 }
 
-// loadMoved says whether next is worth a report after last.
-func loadMoved(last, next loadDelta, slots int) bool {
-	step := max(1, float64(slots)*runningStep)
+// loadChanged says whether next is worth a report after last.
+func loadChanged(last, next loadDelta, slots int) bool {
+	step := max(1, float64(slots)*runningStepFraction)
 	switch {
 	case last.Seq == 0, last.Catalogue != next.Catalogue:
 		return true
-	case differ(last.Running, next.Running) >= step:
+	case absDiff(last.Running, next.Running) >= step:
 		return true
-	case (last.Waiting == 0) != (next.Waiting == 0), differ(last.Waiting, next.Waiting) >= max(step, float64(last.Waiting)/2):
+	case (last.Waiting == 0) != (next.Waiting == 0), absDiff(last.Waiting, next.Waiting) >= max(step, float64(last.Waiting)/2):
 		return true
-	case differ(uint32(last.Cache), uint32(next.Cache)) >= cacheStep:
+	case absDiff(uint32(last.Cache), uint32(next.Cache)) >= cacheStepPercent:
 		return true
 	default:
-		return differ(last.Tokens, next.Tokens) > max(step, float64(last.Tokens)*tokensStep)
+		return absDiff(last.Tokens, next.Tokens) > max(step, float64(last.Tokens)*tokensStepFraction)
 	}
 }
 
-func differ(a, b uint32) float64 { return math.Abs(float64(a) - float64(b)) }
+func absDiff(a, b uint32) float64 { return math.Abs(float64(a) - float64(b)) }
 
-// packMemberLoad gives a member's load in hundredths.
-func packMemberLoad(seq uint64, m instance.Member) loadDelta {
+// quantizeMemberLoad gives a member's load in hundredths.
+func quantizeMemberLoad(seq uint64, m instance.Member) loadDelta {
 	return loadDelta{Seq: seq, Running: clamp32(math.Round(m.Load * 100)), Catalogue: m.Catalogue}
 }
 
-func memberLoadMoved(last, next loadDelta) bool {
-	return last.Catalogue != next.Catalogue || differ(last.Running, next.Running) >= memberStep
+func memberLoadChanged(last, next loadDelta) bool {
+	return last.Catalogue != next.Catalogue || absDiff(last.Running, next.Running) >= memberStepPercent
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -128,7 +128,7 @@
 }
 
 func decodeMessage(data []byte) (*message, error) {
-	data, err := unpack(data)
+	data, err := decompress(data)
 	if err != nil {
 		return nil, trace.Wrap(err, "unpack gossip")
 	}
@@ -150,12 +150,12 @@
 // Sizes in bytes that a push is planned with, above what the parts take on the
 // wire; encodeBounded checks the result.
 const (
-	messageOverhead = 64
-	statusSize      = 48
-	loadSize        = 48
-	fullOverhead    = 140
-	pullSize        = 9
-	itemSize        = 24
+	messageOverheadBytes = 64
+	statusBytes          = 48
+	loadBytes            = 48
+	fullOverheadBytes    = 140
+	pullBytes            = 9
+	itemBytes            = 24
 )
 
 // encodeBounded encodes a message and refuses one over the bound.
--- a/membership/node.go
+++ b/membership/node.go
@@ -17,9 +17,9 @@
 // Method is the notice under which members talk to each other.
 const Method = "membership.gossip"
 
-// MaxShared bounds key and body of a shared record, and id and description of a
+// MaxSharedBytes bounds key and body of a shared record, and id and description of a
 // backend server, in bytes, so that each fits one message with room to spare.
-const MaxShared = 4 << 10
+const MaxSharedBytes = 4 << 10
 
 // Deps are what a Node needs from outside. Pool is required.
 type Deps struct {
@@ -40,8 +40,8 @@
 	core   *core
 	events []Event
 
-	subMu sync.Mutex // guards subs; never held together with mu
-	subs  []func(Event)
+	subscribersMu sync.Mutex // guards subs; never held together with mu
+	subscribers   []func(Event)
 }
 
 // New returns a node that knows only itself. It joins the others in Run.
@@ -66,7 +66,7 @@
 	n := &Node{cfg: cfg, pool: deps.Pool, log: deps.Log, view: instance.NewView(), core: c, wake: make(chan struct{}, 1)}
 	n.step(func(time.Time) {})
 	n.pool.OnDisconnect(func(addr string) {
-		n.step(func(time.Time) { n.core.linkLost(addr) })
+		n.step(func(time.Time) { n.core.connectionLost(addr) })
 	})
 	return n, nil
 }
@@ -122,7 +122,7 @@
 // other fields are ignored. Leaving and gone can't be taken back.
 func (n *Node) SetSelf(fn func(*instance.Member)) {
 	n.step(func(now time.Time) {
-		m := n.core.me
+		m := n.core.selfMember
 		fn(&m)
 		n.core.setSelf(m, now)
 	})
@@ -131,8 +131,8 @@
 // Put shares a small record, at most MaxShared bytes of key and body together.
 // A larger one is refused with a log line.
 func (n *Node) Put(key string, version uint64, body []byte) {
-	if size := len(key) + len(body); size > MaxShared {
-		n.log.Error("shared record refused", "key", key, "bytes", size, "bound", MaxShared)
+	if size := len(key) + len(body); size > MaxSharedBytes {
+		n.log.Error("shared record refused", "key", key, "bytes", size, "bound", MaxSharedBytes)
 		return
 	}
 	n.step(func(now time.Time) { n.core.put(key, version, body, now) })
@@ -145,9 +145,9 @@
 // order, by the goroutine of Run. The view is already up to date by then. fn
 // must not block.
 func (n *Node) Subscribe(fn func(Event)) {
-	n.subMu.Lock()
-	defer n.subMu.Unlock()
-	n.subs = append(n.subs, fn)
+	n.subscribersMu.Lock()
+	defer n.subscribersMu.Unlock()
+	n.subscribers = append(n.subscribers, fn)
 }
 
 // step runs fn on the core, updates the view, and then sends what came out.
@@ -155,7 +155,7 @@
 	n.mu.Lock()
 	now := time.Now()
 	fn(now)
-	updates, events := n.core.takeChanges(now)
+	updates, events := n.core.drainChanges(now)
 	// Under the lock, so that the view changes in the order of the core.
 	n.view.Apply(updates)
 	n.events = append(n.events, events...)
@@ -180,9 +180,9 @@
 	events := n.events
 	n.events = nil
 	n.mu.Unlock()
-	n.subMu.Lock()
-	subs := n.subs
-	n.subMu.Unlock()
+	n.subscribersMu.Lock()
+	subs := n.subscribers
+	n.subscribersMu.Unlock()
 	for _, e := range events {
 		for _, fn := range subs {
 			fn(e)
@@ -200,7 +200,7 @@
 		}
 		if errors.Is(err, link.ErrUnreachable) || errors.Is(err, link.ErrBusy) {
 			n.mu.Lock()
-			n.core.unreachable(o.ID, time.Now())
+			n.core.sendFailed(o.ID, time.Now())
 			n.mu.Unlock()
 		}
 	}
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -41,8 +41,8 @@
 		Self:  instance.Member{ID: id, Incarnation: 1, Role: instance.RoleEntry, Region: "r", Zone: "z", LinkAddress: addr},
 		Seeds: append(seeds, addr),
 		// The tests announce once and not every second.
-		ServerSilence: time.Hour,
-		AntiEntropy:   antiEntropy,
+		ServerTimeout:       time.Hour,
+		AntiEntropyInterval: antiEntropy,
 	}, Deps{Pool: pool})
 	require.NoError(t, err)
 	node.Register(server)
@@ -110,7 +110,7 @@
 	eventually(t, "event", leaving.Load)
 	require.Error(t, second.node.Announce(instance.Announcement{ID: "s"}))
 	require.Error(t, second.node.Announce(instance.Announcement{
-		ID: strings.Repeat("s", MaxShared), Address: "x:1", State: instance.StateServing,
+		ID: strings.Repeat("s", MaxSharedBytes), Address: "x:1", State: instance.StateServing,
 	}))
 	require.Error(t, second.node.Announce(instance.Announcement{ID: "s", Address: "x:1", State: "asleep"}))
 }
--- a/membership/record.go
+++ b/membership/record.go
@@ -26,17 +26,17 @@
 	server *serverBody // decoded body of a backend server
 
 	// What follows is local and doesn't travel.
-	heardSeq  uint64         // last sequence heard here from the backend server itself
-	heardAt   time.Time      // when; set while this process is its home
-	notice    time.Time      // when a change of home was last spread from here
-	suspectAt time.Time      // when the present suspicion was learnt
-	goneAt    time.Time      // when the present mark of being gone was learnt
-	orphanAt  time.Time      // when the backend server's home was found to be gone
-	deadSince time.Time      // when the record was first seen in no use
-	loadAt    time.Time      // when a load report was last spread from here
-	loadFull  instance.Load  // the last report heard here, not quantised
-	lastState instance.State // as of the last scan
-	shown     appearance     // what subscribers were last told
+	announcedSeq  uint64         // last sequence heard here from the backend server itself
+	announcedAt   time.Time      // when; set while this process is its home
+	homeChangedAt time.Time      // when a change of home was last spread from here
+	suspectedAt   time.Time      // when the present suspicion was learnt
+	goneAt        time.Time      // when the present mark of being gone was learnt
+	orphanedAt    time.Time      // when the backend server's home was found to be gone
+	goneSince     time.Time      // when the record was first seen in no use
+	loadSentAt    time.Time      // when a load report was last spread from here
+	exactLoad     instance.Load  // the last report heard here, not quantised
+	lastState     instance.State // as of the last scan
+	published     publishedState // what subscribers were last told
 }
 
 func refOf(k recordKind, id string, inc uint64) uint64 {
@@ -98,10 +98,10 @@
 	return nil
 }
 
-// joinBody keeps the body with the higher sequence. Two entries may have heard
+// mergeBody keeps the body with the higher sequence. Two entries may have heard
 // one sequence with different bodies only from a faulty server; the bytes then
 // decide, so that all replicas choose alike.
-func (r *record) joinBody(seq uint64, body []byte) (change, error) {
+func (r *record) mergeBody(seq uint64, body []byte) (change, error) {
 	if seq < r.bodySeq || (seq == r.bodySeq && bytes.Compare(body, r.body) <= 0) {
 		return 0, nil
 	}
@@ -111,10 +111,10 @@
 	return changedBody, nil
 }
 
-// joinStatus takes the greater of each part. Leaving and left are only ever
+// mergeStatus takes the greater of each part. Leaving and left are only ever
 // set: a late or doubled message from before the server began to leave can't
 // bring it back. Without that, new work would go to a server about to vanish.
-func (r *record) joinStatus(d statusDelta) change {
+func (r *record) mergeStatus(d statusDelta) change {
 	s := &r.status
 	before := *s
 	s.Seq = max(s.Seq, d.Seq)
@@ -131,8 +131,8 @@
 	return changedStatus
 }
 
-// joinLoad keeps the newer report.
-func (r *record) joinLoad(d loadDelta) change {
+// mergeLoad keeps the newer report.
+func (r *record) mergeLoad(d loadDelta) change {
 	if d.Seq <= r.load.Seq {
 		return 0
 	}
@@ -155,13 +155,13 @@
 	return r.kind == recordMember && r.status.Suspect != 0 && r.status.Suspect >= r.status.Seq
 }
 
-// believedGone says whether a member that is marked gone has had its time to
+// goneConfirmed says whether a member that is marked gone has had its time to
 // refute. After a partition between regions, claims that the members here are
 // gone come in from the other side a moment before these members hear of them
 // and refute; believed at once, every entry would drop all others for that moment.
-func (r *record) believedGone(now time.Time, cfg *Config) bool {
-	suspectedLong := !r.suspectAt.IsZero() && now.Sub(r.suspectAt) >= cfg.SuspectFor
-	return suspectedLong || now.Sub(r.goneAt) >= cfg.RefuteGrace
+func (r *record) goneConfirmed(now time.Time, cfg *Config) bool {
+	suspicionExpired := !r.suspectedAt.IsZero() && now.Sub(r.suspectedAt) >= cfg.SuspicionTimeout
+	return suspicionExpired || now.Sub(r.goneAt) >= cfg.RefuteGrace
 }
 
 // hash covers all that a digest compares: everything but the load.
@@ -181,9 +181,9 @@
 	switch {
 	case r.left(), r.kind == recordServer && r.markedGone():
 		return instance.StateGone
-	case r.kind == recordMember && r.markedGone() && r.believedGone(now, cfg):
+	case r.kind == recordMember && r.markedGone() && r.goneConfirmed(now, cfg):
 		return instance.StateGone
-	case !r.orphanAt.IsZero() && now.Sub(r.orphanAt) >= cfg.ServerSilence:
+	case !r.orphanedAt.IsZero() && now.Sub(r.orphanedAt) >= cfg.ServerTimeout:
 		return instance.StateGone
 	case r.leaving():
 		return instance.StateLeaving
--- a/membership/record_test.go
+++ b/membership/record_test.go
@@ -28,15 +28,15 @@
 		shuffled := rapid.Permutation(append(deltas, deltas...)).Draw(rt, "order")
 		a, b := newRecord(recordServer, "s", 1), newRecord(recordServer, "s", 1)
 		for _, d := range deltas {
-			a.joinStatus(d)
+			a.mergeStatus(d)
 		}
 		for _, d := range shuffled {
-			b.joinStatus(d)
-			b.joinLoad(loadDelta{Seq: d.Seq})
+			b.mergeStatus(d)
+			b.mergeLoad(loadDelta{Seq: d.Seq})
 		}
 		require.Equal(rt, a.status, b.status)
 		require.Equal(rt, a.hash(), b.hash(), "the load is no part of the hash")
-		require.Zero(rt, b.joinStatus(a.status))
+		require.Zero(rt, b.mergeStatus(a.status))
 	})
 }
 
@@ -47,9 +47,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newCluster(1)
 		from, to := c.add("r", "z").core, c.add("r", "z").core
-		from.learnFull(to.self.full(), c.now)
+		from.applyFull(to.self.full(), c.now)
 		from.joined = true
-		from.rebuildRing(c.now)
+		from.rebuildTopology(c.now)
 		text := rapid.StringN(1, 40, 80)
 		count := rapid.IntRange(150, 250).Draw(rt, "servers")
 		for i := range count {
@@ -62,13 +62,13 @@
 		}
 		from.nextDigest = c.now.Add(time.Hour)
 		for range 200 {
-			c.now = c.now.Add(from.cfg.PushEvery)
+			c.now = c.now.Add(from.cfg.PushInterval)
 			from.tick(c.now)
 			for _, o := range from.out {
-				require.LessOrEqual(rt, len(o.Message), from.cfg.MaxMessage)
+				require.LessOrEqual(rt, len(o.Message), from.cfg.MaxMessageBytes)
 				m, err := decodeMessage(o.Message)
 				require.NoError(rt, err)
-				to.takeIn(sender{ID: from.self.id, Address: "x"}, m, c.now)
+				to.applyDeltas(sender{ID: from.self.id, Address: "x"}, m, c.now)
 			}
 			from.out = nil
 		}
@@ -80,7 +80,7 @@
 	for _, m := range []message{
 		{Kind: kindPush, Status: []statusDelta{{Ref: 1, Seq: 2, Flags: flagLeaving}}, Loads: []loadDelta{{Ref: 1}}},
 		{Kind: kindJoin, Fulls: []fullDelta{{Kind: recordServer, ID: "s", Inc: 3}}},
-		{Kind: kindDigest, Buckets: make([]uint32, buckets)},
+		{Kind: kindDigest, Buckets: make([]uint32, bucketCount)},
 	} {
 		data, err := encode(m)
 		require.NoError(f, err)
@@ -96,6 +96,6 @@
 		n := c.add("r", "z")
 		n.core.receive(sender{ID: "x", Address: "x:1"}, m, c.now)
 		n.core.tick(c.now.Add(n.core.cfg.Tick))
-		n.core.takeChanges(c.now)
+		n.core.drainChanges(c.now)
 	})
 }
--- a/membership/ring.go
+++ b/membership/ring.go
@@ -11,8 +11,8 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// ring is what this member derives from the set of members.
-type ring struct {
+// topology is what this member derives from the set of members.
+type topology struct {
 	neighbours []neighbour
 	alive      []*record         // members but for this one that are not gone, by id
 	gone       []*record         // members that are marked gone without having left, by id
@@ -21,40 +21,40 @@
 
 // neighbour is a member that this one pushes to.
 type neighbour struct {
-	id     string
-	region bool // successor in a ring over the region, so it gets the load reports
+	id           string
+	inRegionRing bool // successor in a ring over the region, so it gets the load reports
 }
 
-// rebuildRing computes the neighbours anew.
-func (c *core) rebuildRing(now time.Time) {
-	c.ringDirty = false
-	c.ring = ring{homes: map[uint64]string{homeRef(c.self.id): c.self.id}}
+// rebuildTopology computes the neighbours anew.
+func (c *core) rebuildTopology(now time.Time) {
+	c.topologyDirty = false
+	c.topology = topology{homes: map[uint64]string{homeRef(c.self.id): c.self.id}}
 	for _, r := range c.records {
-		c.sortIn(r, now)
+		c.addMember(r, now)
 	}
 	byID := func(a, b *record) int { return cmp.Compare(a.id, b.id) }
-	slices.SortFunc(c.ring.alive, byID)
-	slices.SortFunc(c.ring.gone, byID)
-	near := slices.DeleteFunc(slices.Clone(c.ring.alive), func(r *record) bool {
+	slices.SortFunc(c.topology.alive, byID)
+	slices.SortFunc(c.topology.gone, byID)
+	sameRegion := slices.DeleteFunc(slices.Clone(c.topology.alive), func(r *record) bool {
 		return r.member.Region != c.self.member.Region
 	})
 	for n := range regionRings {
-		c.addSuccessor(near, "region", n, true)
+		c.addSuccessor(sameRegion, "region", n, true)
 	}
 	for n := range globalRings {
-		c.addSuccessor(c.ring.alive, "all", n, false)
+		c.addSuccessor(c.topology.alive, "all", n, false)
 	}
-	c.dropOldBoxes()
+	c.rerouteOldOutboxes()
 }
 
-func (c *core) sortIn(r *record, now time.Time) {
+func (c *core) addMember(r *record, now time.Time) {
 	switch {
 	case r.kind != recordMember || r == c.self || r.left():
 	case r.state(now, &c.cfg) == instance.StateGone:
-		c.ring.gone = append(c.ring.gone, r)
+		c.topology.gone = append(c.topology.gone, r)
 	default:
-		c.ring.alive = append(c.ring.alive, r)
-		c.ring.homes[homeRef(r.id)] = r.id
+		c.topology.alive = append(c.topology.alive, r)
+		c.topology.homes[homeRef(r.id)] = r.id
 	}
 }
 
@@ -73,20 +73,20 @@
 // neighbour. Members that can't be reached at present are passed over, so that
 // news doesn't wait until their failure is established.
 func (c *core) addSuccessor(members []*record, name string, number int, region bool) {
-	own := ringPosition(name, number, c.self.id)
+	ownPosition := ringPosition(name, number, c.self.id)
 	var best *record
 	var bestDistance uint64
 	for _, r := range members {
 		if c.isNeighbour(r.id) || r.suspected() || c.probes[r.id] != nil {
 			continue
 		}
-		distance := ringPosition(name, number, r.id) - own // wraps: a circle
+		distance := ringPosition(name, number, r.id) - ownPosition // wraps: a circle
 		if best == nil || distance < bestDistance {
 			best, bestDistance = r, distance
 		}
 	}
 	if best != nil {
-		c.ring.neighbours = append(c.ring.neighbours, neighbour{id: best.id, region: region})
+		c.topology.neighbours = append(c.topology.neighbours, neighbour{id: best.id, inRegionRing: region})
 	}
 }
 
@@ -99,15 +99,15 @@
 }
 
 func (c *core) isNeighbour(id string) bool {
-	return slices.ContainsFunc(c.ring.neighbours, func(n neighbour) bool { return n.id == id })
+	return slices.ContainsFunc(c.topology.neighbours, func(n neighbour) bool { return n.id == id })
 }
 
-// dropOldBoxes hands what waits for former neighbours to the present ones. A
+// rerouteOldOutboxes hands what waits for former neighbours to the present ones. A
 // former neighbour may have been chosen away just because it stopped answering,
 // and the news that waited for it must still get round.
-func (c *core) dropOldBoxes() {
-	for _, id := range sortedKeys(c.boxes) {
-		b := c.boxes[id]
+func (c *core) rerouteOldOutboxes() {
+	for _, id := range sortedKeys(c.outboxes) {
+		b := c.outboxes[id]
 		if c.isNeighbour(id) {
 			b.temporary = false
 			continue
@@ -115,12 +115,12 @@
 		if b.temporary {
 			continue
 		}
-		delete(c.boxes, id)
-		for _, n := range c.ring.neighbours {
-			box := c.box(n.id)
-			for ref, need := range b.refs {
-				if r := c.records[ref]; r != nil && (n.region || need&^needLoad != 0) {
-					c.enqueue(box, r, need)
+		delete(c.outboxes, id)
+		for _, n := range c.topology.neighbours {
+			box := c.outboxFor(n.id)
+			for ref, kind := range b.refs {
+				if r := c.records[ref]; r != nil && (n.inRegionRing || kind&^deltaLoad != 0) {
+					c.enqueue(box, r, kind)
 				}
 			}
 		}
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -204,7 +204,7 @@
 		id := fmt.Sprintf("gpu-server-%04d", i)
 		a := instance.Announcement{ID: id, Incarnation: 1, Sequence: 1, Address: id + ":9000", State: instance.StateServing, Model: "llama-70b", Slots: 64}
 		require.NoError(t, n.core.announce(a, c.now))
-		updates, _ := n.core.takeChanges(c.now)
+		updates, _ := n.core.drainChanges(c.now)
 		n.view.Apply(updates)
 	}
 	used := heapInUse() - before
--- a/zone/notice.go
+++ b/zone/notice.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// Left returns the time until the instances are taken away, 0 if it has passed.
-func (n *Notice) Left(now time.Time) time.Duration {
+// Remaining returns the time until the instances are taken away, 0 if it has passed.
+func (n *Notice) Remaining(now time.Time) time.Duration {
 	return max(n.Ends.Sub(now), 0)
 }
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -32,6 +32,6 @@
 	require.False(t, n.Covers(Location{"i", z, OnDemand}))
 	named := Notice{Scope: NoticeInstances, Instances: []string{"i"}}
 	require.True(t, named.Covers(Location{"i", z, OnDemand}))
-	require.Equal(t, 30*time.Second, n.Left(now))
-	require.Zero(t, n.Left(now.Add(time.Minute)))
+	require.Equal(t, 30*time.Second, n.Remaining(now))
+	require.Zero(t, n.Remaining(now.Add(time.Minute)))
 }
