--- a/membership/compress.go
+++ b/membership/compress.go
@@ -8,26 +8,25 @@
 )
 
 const (
-	// compressedMarker starts a compressed message. It is the one byte that begins
-	// no msgpack value.
+	// compressedMarker starts a compressed message. msgpack never uses this byte.
 	compressedMarker = 0xc1
-	// minCompressBytes is the size from which compression is tried. Whole records
-	// repeat addresses, models and zones and shrink to a third; pings and
-	// load reports are short or hold hashes, and don't.
+	// minCompressBytes is the size from which compression is tried. Full records
+	// repeat addresses, models and zones and compress well; pings and load reports
+	// are short or hold hashes.
 	minCompressBytes = 1 << 10
-	// maxDecompressedBytes bounds what a message may grow to, so that a small one from
-	// a faulty peer can't fill the memory.
+	// maxDecompressedBytes bounds a decompressed message, so that a small message
+	// from a faulty peer can't exhaust the memory.
 	maxDecompressedBytes = 64 << 10
 )
 
-// compressor compresses messages. It keeps its tables, which take far more memory
-// than a message.
+// compressor compresses messages. It reuses its tables, which are much larger than a
+// message.
 type compressor struct {
 	w   *flate.Writer
 	buf bytes.Buffer
 }
 
-// compress returns data, or its compressed form if that is clearly shorter.
+// compress returns data, or its compressed form if that is at least a fifth shorter.
 func (p *compressor) compress(data []byte) ([]byte, error) {
 	if len(data) < minCompressBytes {
 		return data, nil
@@ -55,7 +54,7 @@
 	return bytes.Clone(p.buf.Bytes()), nil
 }
 
-// decompress undoes pack.
+// decompress reverses compress. It returns data without compressedMarker unchanged.
 func decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != compressedMarker {
 		return data, nil
--- a/membership/config.go
+++ b/membership/config.go
@@ -6,38 +6,38 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Config sets up a Node. Durations that are zero take the default in brackets.
+// Config configures a Node. Zero values take the default in brackets.
 type Config struct {
-	Self  instance.Member // State defaults to serving
-	Seeds []string        // link addresses to join through; its own may be among them
+	Self  instance.Member // this member; State defaults to serving
+	Seeds []string        // link addresses to join through; may include the own address
 
-	Tick                time.Duration // shortest time between two pushes of urgent news [50 ms]
-	PushInterval        time.Duration // between pushes of other news [200 ms]
-	LoadPushInterval    time.Duration // between pushes of load reports [500 ms]
-	HeartbeatInterval   time.Duration // between pushes on a quiet edge [1 s]
-	MemberTimeout       time.Duration // without a push from a neighbour before it is probed [2 s]
-	ProbeTimeout        time.Duration // for each of the direct and the indirect probe [700 ms]
-	SuspicionTimeout    time.Duration // for a suspected member to refute [2 s]
-	RefuteGrace         time.Duration // between hearing that a member is gone and believing it [1 s]
-	ServerTimeout       time.Duration // without an announcement before a backend server is gone [3 s]
-	FreezeThreshold     time.Duration // between two ticks before this process takes itself for frozen [1 s]
-	AntiEntropyInterval time.Duration // between comparisons of digests [5 s]
-	GoneTTL             time.Duration // for which an instance that is gone stays known [30 min]
+	Tick                time.Duration // interval of the state machine, and of pushes of urgent changes [50 ms]
+	PushInterval        time.Duration // interval of pushes of other changes [200 ms]
+	LoadPushInterval    time.Duration // interval of pushes of load reports [500 ms]
+	HeartbeatInterval   time.Duration // a neighbour without a push for this long gets an empty one [1 s]
+	MemberTimeout       time.Duration // a neighbour that pushes nothing for this long is probed [2 s]
+	ProbeTimeout        time.Duration // timeout of the direct and of the indirect probe [700 ms]
+	SuspicionTimeout    time.Duration // a suspected member that doesn't refute within it is marked gone [2 s]
+	RefuteGrace         time.Duration // delay between receiving that a member is gone and reporting it [1 s]
+	ServerTimeout       time.Duration // a backend server without an announcement for this long is gone [3 s]
+	FreezeThreshold     time.Duration // a longer gap between two ticks means that this process was stopped [1 s]
+	AntiEntropyInterval time.Duration // mean interval of digest comparisons [5 s]
+	GoneTTL             time.Duration // how long the record of a gone instance is kept [30 min]
 
-	MinLoadInterval      time.Duration // least time between load reports of one instance [2 s]
-	LoadReportsPerSecond float64       // load reports a second in a region; the interval grows to keep it [120]
-	MaxMessageBytes      int           // bytes of one message [8 KiB]
-	BudgetBytesPerSecond float64       // bytes a second for all that isn't urgent [8 KiB]
-	BudgetBurstBytes     float64       // bytes [48 KiB]
+	MinLoadInterval      time.Duration // minimum interval of load reports of one instance [2 s]
+	LoadReportsPerSecond float64       // maximum rate of load reports of a region; the interval grows to keep it [120]
+	MaxMessageBytes      int           // maximum size of one message before compression [8 KiB]
+	BudgetBytesPerSecond float64       // bandwidth for pushes that aren't urgent [8 KiB]
+	BudgetBurstBytes     float64       // token bucket size of the bandwidth budget [48 KiB]
 
-	// Merge joins two bodies of one shared record. It must be commutative,
-	// associative and idempotent. Nil: the higher version wins, of equal
+	// Merge merges two bodies of one shared record. It must be commutative,
+	// associative and idempotent. If nil, the higher version wins, and of equal
 	// versions the body that sorts higher.
 	Merge func(key string, a, b []byte) []byte
 }
 
-// Rings along which changes travel. Two rings over the region carry its load
-// reports; with two more over all instances, a piece of news has four ways in.
+// Number of rings along which changes travel. The rings over the region carry its
+// load reports; other changes travel along all four.
 const (
 	regionRings = 2
 	globalRings = 2
--- a/membership/core.go
+++ b/membership/core.go
@@ -10,23 +10,23 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// sender is who a message came from.
+// sender identifies the member that sent a message.
 type sender struct {
 	ID      string
 	Address string
 }
 
-// outgoing is a message for the runner to send.
+// outgoing is a message that the caller of the core has to send.
 type outgoing struct {
 	To      string // link address
-	ID      string // of the receiver; empty if not known yet
+	ID      string // member id of the receiver; empty if unknown
 	Message []byte
 	Urgent  bool
 }
 
-// core is the state machine of one member. Every method takes the time and
-// leaves messages in out and changes for the view in changed; the runner
-// collects them. It is not safe for concurrent use.
+// core is the state machine of one member. Every method takes the current time and
+// leaves messages in out and changed records in changed; Node collects them. It is
+// not safe for concurrent use.
 type core struct {
 	cfg        Config
 	rng        *rand.Rand
@@ -35,11 +35,11 @@
 
 	records          map[uint64]*record
 	byID             map[recordKey]*record
-	serversByAddress map[string]*record // backend servers in use, by address
+	serversByAddress map[string]*record // backend servers that are neither left nor gone, by address
 
 	topology      topology
 	topologyDirty bool
-	reporterCount int                // instances of this region that report their load, as of the last scan
+	reporterCount int                // instances of this region that report load, as of the last scan
 	outboxes      map[string]*outbox // by member id
 	pushDeadlines map[string]time.Time
 	probes        map[string]*probe
@@ -54,7 +54,7 @@
 	nextPush      time.Time
 	nextLoad      time.Time
 	digestRounds  int
-	budgetBytes   float64 // of the budget, in bytes; below zero after urgent news
+	budgetBytes   float64 // bandwidth token bucket; negative after urgent pushes
 
 	compressor compressor
 	out        []outgoing
@@ -111,14 +111,14 @@
 	return c, nil
 }
 
-// jittered returns d give or take a quarter, so that members don't act in step.
+// jittered returns d varied by up to a quarter, so that members don't synchronise.
 func (c *core) jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*c.rng.Float64()))
 }
 
 func (c *core) lookup(k recordKind, id string) *record { return c.byID[recordKey{k, id}] }
 
-// insert makes r the record of its id.
+// insert adds r as the current record of its id.
 func (c *core) insert(r *record, now time.Time) {
 	c.records[r.ref] = r
 	c.byID[recordKey{r.kind, r.id}] = r
@@ -138,7 +138,8 @@
 	}
 }
 
-// updateDerived brings what is derived from r up to date after a change of r.
+// updateDerived updates the state derived from r after r has changed, and marks r as
+// changed.
 func (c *core) updateDerived(r *record, now time.Time) {
 	c.changed[r.ref] = r
 	switch r.kind {
@@ -151,7 +152,7 @@
 	}
 }
 
-// trackSince notes the time at which a condition began to hold.
+// trackSince sets at to the time since which a condition holds, zero if it doesn't.
 func trackSince(at *time.Time, holds bool, now time.Time) {
 	switch {
 	case !holds:
@@ -161,10 +162,10 @@
 	}
 }
 
-// resolveAddressConflict leaves one backend server in use at each address. A machine
-// that is replaced keeps its address and gets a new id or incarnation; if the
-// old record stayed, work meant for the old process would reach the new one.
-// The choice depends on the two records alone, so every replica makes it alike.
+// resolveAddressConflict keeps one live backend server at each address and marks the
+// other left. A replaced machine keeps its address and gets a new id or incarnation;
+// with both records live, requests meant for the old process would reach the new
+// one. The choice depends on the two records alone, so all replicas agree.
 func (c *core) resolveAddressConflict(r *record) {
 	other := c.serversByAddress[r.server.Address]
 	if r.left() || r.markedGone() {
@@ -186,8 +187,8 @@
 	c.changed[loser.ref] = loser
 }
 
-// applyFull takes in a whole record. It returns the record that holds now, or
-// nil if the delta was not taken, and what has changed.
+// applyFull applies a full delta. It returns the current record, or nil if the delta
+// was rejected, and what has changed.
 func (c *core) applyFull(f fullDelta, now time.Time) (*record, change) {
 	r := c.lookup(f.Kind, f.ID)
 	if r != nil && r.inc > f.Inc {
@@ -210,9 +211,9 @@
 	return r, ch
 }
 
-// applyNew takes in a record of a new id or a new incarnation. One that is gone
-// already is not taken: else records that some have forgotten would go round
-// for ever.
+// applyNew applies a full delta of a new id or incarnation. A record of an unknown id
+// that is already gone is rejected: otherwise members would keep returning it to
+// each other after it has expired.
 func (c *core) applyNew(f fullDelta, old *record, now time.Time) (*record, change) {
 	r := newRecord(f.Kind, f.ID, f.Inc)
 	if err := r.setBody(f.BodySeq, f.Body); err != nil {
@@ -231,7 +232,7 @@
 	return r, changedBody | changedStatus
 }
 
-// replace puts r in the place of an earlier incarnation, which may be nil.
+// replace replaces old, an earlier incarnation or nil, by r.
 func (c *core) replace(old, r *record, now time.Time) {
 	if old != nil {
 		r.published = old.published
@@ -240,7 +241,7 @@
 	c.insert(r, now)
 }
 
-// mergeFull joins a delta of the same incarnation.
+// mergeFull merges a full delta of the same incarnation.
 func (c *core) mergeFull(r *record, f fullDelta) change {
 	if r.kind == recordShared {
 		return c.mergeShared(r, f.BodySeq, f.Body)
@@ -254,7 +255,7 @@
 
 func (c *core) mergeShared(r *record, version uint64, body []byte) change {
 	if c.cfg.Merge == nil {
-		// The body of a shared record is opaque: setBody can't fail.
+		// The body of a shared record isn't decoded: setBody can't fail.
 		ch, _ := r.mergeBody(version, body)
 		return ch
 	}
@@ -266,7 +267,7 @@
 	return changedBody
 }
 
-// announce takes in what a backend server says of itself to this member.
+// announce applies an announcement that a backend server sent to this member.
 func (c *core) announce(a instance.Announcement, now time.Time) error {
 	body, err := encode(serverBody{
 		Address: a.Address, Region: a.Region, Zone: a.Zone, Class: a.Class,
@@ -322,8 +323,8 @@
 	return r, nil
 }
 
-// applyAnnouncement spreads an announcement's news. The sequence of a plain heartbeat
-// is not news and stays here: see the package comment.
+// applyAnnouncement merges an announcement and disseminates what it changes. The
+// sequence of a plain heartbeat is not disseminated: see the package comment.
 func (c *core) applyAnnouncement(r *record, a instance.Announcement, body []byte, status statusDelta, now time.Time) {
 	var ch change
 	if !slices.Equal(body, r.body) {
@@ -347,10 +348,10 @@
 	}
 }
 
-// shouldBecomeHome says whether to become the home of a server that another entry
-// is named for. A server that goes to and fro between entries would make news
-// with each heartbeat, so the home changes at most once in two thirds of the
-// silence bound, in time for the old home not to miss it.
+// shouldBecomeHome reports whether this member should replace another one as home of
+// a server. A server that alternates between entries would otherwise cause a change
+// per heartbeat; the limit of two thirds of ServerTimeout lets the new home take over
+// before the old one marks the server gone.
 func (c *core) shouldBecomeHome(r *record, now time.Time) bool {
 	return r.status.Home != homeRef(c.self.id) && now.Sub(r.homeChangedAt) >= c.cfg.ServerTimeout*2/3
 }
@@ -369,14 +370,14 @@
 	}
 }
 
-// loadInterval grows with the instances of the region, so that their reports
-// together stay under LoadPerSecond however many they are.
+// loadInterval returns the interval of load reports of one instance. It grows with
+// the number of instances of the region, to stay under LoadReportsPerSecond.
 func (c *core) loadInterval() time.Duration {
 	paced := time.Duration(float64(c.reporterCount) / c.cfg.LoadReportsPerSecond * float64(time.Second))
 	return max(c.cfg.MinLoadInterval, paced)
 }
 
-// setSelf takes the state, load and catalogue version from m.
+// setSelf sets this member's state, load and catalogue version to those of m.
 func (c *core) setSelf(m instance.Member, now time.Time) {
 	c.selfMember.State, c.selfMember.Load, c.selfMember.Catalogue = m.State, m.Load, m.Catalogue
 	status := statusDelta{Flags: flagsOf(m.State)}
@@ -405,7 +406,7 @@
 	}
 }
 
-// put takes in a shared record from this process.
+// put applies and disseminates a shared record of this process.
 func (c *core) put(key string, version uint64, body []byte, now time.Time) {
 	r, ch := c.applyFull(fullDelta{Kind: recordShared, ID: key, BodySeq: version, Body: body}, now)
 	if ch != 0 {
@@ -413,9 +414,8 @@
 	}
 }
 
-// refute answers a claim that this member is suspected or gone. A member that
-// was frozen or cut off for a while is alive all the same; the higher sequence
-// overrides the claim wherever both meet.
+// refute raises this member's sequence if it is suspected or marked gone, as after a
+// freeze or a partition. The higher sequence overrides the claim at every member.
 func (c *core) refute(r *record, now time.Time) {
 	if r != c.self || r.left() || !(r.markedGone() || r.suspected()) {
 		return
@@ -425,15 +425,15 @@
 	c.disseminate(r, changedStatus, "")
 }
 
-// fromEarlierProcess says whether a status of this member can only stem from an
-// earlier process that ran under the same incarnation: this one alone raises
-// its sequence and sets its flags.
+// fromEarlierProcess reports whether a status of this member was disseminated by an
+// earlier process with the same incarnation: otherwise only this process raises its
+// sequence and sets its flags.
 func (c *core) fromEarlierProcess(d statusDelta) bool {
 	return d.Seq > c.self.status.Seq || d.Flags&^c.self.status.Flags != 0
 }
 
-// raiseIncarnation raises this member's incarnation over inc, which it had in an earlier
-// life by a clock that ran ahead. Otherwise the dead record would win over it.
+// raiseIncarnation raises this member's incarnation above inc, that of an earlier
+// process whose clock was ahead. Otherwise the earlier record would replace this one.
 func (c *core) raiseIncarnation(inc uint64, now time.Time) {
 	old := c.self
 	r := newRecord(recordMember, old.id, inc+1)
--- a/membership/detect.go
+++ b/membership/detect.go
@@ -6,27 +6,27 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// indirectProbes is the number of other members asked to probe one that didn't
-// answer: a cut between two instances must not look like the death of one.
+// indirectProbes is the number of members asked to probe one that didn't answer, so
+// that a broken path between two members isn't taken for a failed member.
 const indirectProbes = 3
 
-// probe is an attempt to hear from a silent member.
+// probe is a pending probe of a member that sent nothing for MemberTimeout.
 type probe struct {
 	nonce    uint32
 	deadline time.Time
-	indirect bool // others have been asked
+	indirect bool // other members have been asked to probe
 }
 
-// relayedProbe is a probe that this member makes for another.
+// relayedProbe is a probe on behalf of another member.
 type relayedProbe struct {
 	requester      sender
-	requesterNonce uint32 // of the one who asked
+	requesterNonce uint32 // nonce of the requester's probe
 	deadline       time.Time
 }
 
 const scanInterval = 250 * time.Millisecond
 
-// tick does all that is due at time now.
+// tick runs everything that is due at time now.
 func (c *core) tick(now time.Time) {
 	gap := now.Sub(c.lastTick)
 	c.lastTick = now
@@ -46,12 +46,11 @@
 	c.flush(now)
 }
 
-// resumeAfterFreeze is called when this process was stopped or starved for a while: its own
-// clock jumped between two ticks. Everybody else seems to have been silent for
-// just as long. Without this it would count all members that it watches and all
-// backend servers that it hears as gone at once, though only it was away, and
-// callers would find no server. So all its waiting starts anew, and it compares
-// its state with its neighbours at once to learn what it has missed.
+// resumeAfterFreeze is called when the gap between two ticks shows that this process
+// was stopped or starved. It extends all timeouts by the gap: otherwise this member
+// would mark every watched member and every backend server that it is home of gone,
+// and callers would find no server. It also starts digest comparisons with its
+// neighbours to receive the changes that it has missed.
 func (c *core) resumeAfterFreeze(gap time.Duration, now time.Time) {
 	clear(c.probes)
 	for _, nb := range c.topology.neighbours {
@@ -76,7 +75,7 @@
 	return b
 }
 
-// scan looks for bounds that have run out.
+// scan handles timeouts that have expired.
 func (c *core) scan(now time.Time) {
 	for _, id := range sortedKeys(c.pushDeadlines) {
 		if now.After(c.pushDeadlines[id]) {
@@ -95,7 +94,7 @@
 		}
 	}
 	c.reporterCount = 0
-	for _, r := range c.records { // in any order: each is judged by itself
+	for _, r := range c.records { // order doesn't matter: records are independent
 		c.scanRecord(r, now)
 	}
 	c.reportSelf(now)
@@ -112,8 +111,8 @@
 	}
 	state := r.state(now, &c.cfg)
 	if state != r.lastState {
-		// Time alone may change the state: a grace that has run out, a home
-		// that is gone. Nobody is told, every member judges this alike.
+		// Time alone may change the state: an expired grace period, a home that is
+		// gone. It is not disseminated; every member determines it by itself.
 		r.lastState = state
 		c.changed[r.ref] = r
 		c.topologyDirty = c.topologyDirty || r.kind == recordMember
@@ -136,8 +135,7 @@
 	}
 }
 
-// scanServer judges the backend servers whose home this is, and those whose
-// home is gone.
+// scanServer checks a backend server whose home is this member, or whose home is gone.
 func (c *core) scanServer(r *record, now time.Time) {
 	if r.left() || r.markedGone() {
 		return
@@ -146,17 +144,17 @@
 		c.scanHomedServer(r, now)
 		return
 	}
-	// Each entry judges this by itself and spreads nothing: after a partition
-	// the other region must not be told that its own servers are gone.
+	// Every entry determines this by itself and disseminates nothing: after a
+	// partition the other region must not receive that its own servers are gone.
 	trackSince(&r.orphanedAt, c.homeOf(r) == "", now)
 }
 
-// scanHomedServer counts a backend server as gone that this member alone should hear
-// and doesn't. If another entry has heard it since, its higher sequence refutes.
+// scanHomedServer marks a backend server of this home gone if its heartbeats have
+// stopped. If it has moved to another entry, its higher sequence refutes the mark.
 func (c *core) scanHomedServer(r *record, now time.Time) {
 	r.orphanedAt = time.Time{}
 	if r.announcedAt.IsZero() {
-		// This member is named as home, by an earlier life of its own.
+		// An earlier process of this member was the home.
 		r.announcedAt = now
 	}
 	if now.Sub(r.announcedAt) < c.cfg.ServerTimeout {
@@ -168,7 +166,7 @@
 	c.disseminate(r, changedStatus, "")
 }
 
-// sendFailed is called when the runner couldn't send to a member.
+// sendFailed starts a probe of a member to which a message couldn't be sent.
 func (c *core) sendFailed(id string, now time.Time) {
 	r := c.lookup(recordMember, id)
 	if r == nil || r.state(now, &c.cfg) == instance.StateGone {
@@ -184,11 +182,12 @@
 	}
 	c.nonce++
 	c.probes[id] = &probe{nonce: c.nonce, deadline: now.Add(c.cfg.ProbeTimeout)}
-	c.topologyDirty = true // news goes another way until this is settled
+	c.topologyDirty = true // changes take another path until the probe ends
 	c.send(r.member.Link, id, &message{Kind: kindPing, Nonce: c.nonce, Target: id}, true)
 }
 
-// probeFailed asks others to probe, and after that suspects the member.
+// probeFailed is called when a probe has timed out. After a direct probe it requests
+// indirect ones; after those it suspects the member.
 func (c *core) probeFailed(id string, p *probe, now time.Time) {
 	r := c.lookup(recordMember, id)
 	if r == nil {
@@ -209,14 +208,15 @@
 	r.mergeStatus(statusDelta{Suspect: r.status.Seq})
 	c.updateDerived(r, now)
 	c.disseminate(r, changedStatus, "")
-	// The member itself gets it too: it may be alive behind a one-way cut.
+	// Also send it to the member itself: the partition may be one-way, and
+	// the member can refute only what it receives.
 	c.enqueue(c.outboxFor(id), r, deltaStatus)
 	if !c.isNeighbour(id) {
 		c.outboxFor(id).temporary = true
 	}
 }
 
-// randomMembers picks up to n live members other than the one named.
+// randomMembers returns up to n random live members other than except.
 func (c *core) randomMembers(n int, except string) []*record {
 	var picked []*record
 	for _, i := range c.rng.Perm(len(c.topology.alive)) {
@@ -228,7 +228,7 @@
 	return picked
 }
 
-// relayProbe pings a member for another that doesn't hear it.
+// relayProbe pings a member on behalf of another member.
 func (c *core) relayProbe(from sender, m *message, now time.Time) {
 	r := c.lookup(recordMember, m.Target)
 	if r == nil || len(c.relayedProbes) >= maxRelays {
@@ -241,7 +241,7 @@
 
 const maxRelays = 1024
 
-// handleAck takes an ack, its own or one to pass on.
+// handleAck ends this member's probe, or forwards the ack to the requester.
 func (c *core) handleAck(m *message, now time.Time) {
 	if r, ok := c.relayedProbes[m.Nonce]; ok {
 		delete(c.relayedProbes, m.Nonce)
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// bucketCount is the number of parts that a digest compares. With 1,000 records a
-// bucket that differs costs some 30 items.
+// bucketCount is the number of buckets of a digest; bucketShift selects a record's
+// bucket by the high bits of its ref.
 const (
 	bucketCount = 32
 	bucketShift = 64 - 5
 )
 
-// randomPartnerRounds: each so many comparisons one goes to a member drawn from all,
-// gone ones and seeds included. It finds the other side again after a partition,
-// and it closes gaps that all neighbours share.
+// randomPartnerRounds is the interval, in digest rounds, of comparisons with a member
+// drawn from all, including gone ones and seeds. They reconnect the two sides of a
+// partition and repair changes that all neighbours lack.
 const randomPartnerRounds = 3
 
 func bucketOf(ref uint64) uint8 { return uint8(ref >> bucketShift) }
@@ -29,7 +29,7 @@
 	return sums
 }
 
-// sendJoin asks a seed for the state until some push has come.
+// sendJoin requests the state from a seed until a push has been received.
 func (c *core) sendJoin(now time.Time) {
 	if c.joined || now.Before(c.nextJoin) {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-// randomSeed draws one of the seeds, not itself.
+// randomSeed returns a random seed other than this member.
 func (c *core) randomSeed() (string, bool) {
 	others := slices.DeleteFunc(slices.Clone(c.cfg.Seeds), func(s string) bool { return s == c.selfMember.LinkAddress })
 	if len(others) == 0 {
@@ -49,12 +49,12 @@
 	return others[c.rng.IntN(len(others))], true
 }
 
-// connectionLost is called when a connection to a member has ended. The news that was
-// written to it last may be lost: compare at once, not at the next interval.
+// connectionLost is called when a connection to a member has ended. Messages sent on
+// it may be lost, so digests are compared at the next tick.
 func (c *core) connectionLost(address string) { c.digestTargets[address] = true }
 
-// antiEntropy starts a comparison with one member, and with those whose
-// connection was lost.
+// antiEntropy sends a digest to each member whose connection was lost, and to one
+// partner per AntiEntropyInterval.
 func (c *core) antiEntropy(now time.Time) {
 	for _, address := range sortedKeys(c.digestTargets) {
 		c.send(address, "", &message{Kind: kindDigest, Buckets: c.digest()}, true)
@@ -83,7 +83,7 @@
 	}
 }
 
-// choosePartner chooses whom to compare with.
+// choosePartner returns the member or seed to compare digests with.
 func (c *core) choosePartner() (id, address string) {
 	if c.digestRounds%randomPartnerRounds != 0 && len(c.topology.neighbours) > 0 {
 		nb := c.topology.neighbours[c.rng.IntN(len(c.topology.neighbours))]
@@ -104,8 +104,8 @@
 	}
 }
 
-// handleDigest answers with what this member holds in the buckets that differ.
-// Nothing in an answer means agreement.
+// handleDigest replies with the items of the buckets that differ. An empty reply
+// means that the digests are equal.
 func (c *core) handleDigest(from sender, m *message, now time.Time) {
 	if len(m.Buckets) != bucketCount {
 		return
@@ -119,7 +119,7 @@
 		}
 		items := c.bucketItems(uint8(b))
 		if len(items) > remaining {
-			break // the rest differs still and comes with the next digest
+			break // the remaining buckets come with the next digest
 		}
 		remaining -= len(items)
 		reply.Which = append(reply.Which, uint8(b))
@@ -144,7 +144,8 @@
 	return items
 }
 
-// handleItems sends what the other side lacks and asks for what this one does.
+// handleItems queues the records that the sender lacks and pulls those that this
+// member lacks.
 func (c *core) handleItems(from sender, m *message, now time.Time) {
 	if len(m.Which) == 0 {
 		return
@@ -169,7 +170,7 @@
 		b.pull(it.Ref)
 	case uint32(r.hash()) == it.Hash:
 	case r.bodySeq == it.BodySeq && r.kind != recordShared:
-		// Statuses travel both ways: neither side need be ahead in all parts.
+		// Exchange statuses both ways: each side may have newer fields.
 		c.enqueue(b, r, deltaStatus)
 		b.pull(it.Ref)
 	default:
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,28 +1,27 @@
-// Package membership spreads among entries and control replicas what each of
-// them hears: the system's own instances, the backend servers, and small shared
-// records such as quarantined requests.
+// Package membership replicates the set of instances among entries and control
+// replicas by gossip: members (entries and control replicas), backend servers,
+// and small shared records such as quarantined requests.
 //
-// Every record is a join-semilattice: incarnation, then sequence, then marks
-// that only ever get set (leaving, left) or grow (the sequence at which it was
-// suspected or counted as gone). Replicas that have seen the same messages, in
-// whatever order and however often, hold the same record.
+// Every record is a join-semilattice: ordered by incarnation, then merged field
+// by field, where each field only grows (sequences) or is only ever set (the
+// leaving and left flags). Replicas that have received the same messages, in any
+// order and any number of times, hold the same record.
 //
-// Changes travel as deltas along rings. Each instance orders all instances by a
-// hash of ring number and id, and pushes to its successor in each ring: two
-// rings over its own region, two over all. A ring is a cycle, so every instance
-// has as many senders as receivers, and no list of neighbours is agreed on.
-// Weighed, by arithmetic and not by a run: pushing to peers drawn afresh each
-// time reaches everybody too, but at 370 instances it takes about ln 370, some
-// six, copies of a rumour for each receiver in place of four; and with framed
-// connections it opens one to every other instance, 738 both ways, whose
-// heartbeats of 8 bytes twice a second exceed the budget of 11 KB/s. Losses and
-// cuts are mended by periodic comparison of digests.
+// Changes travel as deltas along rings. Each member orders all members by a hash
+// of ring name, ring number and id, and pushes to its successor in each ring: two
+// rings over its own region, two over all members. Every member thus has as many
+// senders as receivers, without agreeing on a list of neighbours. Periodic
+// comparison of digests (anti-entropy) repairs lost messages and partitions.
 //
-// A backend server's heartbeats stay at the one entry that hears them, its
-// home; the others hear of changes only. 600 servers with a heartbeat a second
-// spread to everybody would cost the whole budget. The home counts the server
-// as gone when it has not heard it for a bound; if the home itself is gone and
-// no other entry has taken over, every entry does so by itself.
+// Failures of members are detected as in SWIM: a silent neighbour is probed
+// directly, then through other members, then suspected, and marked gone unless it
+// refutes the suspicion by a higher sequence.
+//
+// A backend server sends its heartbeats to one entry, its home. Only changes are
+// disseminated, since heartbeats of all servers would exceed the bandwidth budget.
+// The home marks the server gone when it has received no heartbeat for
+// Config.ServerTimeout. If the home itself is gone and no other entry has taken
+// over, every entry treats the server as gone without disseminating it.
 //
 // The core is a deterministic state machine without I/O, clock or goroutines.
 // Node runs it over package link.
--- a/membership/event.go
+++ b/membership/event.go
@@ -7,23 +7,23 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// EventKind says what has happened.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The kinds of event. A change of load alone is no event; read it in the View.
+// Kinds of events. A change of load alone is no event; read it from the View.
 const (
-	ServerJoined  EventKind = iota + 1 // new, back under a new incarnation, or heard again
-	ServerChanged                      // another body, such as its adapters
+	ServerJoined  EventKind = iota + 1 // new, restarted under a new incarnation, or no longer gone
+	ServerChanged                      // changed description, such as its adapters
 	ServerLeaving
 	ServerGone
 	MemberJoined
-	MemberChanged // suspected or no longer so
+	MemberChanged // changed description or suspicion
 	MemberLeaving
 	MemberGone
 	RecordChanged
 )
 
-// Event is one change of the view. One of the pointers is set.
+// Event is one change of the view. The pointer that matches Kind is set.
 type Event struct {
 	Kind   EventKind
 	Server *instance.Server
@@ -31,8 +31,8 @@
 	Record *instance.Record
 }
 
-// drainChanges returns what has changed since the last call, for the view and
-// for subscribers, in a fixed order.
+// drainChanges returns what has changed since the last call, as updates of the view
+// and events for subscribers, in a fixed order.
 func (c *core) drainChanges(now time.Time) ([]instance.Update, []Event) {
 	if len(c.changed) == 0 {
 		return nil, nil
@@ -52,7 +52,7 @@
 		}
 	}
 	clear(c.changed)
-	// A forgotten incarnation must not follow the one that replaced it.
+	// Removals go first: a removal of an old incarnation must not remove the new one.
 	slices.SortStableFunc(updates, func(a, b instance.Update) int { return removalRank(b) - removalRank(a) })
 	return updates, events
 }
@@ -92,9 +92,9 @@
 	return instance.Update{Member: m}, Event{Kind: memberEvent(before, published), Member: m}
 }
 
-// publishedState is what subscribers were last told of an instance.
+// publishedState is the state of an instance that subscribers last received.
 type publishedState struct {
-	state     instance.State // empty: nothing yet
+	state     instance.State // empty: none yet
 	inc       uint64
 	bodySeq   uint64
 	suspected bool
--- a/membership/load.go
+++ b/membership/load.go
@@ -7,18 +7,17 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// loadTimeUnit is the grain of a report's time. With 16 bits the time is known
-// within two hours, far more than any report is old.
+// loadTimeUnit is the resolution of a report's time. Its low 16 bits are unambiguous
+// within about an hour, longer than the age of any report.
 const loadTimeUnit = 125 * time.Millisecond
 
-// Steps that a load must move by before it is worth a report. Routers correct
-// reports by their own counts, so smaller moves would cost bytes and change no
-// decision.
+// Minimum changes of a load that cause a report. Routers correct reports by their own
+// counts, so smaller changes would not affect their decisions.
 const (
 	runningStepFraction = 1.0 / 8 // of the slots
-	cacheStepPercent    = 10      // hundredths
+	cacheStepPercent    = 10      // of the cache
 	tokensStepFraction  = 1.0 / 4 // of the last report
-	memberStepPercent   = 5       // hundredths of a member's load
+	memberStepPercent   = 5       // of a member's load
 )
 
 func quantizeLoad(seq uint64, l instance.Load) loadDelta {
@@ -36,7 +35,7 @@
 	return uint32(min(math.MaxUint32, max(0, v)))
 }
 
-// restoreLoad restores a report near time now.
+// restoreLoad returns the report that d encodes, at the possible time nearest to now.
 func restoreLoad(d loadDelta, now time.Time) instance.Load {
 	if d.Seq == 0 {
 		return instance.Load{}
@@ -52,7 +51,7 @@
 	}
 }
 
-// loadChanged says whether next is worth a report after last.
+// loadChanged reports whether next differs enough from last to be sent.
 func loadChanged(last, next loadDelta, slots int) bool {
 	step := max(1, float64(slots)*runningStepFraction)
 	switch {
@@ -71,7 +70,7 @@
 
 func absDiff(a, b uint32) float64 { return math.Abs(float64(a) - float64(b)) }
 
-// quantizeMemberLoad gives a member's load in hundredths.
+// quantizeMemberLoad encodes a member's load in hundredths.
 func quantizeMemberLoad(seq uint64, m instance.Member) loadDelta {
 	return loadDelta{Seq: seq, Running: clamp32(math.Round(m.Load * 100)), Catalogue: m.Catalogue}
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -10,36 +10,36 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-// messageKind says what a message wants of its receiver.
+// messageKind is the kind of a message.
 type messageKind uint8
 
 const (
-	kindPush    messageKind = iota + 1 // take these deltas in; empty: a heartbeat
-	kindReply                          // as a push, but outside the rings: expect no more of them
-	kindJoin                           // the sender is new: answer with everything
-	kindPing                           // answer with an ack
+	kindPush    messageKind = iota + 1 // deltas along a ring; empty: a heartbeat
+	kindReply                          // deltas outside the rings: the receiver expects no further ones
+	kindJoin                           // the sender is new and requests the whole state
+	kindPing                           // requests an ack
 	kindAck                            // Target is alive
-	kindPingReq                        // ping Target for the sender
-	kindDigest                         // compare these bucket hashes with yours
-	kindItems                          // what the sender holds in some buckets
+	kindPingReq                        // requests a ping of Target on behalf of the sender
+	kindDigest                         // hashes of the sender's buckets
+	kindItems                          // the sender's records in the buckets that differ
 )
 
-// message is one message between two members. All types in it go over the wire
-// as arrays of their fields: the order of the fields is the format.
+// message is one message between two members. All types in it are encoded as arrays
+// of their fields: the order of the fields is the wire format.
 type message struct {
 	Kind    messageKind
 	Nonce   uint32 // of a probe
-	Target  string // id that a probe is about
+	Target  string // id of the probed member
 	Fulls   []fullDelta
 	Status  []statusDelta
 	Loads   []loadDelta
-	Pull    []uint64 // refs of which the sender wants the full record
-	Buckets []uint32 // of a digest
-	Which   []uint8  // bucket numbers that Items covers
+	Pull    []uint64 // refs of the full records that the sender requests
+	Buckets []uint32 // hash of each bucket, in a digest
+	Which   []uint8  // buckets that Items lists completely
 	Items   []digestItem
 }
 
-// recordKind tells what a record describes.
+// recordKind is the kind of a record.
 type recordKind uint8
 
 const (
@@ -48,29 +48,29 @@
 	recordShared
 )
 
-// fullDelta is a whole record. Body is a memberBody, a serverBody or the bytes
-// of a shared record.
+// fullDelta is a whole record. Body is an encoded memberBody or serverBody, or the
+// bytes of a shared record.
 type fullDelta struct {
 	Kind    recordKind
 	ID      string
 	Inc     uint64
-	BodySeq uint64 // sequence with which the body last changed; version of a shared record
+	BodySeq uint64 // sequence of the last change of the body; version of a shared record
 	Body    []byte
 	Status  statusDelta
 	Load    loadDelta
 }
 
-// statusDelta is what changes about an instance without a change of its body. A
-// receiver that doesn't know Ref asks for the full record.
+// statusDelta is the part of an instance that changes without its body. A receiver
+// without a record of Ref pulls the full record.
 type statusDelta struct {
 	Ref     uint64 // hash of kind, id and incarnation
-	Seq     uint64 // highest sequence at which it is known to have been alive
+	Seq     uint64 // highest sequence at which it was alive
 	Flags   uint8
 	Suspect uint64 // highest sequence at which it was suspected
-	Gone    uint64 // highest sequence at which it was counted as gone
-	HomeSeq uint64 // sequence at which Home took it over; backend servers only
-	Home    uint64 // hash of the id of the entry that hears it
-	Notice  uint32 // milliseconds of notice that came with leaving
+	Gone    uint64 // highest sequence at which it was marked gone
+	HomeSeq uint64 // sequence at which Home became its home; backend servers only
+	Home    uint64 // homeRef of the entry that receives its heartbeats
+	Notice  uint32 // milliseconds until it stops, announced with leaving
 }
 
 const (
@@ -78,20 +78,20 @@
 	flagLeft
 )
 
-// loadDelta is a load report, quantised. It is not part of the digest: a lost
-// one is made good by the next.
+// loadDelta is a quantised load report. It is not part of the digest: the next report
+// replaces a lost one.
 type loadDelta struct {
 	Ref       uint64
 	Seq       uint64
 	At        uint16 // time of the report in units of loadTimeUnit, low 16 bits
 	Running   uint32
 	Waiting   uint32
-	Tokens    uint32 // a second
+	Tokens    uint32 // per second
 	Cache     uint8  // hundredths
 	Catalogue uint64 // members only
 }
 
-// digestItem names one record in a bucket.
+// digestItem identifies the version of one record in a bucket.
 type digestItem struct {
 	Ref     uint64
 	Hash    uint32
@@ -112,8 +112,8 @@
 	ChecksFences                 bool
 }
 
-// encode returns the msgpack form of v, structs as arrays and integers as short
-// as they go: with field names, messages would be about twice the size.
+// encode returns the msgpack encoding of v, with structs as arrays and compact
+// integers, about half the size of an encoding with field names.
 func encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.GetEncoder()
@@ -147,8 +147,8 @@
 	return &m, nil
 }
 
-// Sizes in bytes that a push is planned with, above what the parts take on the
-// wire; encodeBounded checks the result.
+// Upper estimates of encoded sizes with which a push is planned, without ids and
+// bodies; encodeBounded checks the result.
 const (
 	messageOverheadBytes = 64
 	statusBytes          = 48
@@ -158,7 +158,7 @@
 	itemBytes            = 24
 )
 
-// encodeBounded encodes a message and refuses one over the bound.
+// encodeBounded encodes a message and returns an error if it exceeds limit bytes.
 func encodeBounded(m *message, limit int) ([]byte, error) {
 	data, err := encode(m)
 	if err != nil {
--- a/membership/node.go
+++ b/membership/node.go
@@ -14,18 +14,18 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-// Method is the notice under which members talk to each other.
+// Method is the link notice that carries messages between members.
 const Method = "membership.gossip"
 
 // MaxSharedBytes bounds key and body of a shared record, and id and description of a
-// backend server, in bytes, so that each fits one message with room to spare.
+// backend server, so that each fits into one message.
 const MaxSharedBytes = 4 << 10
 
-// Deps are what a Node needs from outside. Pool is required.
+// Deps are the dependencies of a Node. Pool is required.
 type Deps struct {
 	Pool *link.Pool
 	Log  *slog.Logger
-	Rand *rand.Rand // nil: seeded by the runtime
+	Rand *rand.Rand // nil: randomly seeded
 }
 
 // Node is one member: an entry or a control replica.
@@ -34,17 +34,18 @@
 	pool *link.Pool
 	log  *slog.Logger
 	view *instance.View
-	wake chan struct{} // events wait
+	wake chan struct{} // signals that events are pending
 
-	mu     sync.Mutex // guards all below; no call to the network under it
+	mu     sync.Mutex // guards core and events; not held during network calls
 	core   *core
 	events []Event
 
-	subscribersMu sync.Mutex // guards subs; never held together with mu
+	subscribersMu sync.Mutex // guards subscribers; never held together with mu
 	subscribers   []func(Event)
 }
 
-// New returns a node that knows only itself. It joins the others in Run.
+// New returns a node without other members; it joins them in Run. It returns an error
+// if Self.ID, Self.LinkAddress or Deps.Pool is missing.
 func New(cfg Config, deps Deps) (*Node, error) {
 	if cfg.Self.ID == "" || cfg.Self.LinkAddress == "" {
 		return nil, trace.BadParameter("membership: own id and link address are required")
@@ -71,8 +72,8 @@
 	return n, nil
 }
 
-// Run takes part until ctx ends. It returns nil then. It does not say goodbye:
-// set the state with SetSelf before.
+// Run runs the node until ctx ends, and returns nil. It doesn't announce that this
+// member leaves: call SetSelf before.
 func (n *Node) Run(ctx context.Context) error {
 	tick := time.NewTicker(n.cfg.Tick)
 	defer tick.Stop()
@@ -88,12 +89,12 @@
 	}
 }
 
-// Register adds the handler for other members' messages to s.
+// Register registers the handler of other members' messages on s.
 func (n *Node) Register(s *link.Server) {
 	link.HandleNotice(s, Method, func(_ context.Context, from link.PeerInfo, body []byte) {
 		m, err := decodeMessage(body)
 		if err != nil {
-			n.log.Warn("gossip refused", "peer", from.ID, "address", from.Address, "err", err)
+			n.log.Warn("gossip message rejected", "peer", from.ID, "address", from.Address, "err", err)
 			return
 		}
 		n.step(func(now time.Time) {
@@ -102,10 +103,10 @@
 	})
 }
 
-// Announce takes in what a backend server said of itself to this process. An
-// announcement that is older than what is known is ignored without an error; one
-// without id or address, of an unknown state, or too large for one message is
-// refused.
+// Announce applies an announcement that a backend server sent to this process. An
+// announcement older than the current state is ignored without an error. Announce
+// returns an error if the id or address is missing, the state is unknown, or the
+// announcement is too large for one message.
 func (n *Node) Announce(a instance.Announcement) error {
 	if a.ID == "" || a.Address == "" {
 		return trace.BadParameter("announcement: id and address are required")
@@ -118,8 +119,8 @@
 	return trace.Wrap(err)
 }
 
-// SetSelf lets fn change this member's State, Load and Catalogue; changes of
-// other fields are ignored. Leaving and gone can't be taken back.
+// SetSelf calls fn to change this member's State, Load and Catalogue; changes of other
+// fields are ignored. Once set, leaving and gone can't be undone.
 func (n *Node) SetSelf(fn func(*instance.Member)) {
 	n.step(func(now time.Time) {
 		m := n.core.selfMember
@@ -128,11 +129,11 @@
 	})
 }
 
-// Put shares a small record, at most MaxShared bytes of key and body together.
-// A larger one is refused with a log line.
+// Put sets a shared record and disseminates it. Key and body together are limited to
+// MaxSharedBytes; a larger record is dropped and logged.
 func (n *Node) Put(key string, version uint64, body []byte) {
 	if size := len(key) + len(body); size > MaxSharedBytes {
-		n.log.Error("shared record refused", "key", key, "bytes", size, "bound", MaxSharedBytes)
+		n.log.Error("shared record too large", "key", key, "bytes", size, "bound", MaxSharedBytes)
 		return
 	}
 	n.step(func(now time.Time) { n.core.put(key, version, body, now) })
@@ -141,22 +142,21 @@
 // View returns the view that this node keeps up to date.
 func (n *Node) View() *instance.View { return n.view }
 
-// Subscribe has fn called for each event from now on, one at a time and in
-// order, by the goroutine of Run. The view is already up to date by then. fn
-// must not block.
+// Subscribe registers fn for all later events. The goroutine of Run calls it for one
+// event at a time, in order, after the view has been updated. fn must not block.
 func (n *Node) Subscribe(fn func(Event)) {
 	n.subscribersMu.Lock()
 	defer n.subscribersMu.Unlock()
 	n.subscribers = append(n.subscribers, fn)
 }
 
-// step runs fn on the core, updates the view, and then sends what came out.
+// step runs fn on the core, updates the view, and then sends the resulting messages.
 func (n *Node) step(fn func(now time.Time)) {
 	n.mu.Lock()
 	now := time.Now()
 	fn(now)
 	updates, events := n.core.drainChanges(now)
-	// Under the lock, so that the view changes in the order of the core.
+	// Under the lock, so that the view changes in the same order as the core.
 	n.view.Apply(updates)
 	n.events = append(n.events, events...)
 	out := n.core.out
@@ -190,8 +190,8 @@
 	}
 }
 
-// send passes messages to the link. One that can't be sent is not repeated: the
-// core learns that the member can't be reached and takes another way.
+// send passes messages to the link. A failed message is not repeated: the core probes
+// the member and disseminates through others.
 func (n *Node) send(out []outgoing) {
 	for _, o := range out {
 		err := link.Notify(n.pool, o.To, Method, o.Message)
--- a/membership/push.go
+++ b/membership/push.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// deltaKind says which part of a record a peer should get.
+// deltaKind is a set of the kinds of delta of a record to send to a peer.
 type deltaKind uint8
 
 const (
@@ -15,20 +15,20 @@
 	deltaLoad
 )
 
-// outbox holds what one peer should get. It names records, not their contents:
-// a record that changes twice before the next push goes out once, as it is then.
+// outbox queues what to send to one peer. It holds references to records: a record
+// that changes twice before the next push is sent once, in its latest state.
 type outbox struct {
 	refs       map[uint64]deltaKind
 	pulls      []uint64
-	temporary  bool      // the peer is no neighbour, the box holds an answer to it
-	joinReply  bool      // it holds the answer to a join, which the budget doesn't delay
-	urgent     bool      // something in refs is urgent
-	hasUpdates bool      // something in refs is more than a load report
-	address    string    // of the peer, which may not be known as a member
-	lastPush   time.Time // when something last went out to this peer
+	temporary  bool      // the peer is no neighbour; the outbox holds a reply to it
+	joinReply  bool      // holds the reply to a join, which the budget doesn't delay
+	urgent     bool      // refs holds an urgent change
+	hasUpdates bool      // refs holds a change other than a load report
+	address    string    // link address of the peer, which may not be a known member
+	lastPush   time.Time // time of the last push to this peer
 }
 
-const maxPendingPulls = 4096 // refs that one peer is asked for at a time
+const maxPendingPulls = 4096
 
 func (b *outbox) pull(ref uint64) {
 	if len(b.pulls) < maxPendingPulls && !slices.Contains(b.pulls, ref) {
@@ -45,7 +45,7 @@
 	return b
 }
 
-// replyOutbox returns the outbox for an answer to from.
+// replyOutbox returns the outbox for a reply to from.
 func (c *core) replyOutbox(from sender) *outbox {
 	b := c.outboxFor(from.ID)
 	b.address = from.Address
@@ -55,12 +55,12 @@
 	return b
 }
 
-// disseminate queues a change for all neighbours but the one that it came from.
+// disseminate queues a change for all neighbours except the member it came from.
 func (c *core) disseminate(r *record, ch change, except string) {
 	n := deltaKindOf(ch)
 	load := n == deltaLoad
 	for id, b := range c.outboxes {
-		// A newcomer whose answer waits is nobody's neighbour yet.
+		// A joining member whose reply is pending is no neighbour yet.
 		if b.joinReply && id != except && id != r.id {
 			c.enqueue(b, r, n)
 		}
@@ -79,13 +79,13 @@
 	b.urgent = b.urgent || c.priority(r, n) == urgentPriority
 }
 
-// receivesLoad keeps a load report inside its region: routers elsewhere seldom send
-// work over, and at 600 servers reports are most of the traffic.
+// receivesLoad reports whether neighbour nb gets load reports of r. They stay inside
+// the region: routers elsewhere seldom use them, and they are most of the traffic.
 func (c *core) receivesLoad(nb neighbour, r *record) bool {
 	return nb.inRegionRing && c.regionOf(r) == c.self.member.Region
 }
 
-// disseminateLoadGlobally queues a load report for all neighbours, in whatever region.
+// disseminateLoadGlobally queues a load report for all neighbours of all regions.
 func (c *core) disseminateLoadGlobally(r *record, except string) {
 	for _, nb := range c.topology.neighbours {
 		if nb.id != except && nb.id != r.id {
@@ -105,7 +105,7 @@
 	}
 }
 
-// dropQueued takes out of a peer's outbox what the peer has just shown to hold.
+// dropQueued removes from a peer's outbox what the peer has just sent itself.
 func (c *core) dropQueued(from string, ref uint64, n deltaKind) {
 	b := c.outboxes[from]
 	if b == nil {
@@ -117,10 +117,10 @@
 	}
 }
 
-// priority orders what goes into a push that has no room for all: who is on the
-// way out first, for work is still being sent there, and with it shared records,
-// for a quarantined request may be about to crash the next server; load reports
-// come last.
+// priority returns the order of a delta in a push; lower goes first. Instances that
+// leave, are suspected or are gone come first, since requests are still sent to them,
+// and so do shared records, since a quarantined request may crash the next server.
+// Load reports come last.
 func (c *core) priority(r *record, n deltaKind) int {
 	switch {
 	case n == deltaLoad:
@@ -136,8 +136,9 @@
 
 const urgentPriority = 0
 
-// flush sends what is due. Urgent news goes at every tick; the rest waits for
-// its interval and for the budget.
+// flush sends what is due. Urgent changes go at every tick; other changes wait for
+// their interval and for the budget. A neighbour without a push for HeartbeatInterval
+// gets an empty one.
 func (c *core) flush(now time.Time) {
 	updatesDue := !now.Before(c.nextPush)
 	loadsDue := !now.Before(c.nextLoad)
@@ -157,7 +158,7 @@
 	}
 }
 
-// queuedDelta is one record that may go into a push.
+// queuedDelta is a delta that may go into the next push.
 type queuedDelta struct {
 	ref      uint64
 	kind     deltaKind
@@ -179,13 +180,13 @@
 	urgent := b.urgent
 	m := c.compose(b, deltas, loadsDue)
 	b.urgent, b.hasUpdates = false, false
-	for ref, n := range b.refs { // what found no room
+	for ref, n := range b.refs { // deltas that didn't fit
 		c.enqueue(b, c.records[ref], n)
 	}
 	c.push(id, b, m, urgent, now)
 }
 
-// sortedDeltas lists what the box holds in the order in which it should go out.
+// sortedDeltas returns the deltas of the outbox in order of priority.
 func (c *core) sortedDeltas(b *outbox) []queuedDelta {
 	deltas := make([]queuedDelta, 0, len(b.refs))
 	for ref, n := range b.refs {
@@ -202,7 +203,7 @@
 	return deltas
 }
 
-// isDue says whether the interval of anything in the box has come.
+// isDue reports whether the push interval of anything in the outbox has passed.
 func (b *outbox) isDue(updatesDue, loadsDue bool) bool {
 	switch {
 	case b.joinReply:
@@ -214,7 +215,7 @@
 	}
 }
 
-// releaseOutbox forgets an empty outbox of a peer that is no neighbour.
+// releaseOutbox removes an empty outbox if its peer is no neighbour.
 func (c *core) releaseOutbox(id string, b *outbox) {
 	b.joinReply = false
 	if b.temporary {
@@ -222,8 +223,8 @@
 	}
 }
 
-// compose fills one message from the picks, in their order, up to the bound on
-// its size. What finds no room stays in the outbox for the next push.
+// compose fills one message with the deltas, in their order, up to MaxMessageBytes.
+// What doesn't fit stays in the outbox for the next push.
 func (c *core) compose(b *outbox, deltas []queuedDelta, loadsDue bool) *message {
 	m := &message{Kind: kindPush}
 	if b.temporary {
@@ -241,7 +242,7 @@
 		size := estimateBytes(r, p.kind)
 		if size > remaining {
 			if size > c.cfg.MaxMessageBytes-messageOverheadBytes {
-				delete(b.refs, p.ref) // only a body beyond what Announce and Put let through
+				delete(b.refs, p.ref) // only a body larger than Announce and Put accept
 			}
 			continue
 		}
@@ -287,7 +288,8 @@
 	}
 }
 
-// addressOf prefers the member's own record to what a connection said of it.
+// addressOf returns the link address in the member's record, or fallback if there is
+// no record.
 func (c *core) addressOf(id, fallback string) string {
 	if r := c.lookup(recordMember, id); r != nil {
 		return r.member.Link
@@ -295,7 +297,7 @@
 	return fallback
 }
 
-// send hands a message to the runner and charges the budget.
+// send encodes a message, appends it to out and charges the budget.
 func (c *core) send(to, id string, m *message, urgent bool) {
 	if to == "" || id == c.self.id {
 		return
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// receive takes in one message.
+// receive handles one message from another member.
 func (c *core) receive(from sender, m *message, now time.Time) {
 	if from.ID == c.self.id {
 		return
@@ -30,15 +30,15 @@
 	}
 }
 
-// completeJoin is called when the state of another member has come in. What this
-// member heard before it had anybody to tell goes out now.
+// completeJoin is called on every push and reply. On the first one it disseminates the
+// servers and shared records that this member received before it had neighbours.
 func (c *core) completeJoin(now time.Time) {
 	if c.joined {
 		return
 	}
 	c.joined = true
-	// What was spread between the answer to the join and the moment when the
-	// others counted this member in has passed it by.
+	// Changes disseminated after the reply to the join, but before the others made
+	// this member a neighbour, have not reached it: compare digests soon.
 	c.nextDigest = now.Add(c.cfg.HeartbeatInterval)
 	c.rebuildTopology(now)
 	for _, r := range c.records {
@@ -48,8 +48,8 @@
 	}
 }
 
-// markAlive notes that a member is alive. One that pushes is expected to go on;
-// if it falls silent it is probed.
+// markAlive records that a member is alive. One that pushes is expected to continue;
+// it is probed when it stops.
 func (c *core) markAlive(from sender, k messageKind, now time.Time) {
 	if c.probes[from.ID] != nil {
 		delete(c.probes, from.ID)
@@ -62,13 +62,12 @@
 	}
 	r := c.lookup(recordMember, from.ID)
 	if r != nil && (r.left() || r.markedGone() || r.suspected()) {
-		// It lives and may not know what is said of it, or of an earlier life
-		// of its: it must hear of it to be able to refute.
+		// Send the claim to the member, which needs it to refute it.
 		c.enqueue(c.replyOutbox(from), r, deltaStatus)
 	}
 }
 
-// applyDeltas joins all deltas of a message and passes on what was new.
+// applyDeltas applies all deltas of a message and disseminates what has changed.
 func (c *core) applyDeltas(from sender, m *message, now time.Time) {
 	for _, f := range m.Fulls {
 		c.receiveFull(from, f, now)
@@ -96,7 +95,7 @@
 	}
 	switch {
 	case r.inc > f.Inc:
-		// The sender still holds an earlier incarnation.
+		// The sender has an earlier incarnation.
 		c.enqueue(c.replyOutbox(from), r, deltaFull)
 	case f.BodySeq == r.bodySeq && f.Status == r.status:
 		c.dropQueued(from.ID, r.ref, deltaFull|deltaStatus)
@@ -142,8 +141,8 @@
 	}
 }
 
-// replyToJoin sends the whole state: members first, so that the homes of the
-// backend servers are known when these arrive.
+// replyToJoin queues the whole state for a joining member. Members have priority over
+// servers, so that the homes of the servers are known when these arrive.
 func (c *core) replyToJoin(from sender) {
 	b := c.replyOutbox(from)
 	b.joinReply = true
@@ -154,8 +153,7 @@
 	}
 }
 
-// isLive says whether a record is in use and so part of digests and of the
-// state that a newcomer gets.
+// isLive reports whether a record belongs into digests and into the reply to a join.
 func (c *core) isLive(r *record) bool {
 	return !r.left() && !r.markedGone() && r.orphanedAt.IsZero()
 }
--- a/membership/record.go
+++ b/membership/record.go
@@ -11,7 +11,7 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-// record is what this process knows of one instance or shared record.
+// record is this process's state of one instance or shared record.
 type record struct {
 	kind    recordKind
 	id      string
@@ -22,21 +22,21 @@
 	status  statusDelta
 	load    loadDelta
 
-	member *memberBody // decoded body of a member
-	server *serverBody // decoded body of a backend server
-
-	// What follows is local and doesn't travel.
-	announcedSeq  uint64         // last sequence heard here from the backend server itself
-	announcedAt   time.Time      // when; set while this process is its home
-	homeChangedAt time.Time      // when a change of home was last spread from here
-	suspectedAt   time.Time      // when the present suspicion was learnt
-	goneAt        time.Time      // when the present mark of being gone was learnt
-	orphanedAt    time.Time      // when the backend server's home was found to be gone
-	goneSince     time.Time      // when the record was first seen in no use
-	loadSentAt    time.Time      // when a load report was last spread from here
-	exactLoad     instance.Load  // the last report heard here, not quantised
+	member *memberBody // decoded body of a member; else nil
+	server *serverBody // decoded body of a backend server; else nil
+
+	// The fields below are local and not sent.
+	announcedSeq  uint64         // last sequence announced to this member
+	announcedAt   time.Time      // time of that announcement; set while this member is the home
+	homeChangedAt time.Time      // when this member last became the home
+	suspectedAt   time.Time      // when the current suspicion was received or raised here
+	goneAt        time.Time      // when the current gone mark was received or set here
+	orphanedAt    time.Time      // since when the backend server's home is gone
+	goneSince     time.Time      // since when the state is gone
+	loadSentAt    time.Time      // when a load report was last disseminated from here
+	exactLoad     instance.Load  // the last report announced here, not quantised
 	lastState     instance.State // as of the last scan
-	published     publishedState // what subscribers were last told
+	published     publishedState // what subscribers last received
 }
 
 func refOf(k recordKind, id string, inc uint64) uint64 {
@@ -47,8 +47,8 @@
 	return xxhash.Sum64(buf)
 }
 
-// homeRef is how a status names an entry: by its id only, so that a restart
-// of the home doesn't orphan the servers that come back to it.
+// homeRef returns the reference to an entry in a status. It is a hash of the id only,
+// so that servers which return to a restarted home aren't orphaned.
 func homeRef(id string) uint64 { return xxhash.Sum64String(id) }
 
 func newRecord(k recordKind, id string, inc uint64) *record {
@@ -68,7 +68,7 @@
 	}
 }
 
-// change says which parts of a record a join has changed.
+// change is the set of parts of a record that a merge has changed.
 type change uint8
 
 const (
@@ -77,8 +77,7 @@
 	changedLoad
 )
 
-// setBody takes a body with its sequence. It fails on a body that doesn't
-// decode, which then changes nothing.
+// setBody decodes and sets a body. If decoding fails, the record is unchanged.
 func (r *record) setBody(seq uint64, body []byte) error {
 	switch r.kind {
 	case recordMember:
@@ -98,9 +97,9 @@
 	return nil
 }
 
-// mergeBody keeps the body with the higher sequence. Two entries may have heard
-// one sequence with different bodies only from a faulty server; the bytes then
-// decide, so that all replicas choose alike.
+// mergeBody keeps the body with the higher sequence. Only a faulty server sends
+// different bodies with one sequence; the bytes then decide, so that all replicas
+// choose alike.
 func (r *record) mergeBody(seq uint64, body []byte) (change, error) {
 	if seq < r.bodySeq || (seq == r.bodySeq && bytes.Compare(body, r.body) <= 0) {
 		return 0, nil
@@ -111,9 +110,9 @@
 	return changedBody, nil
 }
 
-// mergeStatus takes the greater of each part. Leaving and left are only ever
-// set: a late or doubled message from before the server began to leave can't
-// bring it back. Without that, new work would go to a server about to vanish.
+// mergeStatus keeps the greater value of each field. Leaving and left are only ever
+// set: a delayed or duplicated message from before a server began to leave must not
+// make it serving again, since new requests would go to a server about to stop.
 func (r *record) mergeStatus(d statusDelta) change {
 	s := &r.status
 	before := *s
@@ -145,26 +144,26 @@
 
 func (r *record) left() bool { return r.status.Flags&flagLeft != 0 }
 
-// markedGone says that the record was counted as gone and hasn't refuted it.
+// markedGone reports whether an instance is marked gone and hasn't refuted it.
 func (r *record) markedGone() bool {
 	return r.kind != recordShared && r.status.Gone != 0 && r.status.Gone >= r.status.Seq
 }
 
-// suspected says that a member was suspected and hasn't refuted it.
+// suspected reports whether a member is suspected and hasn't refuted it.
 func (r *record) suspected() bool {
 	return r.kind == recordMember && r.status.Suspect != 0 && r.status.Suspect >= r.status.Seq
 }
 
-// goneConfirmed says whether a member that is marked gone has had its time to
-// refute. After a partition between regions, claims that the members here are
-// gone come in from the other side a moment before these members hear of them
-// and refute; believed at once, every entry would drop all others for that moment.
+// goneConfirmed reports whether a member that is marked gone has had time to refute.
+// After a partition between regions, gone marks for the members of this region come in
+// shortly before their refutations; applied at once, every entry would drop all its
+// peers for that moment.
 func (r *record) goneConfirmed(now time.Time, cfg *Config) bool {
 	suspicionExpired := !r.suspectedAt.IsZero() && now.Sub(r.suspectedAt) >= cfg.SuspicionTimeout
 	return suspicionExpired || now.Sub(r.goneAt) >= cfg.RefuteGrace
 }
 
-// hash covers all that a digest compares: everything but the load.
+// hash covers everything that a digest compares: all but the load.
 func (r *record) hash() uint64 {
 	buf := make([]byte, 0, 80)
 	for _, v := range []uint64{
@@ -176,7 +175,7 @@
 	return xxhash.Sum64(buf)
 }
 
-// state is the state that counts at time now, as this process judges it.
+// state returns the state at time now as this process determines it.
 func (r *record) state(now time.Time, cfg *Config) instance.State {
 	switch {
 	case r.left(), r.kind == recordServer && r.markedGone():
--- a/membership/ring.go
+++ b/membership/ring.go
@@ -11,21 +11,21 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// topology is what this member derives from the set of members.
+// topology is derived from the set of members.
 type topology struct {
 	neighbours []neighbour
-	alive      []*record         // members but for this one that are not gone, by id
-	gone       []*record         // members that are marked gone without having left, by id
-	homes      map[uint64]string // ids of this member and of those alive, by homeRef
+	alive      []*record         // other members that are not gone, by id
+	gone       []*record         // members that are gone without having left, by id
+	homes      map[uint64]string // ids of this member and of the alive ones, by homeRef
 }
 
 // neighbour is a member that this one pushes to.
 type neighbour struct {
 	id           string
-	inRegionRing bool // successor in a ring over the region, so it gets the load reports
+	inRegionRing bool // successor in a ring over the region: gets load reports
 }
 
-// rebuildTopology computes the neighbours anew.
+// rebuildTopology recomputes the neighbours and the sets of members.
 func (c *core) rebuildTopology(now time.Time) {
 	c.topologyDirty = false
 	c.topology = topology{homes: map[uint64]string{homeRef(c.self.id): c.self.id}}
@@ -70,8 +70,8 @@
 }
 
 // addSuccessor adds the next member after this one in a ring that is not yet a
-// neighbour. Members that can't be reached at present are passed over, so that
-// news doesn't wait until their failure is established.
+// neighbour. It skips suspected and probed members, so that changes aren't delayed
+// until their failure is detected.
 func (c *core) addSuccessor(members []*record, name string, number int, region bool) {
 	ownPosition := ringPosition(name, number, c.self.id)
 	var best *record
@@ -80,7 +80,7 @@
 		if c.isNeighbour(r.id) || r.suspected() || c.probes[r.id] != nil {
 			continue
 		}
-		distance := ringPosition(name, number, r.id) - ownPosition // wraps: a circle
+		distance := ringPosition(name, number, r.id) - ownPosition // wraps around
 		if best == nil || distance < bestDistance {
 			best, bestDistance = r, distance
 		}
@@ -102,9 +102,9 @@
 	return slices.ContainsFunc(c.topology.neighbours, func(n neighbour) bool { return n.id == id })
 }
 
-// rerouteOldOutboxes hands what waits for former neighbours to the present ones. A
-// former neighbour may have been chosen away just because it stopped answering,
-// and the news that waited for it must still get round.
+// rerouteOldOutboxes moves the deltas queued for former neighbours to the current
+// ones. A former neighbour may have been replaced because it stopped answering, and
+// its queued changes must still be disseminated.
 func (c *core) rerouteOldOutboxes() {
 	for _, id := range sortedKeys(c.outboxes) {
 		b := c.outboxes[id]
--- a/zone/doc.go
+++ b/zone/doc.go
@@ -1,6 +1,6 @@
 // Package zone describes where instances run: zones with their region, data
-// centre and prices, and the notices by which the cloud reclaims instances.
+// centre and prices, and the notices with which the provider reclaims instances.
 //
-// The package does no I/O. Its values are plain data; share them freely once
-// Validate has accepted them, and do not change them afterwards.
+// The package does no I/O. Its values are plain data; they may be shared once
+// Validate has accepted them, and must not be changed afterwards.
 package zone
--- a/zone/notice.go
+++ b/zone/notice.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// NoticeScope says what a reclaim notice covers.
+// NoticeScope is the set of instances that a reclaim notice covers.
 type NoticeScope string
 
 // The scopes.
 const (
-	NoticeInstances  NoticeScope = "instances"   // those listed
-	NoticeZone       NoticeScope = "zone"        // every reclaimable instance of the zone
-	NoticeDataCentre NoticeScope = "data-centre" // every reclaimable instance of all its zones
+	NoticeInstances  NoticeScope = "instances"   // those in Notice.Instances
+	NoticeZone       NoticeScope = "zone"        // all reclaimable instances of the zone
+	NoticeDataCentre NoticeScope = "data-centre" // all reclaimable instances of the zones of the data centre
 )
 
-// Notice is the cloud's announcement that it takes instances back. It cannot be
-// refused; a notice with the same ID replaces an earlier one.
+// Notice is the cloud provider's announcement that it reclaims instances. It cannot be
+// refused. A notice with the ID of an earlier one replaces it.
 type Notice struct {
 	ID         string      `json:"id"`
 	Scope      NoticeScope `json:"scope"`
@@ -24,18 +24,18 @@
 	Zone       string      `json:"zone,omitempty"`       // with NoticeZone
 	DataCentre string      `json:"dataCentre,omitempty"` // with NoticeDataCentre
 	Given      time.Time   `json:"given"`
-	Ends       time.Time   `json:"ends"` // when the instances are taken away
+	Ends       time.Time   `json:"ends"` // when the instances are stopped
 }
 
-// Location is what a notice needs to know of an instance.
+// Location identifies an instance, its zone and its market, for Notice.Covers.
 type Location struct {
 	Instance string
 	Zone     *Zone
 	Market   Market
 }
 
-// Covers reports whether the notice takes the instance away. Instances paid for
-// on demand are covered only by name.
+// Covers reports whether the notice reclaims the instance. On-demand instances are
+// covered only if they are listed.
 func (n *Notice) Covers(l Location) bool {
 	switch n.Scope {
 	case NoticeInstances:
@@ -49,7 +49,7 @@
 	}
 }
 
-// Remaining returns the time until the instances are taken away, 0 if it has passed.
+// Remaining returns the time until the instances are stopped, 0 if it has passed.
 func (n *Notice) Remaining(now time.Time) time.Duration {
 	return max(n.Ends.Sub(now), 0)
 }
--- a/zone/zone.go
+++ b/zone/zone.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Market is how an instance is paid for.
+// Market is the purchase option of an instance.
 type Market string
 
-// The markets.
+// The purchase options.
 const (
-	Reclaimable Market = "reclaimable" // cheap, and taken away on seconds of notice
-	OnDemand    Market = "on-demand"   // kept until it is given back
+	Reclaimable Market = "reclaimable" // cheaper; the provider may stop it on short notice
+	OnDemand    Market = "on-demand"   // runs until it is released
 )
 
-// Price is what one instance of a machine class costs in a zone. A price of 0
-// says that the class is not offered in that market.
+// Price is the price of one instance of a machine class in a zone. A price of 0 means
+// that the class is not offered in that market.
 type Price struct {
 	Class       string  `json:"machineClass"`
-	Reclaimable float64 `json:"reclaimable"` // currency units an hour
-	OnDemand    float64 `json:"onDemand"`    // currency units an hour
+	Reclaimable float64 `json:"reclaimable"` // currency units per hour
+	OnDemand    float64 `json:"onDemand"`    // currency units per hour
 }
 
-// Zone is a part of a data centre that the cloud reclaims and prices as one. All
-// zones of a data centre can be lost together.
+// Zone is a part of a data centre with common prices that is reclaimed as a unit. All
+// zones of a data centre can fail together.
 type Zone struct {
 	Name       string  `json:"name"`
 	Region     string  `json:"region"`
@@ -31,7 +31,7 @@
 	Prices     []Price `json:"prices"`
 }
 
-// Price returns the price of a class in the zone, and whether it is offered in
+// Price returns the price of a class in the zone, and whether the class is offered in
 // that market.
 func (z *Zone) Price(class string, market Market) (float64, bool) {
 	for _, p := range z.Prices {
@@ -46,14 +46,14 @@
 	return 0, false
 }
 
-// Distance is how far apart two zones are.
+// Distance is the network distance between two zones.
 type Distance uint8
 
-// The distances, with the one-way times of the sites this was built for.
+// The distances, from nearest to farthest.
 const (
 	SameZone    Distance = iota
-	SameRegion           // another zone or data centre of the region: 0.5 ms
-	OtherRegion          // tens of milliseconds, and cut off at times
+	SameRegion           // another zone or data centre of the region: about 0.5 ms one way
+	OtherRegion          // tens of milliseconds, occasionally partitioned
 )
 
 // DistanceTo returns the distance between z and other.
@@ -68,7 +68,7 @@
 	}
 }
 
-// FieldError names the zone and field that are not as they must be.
+// FieldError reports an invalid field of a zone.
 type FieldError struct {
 	Zone  string
 	Field string
@@ -80,9 +80,9 @@
 	return fmt.Sprintf("zone %q: %s must be %s", e.Zone, e.Field, e.Want)
 }
 
-// Validate returns a *FieldError for the first fault in the zones: a missing or
-// doubled name, a missing region or data centre, a data centre in two regions,
-// a class that is priced twice or below 0.
+// Validate returns a *FieldError for the first invalid field: a missing or duplicate
+// name, a missing region or data centre, a data centre in two regions, a class with a
+// negative price or priced twice.
 func Validate(zones []Zone) error {
 	for i := range zones {
 		z := &zones[i]
