--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -12,34 +12,34 @@
 // cluster drives cores in virtual time: messages are encoded, delayed, and
 // perhaps lost or doubled; nodes freeze and die.
 type cluster struct {
-	now    time.Time
-	rng    *rand.Rand
-	nodes  []*simNode
-	byAddr map[string]*simNode
-	queue  eventQueue
-	order  uint64
-	loss   float64 // share of messages that vanish
-	double float64 // share of messages that come twice
-	cut    func(from, to *simNode) bool
-	cfg    Config // common to all nodes
-	work   time.Duration
-	steps  uint64
+	now         time.Time
+	rng         *rand.Rand
+	nodes       []*simNode
+	byAddr      map[string]*simNode
+	queue       eventQueue
+	order       uint64
+	loss        float64 // share of messages that vanish
+	duplication float64 // share of messages that come twice
+	cut         func(from, to *simNode) bool
+	cfg         Config // common to all nodes
+	stepTime    time.Duration
+	steps       uint64
 }
 
 type simNode struct {
-	cluster *cluster
-	core    *core
-	view    *instance.View
-	id      string
-	region  string
-	zone    string
-	addr    string
-	frozen  bool
-	dead    bool
-	waiting []func() // what came in while frozen
-	onEvent func(Event)
-	gotMsgs uint64
-	gotB    uint64
+	cluster          *cluster
+	core             *core
+	view             *instance.View
+	id               string
+	region           string
+	zone             string
+	addr             string
+	frozen           bool
+	dead             bool
+	deferred         []func() // what came in while frozen
+	onEvent          func(Event)
+	receivedMessages uint64
+	receivedBytes    uint64
 }
 
 type simEvent struct {
@@ -92,8 +92,8 @@
 	c.now = end
 }
 
-// until runs until cond holds, looking four times a second, for at most bound.
-func (c *cluster) until(bound time.Duration, cond func() bool) time.Duration {
+// runUntil runs runUntil cond holds, looking four times a second, for at most bound.
+func (c *cluster) runUntil(bound time.Duration, cond func() bool) time.Duration {
 	const step = 250 * time.Millisecond
 	for spent := time.Duration(0); spent < bound; spent += step {
 		if cond() {
@@ -132,26 +132,26 @@
 		return
 	}
 	if !n.frozen {
-		n.do(func(now time.Time) { n.core.tick(now) })
+		n.step(func(now time.Time) { n.core.tick(now) })
 	}
 	n.cluster.after(n.core.cfg.Tick, n.tick)
 }
 
-// do runs one step of the core, as Node.step does. A frozen node does it when
+// step runs one step of the core, as Node.step does. A frozen node does it when
 // it wakes.
-func (n *simNode) do(fn func(now time.Time)) {
+func (n *simNode) step(fn func(now time.Time)) {
 	if n.dead {
 		return
 	}
 	if n.frozen {
-		n.waiting = append(n.waiting, func() { n.do(fn) })
+		n.deferred = append(n.deferred, func() { n.step(fn) })
 		return
 	}
 	start := time.Now()
 	fn(n.cluster.now)
 	updates, events := n.core.drainChanges(n.cluster.now)
 	n.view.Apply(updates)
-	n.cluster.work += time.Since(start)
+	n.cluster.stepTime += time.Since(start)
 	n.cluster.steps++
 	out := n.core.out
 	n.core.out = nil
@@ -172,7 +172,7 @@
 		return
 	}
 	copies := 1
-	if c.rng.Float64() < c.double {
+	if c.rng.Float64() < c.duplication {
 		copies = 2
 	}
 	for range copies {
@@ -180,14 +180,14 @@
 		if n.region != to.region {
 			delay += 20 * time.Millisecond
 		}
-		c.after(delay, func() { to.accept(n, o.Message) })
+		c.after(delay, func() { to.receive(n, o.Message) })
 	}
 }
 
-func (n *simNode) accept(from *simNode, data []byte) {
-	n.gotMsgs++
-	n.gotB += uint64(len(data))
-	n.do(func(now time.Time) {
+func (n *simNode) receive(from *simNode, data []byte) {
+	n.receivedMessages++
+	n.receivedBytes += uint64(len(data))
+	n.step(func(now time.Time) {
 		m, err := decodeMessage(data)
 		if err != nil {
 			panic(err)
@@ -198,17 +198,17 @@
 
 func (n *simNode) freeze() { n.frozen = true }
 
-// thaw lets a frozen node go on. It works off what came in meanwhile, or finds
+// resume lets a frozen node go on. It works off what came in meanwhile, or finds
 // its connections closed and nothing in them; its clock ticks first.
-func (n *simNode) thaw(keep bool) {
+func (n *simNode) resume(keepInbox bool) {
 	n.frozen = false
-	waiting := n.waiting
-	n.waiting = nil
-	n.do(func(now time.Time) { n.core.tick(now) })
-	if !keep {
+	deferred := n.deferred
+	n.deferred = nil
+	n.step(func(now time.Time) { n.core.tick(now) })
+	if !keepInbox {
 		return
 	}
-	for _, fn := range waiting {
+	for _, fn := range deferred {
 		fn()
 	}
 }
@@ -216,54 +216,54 @@
 // simServer is a backend server that announces itself once a second to its
 // home, and moves on when the home doesn't answer.
 type simServer struct {
-	cluster *cluster
-	a       instance.Announcement
-	home    *simNode
-	homes   func() *simNode
-	mute    bool
-	busy    bool // its load moves
+	cluster      *cluster
+	announcement instance.Announcement
+	home         *simNode
+	chooseHome   func() *simNode
+	stopped      bool
+	varyLoad     bool // its load moves
 }
 
-func (c *cluster) serve(id string, inc uint64, region, zone string, homes func() *simNode) *simServer {
-	s := &simServer{cluster: c, homes: homes, home: homes(), a: instance.Announcement{
+func (c *cluster) addServer(id string, inc uint64, region, zone string, homes func() *simNode) *simServer {
+	s := &simServer{cluster: c, chooseHome: homes, home: homes(), announcement: instance.Announcement{
 		ID: id, Incarnation: inc, Address: id + ".example:9000", Region: region, Zone: zone,
 		Class: "gpu-8x", State: instance.StateServing, Model: "llama-70b", Version: "2026-11",
 		Adapters: []string{"bordereaux-v3"}, Role: "decode", Slots: 64,
 	}}
-	c.after(time.Duration(c.rng.Int64N(int64(time.Second))), s.beat)
+	c.after(time.Duration(c.rng.Int64N(int64(time.Second))), s.heartbeat)
 	return s
 }
 
-func (s *simServer) beat() {
-	if s.mute {
+func (s *simServer) heartbeat() {
+	if s.stopped {
 		return
 	}
 	s.announce()
-	s.cluster.after(time.Second, s.beat)
+	s.cluster.after(time.Second, s.heartbeat)
 }
 
 func (s *simServer) announce() {
 	if s.home.dead || s.home.frozen {
-		s.home = s.homes()
+		s.home = s.chooseHome()
 	}
-	s.a.Sequence++
-	if s.busy {
+	s.announcement.Sequence++
+	if s.varyLoad {
 		rng := s.cluster.rng
-		s.a.Load.Running = max(0, min(s.a.Slots, s.a.Load.Running+rng.IntN(17)-8))
-		s.a.Load.Waiting = max(0, s.a.Load.Waiting+rng.IntN(5)-2)
-		s.a.Load.TokensPerSec = float64(s.a.Load.Running) * 22
+		s.announcement.Load.Running = max(0, min(s.announcement.Slots, s.announcement.Load.Running+rng.IntN(17)-8))
+		s.announcement.Load.Waiting = max(0, s.announcement.Load.Waiting+rng.IntN(5)-2)
+		s.announcement.Load.TokensPerSec = float64(s.announcement.Load.Running) * 22
 	}
-	s.a.Load.At = s.cluster.now
-	a := s.a
-	s.home.do(func(now time.Time) {
+	s.announcement.Load.At = s.cluster.now
+	a := s.announcement
+	s.home.step(func(now time.Time) {
 		if err := s.home.core.announce(a, now); err != nil {
 			panic(err)
 		}
 	})
 }
 
-// set changes the state and announces it at once.
-func (s *simServer) set(state instance.State) {
-	s.a.State = state
+// setState changes the state and announces it at once.
+func (s *simServer) setState(state instance.State) {
+	s.announcement.State = state
 	s.announce()
 }
--- a/membership/compress_test.go
+++ b/membership/compress_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-func TestPackRoundTrip(t *testing.T) {
+func TestCompressRoundTrip(t *testing.T) {
 	var p compressor
 	rapid.Check(t, func(rt *rapid.T) {
 		unit := rapid.SliceOfN(rapid.Byte(), 1, 64).Draw(rt, "unit")
 		data := append([]byte{0x9a}, bytes.Repeat(unit, rapid.IntRange(1, 200).Draw(rt, "times"))...)
-		packed, err := p.compress(data)
+		compressed, err := p.compress(data)
 		require.NoError(rt, err)
-		require.LessOrEqual(rt, len(packed), len(data))
-		out, err := decompress(packed)
+		require.LessOrEqual(rt, len(compressed), len(data))
+		out, err := decompress(compressed)
 		require.NoError(rt, err)
 		require.Equal(rt, data, out)
 	})
@@ -25,11 +25,11 @@
 // A faulty or hostile member sends a few bytes that unpack to gigabytes. The
 // receiver must stop at the bound and not run out of memory. Broken by removing
 // the comparison with maxUnpacked.
-func TestUnpackIsBounded(t *testing.T) {
+func TestDecompressedSizeIsBounded(t *testing.T) {
 	var p compressor
-	packed, err := p.compress(make([]byte, 64*maxDecompressedBytes))
+	compressed, err := p.compress(make([]byte, 64*maxDecompressedBytes))
 	require.NoError(t, err)
-	require.Less(t, len(packed), maxDecompressedBytes)
-	_, err = decompress(packed)
+	require.Less(t, len(compressed), maxDecompressedBytes)
+	_, err = decompress(compressed)
 	require.ErrorContains(t, err, "grows over")
 }
--- a/membership/core_test.go
+++ b/membership/core_test.go
@@ -11,11 +11,11 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// settle is time enough, in virtual time, for suspicion, silence bounds and a
+// settleTime is time enough, in virtual time, for suspicion, silence bounds and a
 // full round of digests.
-const settle = 60 * time.Second
+const settleTime = 60 * time.Second
 
-func start(seed uint64, nodes int) *cluster {
+func startCluster(seed uint64, nodes int) *cluster {
 	c := newCluster(seed)
 	for range nodes {
 		c.add("region-0", "zone-0")
@@ -53,15 +53,15 @@
 // messages is lost and a tenth comes twice. An entry that doesn't hear of it in
 // time goes on sending requests to a machine that is about to vanish. Broken by
 // removing the digest comparison (antiEntropy) or the spread in takeStatus.
-func TestLeavingIsKnownEverywhereInTime(t *testing.T) {
+func TestLeavingReachesEveryEntryWithinBound(t *testing.T) {
 	for seed := range uint64(10) {
-		c := start(seed, 30)
-		s := c.serve("s", 1, "region-0", "zone-0", c.homesIn("region-0"))
+		c := startCluster(seed, 30)
+		s := c.addServer("s", 1, "region-0", "zone-0", c.randomEntryIn("region-0"))
 		c.run(5 * time.Second)
 		c.requireState(t, "s", instance.StateServing)
-		c.loss, c.double = 0.1, 0.1
-		s.set(instance.StateLeaving)
-		c.run(leavingBound)
+		c.loss, c.duplication = 0.1, 0.1
+		s.setState(instance.StateLeaving)
+		c.run(maxLeavingTime)
 		c.requireState(t, "s", instance.StateLeaving)
 	}
 }
@@ -70,14 +70,14 @@
 // entry. Believed, the server would get new work until it is reclaimed under it.
 // Broken by assigning d.Flags in joinStatus in place of setting them.
 func TestLeavingNeverReverts(t *testing.T) {
-	c := start(1, 3)
-	s := c.serve("s", 1, "region-0", "zone-0", func() *simNode { return c.nodes[0] })
+	c := startCluster(1, 3)
+	s := c.addServer("s", 1, "region-0", "zone-0", func() *simNode { return c.nodes[0] })
 	c.run(3 * time.Second)
-	s.mute = true
-	s.set(instance.StateLeaving)
-	late := s.a
-	late.State, late.Sequence = instance.StateServing, late.Sequence+5
-	c.nodes[1].do(func(now time.Time) { require.NoError(t, c.nodes[1].core.announce(late, now)) })
+	s.stopped = true
+	s.setState(instance.StateLeaving)
+	delayed := s.announcement
+	delayed.State, delayed.Sequence = instance.StateServing, delayed.Sequence+5
+	c.nodes[1].step(func(now time.Time) { require.NoError(t, c.nodes[1].core.announce(delayed, now)) })
 	c.run(2 * time.Second)
 	c.requireState(t, "s", instance.StateLeaving)
 }
@@ -86,27 +86,27 @@
 // under a new id. Work meant for the old process must not be counted on the new
 // one, and a late word from the old one must not replace the new. Broken by
 // removing settleAddress, and by the comparison of r.inc in learnFull.
-func TestNewIncarnationWinsAtTheSameAddress(t *testing.T) {
-	c := start(2, 4)
-	old := c.serve("s", 5, "region-0", "zone-0", func() *simNode { return c.nodes[0] })
-	old.a.Address = "10.0.0.9:9000"
+func TestNewIncarnationReplacesOldAtSameAddress(t *testing.T) {
+	c := startCluster(2, 4)
+	old := c.addServer("s", 5, "region-0", "zone-0", func() *simNode { return c.nodes[0] })
+	old.announcement.Address = "10.0.0.9:9000"
 	c.run(3 * time.Second)
-	old.mute = true
-	renamed := c.serve("t", 6, "region-0", "zone-0", func() *simNode { return c.nodes[1] })
-	renamed.a.Address = old.a.Address
+	old.stopped = true
+	successor := c.addServer("t", 6, "region-0", "zone-0", func() *simNode { return c.nodes[1] })
+	successor.announcement.Address = old.announcement.Address
 	c.run(2 * time.Second)
 	c.requireState(t, "s", instance.StateGone)
 	c.requireState(t, "t", instance.StateServing)
 
-	again := c.serve("t", 7, "region-0", "zone-0", func() *simNode { return c.nodes[2] })
-	again.a.Address = old.a.Address
-	renamed.mute = true
+	restarted := c.addServer("t", 7, "region-0", "zone-0", func() *simNode { return c.nodes[2] })
+	restarted.announcement.Address = old.announcement.Address
+	successor.stopped = true
 	c.run(2 * time.Second)
-	renamed.a.Sequence += 1000
-	renamed.announce()
-	late := c.nodes[1].core.lookup(recordServer, "s").full()
-	late.ID, late.Inc, late.Status.Seq = "t", 6, 2000
-	c.nodes[3].do(func(now time.Time) { c.nodes[3].core.applyFull(late, now) })
+	successor.announcement.Sequence += 1000
+	successor.announce()
+	delayed := c.nodes[1].core.lookup(recordServer, "s").full()
+	delayed.ID, delayed.Inc, delayed.Status.Seq = "t", 6, 2000
+	c.nodes[3].step(func(now time.Time) { c.nodes[3].core.applyFull(delayed, now) })
 	c.run(2 * time.Second)
 	for _, n := range c.nodes {
 		got, _ := n.view.Server("t")
@@ -117,15 +117,15 @@
 
 // A backend server dies without a word. Its entry no longer hears it; the
 // others never did and must learn it. Broken by removing scanOwn.
-func TestSilentServerIsGone(t *testing.T) {
-	c := start(3, 8)
-	s := c.serve("s", 1, "region-0", "zone-0", c.homesIn("region-0"))
+func TestServerWithoutHeartbeatIsGone(t *testing.T) {
+	c := startCluster(3, 8)
+	s := c.addServer("s", 1, "region-0", "zone-0", c.randomEntryIn("region-0"))
 	c.run(5 * time.Second)
-	s.mute = true
+	s.stopped = true
 	c.run(c.cfg.ServerTimeout + 2*time.Second)
 	c.requireState(t, "s", instance.StateGone)
-	s.mute = false
-	s.beat()
+	s.stopped = false
+	s.heartbeat()
 	c.run(2 * time.Second)
 	c.requireState(t, "s", instance.StateServing)
 }
@@ -133,19 +133,19 @@
 // The entry that hears a server dies and the server moves to another. No entry
 // may lose sight of a server that is well, for a moment without servers means
 // refused requests.
-func TestServerMovesWhenItsEntryDies(t *testing.T) {
-	c := start(4, 8)
-	s := c.serve("s", 1, "region-0", "zone-0", c.homesIn("region-0"))
+func TestServerStaysServingWhenItsHomeFails(t *testing.T) {
+	c := startCluster(4, 8)
+	s := c.addServer("s", 1, "region-0", "zone-0", c.randomEntryIn("region-0"))
 	c.run(5 * time.Second)
 	for _, n := range c.nodes {
 		n.onEvent = func(e Event) { require.NotEqual(t, ServerGone, e.Kind, "at %s", n.id) }
 	}
-	dead := s.home
-	dead.dead = true
-	c.run(settle)
+	failed := s.home
+	failed.dead = true
+	c.run(settleTime)
 	for _, n := range c.nodes {
-		if n != dead {
-			require.Equal(t, instance.StateGone, n.memberState(dead.id), "at %s", n.id)
+		if n != failed {
+			require.Equal(t, instance.StateGone, n.memberState(failed.id), "at %s", n.id)
 		}
 	}
 	c.requireState(t, "s", instance.StateServing)
@@ -153,13 +153,13 @@
 
 // Entry and server die together, so nobody is left whose task it is to miss the
 // server. Broken by removing the stamp of orphanAt in scanServer.
-func TestServerDiesWithItsEntry(t *testing.T) {
-	c := start(5, 8)
-	s := c.serve("s", 1, "region-0", "zone-0", c.homesIn("region-0"))
+func TestServerIsGoneWhenItFailsWithItsHome(t *testing.T) {
+	c := startCluster(5, 8)
+	s := c.addServer("s", 1, "region-0", "zone-0", c.randomEntryIn("region-0"))
 	c.run(5 * time.Second)
-	s.mute = true
+	s.stopped = true
 	s.home.dead = true
-	c.run(settle)
+	c.run(settleTime)
 	c.requireState(t, "s", instance.StateGone)
 }
 
@@ -167,17 +167,17 @@
 // back. To itself everybody else seems to have been silent. If it said so, all
 // other entries and all servers would be dropped everywhere for a moment, and
 // callers refused. Broken by removing the call of thaw in tick.
-func TestFrozenEntryDeclaresNobodyGone(t *testing.T) {
+func TestFrozenEntryMarksNoInstanceGone(t *testing.T) {
 	for _, keep := range []bool{true, false} {
-		t.Run(fmt.Sprintf("inbox kept %v", keep), func(t *testing.T) { freezeAndThaw(t, keep) })
+		t.Run(fmt.Sprintf("inbox kept %v", keep), func(t *testing.T) { testFreezeAndResume(t, keep) })
 	}
 }
 
-func freezeAndThaw(t *testing.T, keep bool) {
-	c := start(6, 6)
+func testFreezeAndResume(t *testing.T, keepInbox bool) {
+	c := startCluster(6, 6)
 	frozen := c.nodes[2]
 	for i := range 4 {
-		c.serve(fmt.Sprintf("s%d", i), 1, "region-0", "zone-0", func() *simNode {
+		c.addServer(fmt.Sprintf("s%d", i), 1, "region-0", "zone-0", func() *simNode {
 			if frozen.frozen {
 				return c.nodes[3]
 			}
@@ -194,8 +194,8 @@
 			require.NotEqual(t, MemberGone, e.Kind, "at %s", n.id)
 		}
 	}
-	frozen.thaw(keep)
-	c.run(settle)
+	frozen.resume(keepInbox)
+	c.run(settleTime)
 	for _, n := range c.nodes {
 		require.Len(t, n.view.Members(instance.RoleEntry), 6, "at %s", n.id)
 		require.Len(t, n.view.AllServers(), 4, "at %s", n.id)
@@ -205,14 +205,14 @@
 // Two entries can't reach each other while all else works. Taken for a death by
 // one of them, a healthy entry would be dropped everywhere. Broken by removing
 // the indirect probes in probeFailed.
-func TestCutBetweenTwoIsNoDeath(t *testing.T) {
-	c := start(7, 5)
+func TestPartitionOfTwoMembersMarksNeitherGone(t *testing.T) {
+	c := startCluster(7, 5)
 	a, b := c.nodes[1], c.nodes[3]
 	c.cut = func(x, y *simNode) bool { return (x == a && y == b) || (x == b && y == a) }
 	for _, n := range c.nodes {
 		n.onEvent = func(e Event) { require.NotEqual(t, MemberGone, e.Kind, "at %s", n.id) }
 	}
-	c.run(2 * settle)
+	c.run(2 * settleTime)
 }
 
 // Two regions lose each other for minutes and meet again. While apart each goes
@@ -220,12 +220,12 @@
 // own members are gone. If that were believed even for a moment, every entry
 // would drop its peers just when the network is back. Broken by removing
 // believedGone in state.
-func TestRegionsMeetAgain(t *testing.T) {
+func TestRegionPartitionHealsWithoutGoneInstances(t *testing.T) {
 	c := newCluster(8)
 	for i := range 12 {
 		region := fmt.Sprintf("region-%d", i%2)
 		c.add(region, region)
-		c.serve(fmt.Sprintf("s%02d", i), 1, region, region, c.homesIn(region))
+		c.addServer(fmt.Sprintf("s%02d", i), 1, region, region, c.randomEntryIn(region))
 		c.run(time.Second)
 	}
 	c.run(20 * time.Second)
@@ -240,7 +240,7 @@
 		}
 	}
 	c.cut = func(_, _ *simNode) bool { return false }
-	c.run(settle)
+	c.run(settleTime)
 	for _, n := range c.nodes {
 		require.Len(t, n.view.AllServers(), 12, "at %s", n.id)
 		require.Len(t, n.view.Members(""), 12, "at %s", n.id)
@@ -250,18 +250,18 @@
 // An entry restarts with a clock that runs behind, or under an incarnation that
 // it has had before. The others hold a newer record of its dead self; without
 // an answer to that it would stay unknown for good. Broken by removing outbid.
-func TestRestartWithAnOlderIncarnation(t *testing.T) {
+func TestRestartWithOldIncarnationIsServing(t *testing.T) {
 	for _, inc := range []uint64{1, 9} {
-		c := start(9, 3)
+		c := startCluster(9, 3)
 		first := c.addAs("entry-x", 9, "region-0", "zone-0")
 		c.run(5 * time.Second)
-		first.do(func(now time.Time) { first.core.setSelf(instance.Member{State: instance.StateGone}, now) })
+		first.step(func(now time.Time) { first.core.setSelf(instance.Member{State: instance.StateGone}, now) })
 		c.run(time.Second)
 		first.dead = true
 		c.run(time.Second)
 		require.Equal(t, instance.StateGone, c.nodes[0].memberState("entry-x"))
 		c.addAs("entry-x", inc, "region-0", "zone-0")
-		c.run(settle)
+		c.run(settleTime)
 		for _, n := range c.nodes[:3] {
 			require.Equal(t, instance.StateServing, n.memberState("entry-x"), "incarnation %d at %s", inc, n.id)
 		}
@@ -271,8 +271,8 @@
 // A connection is lost with news in it. The sender can't know which arrived, so
 // the two must compare at once; waiting for the next round leaves the receiver
 // behind for seconds. Broken by removing the loop over compare in antiEntropy.
-func TestLostConnectionIsMadeGood(t *testing.T) {
-	c := start(11, 2)
+func TestLostConnectionStartsDigestComparison(t *testing.T) {
+	c := startCluster(11, 2)
 	n := c.nodes[0].core
 	n.nextDigest = c.now.Add(time.Hour)
 	n.connectionLost(c.nodes[1].addr)
@@ -288,15 +288,15 @@
 // 600 servers report their load. Sent to everybody, and as often as it moves,
 // the reports alone would take the whole budget of a node. Broken by removing
 // the region from getsLoad, and by removing the count of reporting in scan.
-func TestLoadReportsAreLocalAndPaced(t *testing.T) {
+func TestLoadReportsStayInRegionAndAreRateLimited(t *testing.T) {
 	c := newCluster(12)
 	for i := range 6 {
 		c.add(fmt.Sprintf("region-%d", i%2), "zone")
 	}
 	c.run(5 * time.Second)
-	s := c.serve("s", 1, "region-0", "zone", func() *simNode { return c.nodes[0] })
+	s := c.addServer("s", 1, "region-0", "zone", func() *simNode { return c.nodes[0] })
 	c.run(5 * time.Second)
-	s.a.Load.Waiting = 40
+	s.announcement.Load.Waiting = 40
 	c.run(10 * time.Second)
 	for _, n := range c.nodes {
 		got, _ := n.view.Server("s")
@@ -309,7 +309,7 @@
 	n := c.nodes[0].core
 	require.Equal(t, n.cfg.MinLoadInterval, n.loadInterval())
 	for i := range 600 {
-		a := s.a
+		a := s.announcement
 		a.ID, a.Address = fmt.Sprintf("x%d", i), fmt.Sprintf("x%d:1", i)
 		require.NoError(t, n.announce(a, c.now))
 	}
@@ -325,7 +325,7 @@
 	}
 	c.run(10 * time.Second)
 	for i, n := range c.nodes {
-		n.do(func(now time.Time) { n.core.put("quarantine/f1", 1, []byte{1 << i}, now) })
+		n.step(func(now time.Time) { n.core.put("quarantine/f1", 1, []byte{1 << i}, now) })
 	}
 	c.run(15 * time.Second)
 	for _, n := range c.nodes {
@@ -335,64 +335,64 @@
 	}
 }
 
-// chaos is one random run: entries die, freeze, come back and are cut apart,
+// faultRun is one random run: entries die, freeze, come back and are cut apart,
 // servers leave, die and restart, messages are lost and doubled.
-type chaos struct {
+type faultRun struct {
 	*cluster
-	t       *rapid.T
-	servers []*simServer
-	seen    map[string]sighting // by node and server
+	t        *rapid.T
+	servers  []*simServer
+	observed map[string]observation // by node and server
 }
 
-// sighting is the most that a node has ever known of a server.
-type sighting struct {
+// observation is the most that a node has ever known of a server.
+type observation struct {
 	inc     uint64
 	leaving bool
 }
 
-// watch checks at each event what must hold at every moment.
-func (c *chaos) watch(n *simNode) {
+// checkEvents checks at each event what must hold at every moment.
+func (c *faultRun) checkEvents(n *simNode) {
 	n.onEvent = func(e Event) {
 		if e.Server == nil {
 			return
 		}
 		key := n.id + "/" + e.Server.ID
-		last := c.seen[key]
+		last := c.observed[key]
 		require.GreaterOrEqual(c.t, e.Server.Incarnation, last.inc, "incarnation of %s", key)
 		if e.Server.Incarnation == last.inc && last.leaving {
 			require.NotEqual(c.t, instance.StateServing, e.Server.State, "%s reverted", key)
 		}
-		c.seen[key] = sighting{inc: e.Server.Incarnation, leaving: e.Server.State == instance.StateLeaving ||
+		c.observed[key] = observation{inc: e.Server.Incarnation, leaving: e.Server.State == instance.StateLeaving ||
 			(last.inc == e.Server.Incarnation && last.leaving)}
 	}
 }
 
-func (c *chaos) act() {
+func (c *faultRun) injectFault() {
 	n := c.nodes[rapid.IntRange(0, len(c.nodes)-1).Draw(c.t, "node")]
 	s := c.servers[rapid.IntRange(0, len(c.servers)-1).Draw(c.t, "server")]
 	switch rapid.SampledFrom([]string{"freeze", "thaw", "cut", "heal", "leave", "die", "restart", "put"}).Draw(c.t, "action") {
 	case "freeze":
 		n.freeze()
 	case "thaw":
-		n.thaw(rapid.Bool().Draw(c.t, "keep"))
+		n.resume(rapid.Bool().Draw(c.t, "keep"))
 	case "cut":
 		side := rapid.SliceOfN(rapid.Bool(), len(c.nodes), len(c.nodes)).Draw(c.t, "sides")
 		c.cut = func(x, y *simNode) bool { return side[c.index(x)] != side[c.index(y)] }
 	case "heal":
 		c.cut = func(_, _ *simNode) bool { return false }
 	case "leave":
-		s.set(instance.StateLeaving)
+		s.setState(instance.StateLeaving)
 	case "die":
-		s.mute = true
+		s.stopped = true
 	case "restart":
-		s.a.Incarnation, s.a.Sequence, s.a.State = s.a.Incarnation+1, 0, instance.StateServing
-		if s.mute {
-			s.mute = false
-			s.beat()
+		s.announcement.Incarnation, s.announcement.Sequence, s.announcement.State = s.announcement.Incarnation+1, 0, instance.StateServing
+		if s.stopped {
+			s.stopped = false
+			s.heartbeat()
 		}
 	case "put":
 		version := rapid.Uint64Range(1, 9).Draw(c.t, "version")
-		n.do(func(now time.Time) { n.core.put("k", version, []byte(n.id), now) })
+		n.step(func(now time.Time) { n.core.put("k", version, []byte(n.id), now) })
 	}
 }
 
@@ -409,46 +409,46 @@
 // again, all entries hold the same, every server that announces itself is known
 // under its newest incarnation, and one that is silent is gone. A server seen to
 // leave is never taken for serving again under that incarnation.
-func TestConvergenceAfterAnything(t *testing.T) {
+func TestConvergenceAfterFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c := &chaos{cluster: start(rapid.Uint64().Draw(rt, "seed"), 5), t: rt, seen: make(map[string]sighting)}
-		c.loss, c.double = 0.1, 0.1
+		c := &faultRun{cluster: startCluster(rapid.Uint64().Draw(rt, "seed"), 5), t: rt, observed: make(map[string]observation)}
+		c.loss, c.duplication = 0.1, 0.1
 		for _, n := range c.nodes {
-			c.watch(n)
+			c.checkEvents(n)
 		}
 		home := func() *simNode { return c.nodes[c.rng.IntN(len(c.nodes))] }
 		for i := range 3 {
-			c.servers = append(c.servers, c.serve(fmt.Sprintf("s%d", i), 1, "region-0", "zone-0", home))
+			c.servers = append(c.servers, c.addServer(fmt.Sprintf("s%d", i), 1, "region-0", "zone-0", home))
 		}
 		for range rapid.IntRange(3, 12).Draw(rt, "actions") {
-			c.act()
+			c.injectFault()
 			c.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "pause")) * time.Millisecond)
 		}
-		c.loss, c.double = 0, 0
+		c.loss, c.duplication = 0, 0
 		c.cut = func(_, _ *simNode) bool { return false }
 		for _, n := range c.nodes {
-			n.thaw(true)
+			n.resume(true)
 		}
-		c.run(2 * settle)
+		c.run(2 * settleTime)
 		c.requireConverged(rt)
 	})
 }
 
-func (c *chaos) requireConverged(t *rapid.T) {
+func (c *faultRun) requireConverged(t *rapid.T) {
 	for _, s := range c.servers {
-		want := s.a.State
-		if s.mute {
+		want := s.announcement.State
+		if s.stopped {
 			want = instance.StateGone
 		}
 		for _, n := range c.nodes {
-			got, ok := n.view.Server(s.a.ID)
-			if !ok && s.mute {
+			got, ok := n.view.Server(s.announcement.ID)
+			if !ok && s.stopped {
 				continue
 			}
-			require.True(t, ok, "%s at %s", s.a.ID, n.id)
-			require.Equal(t, want, got.State, "%s at %s", s.a.ID, n.id)
-			if !s.mute { // a silent one may have died before it said its new incarnation
-				require.Equal(t, s.a.Incarnation, got.Incarnation, "%s at %s", s.a.ID, n.id)
+			require.True(t, ok, "%s at %s", s.announcement.ID, n.id)
+			require.Equal(t, want, got.State, "%s at %s", s.announcement.ID, n.id)
+			if !s.stopped { // a silent one may have died before it said its new incarnation
+				require.Equal(t, s.announcement.Incarnation, got.Incarnation, "%s at %s", s.announcement.ID, n.id)
 			}
 		}
 	}
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -16,23 +16,23 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-const bound = 30 * time.Second // on waits in real time; reached only by a fault
+const waitTimeout = 30 * time.Second // on waits in real time; reached only by a fault
 
-// process is one member over real connections.
-type process struct {
+// testProcess is one member over real connections.
+type testProcess struct {
 	node *Node
 	addr string
 }
 
 // startProcess runs a node until the test ends. front may put a relay before
 // it and returns the address that others are told.
-func startProcess(t *testing.T, id string, seeds []string, front func(string) string, antiEntropy time.Duration) *process {
+func startProcess(t *testing.T, id string, seeds []string, proxy func(string) string, antiEntropy time.Duration) *testProcess {
 	key := []byte("cluster")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
-	if front != nil {
-		addr = front(addr)
+	if proxy != nil {
+		addr = proxy(addr)
 	}
 	self := link.PeerInfo{ID: id, Incarnation: 1, Address: addr, Role: instance.RoleEntry}
 	pool := link.NewPool(link.PoolConfig{Self: self, ClusterKey: key}, link.PoolDeps{})
@@ -56,17 +56,17 @@
 		require.NoError(t, <-done)
 		require.NoError(t, <-done)
 	})
-	return &process{node: node, addr: addr}
+	return &testProcess{node: node, addr: addr}
 }
 
 func eventually(t *testing.T, what string, cond func() bool) {
 	start := time.Now()
-	require.Eventually(t, cond, bound, 5*time.Millisecond, what)
+	require.Eventually(t, cond, waitTimeout, 5*time.Millisecond, what)
 	t.Logf("%s after %v", what, time.Since(start).Round(time.Millisecond))
 }
 
 // A newcomer takes in a whole state of many compressed messages.
-func TestNewcomerGetsTheWholeState(t *testing.T) {
+func TestNewMemberReceivesAllRecords(t *testing.T) {
 	const servers = 300
 	first := startProcess(t, "a", nil, nil, 0)
 	for i := range servers {
@@ -83,7 +83,7 @@
 	first := startProcess(t, "a", nil, nil, 0)
 	second := startProcess(t, "b", []string{first.addr}, nil, 0)
 	third := startProcess(t, "c", []string{first.addr}, nil, 0)
-	all := []*process{first, second, third}
+	all := []*testProcess{first, second, third}
 	var leaving atomic.Bool
 	third.node.Subscribe(func(e Event) {
 		if e.Kind == ServerLeaving {
@@ -119,7 +119,7 @@
 // must find that out and dial again; an entry that stays without news sends
 // requests to servers that have left. No periodic comparison helps here: it is
 // set to an hour. Broken by removing the call of linkLost in New.
-func TestNewsArrivesPastASilentConnection(t *testing.T) {
+func TestUpdateArrivesDespiteSilentConnection(t *testing.T) {
 	var r *relay.Relay
 	first := startProcess(t, "a", nil, nil, time.Hour)
 	second := startProcess(t, "b", []string{first.addr}, func(target string) string {
--- a/membership/record_test.go
+++ b/membership/record_test.go
@@ -14,7 +14,7 @@
 // Two entries hear the same news by different ways, one twice and in reverse.
 // Were the outcome to depend on that, one would send work to a server that the
 // other knows to be leaving, and no comparison would ever settle it.
-func TestJoinIgnoresOrderAndRepeats(t *testing.T) {
+func TestMergeIgnoresOrderAndDuplicates(t *testing.T) {
 	status := rapid.Custom(func(rt *rapid.T) statusDelta {
 		small := rapid.Uint64Range(0, 4)
 		return statusDelta{
@@ -43,7 +43,7 @@
 // A push is planned by estimates of its parts' sizes. If one is too low, the
 // message is refused at the last step and what it held is lost until the next
 // comparison. Broken by removing the comparison of size and room in compose.
-func TestPushesFitAndLoseNothing(t *testing.T) {
+func TestPushesFitMessageAndLoseNoRecord(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newCluster(1)
 		from, to := c.add("r", "z").core, c.add("r", "z").core
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -20,24 +20,24 @@
 
 // The budget of letter 1 for control on one node.
 const (
-	nodeBudget   = 11 << 10 // bytes a second
-	leavingBound = 3 * time.Second
+	nodeBudgetBytesPerSecond = 11 << 10 // bytes a second
+	maxLeavingTime           = 3 * time.Second
 )
 
 type scaleSize struct{ nodes, servers, wave int }
 
 type scaleRow struct {
-	size                 scaleSize
-	quiet, wave, restart traffic
-	leavingP50, leaving  time.Duration
-	cold                 time.Duration // from the first announcements of all servers until all nodes know all
-	perMessage           time.Duration
-	core                 float64 // share of one, a node, quiet
-	serverBytes          float64
+	size                      scaleSize
+	quiet, wave, restart      traffic
+	leavingMedian, leavingMax time.Duration
+	coldStart                 time.Duration // from the first announcements of all servers until all nodes know all
+	timePerStep               time.Duration
+	cpuFraction               float64 // share of one, a node, quiet
+	bytesPerServer            float64
 }
 
 // traffic is what one node sends and receives a second.
-type traffic struct{ sentB, gotB, msgs, worstB float64 }
+type traffic struct{ sentBytes, receivedBytes, messages, maxBytes float64 }
 
 // TestScaleTable measures what membership costs a node, in virtual time with
 // real encoding. The counts of bytes and messages are the same in every run and
@@ -52,13 +52,13 @@
 	for _, size := range sizes {
 		row := measure(t, size)
 		fmt.Fprintf(w, "%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%v\t%v\t%v\t%.1f\t%.2f\t%.0f\t\n",
-			size.nodes, size.servers, row.quiet.sentB, row.quiet.gotB, row.quiet.worstB, row.quiet.msgs,
-			row.wave.sentB, row.wave.worstB, row.restart.sentB,
-			row.leavingP50.Round(time.Millisecond), row.leaving.Round(time.Millisecond), row.cold,
-			float64(row.perMessage.Nanoseconds())/1e3, row.core*100, row.serverBytes)
-		require.Less(t, row.quiet.worstB, float64(nodeBudget), "bytes a second, quiet, %d nodes", size.nodes)
-		require.Less(t, row.restart.sentB, float64(nodeBudget), "bytes a second with restarts, %d nodes", size.nodes)
-		require.Less(t, row.leaving, leavingBound, "leaving known everywhere, %d nodes", size.nodes)
+			size.nodes, size.servers, row.quiet.sentBytes, row.quiet.receivedBytes, row.quiet.maxBytes, row.quiet.messages,
+			row.wave.sentBytes, row.wave.maxBytes, row.restart.sentBytes,
+			row.leavingMedian.Round(time.Millisecond), row.leavingMax.Round(time.Millisecond), row.coldStart,
+			float64(row.timePerStep.Nanoseconds())/1e3, row.cpuFraction*100, row.bytesPerServer)
+		require.Less(t, row.quiet.maxBytes, float64(nodeBudgetBytesPerSecond), "bytes a second, quiet, %d nodes", size.nodes)
+		require.Less(t, row.restart.sentBytes, float64(nodeBudgetBytesPerSecond), "bytes a second with restarts, %d nodes", size.nodes)
+		require.Less(t, row.leavingMax, maxLeavingTime, "leaving known everywhere, %d nodes", size.nodes)
 	}
 	require.NoError(t, w.Flush())
 }
@@ -66,21 +66,21 @@
 func measure(t *testing.T, size scaleSize) scaleRow {
 	c, servers := scaleCluster(size)
 	row := scaleRow{size: size}
-	row.cold = c.until(3*time.Minute, func() bool {
+	row.coldStart = c.runUntil(3*time.Minute, func() bool {
 		return !slices.ContainsFunc(c.nodes, func(n *simNode) bool {
 			return len(n.view.AllServers()) < size.servers || len(n.view.Members(instance.RoleEntry)) < size.nodes
 		})
 	})
-	require.Less(t, row.cold, 3*time.Minute, "every node knows everything")
+	require.Less(t, row.coldStart, 3*time.Minute, "every node knows everything")
 	c.run(10 * time.Second)
-	work, steps := c.work, c.steps
-	const quietFor = 20 * time.Second
-	row.quiet = c.meter(quietFor)
-	row.perMessage = (c.work - work) / time.Duration(c.steps-steps)
-	row.core = (c.work - work).Seconds() / quietFor.Seconds() / float64(size.nodes)
-	row.wave, row.leavingP50, row.leaving = c.wave(servers, size)
-	row.restart = c.restarts(size)
-	row.serverBytes = memoryPerServer(t)
+	work, steps := c.stepTime, c.steps
+	const quietTime = 20 * time.Second
+	row.quiet = c.measureTraffic(quietTime)
+	row.timePerStep = (c.stepTime - work) / time.Duration(c.steps-steps)
+	row.cpuFraction = (c.stepTime - work).Seconds() / quietTime.Seconds() / float64(size.nodes)
+	row.wave, row.leavingMedian, row.leavingMax = c.wave(servers, size)
+	row.restart = c.restartNodes(size)
+	row.bytesPerServer = memoryPerServer(t)
 	return row
 }
 
@@ -97,15 +97,15 @@
 	for i := range size.servers {
 		zone := i % 5
 		region := fmt.Sprintf("region-%d", zone/3)
-		s := c.serve(fmt.Sprintf("gpu-server-%04d", i), uint64(c.now.UnixNano()), region, fmt.Sprintf("zone-%d", zone), c.homesIn(region))
-		s.busy = true
+		s := c.addServer(fmt.Sprintf("gpu-server-%04d", i), uint64(c.now.UnixNano()), region, fmt.Sprintf("zone-%d", zone), c.randomEntryIn(region))
+		s.varyLoad = true
 		servers = append(servers, s)
 	}
 	return c, servers
 }
 
-// homesIn chooses any live entry of a region.
-func (c *cluster) homesIn(region string) func() *simNode {
+// randomEntryIn chooses any live entry of a region.
+func (c *cluster) randomEntryIn(region string) func() *simNode {
 	return func() *simNode {
 		var live []*simNode
 		for _, n := range c.nodes {
@@ -117,29 +117,29 @@
 	}
 }
 
-// meter runs for d and returns what nodes sent and received meanwhile.
-func (c *cluster) meter(d time.Duration) traffic {
-	type mark struct{ sentB, gotB, sent, got uint64 }
-	read := func(n *simNode) mark {
-		return mark{n.core.sent.Bytes, n.gotB, n.core.sent.Messages, n.gotMsgs}
+// measureTraffic runs for d and returns what nodes sent and received meanwhile.
+func (c *cluster) measureTraffic(d time.Duration) traffic {
+	type counters struct{ sentB, gotB, sent, got uint64 }
+	readCounters := func(n *simNode) counters {
+		return counters{n.core.sent.Bytes, n.receivedBytes, n.core.sent.Messages, n.receivedMessages}
 	}
-	before := make([]mark, len(c.nodes))
+	before := make([]counters, len(c.nodes))
 	for i, n := range c.nodes {
-		before[i] = read(n)
+		before[i] = readCounters(n)
 	}
 	c.run(d)
 	var out traffic
 	for i, n := range c.nodes[:len(before)] {
-		after := read(n)
+		after := readCounters(n)
 		sent := float64(after.sentB-before[i].sentB) + frameBytes*float64(after.sent-before[i].sent)
-		got := float64(after.gotB-before[i].gotB) + frameBytes*float64(after.got-before[i].got)
-		out.sentB += sent
-		out.gotB += got
-		out.msgs += float64(after.sent - before[i].sent)
-		out.worstB = max(out.worstB, sent/d.Seconds())
+		received := float64(after.gotB-before[i].gotB) + frameBytes*float64(after.got-before[i].got)
+		out.sentBytes += sent
+		out.receivedBytes += received
+		out.messages += float64(after.sent - before[i].sent)
+		out.maxBytes = max(out.maxBytes, sent/d.Seconds())
 	}
-	per := d.Seconds() * float64(len(before))
-	out.sentB, out.gotB, out.msgs = out.sentB/per, out.gotB/per, out.msgs/per
+	nodeSeconds := d.Seconds() * float64(len(before))
+	out.sentBytes, out.receivedBytes, out.messages = out.sentBytes/nodeSeconds, out.receivedBytes/nodeSeconds, out.messages/nodeSeconds
 	return out
 }
 
@@ -149,41 +149,41 @@
 // wave has all servers of one zone leave within half a second.
 func (c *cluster) wave(servers []*simServer, size scaleSize) (traffic, time.Duration, time.Duration) {
 	started := make(map[string]time.Time)
-	var took []time.Duration
+	var delays []time.Duration
 	for _, n := range c.nodes {
 		n.onEvent = func(e Event) {
 			if e.Kind == ServerLeaving {
-				took = append(took, c.now.Sub(started[e.Server.ID]))
+				delays = append(delays, c.now.Sub(started[e.Server.ID]))
 			}
 		}
 	}
 	left := 0
 	for _, s := range servers {
-		if s.a.Zone == "zone-4" && left < size.wave {
+		if s.announcement.Zone == "zone-4" && left < size.wave {
 			left++
 			c.after(time.Duration(c.rng.Int64N(int64(500*time.Millisecond))), func() {
-				started[s.a.ID] = c.now
-				s.set(instance.StateLeaving)
+				started[s.announcement.ID] = c.now
+				s.setState(instance.StateLeaving)
 			})
 		}
 	}
-	out := c.meter(5 * time.Second)
+	out := c.measureTraffic(5 * time.Second)
 	for _, n := range c.nodes {
 		n.onEvent = nil
 	}
-	if len(took) != left*size.nodes {
+	if len(delays) != left*size.nodes {
 		return out, 0, time.Hour // some node never heard of it
 	}
-	slices.SortFunc(took, cmp.Compare[time.Duration])
-	return out, took[len(took)/2], took[len(took)-1]
+	slices.SortFunc(delays, cmp.Compare[time.Duration])
+	return out, delays[len(delays)/2], delays[len(delays)-1]
 }
 
-// restarts replaces nodes at twenty times the rate of 290 a day, for a minute.
-func (c *cluster) restarts(size scaleSize) traffic {
-	const pace = 24 * time.Hour / 290 / 20
+// restartNodes replaces nodes at twenty times the rate of 290 a day, for a minute.
+func (c *cluster) restartNodes(size scaleSize) traffic {
+	const interval = 24 * time.Hour / 290 / 20
 	n := 0
-	const span = time.Minute
-	for at := time.Duration(0); at < span; at += pace {
+	const duration = time.Minute
+	for at := time.Duration(0); at < duration; at += interval {
 		c.after(at, func() {
 			n++
 			old := c.nodes[2+n%(size.nodes-2)]
@@ -191,7 +191,7 @@
 			c.addAs(old.id, 1+uint64(n), old.region, old.zone)
 		})
 	}
-	return c.meter(span)
+	return c.measureTraffic(duration)
 }
 
 // memoryPerServer weighs what a core and its view hold for one more server.
