--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -9,8 +9,8 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// cluster drives cores in virtual time: messages are encoded, delayed, and
-// perhaps lost or doubled; nodes freeze and die.
+// cluster runs cores in virtual time with encoded messages. It delays, drops and
+// duplicates messages, and freezes and stops nodes.
 type cluster struct {
 	now         time.Time
 	rng         *rand.Rand
@@ -18,10 +18,10 @@
 	byAddr      map[string]*simNode
 	queue       eventQueue
 	order       uint64
-	loss        float64 // share of messages that vanish
-	duplication float64 // share of messages that come twice
+	loss        float64 // fraction of messages that are dropped
+	duplication float64 // fraction of messages that are delivered twice
 	cut         func(from, to *simNode) bool
-	cfg         Config // common to all nodes
+	cfg         Config // configuration of all nodes
 	stepTime    time.Duration
 	steps       uint64
 }
@@ -36,7 +36,7 @@
 	addr             string
 	frozen           bool
 	dead             bool
-	deferred         []func() // what came in while frozen
+	deferred         []func() // steps that came in while frozen
 	onEvent          func(Event)
 	receivedMessages uint64
 	receivedBytes    uint64
@@ -81,7 +81,7 @@
 	heap.Push(&c.queue, simEvent{at: c.now.Add(d), order: c.order, run: run})
 }
 
-// run lets virtual time pass.
+// run advances virtual time by d.
 func (c *cluster) run(d time.Duration) {
 	end := c.now.Add(d)
 	for len(c.queue) > 0 && !c.queue[0].at.After(end) {
@@ -92,7 +92,8 @@
 	c.now = end
 }
 
-// runUntil runs runUntil cond holds, looking four times a second, for at most bound.
+// runUntil runs until cond holds, checked every 250 ms, for at most bound. It returns
+// the time run.
 func (c *cluster) runUntil(bound time.Duration, cond func() bool) time.Duration {
 	const step = 250 * time.Millisecond
 	for spent := time.Duration(0); spent < bound; spent += step {
@@ -104,7 +105,7 @@
 	return bound
 }
 
-// add starts a node that joins through the first one.
+// add starts a node that joins through the first two.
 func (c *cluster) add(region, zone string) *simNode {
 	return c.addAs(fmt.Sprintf("entry-%03d", len(c.nodes)), 1, region, zone)
 }
@@ -137,8 +138,8 @@
 	n.cluster.after(n.core.cfg.Tick, n.tick)
 }
 
-// step runs one step of the core, as Node.step does. A frozen node does it when
-// it wakes.
+// step runs one step of the core, as Node.step does. For a frozen node, the step runs
+// when it resumes.
 func (n *simNode) step(fn func(now time.Time)) {
 	if n.dead {
 		return
@@ -198,8 +199,8 @@
 
 func (n *simNode) freeze() { n.frozen = true }
 
-// resume lets a frozen node go on. It works off what came in meanwhile, or finds
-// its connections closed and nothing in them; its clock ticks first.
+// resume ends a freeze. The node ticks first; then it handles the messages that came in
+// meanwhile, or, without keepInbox, drops them as if its connections had closed.
 func (n *simNode) resume(keepInbox bool) {
 	n.frozen = false
 	deferred := n.deferred
@@ -213,15 +214,15 @@
 	}
 }
 
-// simServer is a backend server that announces itself once a second to its
-// home, and moves on when the home doesn't answer.
+// simServer is a backend server that announces itself once a second to its home, and
+// chooses another home when that one doesn't answer.
 type simServer struct {
 	cluster      *cluster
 	announcement instance.Announcement
 	home         *simNode
 	chooseHome   func() *simNode
 	stopped      bool
-	varyLoad     bool // its load moves
+	varyLoad     bool // its load changes with every heartbeat
 }
 
 func (c *cluster) addServer(id string, inc uint64, region, zone string, homes func() *simNode) *simServer {
--- a/membership/compress.go
+++ b/membership/compress.go
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	if len(out) > maxDecompressedBytes {
-		return nil, fmt.Errorf("gossip grows over %d bytes", maxDecompressedBytes)
+		return nil, fmt.Errorf("decompressed gossip message exceeds %d bytes", maxDecompressedBytes)
 	}
 	return out, nil
 }
--- a/membership/compress_test.go
+++ b/membership/compress_test.go
@@ -22,14 +22,13 @@
 	})
 }
 
-// A faulty or hostile member sends a few bytes that unpack to gigabytes. The
-// receiver must stop at the bound and not run out of memory. Broken by removing
-// the comparison with maxUnpacked.
+// A small message from a faulty or hostile member that decompresses to gigabytes must
+// be rejected before it exhausts the receiver's memory.
 func TestDecompressedSizeIsBounded(t *testing.T) {
 	var p compressor
 	compressed, err := p.compress(make([]byte, 64*maxDecompressedBytes))
 	require.NoError(t, err)
 	require.Less(t, len(compressed), maxDecompressedBytes)
 	_, err = decompress(compressed)
-	require.ErrorContains(t, err, "grows over")
+	require.ErrorContains(t, err, "decompressed gossip message exceeds")
 }
--- a/membership/core.go
+++ b/membership/core.go
@@ -279,7 +279,7 @@
 		return err
 	}
 	if size := len(a.ID) + len(body); size > MaxSharedBytes {
-		return trace.LimitExceeded("announcement of %d bytes, bound %d", size, MaxSharedBytes)
+		return trace.LimitExceeded("announcement of %d bytes exceeds %d bytes", size, MaxSharedBytes)
 	}
 	r := c.lookup(recordServer, a.ID)
 	if r != nil && (r.inc > a.Incarnation || (r.inc == a.Incarnation && r.announcedSeq >= a.Sequence)) {
--- a/membership/core_test.go
+++ b/membership/core_test.go
@@ -11,8 +11,8 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// settleTime is time enough, in virtual time, for suspicion, silence bounds and a
-// full round of digests.
+// settleTime is virtual time enough for suspicion, timeouts and a full round of
+// digest comparisons.
 const settleTime = 60 * time.Second
 
 func startCluster(seed uint64, nodes int) *cluster {
@@ -40,7 +40,7 @@
 	return m.State
 }
 
-// requireState checks what every live node holds of one server.
+// requireState checks the state of one server at every live node.
 func (c *cluster) requireState(t require.TestingT, id string, want instance.State) {
 	for _, n := range c.nodes {
 		if !n.dead {
@@ -49,10 +49,9 @@
 	}
 }
 
-// A zone is reclaimed and its server begins to leave, while a tenth of all
-// messages is lost and a tenth comes twice. An entry that doesn't hear of it in
-// time goes on sending requests to a machine that is about to vanish. Broken by
-// removing the digest comparison (antiEntropy) or the spread in takeStatus.
+// A server that begins to leave must be leaving at every entry within the bound, with
+// a tenth of the messages lost and a tenth duplicated. Otherwise an entry sends
+// requests to a server that is about to stop.
 func TestLeavingReachesEveryEntryWithinBound(t *testing.T) {
 	for seed := range uint64(10) {
 		c := startCluster(seed, 30)
@@ -66,9 +65,8 @@
 	}
 }
 
-// An announcement from before a server began to leave comes late, by another
-// entry. Believed, the server would get new work until it is reclaimed under it.
-// Broken by assigning d.Flags in joinStatus in place of setting them.
+// A delayed announcement from before a server began to leave, received by another
+// entry, must not make it serving again: it would get requests until it stops.
 func TestLeavingNeverReverts(t *testing.T) {
 	c := startCluster(1, 3)
 	s := c.addServer("s", 1, "region-0", "zone-0", func() *simNode { return c.nodes[0] })
@@ -82,10 +80,9 @@
 	c.requireState(t, "s", instance.StateLeaving)
 }
 
-// A machine is replaced: the same address answers under a new incarnation, or
-// under a new id. Work meant for the old process must not be counted on the new
-// one, and a late word from the old one must not replace the new. Broken by
-// removing settleAddress, and by the comparison of r.inc in learnFull.
+// A process that replaces another at the same address, under a new incarnation or id,
+// must replace its record, and a delayed record of the old one must not return.
+// Otherwise requests meant for the old process reach the new one.
 func TestNewIncarnationReplacesOldAtSameAddress(t *testing.T) {
 	c := startCluster(2, 4)
 	old := c.addServer("s", 5, "region-0", "zone-0", func() *simNode { return c.nodes[0] })
@@ -115,8 +112,8 @@
 	}
 }
 
-// A backend server dies without a word. Its entry no longer hears it; the
-// others never did and must learn it. Broken by removing scanOwn.
+// A backend server that stops without notice must be gone at every entry, though only
+// its home receives its heartbeats.
 func TestServerWithoutHeartbeatIsGone(t *testing.T) {
 	c := startCluster(3, 8)
 	s := c.addServer("s", 1, "region-0", "zone-0", c.randomEntryIn("region-0"))
@@ -130,9 +127,8 @@
 	c.requireState(t, "s", instance.StateServing)
 }
 
-// The entry that hears a server dies and the server moves to another. No entry
-// may lose sight of a server that is well, for a moment without servers means
-// refused requests.
+// When the home of a server fails and the server moves to another entry, no entry may
+// see it gone in between: without servers, requests are refused.
 func TestServerStaysServingWhenItsHomeFails(t *testing.T) {
 	c := startCluster(4, 8)
 	s := c.addServer("s", 1, "region-0", "zone-0", c.randomEntryIn("region-0"))
@@ -151,8 +147,8 @@
 	c.requireState(t, "s", instance.StateServing)
 }
 
-// Entry and server die together, so nobody is left whose task it is to miss the
-// server. Broken by removing the stamp of orphanAt in scanServer.
+// When a server fails together with its home, no entry is left to miss its heartbeats;
+// the others must still see it gone.
 func TestServerIsGoneWhenItFailsWithItsHome(t *testing.T) {
 	c := startCluster(5, 8)
 	s := c.addServer("s", 1, "region-0", "zone-0", c.randomEntryIn("region-0"))
@@ -163,13 +159,12 @@
 	c.requireState(t, "s", instance.StateGone)
 }
 
-// An entry is stopped for half a minute (SIGSTOP, a starved machine) and comes
-// back. To itself everybody else seems to have been silent. If it said so, all
-// other entries and all servers would be dropped everywhere for a moment, and
-// callers refused. Broken by removing the call of thaw in tick.
+// An entry that was stopped for half a minute (SIGSTOP, CPU starvation) must not mark
+// the instances gone that seem silent to it. Otherwise all servers and entries would
+// be gone everywhere for a moment, and requests refused.
 func TestFrozenEntryMarksNoInstanceGone(t *testing.T) {
 	for _, keep := range []bool{true, false} {
-		t.Run(fmt.Sprintf("inbox kept %v", keep), func(t *testing.T) { testFreezeAndResume(t, keep) })
+		t.Run(fmt.Sprintf("keep inbox %v", keep), func(t *testing.T) { testFreezeAndResume(t, keep) })
 	}
 }
 
@@ -202,9 +197,8 @@
 	}
 }
 
-// Two entries can't reach each other while all else works. Taken for a death by
-// one of them, a healthy entry would be dropped everywhere. Broken by removing
-// the indirect probes in probeFailed.
+// Two entries that can't reach each other, but are reached by all others, must not
+// mark each other gone: a healthy entry would be dropped everywhere.
 func TestPartitionOfTwoMembersMarksNeitherGone(t *testing.T) {
 	c := startCluster(7, 5)
 	a, b := c.nodes[1], c.nodes[3]
@@ -215,11 +209,9 @@
 	c.run(2 * settleTime)
 }
 
-// Two regions lose each other for minutes and meet again. While apart each goes
-// on with its own servers; when they meet, each hears from the other that its
-// own members are gone. If that were believed even for a moment, every entry
-// would drop its peers just when the network is back. Broken by removing
-// believedGone in state.
+// After a partition of minutes between two regions, no instance may be seen gone when
+// they reconnect, though each region receives gone marks for its own members. Otherwise
+// every entry would drop its peers at that moment.
 func TestRegionPartitionHealsWithoutGoneInstances(t *testing.T) {
 	c := newCluster(8)
 	for i := range 12 {
@@ -247,9 +239,8 @@
 	}
 }
 
-// An entry restarts with a clock that runs behind, or under an incarnation that
-// it has had before. The others hold a newer record of its dead self; without
-// an answer to that it would stay unknown for good. Broken by removing outbid.
+// An entry that restarts under the same or a lower incarnation, as after a change of
+// its clock, must be serving again: the others hold a newer record of its old process.
 func TestRestartWithOldIncarnationIsServing(t *testing.T) {
 	for _, inc := range []uint64{1, 9} {
 		c := startCluster(9, 3)
@@ -268,9 +259,8 @@
 	}
 }
 
-// A connection is lost with news in it. The sender can't know which arrived, so
-// the two must compare at once; waiting for the next round leaves the receiver
-// behind for seconds. Broken by removing the loop over compare in antiEntropy.
+// After a lost connection, digests must be compared at once: the sender can't know
+// which messages arrived, and the receiver would lack them until the next round.
 func TestLostConnectionStartsDigestComparison(t *testing.T) {
 	c := startCluster(11, 2)
 	n := c.nodes[0].core
@@ -285,9 +275,8 @@
 	require.Equal(t, c.nodes[1].addr, n.out[0].To)
 }
 
-// 600 servers report their load. Sent to everybody, and as often as it moves,
-// the reports alone would take the whole budget of a node. Broken by removing
-// the region from getsLoad, and by removing the count of reporting in scan.
+// Load reports must stay in their region and under the rate limit. Otherwise those of
+// 600 servers would exceed a node's bandwidth budget.
 func TestLoadReportsStayInRegionAndAreRateLimited(t *testing.T) {
 	c := newCluster(12)
 	for i := range 6 {
@@ -335,8 +324,8 @@
 	}
 }
 
-// faultRun is one random run: entries die, freeze, come back and are cut apart,
-// servers leave, die and restart, messages are lost and doubled.
+// faultRun is one random run: entries freeze and resume, the network is partitioned,
+// servers leave, stop and restart, and messages are lost and duplicated.
 type faultRun struct {
 	*cluster
 	t        *rapid.T
@@ -344,13 +333,14 @@
 	observed map[string]observation // by node and server
 }
 
-// observation is the most that a node has ever known of a server.
+// observation is the latest state of a server that a node has seen.
 type observation struct {
 	inc     uint64
 	leaving bool
 }
 
-// checkEvents checks at each event what must hold at every moment.
+// checkEvents checks at each event that no server of node n goes back to an earlier
+// state.
 func (c *faultRun) checkEvents(n *simNode) {
 	n.onEvent = func(e Event) {
 		if e.Server == nil {
@@ -405,10 +395,9 @@
 	return -1
 }
 
-// Whatever has been lost, doubled, frozen or cut: once the network is whole
-// again, all entries hold the same, every server that announces itself is known
-// under its newest incarnation, and one that is silent is gone. A server seen to
-// leave is never taken for serving again under that incarnation.
+// After lost and duplicated messages, freezes and partitions, all entries must hold the
+// same records: every announcing server under its latest incarnation, and every silent
+// one gone. A leaving server must never be serving again under the same incarnation.
 func TestConvergenceAfterFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := &faultRun{cluster: startCluster(rapid.Uint64().Draw(rt, "seed"), 5), t: rt, observed: make(map[string]observation)}
@@ -447,7 +436,7 @@
 			}
 			require.True(t, ok, "%s at %s", s.announcement.ID, n.id)
 			require.Equal(t, want, got.State, "%s at %s", s.announcement.ID, n.id)
-			if !s.stopped { // a silent one may have died before it said its new incarnation
+			if !s.stopped { // a stopped one may not have announced its last incarnation
 				require.Equal(t, s.announcement.Incarnation, got.Incarnation, "%s at %s", s.announcement.ID, n.id)
 			}
 		}
--- a/membership/message.go
+++ b/membership/message.go
@@ -130,18 +130,18 @@
 func decodeMessage(data []byte) (*message, error) {
 	data, err := decompress(data)
 	if err != nil {
-		return nil, trace.Wrap(err, "unpack gossip")
+		return nil, trace.Wrap(err, "decompress gossip message")
 	}
 	var m message
 	if err := link.Unmarshal(data, &m); err != nil {
-		return nil, trace.Wrap(err, "decode gossip")
+		return nil, trace.Wrap(err, "decode gossip message")
 	}
 	if m.Kind < kindPush || m.Kind > kindItems {
-		return nil, trace.BadParameter("gossip of unknown kind %d", m.Kind)
+		return nil, trace.BadParameter("gossip message of unknown kind %d", m.Kind)
 	}
 	for _, f := range m.Fulls {
 		if f.ID == "" || f.Kind < recordMember || f.Kind > recordShared {
-			return nil, trace.BadParameter("gossip record %q of kind %d", f.ID, f.Kind)
+			return nil, trace.BadParameter("invalid gossip record %q of kind %d", f.ID, f.Kind)
 		}
 	}
 	return &m, nil
@@ -165,7 +165,7 @@
 		return nil, err
 	}
 	if len(data) > limit {
-		return nil, fmt.Errorf("gossip of %d bytes, bound %d", len(data), limit)
+		return nil, fmt.Errorf("gossip message of %d bytes exceeds %d bytes", len(data), limit)
 	}
 	return data, nil
 }
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -16,7 +16,7 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-const waitTimeout = 30 * time.Second // on waits in real time; reached only by a fault
+const waitTimeout = 30 * time.Second // limit of waits in real time, reached only on failure
 
 // testProcess is one member over real connections.
 type testProcess struct {
@@ -24,8 +24,8 @@
 	addr string
 }
 
-// startProcess runs a node until the test ends. front may put a relay before
-// it and returns the address that others are told.
+// startProcess runs a node until the test ends. proxy, if not nil, may start a relay
+// before it and returns the address that others use.
 func startProcess(t *testing.T, id string, seeds []string, proxy func(string) string, antiEntropy time.Duration) *testProcess {
 	key := []byte("cluster")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 	node, err := New(Config{
 		Self:  instance.Member{ID: id, Incarnation: 1, Role: instance.RoleEntry, Region: "r", Zone: "z", LinkAddress: addr},
 		Seeds: append(seeds, addr),
-		// The tests announce once and not every second.
+		// the tests announce only once
 		ServerTimeout:       time.Hour,
 		AntiEntropyInterval: antiEntropy,
 	}, Deps{Pool: pool})
@@ -65,7 +65,8 @@
 	t.Logf("%s after %v", what, time.Since(start).Round(time.Millisecond))
 }
 
-// A newcomer takes in a whole state of many compressed messages.
+// A member that joins must receive the whole state, though it takes many compressed
+// messages.
 func TestNewMemberReceivesAllRecords(t *testing.T) {
 	const servers = 300
 	first := startProcess(t, "a", nil, nil, 0)
@@ -115,10 +116,9 @@
 	require.Error(t, second.node.Announce(instance.Announcement{ID: "s", Address: "x:1", State: "asleep"}))
 }
 
-// The open connections to an entry go silent while new ones work. Its neighbours
-// must find that out and dial again; an entry that stays without news sends
-// requests to servers that have left. No periodic comparison helps here: it is
-// set to an hour. Broken by removing the call of linkLost in New.
+// When open connections to an entry go silent while new ones work, its neighbours must
+// detect it and reconnect. Otherwise the entry sends requests to servers that have
+// left. Digest comparison is set to an hour, so that it doesn't hide the failure.
 func TestUpdateArrivesDespiteSilentConnection(t *testing.T) {
 	var r *relay.Relay
 	first := startProcess(t, "a", nil, nil, time.Hour)
@@ -134,5 +134,5 @@
 	r.Silence()
 	a := instance.Announcement{ID: "s", Incarnation: 1, Sequence: 1, Address: "127.0.0.1:9", State: instance.StateLeaving, Model: "m"}
 	require.NoError(t, first.node.Announce(a))
-	eventually(t, "news", func() bool { _, ok := v.Server("s"); return ok })
+	eventually(t, "update", func() bool { _, ok := v.Server("s"); return ok })
 }
--- a/membership/record_test.go
+++ b/membership/record_test.go
@@ -11,9 +11,9 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Two entries hear the same news by different ways, one twice and in reverse.
-// Were the outcome to depend on that, one would send work to a server that the
-// other knows to be leaving, and no comparison would ever settle it.
+// Statuses merged in any order and any number of times must give the same record.
+// Otherwise one entry sends requests to a server that another has as leaving, and digest
+// comparison never resolves it.
 func TestMergeIgnoresOrderAndDuplicates(t *testing.T) {
 	status := rapid.Custom(func(rt *rapid.T) statusDelta {
 		small := rapid.Uint64Range(0, 4)
@@ -40,9 +40,8 @@
 	})
 }
 
-// A push is planned by estimates of its parts' sizes. If one is too low, the
-// message is refused at the last step and what it held is lost until the next
-// comparison. Broken by removing the comparison of size and room in compose.
+// A push is planned by estimated sizes. If an estimate is too low, encoding fails and
+// the records of the push are lost until the next digest comparison.
 func TestPushesFitMessageAndLoseNoRecord(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newCluster(1)
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -18,9 +18,9 @@
 
 var allSizes = flag.Bool("membership.scale", false, "TestScaleTable at all sizes, up to 370 nodes and 600 servers")
 
-// The budget of letter 1 for control on one node.
+// Limits for membership on one node.
 const (
-	nodeBudgetBytesPerSecond = 11 << 10 // bytes a second
+	nodeBudgetBytesPerSecond = 11 << 10 // bytes per second
 	maxLeavingTime           = 3 * time.Second
 )
 
@@ -30,18 +30,18 @@
 	size                      scaleSize
 	quiet, wave, restart      traffic
 	leavingMedian, leavingMax time.Duration
-	coldStart                 time.Duration // from the first announcements of all servers until all nodes know all
+	coldStart                 time.Duration // from the first announcement until every node has every server
 	timePerStep               time.Duration
-	cpuFraction               float64 // share of one, a node, quiet
+	cpuFraction               float64 // fraction of one CPU core per node, without changes
 	bytesPerServer            float64
 }
 
-// traffic is what one node sends and receives a second.
+// traffic is what one node sends and receives per second.
 type traffic struct{ sentBytes, receivedBytes, messages, maxBytes float64 }
 
-// TestScaleTable measures what membership costs a node, in virtual time with
-// real encoding. The counts of bytes and messages are the same in every run and
-// are judged; processor time and memory are printed only.
+// TestScaleTable measures the cost of membership per node, in virtual time with real
+// encoding. Bytes and messages are deterministic and checked; CPU time and memory are
+// only printed.
 func TestScaleTable(t *testing.T) {
 	sizes := []scaleSize{{7, 60, 12}, {30, 120, 24}}
 	if *allSizes {
@@ -84,8 +84,8 @@
 	return row
 }
 
-// scaleCluster starts the nodes in two regions and five zones and spreads the
-// servers over them.
+// scaleCluster starts nodes in two regions and five zones, and distributes the servers
+// over them.
 func scaleCluster(size scaleSize) (*cluster, []*simServer) {
 	c := newCluster(20261202)
 	for i := range size.nodes {
@@ -104,7 +104,7 @@
 	return c, servers
 }
 
-// randomEntryIn chooses any live entry of a region.
+// randomEntryIn returns a function that picks a random live entry of a region.
 func (c *cluster) randomEntryIn(region string) func() *simNode {
 	return func() *simNode {
 		var live []*simNode
@@ -117,7 +117,7 @@
 	}
 }
 
-// measureTraffic runs for d and returns what nodes sent and received meanwhile.
+// measureTraffic runs for d and returns the traffic of the nodes meanwhile.
 func (c *cluster) measureTraffic(d time.Duration) traffic {
 	type counters struct{ sentB, gotB, sent, got uint64 }
 	readCounters := func(n *simNode) counters {
@@ -143,10 +143,11 @@
 	return out
 }
 
-// frameBytes is what link adds to a notice: header, id, timeout, method.
+// frameBytes is the overhead of link for a notice: header, id, timeout, method.
 const frameBytes = 8.0 + 1 + 1 + 1 + float64(len(Method))
 
-// wave has all servers of one zone leave within half a second.
+// wave makes the servers of one zone leave within half a second. It returns the traffic,
+// and the median and maximum time until a node saw a server leaving.
 func (c *cluster) wave(servers []*simServer, size scaleSize) (traffic, time.Duration, time.Duration) {
 	started := make(map[string]time.Time)
 	var delays []time.Duration
@@ -172,13 +173,13 @@
 		n.onEvent = nil
 	}
 	if len(delays) != left*size.nodes {
-		return out, 0, time.Hour // some node never heard of it
+		return out, 0, time.Hour // some node never received it
 	}
 	slices.SortFunc(delays, cmp.Compare[time.Duration])
 	return out, delays[len(delays)/2], delays[len(delays)-1]
 }
 
-// restartNodes replaces nodes at twenty times the rate of 290 a day, for a minute.
+// restartNodes replaces nodes for a minute, at 20 times the rate of 290 a day.
 func (c *cluster) restartNodes(size scaleSize) traffic {
 	const interval = 24 * time.Hour / 290 / 20
 	n := 0
@@ -194,7 +195,7 @@
 	return c.measureTraffic(duration)
 }
 
-// memoryPerServer weighs what a core and its view hold for one more server.
+// memoryPerServer returns the heap bytes of a core and its view per additional server.
 func memoryPerServer(t *testing.T) float64 {
 	const servers = 2000
 	c := newCluster(1)
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// A notice for a data centre must not send away what is paid for on demand: it
-// stays, and would be missed at the worst moment.
+// A notice for a data centre must not cover on-demand instances, which keep running:
+// they would be drained when capacity is scarcest.
 func TestNoticeCoversReclaimableOnly(t *testing.T) {
 	z := &Zone{Name: "a", Region: "r", DataCentre: "d"}
 	now := time.Unix(1_800_000_000, 0)
