--- a/membership/compress_test.go
+++ b/membership/compress_test.go
@@ -22,7 +22,7 @@
 	})
 }
 
-// A small message from a faulty or hostile member that decompresses to gigabytes must
+// A small message from a faulty or hostile member may decompress to gigabytes. It must
 // be rejected before it exhausts the receiver's memory.
 func TestDecompressedSizeIsBounded(t *testing.T) {
 	var p compressor
--- a/membership/core.go
+++ b/membership/core.go
@@ -39,11 +39,11 @@
 
 	topology      topology
 	topologyDirty bool
-	reporterCount int                // instances of this region that report load, as of the last scan
-	outboxes      map[string]*outbox // by member id
-	pushDeadlines map[string]time.Time
+	reporterCount int                  // instances of this region that report load, as of the last scan
+	outboxes      map[string]*outbox   // by member id
+	pushDeadlines map[string]time.Time // by member id: when its next push is overdue
 	probes        map[string]*probe
-	relayedProbes map[uint32]relayedProbe
+	relayedProbes map[uint32]relayedProbe // by the nonce of the relayed ping
 	nonce         uint32
 	joined        bool
 	lastTick      time.Time
@@ -350,8 +350,8 @@
 
 // shouldBecomeHome reports whether this member should replace another one as home of
 // a server. A server that alternates between entries would otherwise cause a change
-// per heartbeat; the limit of two thirds of ServerTimeout lets the new home take over
-// before the old one marks the server gone.
+// per heartbeat, so the home changes at most once per two thirds of ServerTimeout.
+// That lets a new home take over before the old one marks the server gone.
 func (c *core) shouldBecomeHome(r *record, now time.Time) bool {
 	return r.status.Home != homeRef(c.self.id) && now.Sub(r.homeChangedAt) >= c.cfg.ServerTimeout*2/3
 }
@@ -426,8 +426,8 @@
 }
 
 // fromEarlierProcess reports whether a status of this member was disseminated by an
-// earlier process with the same incarnation: otherwise only this process raises its
-// sequence and sets its flags.
+// earlier process with the same incarnation. This process alone raises its sequence
+// and sets its flags, so a status ahead of its own can't be its own.
 func (c *core) fromEarlierProcess(d statusDelta) bool {
 	return d.Seq > c.self.status.Seq || d.Flags&^c.self.status.Flags != 0
 }
--- a/membership/detect.go
+++ b/membership/detect.go
@@ -10,7 +10,8 @@
 // that a broken path between two members isn't taken for a failed member.
 const indirectProbes = 3
 
-// probe is a pending probe of a member that sent nothing for MemberTimeout.
+// probe is a pending probe of a member that sent nothing for MemberTimeout, or to
+// which a message couldn't be sent.
 type probe struct {
 	nonce    uint32
 	deadline time.Time
--- a/membership/push.go
+++ b/membership/push.go
@@ -18,14 +18,14 @@
 // outbox queues what to send to one peer. It holds references to records: a record
 // that changes twice before the next push is sent once, in its latest state.
 type outbox struct {
-	refs       map[uint64]deltaKind
-	pulls      []uint64
-	temporary  bool      // the peer is no neighbour; the outbox holds a reply to it
-	joinReply  bool      // holds the reply to a join, which the budget doesn't delay
-	urgent     bool      // refs holds an urgent change
-	hasUpdates bool      // refs holds a change other than a load report
-	address    string    // link address of the peer, which may not be a known member
-	lastPush   time.Time // time of the last push to this peer
+	refs       map[uint64]deltaKind // deltas to send, by record
+	pulls      []uint64             // refs of full records to request from the peer
+	temporary  bool                 // the peer is no neighbour; the outbox holds a reply to it
+	joinReply  bool                 // holds the reply to a join, which the budget doesn't delay
+	urgent     bool                 // refs holds an urgent change
+	hasUpdates bool                 // refs holds a change other than a load report
+	address    string               // link address of the peer, which may not be a known member
+	lastPush   time.Time            // time of the last push to this peer
 }
 
 const maxPendingPulls = 4096
