--- a/membership/compress_test.go
+++ b/membership/compress_test.go
@@ -8,28 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-func TestPackRoundTrip(t *testing.T) {
-	var p packer
+func TestCompressRoundTrip(t *testing.T) {
+	var p compressor
 	rapid.Check(t, func(rt *rapid.T) {
 		unit := rapid.SliceOfN(rapid.Byte(), 1, 64).Draw(rt, "unit")
 		data := append([]byte{0x9a}, bytes.Repeat(unit, rapid.IntRange(1, 200).Draw(rt, "times"))...)
-		packed, err := p.pack(data)
+		compressed, err := p.compress(data)
 		require.NoError(rt, err)
-		require.LessOrEqual(rt, len(packed), len(data))
-		out, err := unpack(packed)
+		require.LessOrEqual(rt, len(compressed), len(data))
+		out, err := decompress(compressed)
 		require.NoError(rt, err)
 		require.Equal(rt, data, out)
 	})
 }
 
-// A faulty or hostile member sends a few bytes that unpack to gigabytes. The
-// receiver must stop at the bound and not run out of memory. Broken by removing
-// the comparison with maxUnpacked.
-func TestUnpackIsBounded(t *testing.T) {
-	var p packer
-	packed, err := p.pack(make([]byte, 64*maxUnpacked))
+// A small message from a faulty or hostile member may decompress to gigabytes. It must
+// be rejected before it exhausts the receiver's memory.
+func TestDecompressedSizeIsBounded(t *testing.T) {
+	var p compressor
+	compressed, err := p.compress(make([]byte, 64*maxDecompressedBytes))
 	require.NoError(t, err)
-	require.Less(t, len(packed), maxUnpacked)
-	_, err = unpack(packed)
-	require.ErrorContains(t, err, "grows over")
+	require.Less(t, len(compressed), maxDecompressedBytes)
+	_, err = decompress(compressed)
+	require.ErrorContains(t, err, "decompressed gossip message exceeds")
 }
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -16,23 +16,23 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-const bound = 30 * time.Second // on waits in real time; reached only by a fault
+const waitTimeout = 30 * time.Second // limit of waits in real time, reached only on failure
 
-// process is one member over real connections.
-type process struct {
+// testProcess is one member over real connections.
+type testProcess struct {
 	node *Node
 	addr string
 }
 
-// startProcess runs a node until the test ends. front may put a relay before
-// it and returns the address that others are told.
-func startProcess(t *testing.T, id string, seeds []string, front func(string) string, antiEntropy time.Duration) *process {
+// startProcess runs a node until the test ends. proxy, if not nil, may start a relay
+// before it and returns the address that others use.
+func startProcess(t *testing.T, id string, seeds []string, proxy func(string) string, antiEntropy time.Duration) *testProcess {
 	key := []byte("cluster")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
-	if front != nil {
-		addr = front(addr)
+	if proxy != nil {
+		addr = proxy(addr)
 	}
 	self := link.PeerInfo{ID: id, Incarnation: 1, Address: addr, Role: instance.RoleEntry}
 	pool := link.NewPool(link.PoolConfig{Self: self, ClusterKey: key}, link.PoolDeps{})
@@ -40,9 +40,9 @@
 	node, err := New(Config{
 		Self:  instance.Member{ID: id, Incarnation: 1, Role: instance.RoleEntry, Region: "r", Zone: "z", LinkAddress: addr},
 		Seeds: append(seeds, addr),
-		// The tests announce once and not every second.
-		ServerSilence: time.Hour,
-		AntiEntropy:   antiEntropy,
+		// the tests announce only once
+		ServerTimeout:       time.Hour,
+		AntiEntropyInterval: antiEntropy,
 	}, Deps{Pool: pool})
 	require.NoError(t, err)
 	node.Register(server)
@@ -56,17 +56,18 @@
 		require.NoError(t, <-done)
 		require.NoError(t, <-done)
 	})
-	return &process{node: node, addr: addr}
+	return &testProcess{node: node, addr: addr}
 }
 
 func eventually(t *testing.T, what string, cond func() bool) {
 	start := time.Now()
-	require.Eventually(t, cond, bound, 5*time.Millisecond, what)
+	require.Eventually(t, cond, waitTimeout, 5*time.Millisecond, what)
 	t.Logf("%s after %v", what, time.Since(start).Round(time.Millisecond))
 }
 
-// A newcomer takes in a whole state of many compressed messages.
-func TestNewcomerGetsTheWholeState(t *testing.T) {
+// A member that joins must receive the whole state, though it takes many compressed
+// messages.
+func TestNewMemberReceivesAllRecords(t *testing.T) {
 	const servers = 300
 	first := startProcess(t, "a", nil, nil, 0)
 	for i := range servers {
@@ -83,7 +84,7 @@
 	first := startProcess(t, "a", nil, nil, 0)
 	second := startProcess(t, "b", []string{first.addr}, nil, 0)
 	third := startProcess(t, "c", []string{first.addr}, nil, 0)
-	all := []*process{first, second, third}
+	all := []*testProcess{first, second, third}
 	var leaving atomic.Bool
 	third.node.Subscribe(func(e Event) {
 		if e.Kind == ServerLeaving {
@@ -110,16 +111,15 @@
 	eventually(t, "event", leaving.Load)
 	require.Error(t, second.node.Announce(instance.Announcement{ID: "s"}))
 	require.Error(t, second.node.Announce(instance.Announcement{
-		ID: strings.Repeat("s", MaxShared), Address: "x:1", State: instance.StateServing,
+		ID: strings.Repeat("s", MaxSharedBytes), Address: "x:1", State: instance.StateServing,
 	}))
 	require.Error(t, second.node.Announce(instance.Announcement{ID: "s", Address: "x:1", State: "asleep"}))
 }
 
-// The open connections to an entry go silent while new ones work. Its neighbours
-// must find that out and dial again; an entry that stays without news sends
-// requests to servers that have left. No periodic comparison helps here: it is
-// set to an hour. Broken by removing the call of linkLost in New.
-func TestNewsArrivesPastASilentConnection(t *testing.T) {
+// When open connections to an entry go silent while new ones work, its neighbours must
+// detect it and reconnect. Otherwise the entry sends requests to servers that have
+// left. Digest comparison is set to an hour, so that it doesn't hide the failure.
+func TestUpdateArrivesDespiteSilentConnection(t *testing.T) {
 	var r *relay.Relay
 	first := startProcess(t, "a", nil, nil, time.Hour)
 	second := startProcess(t, "b", []string{first.addr}, func(target string) string {
@@ -134,5 +134,5 @@
 	r.Silence()
 	a := instance.Announcement{ID: "s", Incarnation: 1, Sequence: 1, Address: "127.0.0.1:9", State: instance.StateLeaving, Model: "m"}
 	require.NoError(t, first.node.Announce(a))
-	eventually(t, "news", func() bool { _, ok := v.Server("s"); return ok })
+	eventually(t, "update", func() bool { _, ok := v.Server("s"); return ok })
 }
--- a/membership/record_test.go
+++ b/membership/record_test.go
@@ -11,10 +11,10 @@
 	"savoryreel.example/savoryreel/instance"
 )
 
-// Two entries hear the same news by different ways, one twice and in reverse.
-// Were the outcome to depend on that, one would send work to a server that the
-// other knows to be leaving, and no comparison would ever settle it.
-func TestJoinIgnoresOrderAndRepeats(t *testing.T) {
+// Statuses merged in any order and any number of times must give the same record.
+// Otherwise one entry sends requests to a server that another has as leaving, and digest
+// comparison never resolves it.
+func TestMergeIgnoresOrderAndDuplicates(t *testing.T) {
 	status := rapid.Custom(func(rt *rapid.T) statusDelta {
 		small := rapid.Uint64Range(0, 4)
 		return statusDelta{
@@ -28,28 +28,27 @@
 		shuffled := rapid.Permutation(append(deltas, deltas...)).Draw(rt, "order")
 		a, b := newRecord(recordServer, "s", 1), newRecord(recordServer, "s", 1)
 		for _, d := range deltas {
-			a.joinStatus(d)
+			a.mergeStatus(d)
 		}
 		for _, d := range shuffled {
-			b.joinStatus(d)
-			b.joinLoad(loadDelta{Seq: d.Seq})
+			b.mergeStatus(d)
+			b.mergeLoad(loadDelta{Seq: d.Seq})
 		}
 		require.Equal(rt, a.status, b.status)
 		require.Equal(rt, a.hash(), b.hash(), "the load is no part of the hash")
-		require.Zero(rt, b.joinStatus(a.status))
+		require.Zero(rt, b.mergeStatus(a.status))
 	})
 }
 
-// A push is planned by estimates of its parts' sizes. If one is too low, the
-// message is refused at the last step and what it held is lost until the next
-// comparison. Broken by removing the comparison of size and room in compose.
-func TestPushesFitAndLoseNothing(t *testing.T) {
+// A push is planned by estimated sizes. If an estimate is too low, encoding fails and
+// the records of the push are lost until the next digest comparison.
+func TestPushesFitMessageAndLoseNoRecord(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := newCluster(1)
 		from, to := c.add("r", "z").core, c.add("r", "z").core
-		from.learnFull(to.self.full(), c.now)
+		from.applyFull(to.self.full(), c.now)
 		from.joined = true
-		from.rebuildRing(c.now)
+		from.rebuildTopology(c.now)
 		text := rapid.StringN(1, 40, 80)
 		count := rapid.IntRange(150, 250).Draw(rt, "servers")
 		for i := range count {
@@ -62,13 +61,13 @@
 		}
 		from.nextDigest = c.now.Add(time.Hour)
 		for range 200 {
-			c.now = c.now.Add(from.cfg.PushEvery)
+			c.now = c.now.Add(from.cfg.PushInterval)
 			from.tick(c.now)
 			for _, o := range from.out {
-				require.LessOrEqual(rt, len(o.Message), from.cfg.MaxMessage)
+				require.LessOrEqual(rt, len(o.Message), from.cfg.MaxMessageBytes)
 				m, err := decodeMessage(o.Message)
 				require.NoError(rt, err)
-				to.takeIn(sender{ID: from.self.id, Address: "x"}, m, c.now)
+				to.applyDeltas(sender{ID: from.self.id, Address: "x"}, m, c.now)
 			}
 			from.out = nil
 		}
@@ -80,7 +79,7 @@
 	for _, m := range []message{
 		{Kind: kindPush, Status: []statusDelta{{Ref: 1, Seq: 2, Flags: flagLeaving}}, Loads: []loadDelta{{Ref: 1}}},
 		{Kind: kindJoin, Fulls: []fullDelta{{Kind: recordServer, ID: "s", Inc: 3}}},
-		{Kind: kindDigest, Buckets: make([]uint32, buckets)},
+		{Kind: kindDigest, Buckets: make([]uint32, bucketCount)},
 	} {
 		data, err := encode(m)
 		require.NoError(f, err)
@@ -96,6 +95,6 @@
 		n := c.add("r", "z")
 		n.core.receive(sender{ID: "x", Address: "x:1"}, m, c.now)
 		n.core.tick(c.now.Add(n.core.cfg.Tick))
-		n.core.takeChanges(c.now)
+		n.core.drainChanges(c.now)
 	})
 }
--- a/zone/zone_test.go
+++ b/zone/zone_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// A notice for a data centre must not send away what is paid for on demand: it
-// stays, and would be missed at the worst moment.
+// A notice for a data centre must not cover on-demand instances, which keep running:
+// they would be drained when capacity is scarcest.
 func TestNoticeCoversReclaimableOnly(t *testing.T) {
 	z := &Zone{Name: "a", Region: "r", DataCentre: "d"}
 	now := time.Unix(1_800_000_000, 0)
@@ -32,6 +32,6 @@
 	require.False(t, n.Covers(Location{"i", z, OnDemand}))
 	named := Notice{Scope: NoticeInstances, Instances: []string{"i"}}
 	require.True(t, named.Covers(Location{"i", z, OnDemand}))
-	require.Equal(t, 30*time.Second, n.Left(now))
-	require.Zero(t, n.Left(now.Add(time.Minute)))
+	require.Equal(t, 30*time.Second, n.Remaining(now))
+	require.Zero(t, n.Remaining(now.Add(time.Minute)))
 }
