--- a/backend/conn.go
+++ b/backend/conn.go
@@ -16,18 +16,18 @@
 // conn is one connection to a server, used by one request at a time.
 type conn struct {
 	net.Conn
-	raw     syscall.RawConn
-	reader  *bufio.Reader
-	written atomic.Int64 // bytes handed to the kernel for the current request
-	used    bool         // has carried a request before
-	idleAt  time.Time
-	keep    time.Duration // how long the server keeps it open idle
+	rawConn      syscall.RawConn
+	reader       *bufio.Reader
+	bytesWritten atomic.Int64 // bytes handed to the kernel for the current request
+	used         bool         // has carried a request before
+	idleSince    time.Time
+	idleTimeout  time.Duration // how long the server keeps it open idle
 }
 
 // Write counts what is written: as soon as one byte is out, the request may run.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.written.Add(int64(n))
+	c.bytesWritten.Add(int64(n))
 	return n, err
 }
 
@@ -35,11 +35,11 @@
 	// keepAliveIdle, keepAliveEvery and keepAliveTries find a connection that has
 	// gone silent because something between the ends has forgotten it: within
 	// three seconds, less than a caller's usual patience.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = time.Second
-	keepAliveTries = 2
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 	// unacknowledged bounds how long sent bytes may stay without acknowledgement.
-	unacknowledged = 3 * time.Second
+	maxUnacknowledged = 3 * time.Second
 	// tcpUserTimeout is the socket option of RFC 5482, which package syscall lacks.
 	tcpUserTimeout = 0x12
 )
@@ -48,7 +48,7 @@
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveTries,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 		},
 		ControlContext: setUserTimeout,
 	}
@@ -58,18 +58,18 @@
 // silent connection on which nothing waits to be acknowledged.
 func setUserTimeout(_ context.Context, _, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledged.Milliseconds()))
+		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(maxUnacknowledged.Milliseconds()))
 	})
 }
 
-func dial(ctx context.Context, d *net.Dialer, addr string, size int) (*conn, error) {
+func dial(ctx context.Context, d *net.Dialer, addr string, bufferBytes int) (*conn, error) {
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: nc, reader: bufio.NewReaderSize(nc, size), keep: defaultKeep}
+	c := &conn{Conn: nc, reader: bufio.NewReaderSize(nc, bufferBytes), idleTimeout: defaultIdleTimeout}
 	if sc, ok := nc.(syscall.Conn); ok {
-		if c.raw, err = sc.SyscallConn(); err != nil {
+		if c.rawConn, err = sc.SyscallConn(); err != nil {
 			return nil, errors.Join(err, nc.Close())
 		}
 	}
@@ -79,42 +79,42 @@
 // quiet reports whether an idle connection is still open with nothing on it.
 // Bytes that arrived while no request was waiting belong to no request; taken
 // for the next one's answer, a caller would get somebody else's.
-func (c *conn) quiet() bool {
+func (c *conn) openAndEmpty() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	if c.raw == nil {
+	if c.rawConn == nil {
 		return true
 	}
 	var buf [1]byte
-	quiet := false
-	err := c.raw.Read(func(fd uintptr) bool {
+	noData := false
+	err := c.rawConn.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		noData = errors.Is(err, syscall.EAGAIN)
 		return true // never wait
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
 // defaultKeep is how long an idle connection is used again where the server
 // doesn't say how long it keeps one.
-const defaultKeep = 4 * time.Second
+const defaultIdleTimeout = 4 * time.Second
 
 // keepPart is the part of the server's own timeout after which a connection is
 // not used again: a request that crosses the server's close may have run or not.
-const keepPart = 0.7
+const reuseFraction = 0.7
 
 // keepTime returns how long the server keeps the connection open idle.
-func keepTime(h http.Header) time.Duration {
+func serverIdleTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") && seconds >= 0 {
 			return time.Duration(seconds) * time.Second
 		}
 	}
-	return defaultKeep
+	return defaultIdleTimeout
 }
 
 func (c *conn) reusableUntil() time.Time {
-	return c.idleAt.Add(time.Duration(float64(c.keep) * keepPart))
+	return c.idleSince.Add(time.Duration(float64(c.idleTimeout) * reuseFraction))
 }
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -23,7 +23,7 @@
 	// Belongs reports whether an answer with this header answers this call. A
 	// faulty server may send an answer twice, and the second one arrives where the
 	// next call's answer is due.
-	Belongs func(http.Header) bool
+	Matches func(http.Header) bool
 }
 
 // Answer is a server's answer whose head has been read. Close must be called.
@@ -35,49 +35,49 @@
 	// Reused says that the connection had carried a request before.
 	Reused bool
 
-	body  io.ReadCloser
-	conn  *conn
-	pool  *Pool
-	addr  string
-	wrote <-chan error
-	stop  func() bool // ends the watch over the call's context
-	whole bool
-	reuse bool
-	once  sync.Once
+	body        io.ReadCloser
+	conn        *conn
+	pool        *Pool
+	addr        string
+	writeResult <-chan error
+	stopWatch   func() bool // ends the watch over the call's context
+	complete    bool
+	keepAlive   bool
+	closeOnce   sync.Once
 }
 
 // maxStray is how many answers of other calls are passed over.
-const maxStray = 3
+const maxStrayAnswers = 3
 
 // Do sends a call and returns its answer once the head has arrived. The end of
 // ctx closes the connection, also while the body is read: servers take that as
 // the word that nobody waits any more. The error is an *Error.
 func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*Answer, error) {
-	c, err := p.take(ctx, addr)
+	c, err := p.get(ctx, addr)
 	if err != nil {
 		return nil, &Error{Step: StepDial, Peer: addr, Cause: err}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	stopWatch := context.AfterFunc(ctx, func() { _ = c.Close() })
 	req := call.request()
-	wrote := make(chan error, 1)
-	go func() { wrote <- req.Write(c) }()
-	resp, err := readHead(c, req, call.Belongs)
+	writeResult := make(chan error, 1)
+	go func() { writeResult <- req.Write(c) }()
+	resp, err := readHead(c, req, call.Matches)
 	if err != nil {
-		stop()
+		stopWatch()
 		_ = c.Close() // its state is not known
-		return nil, p.failed(ctx, addr, c, wrote, err)
+		return nil, p.exchangeError(ctx, addr, c, writeResult, err)
 	}
 	return &Answer{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Reused: c.used,
-		body: resp.Body, conn: c, pool: p, addr: addr, wrote: wrote, stop: stop, reuse: !resp.Close,
+		body: resp.Body, conn: c, pool: p, addr: addr, writeResult: writeResult, stopWatch: stopWatch, keepAlive: !resp.Close,
 	}, nil
 }
 
 // failed says of an exchange without an answer whether it may have run. The
 // connection is closed, so the writer has ended or is about to.
-func (p *Pool) failed(ctx context.Context, addr string, c *conn, wrote <-chan error, err error) error {
-	writeErr := <-wrote
-	e := &Error{Step: StepHead, Peer: addr, Sent: c.written.Load() > 0, Cause: err}
+func (p *Pool) exchangeError(ctx context.Context, addr string, c *conn, writeResult <-chan error, err error) error {
+	writeErr := <-writeResult
+	e := &Error{Step: StepHead, Peer: addr, Sent: c.bytesWritten.Load() > 0, Cause: err}
 	if writeErr != nil && !e.Sent {
 		e.Step = StepWrite
 	}
@@ -115,8 +115,8 @@
 }
 
 // readHead reads the head of the answer that belongs to the call.
-func readHead(c *conn, req *http.Request, belongs func(http.Header) bool) (*http.Response, error) {
-	for range maxStray {
+func readHead(c *conn, req *http.Request, matches func(http.Header) bool) (*http.Response, error) {
+	for range maxStrayAnswers {
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
 			return nil, err
@@ -124,7 +124,7 @@
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
-		if belongs == nil || belongs(resp.Header) {
+		if matches == nil || matches(resp.Header) {
 			return resp, nil
 		}
 		if resp.Close {
@@ -145,7 +145,7 @@
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		a.whole = true
+		a.complete = true
 		return n, io.EOF
 	default:
 		return n, &Error{Step: StepBody, Peer: a.addr, Sent: true, Cause: err}
@@ -160,16 +160,16 @@
 // written reports whether the whole request was written. Without the wait a
 // connection whose writer was late to say so would be closed, and the next request
 // would pay for a new one.
-func (a *Answer) written() bool {
+func (a *Answer) requestWritten() bool {
 	select {
-	case err := <-a.wrote:
+	case err := <-a.writeResult:
 		return err == nil
 	default:
 	}
 	t := time.NewTimer(writeGrace)
 	defer t.Stop()
 	select {
-	case err := <-a.wrote:
+	case err := <-a.writeResult:
 		return err == nil
 	case <-t.C:
 		return false
@@ -179,12 +179,12 @@
 // Close ends the exchange. A connection whose answer was read whole is used
 // again; any other one is closed, which tells the server to stop.
 func (a *Answer) Close() {
-	a.once.Do(func() {
-		alive := a.stop()
+	a.closeOnce.Do(func() {
+		active := a.stopWatch()
 		// The reader checks for bytes behind the answer: they belong to no request.
-		clean := alive && a.whole && a.reuse && a.conn.reader.Buffered() == 0
-		if clean && a.written() {
-			a.conn.keep = keepTime(a.Header)
+		reusable := active && a.complete && a.keepAlive && a.conn.reader.Buffered() == 0
+		if reusable && a.requestWritten() {
+			a.conn.idleTimeout = serverIdleTimeout(a.Header)
 			a.pool.put(a.addr, a.conn)
 			return
 		}
--- a/backend/exchange_test.go
+++ b/backend/exchange_test.go
@@ -18,7 +18,7 @@
 
 // script is a server that reads a request and does what it is told, once for each
 // connection it accepts.
-func script(t *testing.T, handle func(c net.Conn, r *bufio.Reader)) string {
+func startServer(t *testing.T, handle func(c net.Conn, r *bufio.Reader)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -38,7 +38,7 @@
 }
 
 // next reads one request whole and returns its id.
-func next(r *bufio.Reader) (string, error) {
+func readRequest(r *bufio.Reader) (string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return "", err
@@ -47,22 +47,22 @@
 	return req.Header.Get("X-Id"), err
 }
 
-func answer(c net.Conn, id, body string) {
+func writeAnswer(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func call(id string) *Call {
+func newCall(id string) *Call {
 	return &Call{
 		Method: "POST", Target: "/a?b=c", Host: "a.example", Header: http.Header{"X-Id": {id}}, Body: []byte("body"),
-		Belongs: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
-func do(t *testing.T, p *Pool, addr, id string) (string, error) {
+func doCall(t *testing.T, p *Pool, addr, id string) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	a, err := p.Do(ctx, addr, call(id))
+	a, err := p.Do(ctx, addr, newCall(id))
 	if err != nil {
 		return "", err
 	}
@@ -73,13 +73,13 @@
 
 // requireNotQuiet waits until what the server sent after its answer, bytes or the
 // end of the connection, has arrived on the connection that is kept, if one is.
-func requireNotQuiet(t *testing.T, p *Pool, addr string) {
+func requireNotReusable(t *testing.T, p *Pool, addr string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		kept := p.idle[addr]
-		return len(kept) == 0 || !kept[len(kept)-1].quiet()
+		idle := p.idle[addr]
+		return len(idle) == 0 || !idle[len(idle)-1].openAndEmpty()
 	}, 5*time.Second, time.Millisecond)
 }
 
@@ -87,20 +87,20 @@
 // the next one is due. A caller would read somebody else's answer.
 //
 // It breaks without Call.Belongs.
-func TestLateAnswerOfAnotherCall(t *testing.T) {
-	addr := script(t, func(c net.Conn, r *bufio.Reader) {
-		id, _ := next(r)
-		answer(c, id, "first")
-		id2, _ := next(r)
-		answer(c, id, "first")
-		answer(c, id2, "second")
+func TestAnswerOfEarlierCallIsSkipped(t *testing.T) {
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		id, _ := readRequest(r)
+		writeAnswer(c, id, "first")
+		id2, _ := readRequest(r)
+		writeAnswer(c, id, "first")
+		writeAnswer(c, id2, "second")
 	})
 	p := NewPool(DefaultConfig(), time.Now)
 	defer p.Close()
-	body, err := do(t, p, addr, "1")
+	body, err := doCall(t, p, addr, "1")
 	require.NoError(t, err)
 	require.Equal(t, "first", body)
-	body, err = do(t, p, addr, "2")
+	body, err = doCall(t, p, addr, "2")
 	require.NoError(t, err)
 	require.Equal(t, "second", body)
 	require.EqualValues(t, 1, p.Dials())
@@ -110,23 +110,23 @@
 // read as the beginning of the next answer.
 //
 // It breaks without conn.quiet and the look at the buffer in Answer.Close.
-func TestBytesBehindAnAnswer(t *testing.T) {
-	addr := script(t, func(c net.Conn, r *bufio.Reader) {
-		id, err := next(r)
+func TestExtraBytesCloseConnection(t *testing.T) {
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		id, err := readRequest(r)
 		if err != nil {
 			return
 		}
-		answer(c, id, "good")
-		answer(c, id, "stray")
-		_, _ = next(r)
+		writeAnswer(c, id, "good")
+		writeAnswer(c, id, "stray")
+		_, _ = readRequest(r)
 	})
 	p := NewPool(DefaultConfig(), time.Now)
 	defer p.Close()
 	for i := range 3 {
-		body, err := do(t, p, addr, fmt.Sprint(i))
+		body, err := doCall(t, p, addr, fmt.Sprint(i))
 		require.NoError(t, err)
 		require.Equal(t, "good", body)
-		requireNotQuiet(t, p, addr)
+		requireNotReusable(t, p, addr)
 	}
 	require.EqualValues(t, 3, p.Dials())
 }
@@ -136,8 +136,8 @@
 // next one.
 //
 // It breaks if such an answer counts as whole, or its connection is used again.
-func TestAnswersOfTwoLengths(t *testing.T) {
-	for name, text := range map[string]string{
+func TestAmbiguousBodyLengthIsError(t *testing.T) {
+	for name, response := range map[string]string{
 		"two lengths":               "Content-Length: 2\r\nContent-Length: 4\r\n\r\ngood",
 		"two lengths in a list":     "Content-Length: 2, 4\r\n\r\ngood",
 		"negative length":           "Content-Length: -1\r\n\r\ngood",
@@ -148,15 +148,15 @@
 		"chunks without an end":     "Transfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := script(t, func(c net.Conn, r *bufio.Reader) {
-				if id, err := next(r); err == nil {
-					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\n%s", id, text)
+			addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+				if id, err := readRequest(r); err == nil {
+					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\n%s", id, response)
 				}
 			})
 			p := NewPool(DefaultConfig(), time.Now)
 			defer p.Close()
 			for i := range 2 {
-				_, err := do(t, p, addr, fmt.Sprint(i))
+				_, err := doCall(t, p, addr, fmt.Sprint(i))
 				require.Error(t, err)
 			}
 			require.EqualValues(t, 2, p.Dials())
@@ -166,11 +166,11 @@
 
 // A server closes the connection after it has read a request. Whether the request
 // ran is not known, so a call that may run once must not be sent again.
-func TestClosedAfterTheRequest(t *testing.T) {
-	addr := script(t, func(_ net.Conn, r *bufio.Reader) { _, _ = next(r) })
+func TestCloseAfterRequestMayHaveRun(t *testing.T) {
+	addr := startServer(t, func(_ net.Conn, r *bufio.Reader) { _, _ = readRequest(r) })
 	p := NewPool(DefaultConfig(), time.Now)
 	defer p.Close()
-	_, err := do(t, p, addr, "1")
+	_, err := doCall(t, p, addr, "1")
 	var e *Error
 	require.ErrorAs(t, err, &e)
 	require.True(t, e.Sent)
@@ -178,14 +178,14 @@
 }
 
 // Nobody listens at the address: the call surely did not run.
-func TestNobodyListens(t *testing.T) {
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
 	p := NewPool(DefaultConfig(), time.Now)
 	defer p.Close()
-	_, err = do(t, p, addr, "1")
+	_, err = doCall(t, p, addr, "1")
 	var e *Error
 	require.ErrorAs(t, err, &e)
 	require.False(t, e.Sent)
@@ -193,31 +193,31 @@
 
 // A server has closed an idle connection. The next call takes a new one, since a
 // request on the old one might have run or not.
-func TestIdleConnectionWasClosed(t *testing.T) {
-	addr := script(t, func(c net.Conn, r *bufio.Reader) {
-		if id, err := next(r); err == nil {
-			answer(c, id, "ok")
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		if id, err := readRequest(r); err == nil {
+			writeAnswer(c, id, "ok")
 		}
 	})
 	p := NewPool(DefaultConfig(), time.Now)
 	defer p.Close()
 	for i := range 3 {
-		_, err := do(t, p, addr, fmt.Sprint(i))
+		_, err := doCall(t, p, addr, fmt.Sprint(i))
 		require.NoError(t, err)
-		requireNotQuiet(t, p, addr)
+		requireNotReusable(t, p, addr)
 	}
 }
 
 // An answer breaks off. It must not look whole: a caller would take half a
 // statement for all of it.
-func TestAnswerBreaksOff(t *testing.T) {
-	addr := script(t, func(c net.Conn, r *bufio.Reader) {
-		id, _ := next(r)
+func TestTruncatedAnswerIsError(t *testing.T) {
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
+		id, _ := readRequest(r)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 100\r\n\r\nhalf", id)
 	})
 	p := NewPool(DefaultConfig(), time.Now)
 	defer p.Close()
-	_, err := do(t, p, addr, "1")
+	_, err := doCall(t, p, addr, "1")
 	var e *Error
 	require.ErrorAs(t, err, &e)
 	require.Equal(t, StepBody, e.Step)
@@ -225,11 +225,11 @@
 
 // A caller leaves. The server notices by the close of the connection and stops
 // working for nobody.
-func TestCallerLeaves(t *testing.T) {
-	arrived, closed := make(chan struct{}), make(chan struct{})
-	addr := script(t, func(_ net.Conn, r *bufio.Reader) {
-		_, _ = next(r)
-		close(arrived)
+func TestCancelClosesConnection(t *testing.T) {
+	received, closed := make(chan struct{}), make(chan struct{})
+	addr := startServer(t, func(_ net.Conn, r *bufio.Reader) {
+		_, _ = readRequest(r)
+		close(received)
 		_, _ = r.ReadByte() // returns when the connection is closed
 		close(closed)
 	})
@@ -237,10 +237,10 @@
 	defer p.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-arrived
+		<-received
 		cancel()
 	}()
-	_, err := p.Do(ctx, addr, call("1"))
+	_, err := p.Do(ctx, addr, newCall("1"))
 	require.ErrorIs(t, err, context.Canceled)
 	select {
 	case <-closed:
@@ -251,34 +251,34 @@
 
 // A server rejects a long request before it has read it all, and reads on later.
 // The rest of the body must be followed by nothing else on that connection.
-func TestAnsweredBeforeTheBodyWasRead(t *testing.T) {
+func TestAnswerBeforeBodyReadClosesConnection(t *testing.T) {
 	requests := make(chan string, 4)
-	taken := make(chan struct{}) // the caller has the whole answer
-	addr := script(t, func(c net.Conn, r *bufio.Reader) {
+	answerRead := make(chan struct{}) // the caller has the whole answer
+	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
 		requests <- req.Header.Get("X-Id")
-		answer(c, req.Header.Get("X-Id"), "early")
-		<-taken
+		writeAnswer(c, req.Header.Get("X-Id"), "early")
+		<-answerRead
 		_, _ = io.Copy(io.Discard, req.Body)
-		if id, err := next(r); err == nil {
+		if id, err := readRequest(r); err == nil {
 			requests <- id
-			answer(c, id, "late")
+			writeAnswer(c, id, "late")
 		}
 	})
 	p := NewPool(DefaultConfig(), time.Now)
 	defer p.Close()
-	long := call("1")
-	long.Body = []byte(strings.Repeat("x", 8<<20))
-	a, err := p.Do(t.Context(), addr, long)
+	longCall := newCall("1")
+	longCall.Body = []byte(strings.Repeat("x", 8<<20))
+	a, err := p.Do(t.Context(), addr, longCall)
 	require.NoError(t, err)
 	_, err = io.ReadAll(a)
 	require.NoError(t, err)
 	a.Close()
-	close(taken)
-	body, err := do(t, p, addr, "2")
+	close(answerRead)
+	body, err := doCall(t, p, addr, "2")
 	require.NoError(t, err)
 	require.Equal(t, "early", body, "on a connection of its own")
 	require.Equal(t, "1", <-requests)
@@ -287,19 +287,19 @@
 
 // What a caller sends as path and query reaches the server as it was, escapes and
 // all.
-func TestTargetIsSentAsItCame(t *testing.T) {
-	got := make(chan string, 1)
-	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got <- r.RequestURI }))
+func TestTargetIsSentUnchanged(t *testing.T) {
+	targets := make(chan string, 1)
+	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { targets <- r.RequestURI }))
 	defer s.Close()
 	p := NewPool(DefaultConfig(), time.Now)
 	defer p.Close()
 	for _, target := range []string{"/a/%2Fb%20c/../d?x=%41&y", "/a//b", "/", "/a?", "/ä"} {
-		c := call("1")
-		c.Target, c.Belongs = target, nil
+		c := newCall("1")
+		c.Target, c.Matches = target, nil
 		a, err := p.Do(t.Context(), s.Listener.Addr().String(), c)
 		require.NoError(t, err, target)
 		a.Close()
-		require.Equal(t, target, <-got)
+		require.Equal(t, target, <-targets)
 	}
 }
 
@@ -307,11 +307,11 @@
 // processor to say that it is done. The connection is used again all the same.
 //
 // It breaks without the wait in Answer.written.
-func TestWriterIsLateToSayThatItIsDone(t *testing.T) {
+func TestReuseWaitsForRequestWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wrote := make(chan error, 1)
-		time.AfterFunc(writeGrace/2, func() { wrote <- nil })
-		require.True(t, (&Answer{wrote: wrote}).written())
-		require.False(t, (&Answer{wrote: make(chan error)}).written(), "a server that never reads the rest")
+		writeResult := make(chan error, 1)
+		time.AfterFunc(writeGrace/2, func() { writeResult <- nil })
+		require.True(t, (&Answer{writeResult: writeResult}).requestWritten())
+		require.False(t, (&Answer{writeResult: make(chan error)}).requestWritten(), "a server that never reads the rest")
 	})
 }
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -46,13 +46,13 @@
 func (p *Pool) Dials() int64 { return p.dials.Load() }
 
 // take returns a connection, idle or new.
-func (p *Pool) take(ctx context.Context, addr string) (*conn, error) {
+func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	for {
-		c := p.pop(addr)
+		c := p.popIdle(addr)
 		if c == nil {
 			break
 		}
-		if p.now().Before(c.reusableUntil()) && c.quiet() {
+		if p.now().Before(c.reusableUntil()) && c.openAndEmpty() {
 			return c, nil
 		}
 		_ = c.Close() // it was of no use any more
@@ -61,7 +61,7 @@
 	return dial(ctx, p.dialer, addr, p.cfg.BufferBytes)
 }
 
-func (p *Pool) pop(addr string) *conn {
+func (p *Pool) popIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -76,8 +76,8 @@
 // put takes a connection back after an answer that left it clean.
 func (p *Pool) put(addr string, c *conn) {
 	c.used = true
-	c.idleAt = p.now()
-	c.written.Store(0)
+	c.idleSince = p.now()
+	c.bytesWritten.Store(0)
 	p.mu.Lock()
 	list := p.idle[addr]
 	full := len(list) >= p.cfg.MaxIdle
@@ -92,7 +92,7 @@
 
 // Forget closes the idle connections to a server that is gone. Its address may
 // be another server's soon.
-func (p *Pool) Forget(addr string) {
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
 	delete(p.idle, addr)
@@ -103,33 +103,33 @@
 // Sweep closes connections that will not be used again.
 func (p *Pool) Sweep() {
 	now := p.now()
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for addr, list := range p.idle {
-		keep := list[:0]
+		usable := list[:0]
 		for _, c := range list {
 			if now.Before(c.reusableUntil()) {
-				keep = append(keep, c)
+				usable = append(usable, c)
 				continue
 			}
-			old = append(old, c)
+			expired = append(expired, c)
 		}
-		p.idle[addr] = keep
-		if len(keep) == 0 {
+		p.idle[addr] = usable
+		if len(usable) == 0 {
 			delete(p.idle, addr)
 		}
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(expired)
 }
 
 // Close closes all idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	all := p.idle
+	idle := p.idle
 	p.idle = make(map[string][]*conn)
 	p.mu.Unlock()
-	for _, list := range all {
+	for _, list := range idle {
 		closeAll(list)
 	}
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -186,7 +186,7 @@
 		g.serviceLocked(rec.Services[0]).update(*rec, now)
 	}
 	if rec.State == instance.StateGone {
-		g.pool.Forget(rec.Address)
+		g.pool.CloseIdle(rec.Address)
 	}
 }
 
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -22,7 +22,7 @@
 	sentAt := g.now()
 	answer, err := g.pool.Do(ctx, c.verdict.Address, &backend.Call{
 		Method: j.Method, Target: j.Target, Host: j.Host, Header: g.deps.Dialect.RequestHeader(j.Request, attempt), Body: j.Body,
-		Belongs: func(h http.Header) bool { return g.deps.Dialect.Matches(j.Request, h) },
+		Matches: func(h http.Header) bool { return g.deps.Dialect.Matches(j.Request, h) },
 	})
 	if err != nil {
 		return j.sendFailed(ctx, c, sentAt, err)
--- a/instance/validate_test.go
+++ b/instance/validate_test.go
@@ -8,14 +8,14 @@
 
 // A faulty server announces nonsense. Taken in, it would draw requests to an
 // address that is none, or look idle for ever by a negative load.
-func TestValidateNamesTheFault(t *testing.T) {
-	good := func() Announcement {
+func TestValidateErrorNamesField(t *testing.T) {
+	validAnnouncement := func() Announcement {
 		return Announcement{
 			ID: "engine-1", Incarnation: 1, Address: "127.0.0.1:7201", Region: "r1", Zone: "z1",
 			State: StateServing, Model: "demo", Slots: 8,
 		}
 	}
-	a := good()
+	a := validAnnouncement()
 	require.NoError(t, a.Validate())
 	cases := map[string]func(*Announcement){
 		"id":          func(a *Announcement) { a.ID = "" },
@@ -27,13 +27,13 @@
 		"load":        func(a *Announcement) { a.Load.Running = -100 },
 		"address":     func(a *Announcement) { a.Address = "127.0.0.1:" },
 	}
-	for field, damage := range cases {
-		a := good()
-		damage(&a)
+	for field, corrupt := range cases {
+		a := validAnnouncement()
+		corrupt(&a)
 		require.ErrorContains(t, a.Validate(), field)
 	}
 	for _, address := range []string{"engine.example:80", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:http"} {
-		a := good()
+		a := validAnnouncement()
 		a.Address = address
 		require.ErrorContains(t, a.Validate(), "address")
 	}
--- a/instance/view.go
+++ b/instance/view.go
@@ -36,7 +36,7 @@
 // the server fell silent without a word.
 type Server struct {
 	Announcement
-	HeardBy string // id of the entry that hears its heartbeats; empty if unknown
+	HomeEntry string // id of the entry that hears its heartbeats; empty if unknown
 }
 
 // Record is a small piece of shared state, such as a quarantine record.
@@ -52,8 +52,8 @@
 	Member *Member
 	Record *Record
 	// ForgetServer and ForgetMember name an instance that is long gone.
-	ForgetServer string
-	ForgetMember string
+	RemoveServer string
+	RemoveMember string
 }
 
 const viewShards = 16
@@ -63,14 +63,14 @@
 // pointer, and a change replaces only the parts it touches. Writers are
 // serialised by the caller of Apply.
 type View struct {
-	servers [viewShards]atomic.Pointer[map[string]*Server]
-	names   [viewShards]atomic.Pointer[map[string][]*Server]
-	members [viewShards]atomic.Pointer[map[string]*Member]
-	roles   [viewShards]atomic.Pointer[map[string][]*Member]
-	records [viewShards]atomic.Pointer[map[string]Record]
-	present atomic.Pointer[[]*Server]
-
-	write sync.Mutex // held by Apply; readers never take it
+	servers        [viewShards]atomic.Pointer[map[string]*Server]
+	serversByName  [viewShards]atomic.Pointer[map[string][]*Server]
+	members        [viewShards]atomic.Pointer[map[string]*Member]
+	membersByRole  [viewShards]atomic.Pointer[map[string][]*Member]
+	records        [viewShards]atomic.Pointer[map[string]Record]
+	presentServers atomic.Pointer[[]*Server]
+
+	applyMu sync.Mutex // held by Apply; readers never take it
 }
 
 // NewView returns an empty view.
@@ -82,13 +82,13 @@
 // plain service, ordered by id. Leaving and gone servers are not among them.
 // The slice is a snapshot: don't change it.
 func (v *View) Servers(name string) []*Server {
-	return load(&v.names[shardOf(name)])[name]
+	return loadMap(&v.serversByName[shardOf(name)])[name]
 }
 
 // AllServers returns the backend servers that are serving or leaving, ordered
 // by id. The slice is a snapshot: don't change it.
 func (v *View) AllServers() []*Server {
-	if p := v.present.Load(); p != nil {
+	if p := v.presentServers.Load(); p != nil {
 		return *p
 	}
 	return nil
@@ -96,33 +96,33 @@
 
 // Server returns a backend server by id, also one that is leaving or gone.
 func (v *View) Server(id string) (*Server, bool) {
-	s, ok := load(&v.servers[shardOf(id)])[id]
+	s, ok := loadMap(&v.servers[shardOf(id)])[id]
 	return s, ok
 }
 
 // Members returns the members of one role that are not gone, ordered by id; of
 // all roles if role is empty. The slice is a snapshot: don't change it.
 func (v *View) Members(role string) []*Member {
-	return load(&v.roles[shardOf(role)])[role]
+	return loadMap(&v.membersByRole[shardOf(role)])[role]
 }
 
 // Member returns a member by id, also one that is gone.
 func (v *View) Member(id string) (*Member, bool) {
-	m, ok := load(&v.members[shardOf(id)])[id]
+	m, ok := loadMap(&v.members[shardOf(id)])[id]
 	return m, ok
 }
 
 // Record returns a shared record by key.
 func (v *View) Record(key string) (Record, bool) {
-	r, ok := load(&v.records[shardOf(key)])[key]
+	r, ok := loadMap(&v.records[shardOf(key)])[key]
 	return r, ok
 }
 
 // Apply takes in a batch of changes. Each snapshot that the batch touches is
 // replaced once.
 func (v *View) Apply(batch []Update) {
-	v.write.Lock()
-	defer v.write.Unlock()
+	v.applyMu.Lock()
+	defer v.applyMu.Unlock()
 	b := newViewBatch(v)
 	for _, u := range batch {
 		b.add(u)
@@ -131,7 +131,7 @@
 }
 
 // load returns the map behind p, which may be unset.
-func load[V any](p *atomic.Pointer[map[string]V]) map[string]V {
+func loadMap[V any](p *atomic.Pointer[map[string]V]) map[string]V {
 	if m := p.Load(); m != nil {
 		return *m
 	}
@@ -140,24 +140,24 @@
 
 // viewBatch gathers the copies that one Apply makes.
 type viewBatch struct {
-	view    *View
-	servers shardCopies[*Server]
-	names   listCopies[Server]
-	members shardCopies[*Member]
-	roles   listCopies[Member]
-	records shardCopies[Record]
-	present []*Server
-	all     bool // present has been copied
+	view           *View
+	servers        shardCopies[*Server]
+	serversByName  listCopies[Server]
+	members        shardCopies[*Member]
+	membersByRole  listCopies[Member]
+	records        shardCopies[Record]
+	presentServers []*Server
+	presentCopied  bool // present has been copied
 }
 
 func newViewBatch(v *View) *viewBatch {
 	return &viewBatch{
-		view:    v,
-		servers: shardCopies[*Server]{from: &v.servers},
-		names:   newListCopies(&v.names),
-		members: shardCopies[*Member]{from: &v.members},
-		roles:   newListCopies(&v.roles),
-		records: shardCopies[Record]{from: &v.records},
+		view:          v,
+		servers:       shardCopies[*Server]{shards: &v.servers},
+		serversByName: newListCopies(&v.serversByName),
+		members:       shardCopies[*Member]{shards: &v.members},
+		membersByRole: newListCopies(&v.membersByRole),
+		records:       shardCopies[Record]{shards: &v.records},
 	}
 }
 
@@ -168,43 +168,43 @@
 	case u.Member != nil:
 		b.setMember(u.Member.ID, u.Member)
 	case u.Record != nil:
-		b.records.of(u.Record.Key)[u.Record.Key] = *u.Record
-	case u.ForgetServer != "":
-		b.setServer(u.ForgetServer, nil)
-	case u.ForgetMember != "":
-		b.setMember(u.ForgetMember, nil)
+		b.records.copyFor(u.Record.Key)[u.Record.Key] = *u.Record
+	case u.RemoveServer != "":
+		b.setServer(u.RemoveServer, nil)
+	case u.RemoveMember != "":
+		b.setMember(u.RemoveMember, nil)
 	}
 }
 
 func (b *viewBatch) setServer(id string, s *Server) {
-	table := b.servers.of(id)
+	table := b.servers.copyFor(id)
 	old := table[id]
 	if s == nil {
 		delete(table, id)
 	} else {
 		table[id] = s
 	}
-	for _, name := range namesOf(old) {
-		b.setName(name, id, nil)
+	for _, name := range servingNames(old) {
+		b.setServerName(name, id, nil)
 	}
-	for _, name := range namesOf(s) {
-		b.setName(name, id, s)
+	for _, name := range servingNames(s) {
+		b.setServerName(name, id, s)
 	}
-	if !b.all {
-		b.present, b.all = slices.Clone(b.view.AllServers()), true
+	if !b.presentCopied {
+		b.presentServers, b.presentCopied = slices.Clone(b.view.AllServers()), true
 	}
 	if s != nil && s.State == StateGone {
 		s = nil
 	}
-	b.present = replace(b.present, id, s, serverID)
+	b.presentServers = replaceByID(b.presentServers, id, s, serverID)
 }
 
-func (b *viewBatch) setName(name, id string, s *Server) {
-	b.names.edit(name, func(list []*Server) []*Server { return replace(list, id, s, serverID) })
+func (b *viewBatch) setServerName(name, id string, s *Server) {
+	b.serversByName.edit(name, func(list []*Server) []*Server { return replaceByID(list, id, s, serverID) })
 }
 
 func (b *viewBatch) setMember(id string, m *Member) {
-	table := b.members.of(id)
+	table := b.members.copyFor(id)
 	old := table[id]
 	if m == nil {
 		delete(table, id)
@@ -215,26 +215,26 @@
 		m = nil
 	}
 	if old != nil && (m == nil || m.Role != old.Role) {
-		b.setRole(old.Role, id, nil)
+		b.setMemberRole(old.Role, id, nil)
 	}
 	if m != nil {
-		b.setRole(m.Role, id, m)
+		b.setMemberRole(m.Role, id, m)
 	}
-	b.setRole("", id, m)
+	b.setMemberRole("", id, m)
 }
 
-func (b *viewBatch) setRole(role, id string, m *Member) {
-	b.roles.edit(role, func(list []*Member) []*Member { return replace(list, id, m, memberID) })
+func (b *viewBatch) setMemberRole(role, id string, m *Member) {
+	b.membersByRole.edit(role, func(list []*Member) []*Member { return replaceByID(list, id, m, memberID) })
 }
 
 func (b *viewBatch) commit() {
 	b.servers.commit()
-	b.names.tables.commit()
+	b.serversByName.shards.commit()
 	b.members.commit()
-	b.roles.tables.commit()
+	b.membersByRole.shards.commit()
 	b.records.commit()
-	if b.all {
-		b.view.present.Store(&b.present)
+	if b.presentCopied {
+		b.view.presentServers.Store(&b.presentServers)
 	}
 }
 
@@ -244,7 +244,7 @@
 
 // namesOf lists the names under which a server is found: its model, or its
 // plain services. One that isn't serving is found under none.
-func namesOf(s *Server) []string {
+func servingNames(s *Server) []string {
 	if s == nil || s.State != StateServing {
 		return nil
 	}
@@ -256,8 +256,8 @@
 
 // replace puts item in the place of id in a list ordered by id, or takes id out
 // if item is nil. It works in place on list, which must be this batch's copy.
-func replace[T any](list []*T, id string, item *T, key func(*T) string) []*T {
-	i, found := slices.BinarySearchFunc(list, id, func(t *T, id string) int { return strings.Compare(key(t), id) })
+func replaceByID[T any](list []*T, id string, item *T, idOf func(*T) string) []*T {
+	i, found := slices.BinarySearchFunc(list, id, func(t *T, id string) int { return strings.Compare(idOf(t), id) })
 	switch {
 	case found && item == nil:
 		return slices.Delete(list, i, i+1)
--- a/instance/view_shards.go
+++ b/instance/view_shards.go
@@ -9,15 +9,15 @@
 // shardCopies holds the shards of one table that a batch has copied. A reader
 // keeps the old snapshot until commit and never sees half a change of a shard.
 type shardCopies[V any] struct {
-	from   *[viewShards]atomic.Pointer[map[string]V]
+	shards *[viewShards]atomic.Pointer[map[string]V]
 	copies [viewShards]map[string]V
 }
 
 // of returns this batch's copy of the shard that holds key.
-func (c *shardCopies[V]) of(key string) map[string]V {
+func (c *shardCopies[V]) copyFor(key string) map[string]V {
 	i := shardOf(key)
 	if c.copies[i] == nil {
-		c.copies[i] = maps.Clone(load(&c.from[i]))
+		c.copies[i] = maps.Clone(loadMap(&c.shards[i]))
 	}
 	if c.copies[i] == nil {
 		c.copies[i] = make(map[string]V)
@@ -28,7 +28,7 @@
 func (c *shardCopies[V]) commit() {
 	for i, m := range c.copies {
 		if m != nil {
-			c.from[i].Store(&m)
+			c.shards[i].Store(&m)
 		}
 	}
 }
@@ -36,21 +36,21 @@
 // listCopies is shardCopies for a table of lists: a list is copied once in a
 // batch, before its first change.
 type listCopies[T any] struct {
-	tables shardCopies[[]*T]
-	copied map[string]bool
+	shards      shardCopies[[]*T]
+	copiedLists map[string]bool
 }
 
 func newListCopies[T any](from *[viewShards]atomic.Pointer[map[string][]*T]) listCopies[T] {
-	return listCopies[T]{tables: shardCopies[[]*T]{from: from}, copied: make(map[string]bool)}
+	return listCopies[T]{shards: shardCopies[[]*T]{shards: from}, copiedLists: make(map[string]bool)}
 }
 
 // edit hands fn this batch's own copy of the list under name and keeps what it
 // returns.
 func (c *listCopies[T]) edit(name string, fn func([]*T) []*T) {
-	table := c.tables.of(name)
+	table := c.shards.copyFor(name)
 	list := table[name]
-	if !c.copied[name] {
-		c.copied[name] = true
+	if !c.copiedLists[name] {
+		c.copiedLists[name] = true
 		list = slices.Clone(list)
 	}
 	list = fn(list)
--- a/instance/view_test.go
+++ b/instance/view_test.go
@@ -40,8 +40,8 @@
 		state := rapid.SampledFrom([]State{StateServing, StateLeaving, StateGone})
 		name := rapid.SampledFrom([]string{"m1", "m2"})
 		for range rapid.IntRange(1, 20).Draw(rt, "batches") {
-			before := v.Servers("m1")
-			copied := slices.Clone(before)
+			snapshot := v.Servers("m1")
+			snapshotCopy := slices.Clone(snapshot)
 			var batch []Update
 			for range rapid.IntRange(1, 5).Draw(rt, "updates") {
 				id := fmt.Sprintf("i%d", rapid.IntRange(0, 6).Draw(rt, "id"))
@@ -54,22 +54,22 @@
 					batch = append(batch, Update{Member: members[id]})
 				case 2:
 					delete(servers, id)
-					batch = append(batch, Update{ForgetServer: id})
+					batch = append(batch, Update{RemoveServer: id})
 				case 3:
 					delete(members, id)
-					batch = append(batch, Update{ForgetMember: id})
+					batch = append(batch, Update{RemoveMember: id})
 				}
 			}
 			v.Apply(batch)
-			require.Equal(rt, copied, before, "a snapshot in a reader's hands has changed")
-			requireLike(rt, v, servers, members)
+			require.Equal(rt, snapshotCopy, snapshot, "a snapshot in a reader's hands has changed")
+			requireViewEquals(rt, v, servers, members)
 		}
 	})
 }
 
-func requireLike(t *rapid.T, v *View, servers map[string]*Server, members map[string]*Member) {
-	var present, m1 []*Server
-	var all, entries []*Member
+func requireViewEquals(t *rapid.T, v *View, servers map[string]*Server, members map[string]*Member) {
+	var present, byModel []*Server
+	var all, byRole []*Member
 	for i := range 7 {
 		id := fmt.Sprintf("i%d", i)
 		s, ok := v.Server(id)
@@ -78,7 +78,7 @@
 			present = append(present, s)
 		}
 		if ok && s.State == StateServing && s.Model == "m1" {
-			m1 = append(m1, s)
+			byModel = append(byModel, s)
 		}
 		m, ok := v.Member(id)
 		require.Equal(t, members[id] != nil, ok)
@@ -86,13 +86,13 @@
 			all = append(all, m)
 		}
 		if ok && m.State != StateGone && m.Role == "m1" {
-			entries = append(entries, m)
+			byRole = append(byRole, m)
 		}
 	}
 	require.True(t, slices.Equal(present, v.AllServers()), "present")
-	require.True(t, slices.Equal(m1, v.Servers("m1")), "by name")
+	require.True(t, slices.Equal(byModel, v.Servers("m1")), "by name")
 	require.True(t, slices.Equal(all, v.Members("")), "all members")
-	require.True(t, slices.Equal(entries, v.Members("m1")), "members by role")
+	require.True(t, slices.Equal(byRole, v.Members("m1")), "members by role")
 }
 
 func TestViewPlainServicesAndRecords(t *testing.T) {
@@ -108,7 +108,7 @@
 	require.False(t, ok)
 }
 
-func bigView(n int) *View {
+func viewWithServers(n int) *View {
 	v := NewView()
 	var batch []Update
 	for i := range n {
@@ -121,7 +121,7 @@
 // Routers read on every request while membership writes. Run with the race
 // detector, this fails if a reader can see a snapshot that is still written to.
 func TestViewReadersDuringWrites(t *testing.T) {
-	v := bigView(100)
+	v := viewWithServers(100)
 	var readers sync.WaitGroup
 	stop := make(chan struct{})
 	for range 4 {
@@ -149,7 +149,7 @@
 }
 
 func TestViewReadsDoNotAllocate(t *testing.T) {
-	v := bigView(600)
+	v := viewWithServers(600)
 	require.Zero(t, testing.AllocsPerRun(100, func() {
 		n := 0
 		for _, s := range v.Servers("m") {
@@ -162,7 +162,7 @@
 }
 
 func BenchmarkViewRead600(b *testing.B) {
-	v := bigView(600)
+	v := viewWithServers(600)
 	b.ReportAllocs()
 	for b.Loop() {
 		n := 0
@@ -173,7 +173,7 @@
 }
 
 func BenchmarkViewApplyLoad600(b *testing.B) {
-	v := bigView(600)
+	v := viewWithServers(600)
 	batch := []Update{{Server: server("s0300", "m", StateServing)}}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/membership/event.go
+++ b/membership/event.go
@@ -58,7 +58,7 @@
 }
 
 func forgets(u instance.Update) int {
-	if u.ForgetServer != "" || u.ForgetMember != "" {
+	if u.RemoveServer != "" || u.RemoveMember != "" {
 		return 1
 	}
 	return 0
@@ -67,9 +67,9 @@
 func (c *core) forget(updates []instance.Update, r *record) []instance.Update {
 	switch r.kind {
 	case recordServer:
-		return append(updates, instance.Update{ForgetServer: r.id})
+		return append(updates, instance.Update{RemoveServer: r.id})
 	case recordMember:
-		return append(updates, instance.Update{ForgetMember: r.id})
+		return append(updates, instance.Update{RemoveMember: r.id})
 	default:
 		return updates
 	}
@@ -145,7 +145,7 @@
 	if r.heardSeq >= r.load.Seq && !r.heardAt.IsZero() {
 		s.Load = r.loadFull
 	}
-	s.HeardBy = c.homeOf(r)
+	s.HomeEntry = c.homeOf(r)
 	return s
 }
 
--- a/native/cloud.go
+++ b/native/cloud.go
@@ -147,9 +147,9 @@
 // Start starts an instance. After an error that is not NotRun, send the same
 // request again: its token makes sure that only one instance starts.
 // NoCapacity tells a refusal for want of instances.
-func (c *CloudClient) Start(ctx context.Context, start StartRequest) (CloudInstance, error) {
+func (c *CloudClient) Start(ctx context.Context, startReq StartRequest) (CloudInstance, error) {
 	var reply CloudInstance
-	req, err := newJSONRequest(ctx, http.MethodPost, c.cfg.Address, PathInstances, start)
+	req, err := newJSONRequest(ctx, http.MethodPost, c.cfg.Address, PathInstances, startReq)
 	if err != nil {
 		return reply, trace.Wrap(err)
 	}
@@ -189,6 +189,6 @@
 
 // NoCapacity reports whether err says that the zone has no such instance now.
 func NoCapacity(err error) bool {
-	var call *CallError
-	return errors.As(err, &call) && call.Code == CodeNoCapacity
+	var callErr *CallError
+	return errors.As(err, &callErr) && callErr.Code == CodeNoCapacity
 }
--- a/native/conn_test.go
+++ b/native/conn_test.go
@@ -14,19 +14,19 @@
 func TestSealedConnWritesNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	conn := &countedConn{Conn: near}
-	require.False(t, conn.sealUnless(conn.total()))
+	conn := &countingConn{Conn: near}
+	require.False(t, conn.sealIfUnwritten(conn.bytesWritten()))
 	require.NoError(t, near.Close())
 	_, err := conn.Write([]byte("POST /statements"))
 	require.ErrorIs(t, err, errSealed)
-	require.Zero(t, conn.total())
+	require.Zero(t, conn.bytesWritten())
 }
 
-func TestCountedConnKnowsOfPartialWrites(t *testing.T) {
+func TestFailedWriteCountsAsWritten(t *testing.T) {
 	near, far := net.Pipe()
 	require.NoError(t, far.Close())
-	conn := &countedConn{Conn: near}
+	conn := &countingConn{Conn: near}
 	_, err := conn.Write([]byte("POST /statements"))
 	require.Error(t, err)
-	require.True(t, conn.sealUnless(0))
+	require.True(t, conn.sealIfUnwritten(0))
 }
--- a/native/control.go
+++ b/native/control.go
@@ -14,9 +14,9 @@
 // because the reason to cancel may be that the open ones have gone silent.
 func (c *EngineClient) Cancel(ctx context.Context, address, requestID string) error {
 	path := PathRequests + url.PathEscape(requestID)
-	err := c.plainCall(ctx, http.MethodDelete, address, path)
-	var failed *CallError
-	if errors.As(err, &failed) && failed.Status == http.StatusNotFound {
+	err := c.callFresh(ctx, http.MethodDelete, address, path)
+	var callErr *CallError
+	if errors.As(err, &callErr) && callErr.Status == http.StatusNotFound {
 		return nil
 	}
 	return trace.Wrap(err)
@@ -26,10 +26,10 @@
 // that has been quiet for long says that the stream's connection is lost, not
 // the engine.
 func (c *EngineClient) Probe(ctx context.Context, address string) error {
-	return trace.Wrap(c.plainCall(ctx, http.MethodGet, address, PathHealth))
+	return trace.Wrap(c.callFresh(ctx, http.MethodGet, address, PathHealth))
 }
 
-func (c *EngineClient) plainCall(ctx context.Context, method, address, path string) error {
+func (c *EngineClient) callFresh(ctx context.Context, method, address, path string) error {
 	req, err := newRequest(ctx, method, address, path, nil)
 	if err != nil {
 		return err
@@ -87,6 +87,6 @@
 // OldFence reports whether err says that the engine has seen a higher fencing
 // number: whoever gave the order has been replaced.
 func OldFence(err error) bool {
-	var call *CallError
-	return errors.As(err, &call) && call.Status == http.StatusConflict
+	var callErr *CallError
+	return errors.As(err, &callErr) && callErr.Status == http.StatusConflict
 }
--- a/native/errors.go
+++ b/native/errors.go
@@ -69,9 +69,9 @@
 // it was written, or the peer refused it before running. An error that is no
 // CallError proves nothing.
 func NotRun(err error) bool {
-	var call *CallError
-	if !errors.As(err, &call) {
+	var callErr *CallError
+	if !errors.As(err, &callErr) {
 		return false
 	}
-	return call.Delivery != MaybeRan
+	return callErr.Delivery != MaybeRan
 }
--- a/native/plain.go
+++ b/native/plain.go
@@ -75,18 +75,18 @@
 	if err != nil {
 		return nil, !NotRun(err), trace.Wrap(err)
 	}
-	resp.Body = &typedBody{ReadCloser: resp.Body, peer: address}
+	resp.Body = &callErrorBody{ReadCloser: resp.Body, peer: address}
 	return resp, true, nil
 }
 
 // typedBody gives the errors of an answer's body their step and peer.
-type typedBody struct {
+type callErrorBody struct {
 	io.ReadCloser
 	peer string
 }
 
 // Read returns io.EOF bare, and any other error as a *CallError.
-func (b *typedBody) Read(p []byte) (int, error) {
+func (b *callErrorBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == nil || err == io.EOF {
 		return n, err
--- a/native/prefix_test.go
+++ b/native/prefix_test.go
@@ -11,7 +11,7 @@
 )
 
 // Two prompts share exactly the hashes of the messages that they share.
-func TestPrefixHashesFollowThePrompt(t *testing.T) {
+func TestEqualHashesMeanEqualPrefixes(t *testing.T) {
 	message := rapid.Custom(func(t *rapid.T) native.Message {
 		return native.Message{
 			Role:    rapid.SampledFrom([]string{"user", "assistant"}).Draw(t, "role"),
@@ -43,10 +43,10 @@
 	require.Equal(t, xxhash.Sum64String("\x00\x00\x00\x00\x00\x00\x00\x00system\x00be brief"), hashes[0])
 }
 
-func TestPrefixHashesFollowMessageBoundaries(t *testing.T) {
+func TestPrefixHashesDependOnMessageBoundaries(t *testing.T) {
 	a := native.Message{Role: "user", Content: "ab"}
-	long := native.PrefixHashes([]native.Message{a, {Role: "assistant", Content: "c"}})
-	require.Equal(t, native.PrefixHashes([]native.Message{a})[0], long[0])
+	twoMessages := native.PrefixHashes([]native.Message{a, {Role: "assistant", Content: "c"}})
+	require.Equal(t, native.PrefixHashes([]native.Message{a})[0], twoMessages[0])
 	shifted := native.PrefixHashes([]native.Message{{Role: "user", Content: "a"}, {Role: "b", Content: ""}})
-	require.NotEqual(t, long, shifted)
+	require.NotEqual(t, twoMessages, shifted)
 }
--- a/native/sse.go
+++ b/native/sse.go
@@ -34,7 +34,7 @@
 // of one event's lines, so that a peer that never ends an event cannot fill
 // the memory.
 func NewEventReader(r io.Reader, maxEvent int) *EventReader {
-	return &EventReader{r: bufio.NewReaderSize(r, readBuffer), maxEvent: maxEvent}
+	return &EventReader{r: bufio.NewReaderSize(r, bufferBytes), maxEvent: maxEvent}
 }
 
 // Next returns the next event that has data. It returns io.EOF at the end of
@@ -51,7 +51,7 @@
 		}
 		budget -= len(line)
 		if len(line) > 0 {
-			e.field(line)
+			e.parseField(line)
 			continue
 		}
 		if e.hasData {
@@ -74,8 +74,8 @@
 func (e *EventReader) readLine(budget int) ([]byte, error) {
 	e.line = e.line[:0]
 	for {
-		part, err := e.r.ReadSlice('\n')
-		e.line = append(e.line, part...)
+		fragment, err := e.r.ReadSlice('\n')
+		e.line = append(e.line, fragment...)
 		if len(e.line) > budget+len("\r\n") {
 			return nil, ErrEventTooLong
 		}
@@ -94,7 +94,7 @@
 
 // field takes one "name: value" line in. Comments and unknown fields are
 // passed over, as the HTML standard has it.
-func (e *EventReader) field(line []byte) {
+func (e *EventReader) parseField(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
--- a/native/store.go
+++ b/native/store.go
@@ -64,10 +64,10 @@
 // RetryAfter returns the wait that the peer asked for with a refusal, and
 // whether err is such a refusal: status 429 or 503 with a Retry-After.
 func RetryAfter(err error) (time.Duration, bool) {
-	var call *CallError
-	if !errors.As(err, &call) {
+	var callErr *CallError
+	if !errors.As(err, &callErr) {
 		return 0, false
 	}
-	overloaded := call.Status == http.StatusTooManyRequests || call.Status == http.StatusServiceUnavailable
-	return call.RetryAfter, overloaded && call.RetryAfter > 0
+	overloaded := callErr.Status == http.StatusTooManyRequests || callErr.Status == http.StatusServiceUnavailable
+	return callErr.RetryAfter, overloaded && callErr.RetryAfter > 0
 }
--- a/native/stream.go
+++ b/native/stream.go
@@ -10,17 +10,17 @@
 )
 
 // doneMark is the data of the event that ends a stream.
-const doneMark = "[DONE]"
+const streamEnd = "[DONE]"
 
 // ChatStream is the streamed answer of a model engine. Next belongs to one
 // goroutine; Close may be called from any, and ends a Next that waits.
 type ChatStream struct {
-	peer   string
-	body   io.ReadCloser
-	events *EventReader
-	usage  Usage
-	done   bool
-	close  sync.Once
+	peer      string
+	body      io.ReadCloser
+	events    *EventReader
+	usage     Usage
+	done      bool
+	closeOnce sync.Once
 }
 
 func newChatStream(peer string, body io.ReadCloser, maxEvent int) *ChatStream {
@@ -43,15 +43,15 @@
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
-		return ChatChunk{}, s.fail(err)
+		return ChatChunk{}, s.streamError(err)
 	}
-	if string(event.Data) == doneMark {
+	if string(event.Data) == streamEnd {
 		s.done = true
 		return ChatChunk{}, io.EOF
 	}
 	var chunk ChatChunk
 	if err := json.Unmarshal(event.Data, &chunk); err != nil {
-		return ChatChunk{}, s.fail(err)
+		return ChatChunk{}, s.streamError(err)
 	}
 	if chunk.Usage != nil {
 		s.usage = *chunk.Usage
@@ -66,10 +66,10 @@
 // that has not ended as a cancel.
 func (s *ChatStream) Close() error {
 	var err error
-	s.close.Do(func() { err = s.body.Close() })
+	s.closeOnce.Do(func() { err = s.body.Close() })
 	return err
 }
 
-func (s *ChatStream) fail(err error) error {
+func (s *ChatStream) streamError(err error) error {
 	return trace.Wrap(&CallError{Step: StepBody, Peer: s.peer, Delivery: MaybeRan, Err: err})
 }
--- a/native/transport.go
+++ b/native/transport.go
@@ -28,9 +28,9 @@
 	DefaultMaxEvent    = 64 << 10 // bytes of one server-sent event
 	DefaultMaxReply    = 8 << 20  // bytes of one JSON reply
 
-	readBuffer   = 4 << 10
-	maxErrorText = 512
-	maxRetryWait = time.Hour // a longer Retry-After is cut to this
+	bufferBytes       = 4 << 10
+	maxErrorTextBytes = 512
+	maxRetryAfter     = time.Hour // a longer Retry-After is cut to this
 )
 
 var errSealed = errors.New("connection given up before the request was written")
@@ -39,7 +39,7 @@
 // for sure whether a failed request can have reached the peer: net/http reports
 // headers as written when they are in a buffer, and goes on writing for a
 // moment after a cancelled call has returned.
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	mu      sync.Mutex
 	written int64
@@ -47,14 +47,14 @@
 }
 
 // Write counts p before any byte of it leaves, and writes nothing once sealed.
-func (c *countedConn) Write(p []byte) (int, error) {
-	if !c.count(len(p)) {
+func (c *countingConn) Write(p []byte) (int, error) {
+	if !c.addWritten(len(p)) {
 		return 0, errSealed
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *countedConn) count(n int) bool {
+func (c *countingConn) addWritten(n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
@@ -64,7 +64,7 @@
 	return true
 }
 
-func (c *countedConn) total() int64 {
+func (c *countingConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
@@ -72,10 +72,10 @@
 
 // sealUnless seals the connection if nothing was written since base, and
 // reports whether something was.
-func (c *countedConn) sealUnless(base int64) bool {
+func (c *countingConn) sealIfUnwritten(writtenBefore int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.written > base {
+	if c.written > writtenBefore {
 		return true
 	}
 	c.sealed = true
@@ -84,9 +84,9 @@
 
 // sendTracker learns whether any byte of one request was written.
 type sendTracker struct {
-	mu   sync.Mutex
-	conn *countedConn
-	base int64
+	mu            sync.Mutex
+	conn          *countingConn
+	writtenBefore int64
 }
 
 // attach returns a context whose request reports to the tracker.
@@ -95,15 +95,15 @@
 }
 
 func (t *sendTracker) gotConn(info httptrace.GotConnInfo) {
-	conn, ok := info.Conn.(*countedConn)
+	conn, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
-	base := conn.total()
+	writtenBefore := conn.bytesWritten()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conn = conn
-	t.base = base
+	t.writtenBefore = writtenBefore
 }
 
 // sent reports whether any byte of the request was written, and makes sure
@@ -111,12 +111,12 @@
 // round trip has failed.
 func (t *sendTracker) sent() bool {
 	t.mu.Lock()
-	conn, base := t.conn, t.base
+	conn, writtenBefore := t.conn, t.writtenBefore
 	t.mu.Unlock()
 	if conn == nil {
 		return false
 	}
-	return conn.sealUnless(base)
+	return conn.sealIfUnwritten(writtenBefore)
 }
 
 // transportConfig tunes newTransport.
@@ -137,14 +137,14 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: conn}, nil
+			return &countingConn{Conn: conn}, nil
 		},
 		MaxIdleConnsPerHost: cfg.idlePerPeer,
 		IdleConnTimeout:     cfg.idleTimeout,
 		DisableKeepAlives:   !cfg.keepAlive,
 		DisableCompression:  true,
-		ReadBufferSize:      readBuffer,
-		WriteBufferSize:     readBuffer,
+		ReadBufferSize:      bufferBytes,
+		WriteBufferSize:     bufferBytes,
 	}
 }
 
@@ -154,12 +154,12 @@
 // again. A replayed statement credit would be booked twice with no trace at the
 // entry. A request that has a body of an unknown type and no GetBody is never
 // replayed, so that every second try is a decision of the caller.
-type onceBody struct{ io.ReadCloser }
+type opaqueBody struct{ io.ReadCloser }
 
 // forbidReplay makes sure that net/http sends req at most once.
 func forbidReplay(req *http.Request) {
 	if req.Body == nil || req.Body == http.NoBody {
-		req.Body = onceBody{http.NoBody}
+		req.Body = opaqueBody{http.NoBody}
 	}
 	req.GetBody = nil
 }
@@ -182,11 +182,11 @@
 // statusError types an answer with an error status and closes its body.
 func statusError(peer string, resp *http.Response) *CallError {
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorTextBytes))
 	return &CallError{
 		Step:       StepStatus,
 		Peer:       peer,
-		Delivery:   refusalOf(resp),
+		Delivery:   deliveryOf(resp),
 		Status:     resp.StatusCode,
 		RetryAfter: parseRetryAfter(resp.Header.Get(HeaderRetryAfter)),
 		Code:       problemCode(text),
@@ -202,7 +202,7 @@
 	return p.Code
 }
 
-func refusalOf(resp *http.Response) Delivery {
+func deliveryOf(resp *http.Response) Delivery {
 	if resp.Header.Get(HeaderNotRun) != "" {
 		return Refused
 	}
@@ -215,5 +215,5 @@
 	if err != nil {
 		return 0
 	}
-	return min(time.Duration(seconds)*time.Second, maxRetryWait)
+	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
--- a/native/transport_test.go
+++ b/native/transport_test.go
@@ -21,13 +21,13 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-const waitBound = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // propertySeed gives property tests one verdict; -rapid.seed=0 draws anew.
-const propertySeed = "20261202"
+const rapidSeed = "20261202"
 
 func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.seed", propertySeed); err != nil {
+	if err := flag.Set("rapid.seed", rapidSeed); err != nil {
 		log.Fatal(err)
 	}
 	goleak.VerifyTestMain(m)
@@ -35,17 +35,17 @@
 
 // cutter is a server that answers the first request on each connection and, at
 // the second, reads its head and cuts the connection without an answer.
-type cutter struct {
-	ln    net.Listener
-	heads atomic.Int64 // requests whose head was read
-	done  chan struct{}
+type cuttingServer struct {
+	ln           net.Listener
+	requestsRead atomic.Int64 // requests whose head was read
+	done         chan struct{}
 }
 
-func startCutter(t *testing.T) *cutter {
+func startCuttingServer(t *testing.T) *cuttingServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	c := &cutter{ln: ln, done: make(chan struct{})}
+	c := &cuttingServer{ln: ln, done: make(chan struct{})}
 	go c.run()
 	t.Cleanup(func() {
 		ln.Close()
@@ -54,7 +54,7 @@
 	return c
 }
 
-func (c *cutter) run() {
+func (c *cuttingServer) run() {
 	defer close(c.done)
 	for {
 		conn, err := c.ln.Accept()
@@ -65,7 +65,7 @@
 	}
 }
 
-func (c *cutter) serve(conn net.Conn) {
+func (c *cuttingServer) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for i := range 2 {
@@ -73,7 +73,7 @@
 		if err != nil {
 			return
 		}
-		c.heads.Add(1)
+		c.requestsRead.Add(1)
 		if i == 0 {
 			_, _ = io.Copy(io.Discard, req.Body)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -89,16 +89,16 @@
 func TestPlainClientNeverReplays(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		for _, body := range []string{"", "credit 100"} {
-			t.Run(method+" "+body, func(t *testing.T) { checkNoReplay(t, method, body) })
+			t.Run(method+" "+body, func(t *testing.T) { requireNoReplay(t, method, body) })
 		}
 	}
 }
 
-func checkNoReplay(t *testing.T, method, body string) {
-	c := startCutter(t)
+func requireNoReplay(t *testing.T, method, body string) {
+	c := startCuttingServer(t)
 	client := native.NewPlain(native.PlainConfig{})
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	address := c.ln.Addr().String()
 	resp, sent, err := client.Do(ctx, address, newCall(t, method, body))
@@ -112,7 +112,7 @@
 	require.Error(t, err)
 	require.True(t, sent)
 	require.False(t, native.NotRun(err))
-	require.EqualValues(t, 2, c.heads.Load())
+	require.EqualValues(t, 2, c.requestsRead.Load())
 }
 
 func newCall(t *testing.T, method, body string) *http.Request {
@@ -129,7 +129,7 @@
 
 // A server is gone before the request is written. The entry may give the
 // request to another server only if it learns that nothing was sent.
-func TestPlainClientTellsNotSent(t *testing.T) {
+func TestPlainClientReportsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := ln.Addr().String()
@@ -137,17 +137,17 @@
 	client := native.NewPlain(native.PlainConfig{})
 	defer client.Close()
 	_, sent, err := client.DoOnce(context.Background(), address, newCall(t, http.MethodPost, "credit"))
-	var failed *native.CallError
-	require.True(t, errors.As(err, &failed))
+	var callErr *native.CallError
+	require.True(t, errors.As(err, &callErr))
 	require.False(t, sent)
-	require.Equal(t, native.StepConnect, failed.Step)
-	require.Equal(t, address, failed.Peer)
+	require.Equal(t, native.StepConnect, callErr.Step)
+	require.Equal(t, address, callErr.Peer)
 }
 
 // The caller gives up while its request waits at a server that has read it and
 // has not answered. Whether it ran is unknown, and must not be told as not run.
 // Removing the line that adds to written in countedConn.count breaks this test.
-func TestPlainClientTellsMaybeRanOnCancel(t *testing.T) {
+func TestPlainClientReportsMaybeRanOnCancel(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -196,7 +196,7 @@
 // The connection of a stream ends inside an event, or without its end mark. A
 // client that took that for the end would show its user half an answer as a
 // whole one.
-func TestEventReaderTellsACutStream(t *testing.T) {
+func TestEventReaderReportsTruncatedStream(t *testing.T) {
 	for input, want := range map[string]error{
 		"data: a\n\n":          io.EOF,
 		"data: a\n\ndata: b":   io.ErrUnexpectedEOF,
