--- a/capacity/state.go
+++ b/capacity/state.go
@@ -158,7 +158,7 @@
 	before := memoryInUse()
 	view := instance.NewView()
 	for i := range n {
-		view.Apply([]instance.Update{{Server: &instance.Server{Announcement: announcement(i), HomeEntry: "entry-001"}}})
+		view.Apply([]instance.Update{{Server: &instance.Server{Announcement: announcement(i), HeardBy: "entry-001"}}})
 	}
 	inView := memoryInUse()
 	router, err := route.New(route.DefaultConfig())
--- a/entry/members.go
+++ b/entry/members.go
@@ -124,7 +124,7 @@
 	}
 	event.Log(e.ctx, e.deps.Log, slog.LevelDebug, kind,
 		slog.String("server", s.ID), slog.Uint64("incarnation", s.Incarnation),
-		slog.String("zone", s.Zone), slog.String("heardBy", s.HomeEntry))
+		slog.String("zone", s.Zone), slog.String("heardBy", s.HeardBy))
 	e.lanes.sync(e.members.View().AllServers())
 	e.guard.serverChanged(s)
 	e.guard.membersChanged()
--- a/instance/view.go
+++ b/instance/view.go
@@ -36,7 +36,7 @@
 // the server fell silent without a word.
 type Server struct {
 	Announcement
-	HomeEntry string // id of the entry that hears its heartbeats; empty if unknown
+	HeardBy string // id of the entry that hears its heartbeats; empty if unknown
 }
 
 // Record is a small piece of shared state, such as a quarantine record.
--- a/membership/event.go
+++ b/membership/event.go
@@ -145,7 +145,7 @@
 	if r.heardSeq >= r.load.Seq && !r.heardAt.IsZero() {
 		s.Load = r.loadFull
 	}
-	s.HomeEntry = c.homeOf(r)
+	s.HeardBy = c.homeOf(r)
 	return s
 }
 
