--- a/backend/conn.go
+++ b/backend/conn.go
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// conn is one connection to a server, used by one request at a time.
+// conn is a connection to a server. It carries one request at a time.
 type conn struct {
 	net.Conn
 	rawConn      syscall.RawConn
 	reader       *bufio.Reader
-	bytesWritten atomic.Int64 // bytes handed to the kernel for the current request
+	bytesWritten atomic.Int64 // bytes of the current request written to the socket
 	used         bool         // has carried a request before
 	idleSince    time.Time
-	idleTimeout  time.Duration // how long the server keeps it open idle
+	idleTimeout  time.Duration // how long the server keeps an idle connection open
 }
 
-// Write counts what is written: as soon as one byte is out, the request may run.
+// Write writes p and counts the bytes: once one is written, the server may run the request.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytesWritten.Add(int64(n))
@@ -32,15 +32,16 @@
 }
 
 const (
-	// keepAliveIdle, keepAliveEvery and keepAliveTries find a connection that has
-	// gone silent because something between the ends has forgotten it: within
-	// three seconds, less than a caller's usual patience.
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes close a connection whose
+	// peer no longer answers, for example because a NAT has dropped it, after three
+	// seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 2
-	// unacknowledged bounds how long sent bytes may stay without acknowledgement.
+	// maxUnacknowledged is how long sent bytes may stay unacknowledged before the
+	// kernel closes the connection.
 	maxUnacknowledged = 3 * time.Second
-	// tcpUserTimeout is the socket option of RFC 5482, which package syscall lacks.
+	// tcpUserTimeout is TCP_USER_TIMEOUT (RFC 5482), which package syscall lacks.
 	tcpUserTimeout = 0x12
 )
 
@@ -54,8 +55,8 @@
 	}
 }
 
-// setUserTimeout is best effort: without it the keep-alive probes still find a
-// silent connection on which nothing waits to be acknowledged.
+// setUserTimeout sets TCP_USER_TIMEOUT. Errors are ignored: keep-alive probes still
+// detect an unreachable peer while no sent bytes are unacknowledged.
 func setUserTimeout(_ context.Context, _, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(maxUnacknowledged.Milliseconds()))
@@ -76,9 +77,9 @@
 	return c, nil
 }
 
-// quiet reports whether an idle connection is still open with nothing on it.
-// Bytes that arrived while no request was waiting belong to no request; taken
-// for the next one's answer, a caller would get somebody else's.
+// openAndEmpty reports whether an idle connection is open and has no unread bytes.
+// Unread bytes belong to no pending request; the next caller would read them as its
+// own answer.
 func (c *conn) openAndEmpty() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -91,20 +92,22 @@
 	err := c.rawConn.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		noData = errors.Is(err, syscall.EAGAIN)
-		return true // never wait
+		return true // don't block
 	})
 	return err == nil && noData
 }
 
-// defaultKeep is how long an idle connection is used again where the server
-// doesn't say how long it keeps one.
+// defaultIdleTimeout is the idle timeout assumed for a server that sends no
+// Keep-Alive header.
 const defaultIdleTimeout = 4 * time.Second
 
-// keepPart is the part of the server's own timeout after which a connection is
-// not used again: a request that crosses the server's close may have run or not.
+// reuseFraction is the fraction of the server's idle timeout during which a
+// connection is reused. A request sent just as the server closes the connection
+// fails without showing whether it ran.
 const reuseFraction = 0.7
 
-// keepTime returns how long the server keeps the connection open idle.
+// serverIdleTimeout returns the idle timeout from the Keep-Alive header h, or
+// defaultIdleTimeout.
 func serverIdleTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/backend/doc.go
+++ b/backend/doc.go
@@ -1,8 +1,8 @@
-// Package backend sends requests to backend servers over HTTP/1.1 and says of
-// each one that failed whether it may have run.
+// Package backend sends requests to backend servers over HTTP/1.1 and reports for
+// each failed request whether the server may have run it.
 //
-// It keeps its own connections instead of using http.Transport, which decides by
-// itself when a request is sent again: after a connection was closed it cannot
-// tell whether the server had begun, and a call that must run once would run
-// twice. Messages are still written and read by net/http.
+// It has its own connection pool because http.Transport resends some requests by
+// itself when a reused connection is closed. The server may have started the first
+// copy, so a request that must run at most once could run twice. Messages are
+// written and parsed by net/http.
 package backend
--- a/backend/error.go
+++ b/backend/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Steps of an exchange.
+// Values of Error.Step: the step of the exchange that failed.
 const (
 	StepDial  = "dial"
 	StepWrite = "write"
@@ -10,12 +10,12 @@
 	StepBody  = "read body"
 )
 
-// Error is an exchange that failed.
+// Error describes a failed exchange.
 type Error struct {
 	Step string
 	Peer string // host:port
-	// Sent says that a byte of the request may have reached the server, so it may
-	// have run. False means that it surely has not.
+	// Sent reports that at least one byte of the request was written, so the server
+	// may have run it. If false, the server has not run it.
 	Sent  bool
 	Cause error
 }
--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// Call is a request for a server.
+// Call is a request to a server.
 type Call struct {
 	Method string
-	Target string // path and query, as the caller sent them
+	Target string // path and query, sent unchanged
 	Host   string
-	Header http.Header // not changed, and not to be changed while the call runs
+	Header http.Header // not modified; must not be modified during the call
 	Body   []byte
 
-	// Belongs reports whether an answer with this header answers this call. A
-	// faulty server may send an answer twice, and the second one arrives where the
-	// next call's answer is due.
+	// Matches reports whether an answer with this header answers this call; nil
+	// accepts every answer. A faulty server may repeat an answer, and the copy would
+	// be read as the answer of the next call on the connection.
 	Matches func(http.Header) bool
 }
 
-// Answer is a server's answer whose head has been read. Close must be called.
+// Answer is a server's answer whose header has been read. The caller must close it.
 type Answer struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body, -1 if not known
+	Length int64 // of the body in bytes, -1 if unknown
 
-	// Reused says that the connection had carried a request before.
+	// Reused reports that the connection had carried an earlier request.
 	Reused bool
 
 	body        io.ReadCloser
@@ -40,18 +40,19 @@
 	pool        *Pool
 	addr        string
 	writeResult <-chan error
-	stopWatch   func() bool // ends the watch over the call's context
+	stopWatch   func() bool // stops closing the connection at the end of the call's context
 	complete    bool
 	keepAlive   bool
 	closeOnce   sync.Once
 }
 
-// maxStray is how many answers of other calls are passed over.
+// maxStrayAnswers bounds how many interim (1xx) answers and answers of other calls
+// are skipped before a call fails.
 const maxStrayAnswers = 3
 
-// Do sends a call and returns its answer once the head has arrived. The end of
-// ctx closes the connection, also while the body is read: servers take that as
-// the word that nobody waits any more. The error is an *Error.
+// Do sends a call and returns its answer once the header has been read. When ctx
+// ends, the connection is closed, also while the body is being read; servers treat
+// this as cancellation. The error is an *Error.
 func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*Answer, error) {
 	c, err := p.get(ctx, addr)
 	if err != nil {
@@ -64,7 +65,7 @@
 	resp, err := readHead(c, req, call.Matches)
 	if err != nil {
 		stopWatch()
-		_ = c.Close() // its state is not known
+		_ = c.Close() // the read position is unknown
 		return nil, p.exchangeError(ctx, addr, c, writeResult, err)
 	}
 	return &Answer{
@@ -73,8 +74,8 @@
 	}, nil
 }
 
-// failed says of an exchange without an answer whether it may have run. The
-// connection is closed, so the writer has ended or is about to.
+// exchangeError returns the *Error of an exchange without an answer. The connection
+// must be closed already, so that the receive from writeResult returns.
 func (p *Pool) exchangeError(ctx context.Context, addr string, c *conn, writeResult <-chan error, err error) error {
 	writeErr := <-writeResult
 	e := &Error{Step: StepHead, Peer: addr, Sent: c.bytesWritten.Load() > 0, Cause: err}
@@ -87,7 +88,7 @@
 	return e
 }
 
-// request returns the call as net/http writes it.
+// request returns the call as an http.Request.
 func (c *Call) request() *http.Request {
 	req := &http.Request{
 		Method: c.Method, Host: c.Host, Header: c.Header, URL: targetURL(c.Target),
@@ -99,11 +100,11 @@
 	return req
 }
 
-// targetURL returns a URL that is written just as target is: an escape that was
-// decoded and encoded again need not come out the same.
+// targetURL returns a URL that net/http writes exactly as target. Parsing target
+// instead could change its escapes.
 func targetURL(target string) *url.URL {
 	if strings.HasPrefix(target, "//") {
-		// Opaque would be taken for an authority.
+		// net/http would write an Opaque that starts with // as a URL with a host.
 		path, query, found := strings.Cut(target, "?")
 		u := &url.URL{Path: path, RawPath: path, RawQuery: query, ForceQuery: found && query == ""}
 		if decoded, err := url.PathUnescape(path); err == nil {
@@ -114,7 +115,8 @@
 	return &url.URL{Opaque: target}
 }
 
-// readHead reads the head of the answer that belongs to the call.
+// readHead reads the header of the answer that matches the call. It skips interim
+// (1xx) answers and answers of other calls.
 func readHead(c *conn, req *http.Request, matches func(http.Header) bool) (*http.Response, error) {
 	for range maxStrayAnswers {
 		resp, err := http.ReadResponse(c.reader, req)
@@ -128,17 +130,17 @@
 			return resp, nil
 		}
 		if resp.Close {
-			return nil, errors.New("answer of another call, and the connection ends")
+			return nil, errors.New("answer does not match the call, and the server closes the connection")
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.New("answers of other calls")
+	return nil, errors.New("too many answers that do not match the call")
 }
 
-// Read reads the body. io.EOF means that the answer is whole; any other error,
-// an *Error, that it broke off.
+// Read reads the body. It returns io.EOF at the end of a complete answer and an
+// *Error if the answer is truncated.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	switch {
@@ -152,14 +154,14 @@
 	}
 }
 
-// writeGrace is how long the end of the writing is waited for once the answer is
-// whole. The writer may just not have had the processor yet; a server that answered
-// before it had read a long request takes longer, or never reads the rest.
+// writeGrace is how long requestWritten waits for the writing goroutine. It may not
+// have been scheduled yet; if the server answered before it had read the whole
+// request, writing may never end.
 const writeGrace = 20 * time.Millisecond
 
-// written reports whether the whole request was written. Without the wait a
-// connection whose writer was late to say so would be closed, and the next request
-// would pay for a new one.
+// requestWritten reports whether the whole request was written. Without the wait,
+// Close would close a reusable connection whose writing goroutine had not been
+// scheduled yet.
 func (a *Answer) requestWritten() bool {
 	select {
 	case err := <-a.writeResult:
@@ -176,18 +178,18 @@
 	}
 }
 
-// Close ends the exchange. A connection whose answer was read whole is used
-// again; any other one is closed, which tells the server to stop.
+// Close ends the exchange. If the answer was read to its end, the connection returns
+// to the pool; otherwise it is closed, which cancels the request at the server.
 func (a *Answer) Close() {
 	a.closeOnce.Do(func() {
 		active := a.stopWatch()
-		// The reader checks for bytes behind the answer: they belong to no request.
+		// Bytes after the answer belong to no request.
 		reusable := active && a.complete && a.keepAlive && a.conn.reader.Buffered() == 0
 		if reusable && a.requestWritten() {
 			a.conn.idleTimeout = serverIdleTimeout(a.Header)
 			a.pool.put(a.addr, a.conn)
 			return
 		}
-		_ = a.conn.Close() // nothing more is expected of it
+		_ = a.conn.Close() // the exchange is over
 	})
 }
--- a/backend/exchange_test.go
+++ b/backend/exchange_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script is a server that reads a request and does what it is told, once for each
-// connection it accepts.
+// startServer starts a server that calls handle for each connection and returns its
+// address.
 func startServer(t *testing.T, handle func(c net.Conn, r *bufio.Reader)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 	return l.Addr().String()
 }
 
-// next reads one request whole and returns its id.
+// readRequest reads one request with its body and returns its id.
 func readRequest(r *bufio.Reader) (string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return string(body), err
 }
 
-// requireNotQuiet waits until what the server sent after its answer, bytes or the
-// end of the connection, has arrived on the connection that is kept, if one is.
+// requireNotReusable waits until the last idle connection to addr, if there is one,
+// has received the extra bytes or the close that the server sent after its answer.
 func requireNotReusable(t *testing.T, p *Pool, addr string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -83,10 +83,8 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// A server sends the answer of an earlier request once more, where the answer of
-// the next one is due. A caller would read somebody else's answer.
-//
-// It breaks without Call.Belongs.
+// Guards against a repeated answer of an earlier request on a reused connection:
+// without Call.Matches the next caller would read another caller's answer.
 func TestAnswerOfEarlierCallIsSkipped(t *testing.T) {
 	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		id, _ := readRequest(r)
@@ -106,10 +104,8 @@
 	require.EqualValues(t, 1, p.Dials())
 }
 
-// A server sends bytes behind a whole answer. On a kept connection they would be
-// read as the beginning of the next answer.
-//
-// It breaks without conn.quiet and the look at the buffer in Answer.Close.
+// Guards against reuse of a connection with bytes after an answer (conn.openAndEmpty,
+// the buffer check in Answer.Close): the next caller would read them as its answer.
 func TestExtraBytesCloseConnection(t *testing.T) {
 	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		id, err := readRequest(r)
@@ -131,21 +127,18 @@
 	require.EqualValues(t, 3, p.Dials())
 }
 
-// A server's answer can be read as two different ones: its length is told twice, or
-// its chunks do not add up. What would be handed on may be a part of it, or of the
-// next one.
-//
-// It breaks if such an answer counts as whole, or its connection is used again.
+// Guards against answers whose length is ambiguous, as in response splitting: the
+// caller would read a truncated answer as complete, or bytes of the next one.
 func TestAmbiguousBodyLengthIsError(t *testing.T) {
 	for name, response := range map[string]string{
-		"two lengths":               "Content-Length: 2\r\nContent-Length: 4\r\n\r\ngood",
-		"two lengths in a list":     "Content-Length: 2, 4\r\n\r\ngood",
-		"negative length":           "Content-Length: -1\r\n\r\ngood",
-		"length with a sign":        "Content-Length: +4\r\n\r\ngood",
-		"unknown coding":            "Transfer-Encoding: xchunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n",
-		"chunk size with a sign":    "Transfer-Encoding: chunked\r\n\r\n+4\r\ngood\r\n0\r\n\r\n",
-		"chunk longer than it says": "Transfer-Encoding: chunked\r\n\r\n2\r\ngood\r\n0\r\n\r\n",
-		"chunks without an end":     "Transfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n",
+		"two lengths":                "Content-Length: 2\r\nContent-Length: 4\r\n\r\ngood",
+		"two lengths in a list":      "Content-Length: 2, 4\r\n\r\ngood",
+		"negative length":            "Content-Length: -1\r\n\r\ngood",
+		"length with a sign":         "Content-Length: +4\r\n\r\ngood",
+		"unknown coding":             "Transfer-Encoding: xchunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n",
+		"chunk size with a sign":     "Transfer-Encoding: chunked\r\n\r\n+4\r\ngood\r\n0\r\n\r\n",
+		"chunk longer than its size": "Transfer-Encoding: chunked\r\n\r\n2\r\ngood\r\n0\r\n\r\n",
+		"chunks without an end":      "Transfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -164,8 +157,8 @@
 	}
 }
 
-// A server closes the connection after it has read a request. Whether the request
-// ran is not known, so a call that may run once must not be sent again.
+// Guards against reporting a request as not sent when the server read it and closed
+// the connection: a retry could run it twice.
 func TestCloseAfterRequestMayHaveRun(t *testing.T) {
 	addr := startServer(t, func(_ net.Conn, r *bufio.Reader) { _, _ = readRequest(r) })
 	p := NewPool(DefaultConfig(), time.Now)
@@ -177,7 +170,8 @@
 	require.Equal(t, StepHead, e.Step)
 }
 
-// Nobody listens at the address: the call surely did not run.
+// Guards against reporting a refused connection as possibly run: the caller could
+// not retry elsewhere.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -191,8 +185,8 @@
 	require.False(t, e.Sent)
 }
 
-// A server has closed an idle connection. The next call takes a new one, since a
-// request on the old one might have run or not.
+// Guards against reuse of an idle connection that the server has closed: the request
+// would fail without showing whether it ran.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		if id, err := readRequest(r); err == nil {
@@ -208,8 +202,8 @@
 	}
 }
 
-// An answer breaks off. It must not look whole: a caller would take half a
-// statement for all of it.
+// Guards against reporting a truncated answer as complete: the caller would process
+// half of it.
 func TestTruncatedAnswerIsError(t *testing.T) {
 	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		id, _ := readRequest(r)
@@ -223,8 +217,8 @@
 	require.Equal(t, StepBody, e.Step)
 }
 
-// A caller leaves. The server notices by the close of the connection and stops
-// working for nobody.
+// Guards against a connection that stays open after the caller cancels: the server
+// would go on with work that nobody reads.
 func TestCancelClosesConnection(t *testing.T) {
 	received, closed := make(chan struct{}), make(chan struct{})
 	addr := startServer(t, func(_ net.Conn, r *bufio.Reader) {
@@ -249,11 +243,11 @@
 	}
 }
 
-// A server rejects a long request before it has read it all, and reads on later.
-// The rest of the body must be followed by nothing else on that connection.
+// Guards against reuse of a connection on which the request body is still being
+// written: the server would read the next request as part of that body.
 func TestAnswerBeforeBodyReadClosesConnection(t *testing.T) {
 	requests := make(chan string, 4)
-	answerRead := make(chan struct{}) // the caller has the whole answer
+	answerRead := make(chan struct{}) // closed once the caller has read the answer
 	addr := startServer(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -280,13 +274,13 @@
 	close(answerRead)
 	body, err := doCall(t, p, addr, "2")
 	require.NoError(t, err)
-	require.Equal(t, "early", body, "on a connection of its own")
+	require.Equal(t, "early", body, "the second call uses a new connection")
 	require.Equal(t, "1", <-requests)
 	require.Equal(t, "2", <-requests)
 }
 
-// What a caller sends as path and query reaches the server as it was, escapes and
-// all.
+// Guards against changes to the path, the query or their escapes on the way to the
+// server.
 func TestTargetIsSentUnchanged(t *testing.T) {
 	targets := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { targets <- r.RequestURI }))
@@ -303,15 +297,13 @@
 	}
 }
 
-// An answer is whole before the goroutine that writes the request has had the
-// processor to say that it is done. The connection is used again all the same.
-//
-// It breaks without the wait in Answer.written.
+// Guards against closing a reusable connection because the writing goroutine has not
+// been scheduled yet when the answer is complete (the wait in Answer.requestWritten).
 func TestReuseWaitsForRequestWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		writeResult := make(chan error, 1)
 		time.AfterFunc(writeGrace/2, func() { writeResult <- nil })
 		require.True(t, (&Answer{writeResult: writeResult}).requestWritten())
-		require.False(t, (&Answer{writeResult: make(chan error)}).requestWritten(), "a server that never reads the rest")
+		require.False(t, (&Answer{writeResult: make(chan error)}).requestWritten(), "the request is never written completely")
 	})
 }
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -8,20 +8,17 @@
 	"time"
 )
 
-// Config bounds a Pool.
+// Config holds the limits of a Pool.
 type Config struct {
 	DialTimeout time.Duration
-	// MaxIdle bounds the idle connections to one server.
+	// MaxIdle is the maximum number of idle connections per server.
 	MaxIdle int
-	// BufferBytes is the size of a connection's read buffer. Memory at the peak is
-	// this times the connections.
+	// BufferBytes is the size of the read buffer of one connection.
 	BufferBytes int
 }
 
-// DefaultConfig returns the bounds for instances with a few hundred megabytes.
-// A server of the same region accepts a connection in a millisecond; one that
-// has not after half a second is down or cut off, and the caller's objective is
-// about that long.
+// DefaultConfig returns limits for an instance with a few hundred megabytes of
+// memory and servers in the same region.
 func DefaultConfig() Config {
 	return Config{DialTimeout: 500 * time.Millisecond, MaxIdle: 64, BufferBytes: 4 << 10}
 }
@@ -34,7 +31,7 @@
 	dials  atomic.Int64
 
 	mu   sync.Mutex
-	idle map[string][]*conn // by address, the one used last at the end
+	idle map[string][]*conn // by address, most recently used last
 }
 
 // NewPool returns a pool without connections.
@@ -45,7 +42,7 @@
 // Dials returns how many connections have been opened.
 func (p *Pool) Dials() int64 { return p.dials.Load() }
 
-// take returns a connection, idle or new.
+// get returns an idle connection that can be reused, or dials a new one.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	for {
 		c := p.popIdle(addr)
@@ -55,7 +52,7 @@
 		if p.now().Before(c.reusableUntil()) && c.openAndEmpty() {
 			return c, nil
 		}
-		_ = c.Close() // it was of no use any more
+		_ = c.Close() // expired or closed by the server
 	}
 	p.dials.Add(1)
 	return dial(ctx, p.dialer, addr, p.cfg.BufferBytes)
@@ -73,7 +70,7 @@
 	return c
 }
 
-// put takes a connection back after an answer that left it clean.
+// put returns a reusable connection to the pool, or closes it if MaxIdle is reached.
 func (p *Pool) put(addr string, c *conn) {
 	c.used = true
 	c.idleSince = p.now()
@@ -86,12 +83,12 @@
 	}
 	p.mu.Unlock()
 	if full {
-		_ = c.Close() // no room for it
+		_ = c.Close()
 	}
 }
 
-// Forget closes the idle connections to a server that is gone. Its address may
-// be another server's soon.
+// CloseIdle closes the idle connections to addr. Call it when a server leaves: its
+// address may be reused by another one.
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
@@ -100,7 +97,7 @@
 	closeAll(list)
 }
 
-// Sweep closes connections that will not be used again.
+// Sweep closes the idle connections that have expired. Call it periodically.
 func (p *Pool) Sweep() {
 	now := p.now()
 	var expired []*conn
@@ -136,6 +133,6 @@
 
 func closeAll(list []*conn) {
 	for _, c := range list {
-		_ = c.Close() // nothing was waiting on it
+		_ = c.Close() // an error on an idle connection affects no request
 	}
 }
