--- a/instance/doc.go
+++ b/instance/doc.go
@@ -1,5 +1,4 @@
-// Package instance describes the instances that take part in serving: the
-// system's own (entries and control replicas) and the backend servers, which
-// announce themselves. It holds each one's life cycle and the view that an
-// entry has of all of them.
+// Package instance defines the instances of the system: its members (entries and
+// control replicas) and the backend servers, which announce themselves. It has their
+// states and the View, a snapshot of all instances that a process reads without locks.
 package instance
--- a/instance/validate.go
+++ b/instance/validate.go
@@ -7,8 +7,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Bounds of an announcement. They keep one faulty server from filling every
-// entry's memory.
+// Bounds of an announcement. They limit the memory that one faulty server can use on
+// every entry.
 const (
 	maxID       = 128
 	maxSlots    = 100_000
@@ -16,8 +16,8 @@
 	maxServices = 256
 )
 
-// Validate checks what a backend server says of itself. The error names the
-// field.
+// Validate returns a trace.BadParameter error that describes the first invalid field, or
+// nil.
 func (a *Announcement) Validate() error {
 	switch {
 	case a.ID == "" || len(a.ID) > maxID:
--- a/instance/validate_test.go
+++ b/instance/validate_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A faulty server announces nonsense. Taken in, it would draw requests to an
-// address that is none, or look idle for ever by a negative load.
+// Guards against accepting an invalid announcement: requests would go to an unusable
+// address, or a negative load would attract all of them.
 func TestValidateErrorNamesField(t *testing.T) {
 	validAnnouncement := func() Announcement {
 		return Announcement{
--- a/instance/view.go
+++ b/instance/view.go
@@ -15,53 +15,52 @@
 	RoleControl = "control"
 )
 
-// Member is one of the system's own instances, an entry or a control replica,
-// as this process knows it. Values handed out by a View are immutable.
+// Member is an entry or a control replica, as last received by this process. Values
+// returned by a View are immutable.
 type Member struct {
 	ID            string
 	Incarnation   uint64
 	Role          string
 	Region        string
 	Zone          string
-	CallerAddress string // host:port for callers; empty where it serves none
+	CallerAddress string // host:port for callers; empty if it serves none
 	LinkAddress   string // host:port for links
 	State         State
-	Load          float64 // share of its capacity in use, 0..1 and above when overloaded
-	Catalogue     uint64  // version of the catalogue that it has in force
-	Suspected     bool    // silent for some observer, not yet counted as gone
+	Load          float64 // fraction of its capacity in use; above 1 when overloaded
+	Catalogue     uint64  // version of the catalogue it has applied
+	Suspected     bool    // unreachable for at least one observer, not yet gone
 }
 
-// Server is a backend server as this process knows it. Values handed out by a
-// View are immutable. State is the state that counts here: StateGone also when
-// the server fell silent without a word.
+// Server is a backend server, as last received by this process. Values returned by a
+// View are immutable. State may differ from the announced one: it is StateGone also
+// if the server became unreachable without announcing it.
 type Server struct {
 	Announcement
-	HeardBy string // id of the entry that hears its heartbeats; empty if unknown
+	HeardBy string // id of the entry that receives its heartbeats; empty if unknown
 }
 
-// Record is a small piece of shared state, such as a quarantine record.
+// Record is a small shared value, such as a quarantine.
 type Record struct {
 	Key     string
 	Version uint64
-	Body    []byte // not to be changed
+	Body    []byte // must not be modified
 }
 
-// Update is one change for a View. Exactly one field is set.
+// Update is one change to a View. Exactly one field is set.
 type Update struct {
 	Server *Server
 	Member *Member
 	Record *Record
-	// ForgetServer and ForgetMember name an instance that is long gone.
+	// RemoveServer and RemoveMember are the id of an instance to remove from the View.
 	RemoveServer string
 	RemoveMember string
 }
 
 const viewShards = 16
 
-// View is what one process knows of all instances. Reads take no lock and
-// allocate nothing: each part is an immutable snapshot behind an atomic
-// pointer, and a change replaces only the parts it touches. Writers are
-// serialised by the caller of Apply.
+// View holds the last received state of all instances. Reads take no lock and do not
+// allocate: each shard is an immutable snapshot behind an atomic pointer, and Apply
+// replaces only the shards that change. All methods are safe for concurrent use.
 type View struct {
 	servers        [viewShards]atomic.Pointer[map[string]*Server]
 	serversByName  [viewShards]atomic.Pointer[map[string][]*Server]
@@ -70,7 +69,7 @@
 	records        [viewShards]atomic.Pointer[map[string]Record]
 	presentServers atomic.Pointer[[]*Server]
 
-	applyMu sync.Mutex // held by Apply; readers never take it
+	applyMu sync.Mutex // serialises Apply; reads don't take it
 }
 
 // NewView returns an empty view.
@@ -78,15 +77,14 @@
 
 func shardOf(key string) int { return int(xxhash.Sum64String(key) % viewShards) }
 
-// Servers returns the serving backend servers under one name, a model or a
-// plain service, ordered by id. Leaving and gone servers are not among them.
-// The slice is a snapshot: don't change it.
+// Servers returns the serving backend servers of a model or plain service, ordered by
+// id, without leaving and gone ones. The caller must not modify the slice.
 func (v *View) Servers(name string) []*Server {
 	return loadMap(&v.serversByName[shardOf(name)])[name]
 }
 
-// AllServers returns the backend servers that are serving or leaving, ordered
-// by id. The slice is a snapshot: don't change it.
+// AllServers returns the backend servers that are serving or leaving, ordered by id.
+// The caller must not modify the slice.
 func (v *View) AllServers() []*Server {
 	if p := v.presentServers.Load(); p != nil {
 		return *p
@@ -94,32 +92,32 @@
 	return nil
 }
 
-// Server returns a backend server by id, also one that is leaving or gone.
+// Server returns the backend server with an id, also if it is leaving or gone.
 func (v *View) Server(id string) (*Server, bool) {
 	s, ok := loadMap(&v.servers[shardOf(id)])[id]
 	return s, ok
 }
 
-// Members returns the members of one role that are not gone, ordered by id; of
-// all roles if role is empty. The slice is a snapshot: don't change it.
+// Members returns the members with a role, or of all roles if role is empty, that are
+// not gone, ordered by id. The caller must not modify the slice.
 func (v *View) Members(role string) []*Member {
 	return loadMap(&v.membersByRole[shardOf(role)])[role]
 }
 
-// Member returns a member by id, also one that is gone.
+// Member returns the member with an id, also if it is gone.
 func (v *View) Member(id string) (*Member, bool) {
 	m, ok := loadMap(&v.members[shardOf(id)])[id]
 	return m, ok
 }
 
-// Record returns a shared record by key.
+// Record returns the shared record with a key.
 func (v *View) Record(key string) (Record, bool) {
 	r, ok := loadMap(&v.records[shardOf(key)])[key]
 	return r, ok
 }
 
-// Apply takes in a batch of changes. Each snapshot that the batch touches is
-// replaced once.
+// Apply applies a batch of updates in order. Each changed shard is copied and replaced
+// once. A concurrent reader may see some shards before and others after the batch.
 func (v *View) Apply(batch []Update) {
 	v.applyMu.Lock()
 	defer v.applyMu.Unlock()
@@ -130,7 +128,7 @@
 	b.commit()
 }
 
-// load returns the map behind p, which may be unset.
+// loadMap returns the map that p points to, or nil if p is unset.
 func loadMap[V any](p *atomic.Pointer[map[string]V]) map[string]V {
 	if m := p.Load(); m != nil {
 		return *m
@@ -138,7 +136,7 @@
 	return nil
 }
 
-// viewBatch gathers the copies that one Apply makes.
+// viewBatch holds the shard copies of one Apply.
 type viewBatch struct {
 	view           *View
 	servers        shardCopies[*Server]
@@ -147,7 +145,7 @@
 	membersByRole  listCopies[Member]
 	records        shardCopies[Record]
 	presentServers []*Server
-	presentCopied  bool // present has been copied
+	presentCopied  bool // presentServers has been copied
 }
 
 func newViewBatch(v *View) *viewBatch {
@@ -242,8 +240,8 @@
 
 func memberID(m *Member) string { return m.ID }
 
-// namesOf lists the names under which a server is found: its model, or its
-// plain services. One that isn't serving is found under none.
+// servingNames returns the names under which Servers lists s: its model or its plain
+// services; none unless it is serving.
 func servingNames(s *Server) []string {
 	if s == nil || s.State != StateServing {
 		return nil
@@ -254,8 +252,8 @@
 	return s.Services
 }
 
-// replace puts item in the place of id in a list ordered by id, or takes id out
-// if item is nil. It works in place on list, which must be this batch's copy.
+// replaceByID replaces or inserts the item with an id in a list ordered by id, or
+// removes it if item is nil. It modifies list, which must be a copy made by this batch.
 func replaceByID[T any](list []*T, id string, item *T, idOf func(*T) string) []*T {
 	i, found := slices.BinarySearchFunc(list, id, func(t *T, id string) int { return strings.Compare(idOf(t), id) })
 	switch {
--- a/instance/view_shards.go
+++ b/instance/view_shards.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// shardCopies holds the shards of one table that a batch has copied. A reader
-// keeps the old snapshot until commit and never sees half a change of a shard.
+// shardCopies holds a batch's copies of the shards of one table. Readers use the old
+// shards until commit, so they never see a partly changed shard.
 type shardCopies[V any] struct {
 	shards *[viewShards]atomic.Pointer[map[string]V]
 	copies [viewShards]map[string]V
 }
 
-// of returns this batch's copy of the shard that holds key.
+// copyFor returns the batch's copy of the shard that holds key.
 func (c *shardCopies[V]) copyFor(key string) map[string]V {
 	i := shardOf(key)
 	if c.copies[i] == nil {
@@ -33,8 +33,8 @@
 	}
 }
 
-// listCopies is shardCopies for a table of lists: a list is copied once in a
-// batch, before its first change.
+// listCopies is shardCopies for a table of lists. A list is copied before its first
+// change in a batch.
 type listCopies[T any] struct {
 	shards      shardCopies[[]*T]
 	copiedLists map[string]bool
@@ -44,8 +44,8 @@
 	return listCopies[T]{shards: shardCopies[[]*T]{shards: from}, copiedLists: make(map[string]bool)}
 }
 
-// edit hands fn this batch's own copy of the list under name and keeps what it
-// returns.
+// edit calls fn with the batch's copy of the list under name and stores the result. It
+// removes the list if the result is empty.
 func (c *listCopies[T]) edit(name string, fn func([]*T) []*T) {
 	table := c.shards.copyFor(name)
 	list := table[name]
--- a/instance/view_test.go
+++ b/instance/view_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -31,8 +31,8 @@
 	return &Member{ID: id, Role: role, State: state}
 }
 
-// TestViewAgainstModel compares every query with a plain list of what was
-// applied, after each batch, and checks that earlier snapshots stand still.
+// Guards against lost or misplaced updates and against changes to a snapshot that a
+// reader still uses: compares every query with a simple model after each batch.
 func TestViewAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		v := NewView()
@@ -61,7 +61,7 @@
 				}
 			}
 			v.Apply(batch)
-			require.Equal(rt, snapshotCopy, snapshot, "a snapshot in a reader's hands has changed")
+			require.Equal(rt, snapshotCopy, snapshot, "a returned snapshot has changed")
 			requireViewEquals(rt, v, servers, members)
 		}
 	})
@@ -95,6 +95,8 @@
 	require.True(t, slices.Equal(byRole, v.Members("m1")), "members by role")
 }
 
+// Guards against a plain server that is listed under only one of its services, and
+// against lost records.
 func TestViewPlainServicesAndRecords(t *testing.T) {
 	v := NewView()
 	s := &Server{Announcement: Announcement{ID: "p", Services: []string{"tiles", "alerts"}, State: StateServing}}
@@ -118,8 +120,7 @@
 	return v
 }
 
-// Routers read on every request while membership writes. Run with the race
-// detector, this fails if a reader can see a snapshot that is still written to.
+// Guards against writes to a snapshot that a reader can see. Needs the race detector.
 func TestViewReadersDuringWrites(t *testing.T) {
 	v := viewWithServers(100)
 	var readers sync.WaitGroup
@@ -148,6 +149,7 @@
 	readers.Wait()
 }
 
+// Guards against allocations in queries that the router makes for every request.
 func TestViewReadsDoNotAllocate(t *testing.T) {
 	v := viewWithServers(600)
 	require.Zero(t, testing.AllocsPerRun(100, func() {
