--- a/native/client.go
+++ b/native/client.go
@@ -13,14 +13,14 @@
 	"github.com/gravitational/trace"
 )
 
-// EngineConfig tunes an EngineClient. The zero value of a field means the
-// default named beside it.
+// EngineConfig configures an EngineClient. A zero field means the default named beside
+// it.
 type EngineConfig struct {
 	DialTimeout time.Duration // DefaultDialTimeout
-	IdleTimeout time.Duration // DefaultIdleTimeout; how long an unused connection is kept
-	IdlePerPeer int           // DefaultIdlePerPeer; unused connections kept per engine
-	MaxEvent    int           // DefaultMaxEvent; bytes of one event of a stream
-	MaxReply    int64         // DefaultMaxReply; bytes of a JSON reply
+	IdleTimeout time.Duration // DefaultIdleTimeout; an idle connection is closed after it
+	IdlePerPeer int           // DefaultIdlePerPeer; maximum idle connections per engine
+	MaxEvent    int           // DefaultMaxEvent; maximum bytes of one event of a stream
+	MaxReply    int64         // DefaultMaxReply; maximum bytes of a JSON reply
 }
 
 func (c EngineConfig) withDefaults() EngineConfig {
@@ -32,15 +32,15 @@
 	return c
 }
 
-// EngineClient calls model engines over HTTP. It keeps connections per engine
-// and is safe for concurrent use. Every error is a *CallError, wrapped by trace.
+// EngineClient calls model engines over HTTP. It has a connection pool per engine and
+// is safe for concurrent use. Every error is a *CallError, wrapped by trace.
 type EngineClient struct {
 	cfg    EngineConfig
 	pooled *http.Transport
 	fresh  *http.Transport // a new connection for each call
 }
 
-// NewEngine returns a client of model engines. Close it when done.
+// NewEngine returns a client for model engines. The caller must close it.
 func NewEngine(cfg EngineConfig) *EngineClient {
 	cfg = cfg.withDefaults()
 	return &EngineClient{
@@ -50,16 +50,16 @@
 	}
 }
 
-// Close closes the connections that are not in use.
+// Close closes the idle connections.
 func (c *EngineClient) Close() {
 	c.pooled.CloseIdleConnections()
 	c.fresh.CloseIdleConnections()
 }
 
-// Chat sends req to the engine at address (host:port) and returns the stream of
-// its answer once the engine has accepted it. The answer is always streamed,
-// whatever req.Stream says. The stream lives until it is closed or ctx ends:
-// ctx must cover the whole answer.
+// Chat sends req to the engine at address (host:port) and returns the stream of the
+// answer once the engine has sent status 200. The answer is streamed even if
+// req.Stream is false. The stream fails when ctx ends, so ctx must cover the whole
+// answer. The caller must close the stream.
 func (c *EngineClient) Chat(ctx context.Context, address, requestID string, req ChatRequest) (*ChatStream, error) {
 	req.Stream = true
 	httpReq, err := newJSONRequest(ctx, http.MethodPost, address, PathChat, req)
@@ -78,7 +78,7 @@
 	return newChatStream(address, resp.Body, c.cfg.MaxEvent), nil
 }
 
-// newJSONRequest returns a request to http://address/path with v as its body.
+// newJSONRequest returns a request to http://address+path with v as its JSON body.
 func newJSONRequest(ctx context.Context, method, address, path string, v any) (*http.Request, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -100,7 +100,8 @@
 	return req, nil
 }
 
-// call sends req and decodes the JSON reply into reply, unless reply is nil.
+// call sends req and decodes the JSON reply into reply; if reply is nil, it discards
+// the reply. A status of 300 and above is an error.
 func call(rt http.RoundTripper, req *http.Request, maxReply int64, reply any) error {
 	peer := req.URL.Host
 	resp, err := roundTrip(rt, req)
--- a/native/cloud.go
+++ b/native/cloud.go
@@ -19,19 +19,19 @@
 	PathNotices   = "/v1/notices"   // ?after=N&waitMs=M
 )
 
-// CodeNoCapacity is the problem code of a refused start.
+// CodeNoCapacity is the Problem.Code of a start refused for lack of capacity.
 const CodeNoCapacity = "insufficient_capacity"
 
-// PurchaseKind says how an instance is paid for.
+// PurchaseKind is the purchase option of an instance.
 type PurchaseKind string
 
-// The kinds of purchase.
+// The purchase options.
 const (
-	Reclaimable PurchaseKind = "reclaimable" // cheap, may be taken back on seconds of notice
-	OnDemand    PurchaseKind = "on-demand"   // kept until it is stopped
+	Reclaimable PurchaseKind = "reclaimable" // cheap, may be reclaimed with seconds of notice
+	OnDemand    PurchaseKind = "on-demand"   // runs until it is stopped
 )
 
-// Price is what an instance costs at the moment.
+// Price is the current price of an instance.
 type Price struct {
 	Zone    string       `json:"zone"`
 	Class   string       `json:"machineClass"`
@@ -44,8 +44,8 @@
 	Prices []Price `json:"prices"`
 }
 
-// StartRequest is the body of POST /v1/instances. A second request with the
-// same ClientToken gets the first one's instance and starts nothing.
+// StartRequest is the body of POST /v1/instances. ClientToken makes it idempotent: a
+// second request with the same token returns the instance of the first one.
 type StartRequest struct {
 	ClientToken string       `json:"clientToken"`
 	Zone        string       `json:"zone"`
@@ -53,18 +53,18 @@
 	Kind        PurchaseKind `json:"kind"`
 }
 
-// InstanceState is where a cloud instance stands.
+// InstanceState is the state of a cloud instance.
 type InstanceState string
 
 // The states of a cloud instance.
 const (
 	InstanceRunning    InstanceState = "running"
-	InstanceReclaiming InstanceState = "reclaiming" // noticed, still there
+	InstanceReclaiming InstanceState = "reclaiming" // notice given, still running
 	InstanceReclaimed  InstanceState = "reclaimed"
-	InstanceStopped    InstanceState = "stopped" // by DELETE
+	InstanceStopped    InstanceState = "stopped" // ended by DELETE
 )
 
-// CloudInstance is an instance as the cloud API knows it.
+// CloudInstance is an instance as returned by the cloud API.
 type CloudInstance struct {
 	ID          string        `json:"id"`
 	ClientToken string        `json:"clientToken,omitempty"`
@@ -80,21 +80,21 @@
 	Instances []CloudInstance `json:"instances"`
 }
 
-// Notice says that an instance will be reclaimed.
+// Notice announces that an instance will be reclaimed.
 type Notice struct {
 	Sequence   uint64    `json:"sequence,string"` // from 1, without gaps
 	InstanceID string    `json:"instanceId"`
 	Zone       string    `json:"zone"`
-	Deadline   time.Time `json:"deadline"` // the instance ends then
+	Deadline   time.Time `json:"deadline"` // when the instance ends
 }
 
-// NoticePage is the reply of GET /v1/notices: all notices after the asked one.
-// It is empty when none came within the wait.
+// NoticePage is the reply of GET /v1/notices: all notices after the requested sequence
+// number. It is empty if there is none within the requested wait.
 type NoticePage struct {
 	Notices []Notice `json:"notices"`
 }
 
-// Last returns the number of the newest notice, or after for an empty page.
+// Last returns the sequence number of the latest notice, or after if the page is empty.
 func (p NoticePage) Last(after uint64) uint64 {
 	if len(p.Notices) == 0 {
 		return after
@@ -102,12 +102,12 @@
 	return p.Notices[len(p.Notices)-1].Sequence
 }
 
-// CloudConfig tunes a CloudClient. The zero value of a duration or size means
-// the default named beside it.
+// CloudConfig configures a CloudClient. A zero duration or size means the default
+// named beside it.
 type CloudConfig struct {
 	Address     string        // host:port of the cloud API
 	DialTimeout time.Duration // DefaultDialTimeout
-	MaxReply    int64         // DefaultMaxReply; bytes of a JSON reply
+	MaxReply    int64         // DefaultMaxReply; maximum bytes of a JSON reply
 }
 
 // CloudClient calls the cloud API. It is safe for concurrent use.
@@ -116,7 +116,7 @@
 	transport *http.Transport
 }
 
-// NewCloud returns a client of the cloud API. Close it when done.
+// NewCloud returns a client for the cloud API. The caller must close it.
 func NewCloud(cfg CloudConfig) *CloudClient {
 	cfg.DialTimeout = cmp.Or(cfg.DialTimeout, DefaultDialTimeout)
 	cfg.MaxReply = cmp.Or(cfg.MaxReply, DefaultMaxReply)
@@ -126,27 +126,27 @@
 	}
 }
 
-// Close closes the connections that are not in use.
+// Close closes the idle connections.
 func (c *CloudClient) Close() { c.transport.CloseIdleConnections() }
 
-// Prices returns the prices of the moment.
+// Prices returns the current prices.
 func (c *CloudClient) Prices(ctx context.Context) ([]Price, error) {
 	var reply PriceList
 	err := c.get(ctx, PathPrices, &reply)
 	return reply.Prices, trace.Wrap(err)
 }
 
-// Instances returns every instance that the cloud knows, ended ones included
-// for as long as it remembers them.
+// Instances returns all instances that the cloud lists, including ended ones that it
+// still lists.
 func (c *CloudClient) Instances(ctx context.Context) ([]CloudInstance, error) {
 	var reply InstanceList
 	err := c.get(ctx, PathInstances, &reply)
 	return reply.Instances, trace.Wrap(err)
 }
 
-// Start starts an instance. After an error that is not NotRun, send the same
-// request again: its token makes sure that only one instance starts.
-// NoCapacity tells a refusal for want of instances.
+// Start starts an instance. If NotRun(err) is false, the instance may have started:
+// retry with the same ClientToken, so that at most one starts. NoCapacity detects a
+// refusal for lack of capacity.
 func (c *CloudClient) Start(ctx context.Context, startReq StartRequest) (CloudInstance, error) {
 	var reply CloudInstance
 	req, err := newJSONRequest(ctx, http.MethodPost, c.cfg.Address, PathInstances, startReq)
@@ -157,7 +157,7 @@
 	return reply, trace.Wrap(err)
 }
 
-// Stop ends an instance. One that has ended already counts as stopped.
+// Stop ends an instance. Stopping one that has already ended is not an error.
 func (c *CloudClient) Stop(ctx context.Context, id string) error {
 	path := PathInstances + "/" + url.PathEscape(id)
 	req, err := newRequest(ctx, http.MethodDelete, c.cfg.Address, path, nil)
@@ -167,8 +167,8 @@
 	return trace.Wrap(call(c.transport, req, c.cfg.MaxReply, nil))
 }
 
-// Notices returns the reclaim notices after the one numbered after. Where there
-// are none it waits for up to wait, and returns an empty page then.
+// Notices returns the reclaim notices with a sequence number above after. If there are
+// none, it waits up to wait for one and then returns an empty page.
 func (c *CloudClient) Notices(ctx context.Context, after uint64, wait time.Duration) (NoticePage, error) {
 	var reply NoticePage
 	query := url.Values{
@@ -187,7 +187,8 @@
 	return call(c.transport, req, c.cfg.MaxReply, reply)
 }
 
-// NoCapacity reports whether err says that the zone has no such instance now.
+// NoCapacity reports whether err is a refusal because the zone has no capacity of the
+// requested kind.
 func NoCapacity(err error) bool {
 	var callErr *CallError
 	return errors.As(err, &callErr) && callErr.Code == CodeNoCapacity
--- a/native/conn_test.go
+++ b/native/conn_test.go
@@ -7,10 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A round trip is cancelled just before net/http writes the request, and the
-// write comes after the client has been told "not sent". The entry would then
-// run the request elsewhere while the first server gets it too. Removing the
-// line that sets sealed in sealUnless breaks this test.
+// Guards against net/http writing a cancelled request after the client has reported it
+// as not sent: the entry would send it to another server, and it would run twice.
 func TestSealedConnWritesNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -22,6 +20,8 @@
 	require.Zero(t, conn.bytesWritten())
 }
 
+// Guards against reporting a request as not sent after a failed write, which may have
+// written part of it.
 func TestFailedWriteCountsAsWritten(t *testing.T) {
 	near, far := net.Pipe()
 	require.NoError(t, far.Close())
--- a/native/control.go
+++ b/native/control.go
@@ -9,9 +9,9 @@
 	"github.com/gravitational/trace"
 )
 
-// Cancel ends the request at the engine. A request that the engine does not
-// know, or no longer, counts as cancelled. It uses a connection of its own,
-// because the reason to cancel may be that the open ones have gone silent.
+// Cancel cancels a request at the engine. It returns nil if the engine does not have
+// the request. It uses a new connection because the pooled ones may be broken, which
+// can be the reason for the cancel.
 func (c *EngineClient) Cancel(ctx context.Context, address, requestID string) error {
 	path := PathRequests + url.PathEscape(requestID)
 	err := c.callFresh(ctx, http.MethodDelete, address, path)
@@ -22,9 +22,8 @@
 	return trace.Wrap(err)
 }
 
-// Probe asks GET /healthz over a new connection. A nil error beside a stream
-// that has been quiet for long says that the stream's connection is lost, not
-// the engine.
+// Probe requests GET /healthz over a new connection. If it succeeds while a stream of
+// the same engine receives nothing, the stream's connection is broken, not the engine.
 func (c *EngineClient) Probe(ctx context.Context, address string) error {
 	return trace.Wrap(c.callFresh(ctx, http.MethodGet, address, PathHealth))
 }
@@ -37,8 +36,8 @@
 	return call(c.fresh, req, c.cfg.MaxReply, nil)
 }
 
-// ExportKV asks the engine to hold the KV cache of a running or just cancelled
-// request under a handle.
+// ExportKV makes the engine hold the KV cache of a running or just cancelled request,
+// and returns the handle to fetch it with.
 func (c *EngineClient) ExportKV(ctx context.Context, address, requestID string) (ExportReply, error) {
 	var reply ExportReply
 	path := PathKVExport + "?request=" + url.QueryEscape(requestID)
@@ -50,8 +49,8 @@
 	return reply, trace.Wrap(err)
 }
 
-// ImportKV asks the engine at address to fetch the KV cache that from names. It
-// returns once the cache is there, under the handle for Resume.
+// ImportKV makes the engine at address fetch the KV cache given by from. It returns
+// after the transfer, with the local handle for Resume.
 func (c *EngineClient) ImportKV(ctx context.Context, address string, from ImportRequest) (ExportReply, error) {
 	var reply ExportReply
 	req, err := newJSONRequest(ctx, http.MethodPost, address, PathKVImport, from)
@@ -62,7 +61,7 @@
 	return reply, trace.Wrap(err)
 }
 
-// Listing returns everything in the engine's prefix cache.
+// Listing returns all entries of the engine's prefix cache.
 func (c *EngineClient) Listing(ctx context.Context, address string) (CacheListing, error) {
 	var reply CacheListing
 	req, err := newRequest(ctx, http.MethodGet, address, PathCache, nil)
@@ -73,9 +72,9 @@
 	return reply, trace.Wrap(err)
 }
 
-// Order gives an order. A nil error says that the engine follows it, not that
-// it is done: a model takes its time to load. OldFence tells a refusal because
-// of the fencing number.
+// Order sends an order. A nil error means that the engine has accepted it, not that it
+// is finished: loading a model takes time. OldFence detects a refusal because of the
+// fencing number.
 func (c *EngineClient) Order(ctx context.Context, address string, o Order) error {
 	req, err := newJSONRequest(ctx, http.MethodPost, address, PathOrders, o)
 	if err != nil {
@@ -84,8 +83,8 @@
 	return trace.Wrap(call(c.pooled, req, c.cfg.MaxReply, nil))
 }
 
-// OldFence reports whether err says that the engine has seen a higher fencing
-// number: whoever gave the order has been replaced.
+// OldFence reports whether the engine refused an order because it has seen a higher
+// fencing number, so the sender is no longer the leader.
 func OldFence(err error) bool {
 	var callErr *CallError
 	return errors.As(err, &callErr) && callErr.Status == http.StatusConflict
--- a/native/doc.go
+++ b/native/doc.go
@@ -1,5 +1,4 @@
-// Package native meets the outside systems over HTTP in the product's own
-// protocols: model engines, plain services, the cloud API and the weight store.
-// The types in this package are the wire format of those protocols;
-// internal/fake answers them.
+// Package native has the HTTP clients for the external systems: model engines, plain
+// services, the cloud API and the weight store. The types in this package are the wire
+// format of their protocols. Package internal/fake implements the servers for tests.
 package native
--- a/native/engine.go
+++ b/native/engine.go
@@ -2,8 +2,8 @@
 
 import "savoryreel.example/savoryreel/instance"
 
-// ChatRequest is the body of POST /v1/chat/completions at a model engine, in
-// the OpenAI shape with the engine's own extensions (Priority, Resume).
+// ChatRequest is the body of POST /v1/chat/completions at a model engine: the OpenAI
+// format with the extensions Priority and Resume.
 type ChatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -19,13 +19,13 @@
 	Content string `json:"content"`
 }
 
-// Resume asks an engine to go on with an answer that another engine began. The
-// engine generates from the token with index len(Tokens) on and does not
-// repeat the given ones. ChatRequest.MaxTokens bounds the whole answer, the given
-// tokens included; Usage.Completion counts only the tokens generated anew.
+// Resume makes an engine continue an answer that another engine started. The engine
+// generates from the token with index len(Tokens) and does not repeat the given ones.
+// ChatRequest.MaxTokens bounds the whole answer including the given tokens;
+// Usage.Completion counts only the newly generated ones.
 type Resume struct {
 	Tokens []string `json:"tokens"`           // the answer's tokens so far
-	Handle string   `json:"handle,omitempty"` // KV cache imported before; empty: prefill prompt and tokens again
+	Handle string   `json:"handle,omitempty"` // handle of an imported KV cache; empty: prefill prompt and tokens again
 }
 
 // ChatChunk is one SSE event of a streamed answer: "data: " and this as JSON.
@@ -51,7 +51,7 @@
 	Content string `json:"content,omitempty"`
 }
 
-// ChatResponse is a whole answer, not streamed.
+// ChatResponse is an answer that is not streamed.
 type ChatResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"` // "chat.completion"
@@ -60,15 +60,15 @@
 	Usage   Usage    `json:"usage"`
 }
 
-// Choice is one whole answer.
+// Choice is the generated message of a ChatResponse.
 type Choice struct {
 	Index        int     `json:"index"`
 	Message      Message `json:"message"`
 	FinishReason string  `json:"finish_reason"`
 }
 
-// Usage counts tokens. Cached counts prompt tokens that came from the prefix
-// cache; Recomputed counts tokens prefilled again because of a resume.
+// Usage counts tokens. Cached counts the prompt tokens found in the prefix cache,
+// Recomputed the tokens prefilled again because of a resume.
 type Usage struct {
 	Prompt     int `json:"prompt_tokens"`
 	Completion int `json:"completion_tokens"`
@@ -76,10 +76,10 @@
 	Recomputed int `json:"recomputed_tokens,omitempty"`
 }
 
-// OrderKind names an order to a backend server.
+// OrderKind is the kind of an order to a backend server.
 type OrderKind string
 
-// The orders.
+// The kinds of orders.
 const (
 	OrderLoadModel   OrderKind = "load_model"
 	OrderLoadAdapter OrderKind = "load_adapter"
@@ -87,9 +87,9 @@
 	OrderLeave       OrderKind = "leave"
 )
 
-// Order is the body of POST /v1/orders at a backend server. Fence is the
-// fencing number: it never falls. A server that checks it answers 409 to a
-// lower one than it has seen.
+// Order is the body of POST /v1/orders at a backend server. Fence is the fencing
+// number of the sender and never decreases. A server that checks it answers 409 if it
+// has seen a higher one.
 type Order struct {
 	Fence   uint64    `json:"fence,string"`
 	Kind    OrderKind `json:"kind"`
@@ -99,7 +99,7 @@
 	Role    string    `json:"role,omitempty"`
 }
 
-// ExportReply answers POST /v1/kv/export?request=ID: the handle under which the
+// ExportReply is the reply of POST /v1/kv/export?request=ID: the handle under which the
 // engine holds the KV cache of a running or just cancelled request.
 type ExportReply struct {
 	Handle string `json:"handle"`
@@ -107,8 +107,8 @@
 	Tokens int    `json:"tokens"`
 }
 
-// ImportRequest is the body of POST /v1/kv/import: fetch the KV cache named
-// Handle from the engine at From. The reply is an ExportReply with the local handle.
+// ImportRequest is the body of POST /v1/kv/import, which fetches the KV cache Handle
+// from the engine at From. The reply is an ExportReply with the local handle.
 type ImportRequest struct {
 	From   string `json:"from"` // host:port
 	Handle string `json:"handle"`
@@ -121,8 +121,8 @@
 	Events      []instance.CacheEvent `json:"events"`
 }
 
-// CacheListing is the reply of GET /v1/cache at an engine: everything in its
-// prefix cache as of the event numbered Sequence.
+// CacheListing is the reply of GET /v1/cache at an engine: all entries of its prefix
+// cache as of the event numbered Sequence.
 type CacheListing struct {
 	Incarnation uint64       `json:"incarnation"`
 	Sequence    uint64       `json:"sequence"`
@@ -135,8 +135,8 @@
 	Tokens int    `json:"tokens"`        // tokens of the prefix's last message
 }
 
-// Problem is the body of an error reply of an engine, the cloud API and the
-// weight store.
+// Problem is the body of an error reply of an engine, the cloud API or the weight
+// store.
 type Problem struct {
 	Code   string `json:"code"` // stable, for programs
 	Detail string `json:"detail,omitempty"`
--- a/native/errors.go
+++ b/native/errors.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Step names the step of a call at which an error arose.
+// Step is the step of a call that failed.
 type Step string
 
-// The steps of a call, in their order.
+// The steps of a call, in order.
 const (
-	StepEncode  Step = "encode"  // the request could not be put into bytes
-	StepConnect Step = "connect" // no connection to the peer
-	StepForward Step = "forward" // the request was on its way, no answer head yet
+	StepEncode  Step = "encode"  // the request could not be built or encoded
+	StepConnect Step = "connect" // no byte of the request was written
+	StepForward Step = "forward" // the request was at least partly written, no answer header was read
 	StepStatus  Step = "status"  // the peer answered with an error status
-	StepBody    Step = "body"    // the answer's body broke or made no sense
+	StepBody    Step = "body"    // the answer's body was truncated or could not be decoded
 )
 
-// Delivery says how far a request came. It decides whether a request that must
-// not run twice may be given to another server.
+// Delivery is how far a request got. It decides whether a request that must not run
+// twice may be sent to another server.
 type Delivery int
 
-// The deliveries, from the harmless to the doubtful.
+// The deliveries. After NotSent and Refused, sending the request again can't run it twice.
 const (
 	NotSent  Delivery = iota // no byte of the request was written to the peer
-	Refused                  // the peer said, before running it, that it would not run it
-	MaybeRan                 // the request may have run, in whole or in part
+	Refused                  // the peer rejected it without running it
+	MaybeRan                 // the request may have run, fully or partly
 )
 
 // String returns the delivery's name in logs.
@@ -41,17 +41,17 @@
 	}
 }
 
-// CallError is the error of every call in this package. Use errors.As, or
-// NotRun for the question that matters most.
+// CallError is the error of every call in this package. Use errors.As, or NotRun to
+// decide whether the request may be sent again.
 type CallError struct {
 	Step       Step
 	Peer       string // host:port
 	Delivery   Delivery
-	Status     int           // HTTP status; 0 where there was no answer head
+	Status     int           // HTTP status; 0 if no answer header was read
 	RetryAfter time.Duration // from the answer's Retry-After; 0: none
-	Code       string        // Problem.Code of the peer's answer; empty: none
-	Message    string        // start of the peer's answer, at most maxErrorText bytes
-	Err        error         // the cause; nil for an error status
+	Code       string        // Problem.Code of the peer's answer, if any
+	Message    string        // start of the answer's body, at most maxErrorTextBytes
+	Err        error         // cause; nil for an error status
 }
 
 // Error returns step, peer, delivery and cause on one line.
@@ -65,9 +65,9 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// NotRun reports whether err proves that the request did not run: no byte of
-// it was written, or the peer refused it before running. An error that is no
-// CallError proves nothing.
+// NotRun reports whether the request certainly did not run: no byte of it was written,
+// or the peer rejected it without running it. It is false for an error that is not a
+// *CallError.
 func NotRun(err error) bool {
 	var callErr *CallError
 	if !errors.As(err, &callErr) {
--- a/native/plain.go
+++ b/native/plain.go
@@ -10,12 +10,11 @@
 	"github.com/gravitational/trace"
 )
 
-// PlainConfig tunes a PlainClient. The zero value of a field means the default
-// named beside it.
+// PlainConfig configures a PlainClient. A zero field means the default named beside it.
 type PlainConfig struct {
 	DialTimeout time.Duration // DefaultDialTimeout
-	IdleTimeout time.Duration // DefaultIdleTimeout; how long an unused connection is kept
-	IdlePerPeer int           // DefaultIdlePerPeer; unused connections kept per server
+	IdleTimeout time.Duration // DefaultIdleTimeout; an idle connection is closed after it
+	IdlePerPeer int           // DefaultIdlePerPeer; maximum idle connections per server
 }
 
 func (c PlainConfig) withDefaults() PlainConfig {
@@ -31,7 +30,7 @@
 	fresh  *http.Transport // a new connection for each call
 }
 
-// NewPlain returns a client of plain services. Close it when done.
+// NewPlain returns a client for plain services. The caller must close it.
 func NewPlain(cfg PlainConfig) *PlainClient {
 	cfg = cfg.withDefaults()
 	return &PlainClient{
@@ -40,28 +39,26 @@
 	}
 }
 
-// Close closes the connections that are not in use.
+// Close closes the idle connections.
 func (c *PlainClient) Close() {
 	c.pooled.CloseIdleConnections()
 	c.fresh.CloseIdleConnections()
 }
 
-// Do sends req to the service at address (host:port) and returns its answer,
-// whatever its status; the caller closes the body. Body and answer are streamed.
-// req is sent once at the most: nothing repeats it and no redirect is
-// followed. req itself is left as it is but for its body, which is used up.
+// Do sends req to the service at address (host:port) and returns the answer with any
+// status; the caller must close its body. Both bodies are streamed. req is sent at most
+// once: there are no retries, and redirects are not followed. req is not modified, but
+// its body is consumed.
 //
-// sent reports whether any byte of req was written to a connection; where it is
-// false, the request surely did not run. It is true wherever err is nil.
+// sent reports whether the request may have run; it is true if err is nil.
 func (c *PlainClient) Do(ctx context.Context, address string, req *http.Request) (resp *http.Response, sent bool, err error) {
 	return forward(ctx, c.pooled, address, req)
 }
 
-// DoOnce is Do over a connection of its own, for requests that must not run
-// twice. A server may close a pooled connection just as the request is written
-// to it; such a request is lost with an unknown outcome, and its caller
-// cannot be told whether to send it again. A new connection does not have that
-// fault, for the price of one round trip.
+// DoOnce is Do over a new connection, for requests that must not run twice. A server
+// may close a pooled connection just as a request is written to it, and then it is
+// unknown whether the request ran. A new connection avoids this and costs one more
+// round trip.
 func (c *PlainClient) DoOnce(ctx context.Context, address string, req *http.Request) (resp *http.Response, sent bool, err error) {
 	return forward(ctx, c.fresh, address, req)
 }
@@ -79,13 +76,13 @@
 	return resp, true, nil
 }
 
-// typedBody gives the errors of an answer's body their step and peer.
+// callErrorBody is an answer's body whose read errors are of type *CallError.
 type callErrorBody struct {
 	io.ReadCloser
 	peer string
 }
 
-// Read returns io.EOF bare, and any other error as a *CallError.
+// Read returns io.EOF unchanged and any other error as a *CallError.
 func (b *callErrorBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == nil || err == io.EOF {
--- a/native/prefix.go
+++ b/native/prefix.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixHashes returns one hash per message: element i stands for the prompt
-// prefix messages[:i+1]. It is a chain over xxhash64, so that two prompts share
-// the hashes of the messages they share and none after the first difference:
+// PrefixHashes returns one hash per message: element i is the hash of the prefix
+// messages[:i+1]. Two prompts have equal hashes up to the first message that differs
+// and different ones from there on. The hashes are a chain over xxhash64:
 //
 //	h[i] = xxhash64(h[i-1] as 8 bytes little endian + role + "\x00" + content), h[-1] = 0
 func PrefixHashes(messages []Message) []uint64 {
@@ -21,8 +21,8 @@
 	return hashes
 }
 
-// NextPrefixHash returns the hash of the prefix that m makes when it follows a
-// prefix with hash previous; 0 is the hash of the empty prefix.
+// NextPrefixHash returns the hash of a prefix with hash previous extended by m. The
+// hash of the empty prefix is 0.
 func NextPrefixHash(previous uint64, m Message) uint64 {
 	var head [8]byte
 	binary.LittleEndian.PutUint64(head[:], previous)
--- a/native/prefix_test.go
+++ b/native/prefix_test.go
@@ -10,7 +10,8 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// Two prompts share exactly the hashes of the messages that they share.
+// Guards against equal hashes of different prefixes, and different hashes of equal ones:
+// the router would expect cache hits at the wrong server.
 func TestEqualHashesMeanEqualPrefixes(t *testing.T) {
 	message := rapid.Custom(func(t *rapid.T) native.Message {
 		return native.Message{
@@ -33,7 +34,7 @@
 	})
 }
 
-// The hash is part of the protocol with engines: these values must not change.
+// Guards against a change of the hash, which is part of the protocol with engines.
 func TestPrefixHashesAreStable(t *testing.T) {
 	hashes := native.PrefixHashes([]native.Message{
 		{Role: "system", Content: "be brief"},
@@ -43,6 +44,7 @@
 	require.Equal(t, xxhash.Sum64String("\x00\x00\x00\x00\x00\x00\x00\x00system\x00be brief"), hashes[0])
 }
 
+// Guards against hashes that ignore where one message ends and the next starts.
 func TestPrefixHashesDependOnMessageBoundaries(t *testing.T) {
 	a := native.Message{Role: "user", Content: "ab"}
 	twoMessages := native.PrefixHashes([]native.Message{a, {Role: "assistant", Content: "c"}})
--- a/native/sse.go
+++ b/native/sse.go
@@ -7,16 +7,16 @@
 	"io"
 )
 
-// ErrEventTooLong is returned for an event whose data exceeds the bound. The
-// stream is of no use after it.
+// ErrEventTooLong is returned by EventReader.Next for an event that exceeds maxEvent
+// bytes. The reader must not be used after it.
 var ErrEventTooLong = errors.New("server-sent event is too long")
 
-// Event is one server-sent event. Its slices are valid until the next call of
+// Event is one server-sent event. Its slices are valid until the next call to
 // EventReader.Next.
 type Event struct {
-	ID   []byte // field "id", empty when absent
-	Name []byte // field "event", empty when absent
-	Data []byte // fields "data", joined by newlines
+	ID   []byte // field "id", empty if absent
+	Name []byte // field "event", empty if absent
+	Data []byte // all fields "data", joined by newlines
 }
 
 // EventReader decodes a text/event-stream. It is not safe for concurrent use.
@@ -30,17 +30,15 @@
 	hasData  bool
 }
 
-// NewEventReader returns a reader of the events in r. maxEvent bounds the bytes
-// of one event's lines, so that a peer that never ends an event cannot fill
-// the memory.
+// NewEventReader returns a reader of the events in r. maxEvent bounds the bytes of one
+// event's lines, and so the memory that a faulty peer can use.
 func NewEventReader(r io.Reader, maxEvent int) *EventReader {
 	return &EventReader{r: bufio.NewReaderSize(r, bufferBytes), maxEvent: maxEvent}
 }
 
-// Next returns the next event that has data. It returns io.EOF at the end of
-// the stream between two events, and io.ErrUnexpectedEOF at an end within one:
-// an event counts only once its empty line has come, because the cut may have
-// shortened its data.
+// Next returns the next event that has data. It returns io.EOF if the stream ends
+// between two events, and io.ErrUnexpectedEOF if it ends within one. An event is
+// complete only with its empty line; without it, its data may be truncated.
 func (e *EventReader) Next() (Event, error) {
 	e.reset()
 	budget := e.maxEvent
@@ -69,8 +67,8 @@
 	e.hasData = false
 }
 
-// readLine returns the next line without its end. The end of the stream counts
-// as io.EOF only where an event could have ended.
+// readLine returns the next line without its line ending. At the end of the stream it
+// returns io.EOF, or io.ErrUnexpectedEOF within a line or after a data field.
 func (e *EventReader) readLine(budget int) ([]byte, error) {
 	e.line = e.line[:0]
 	for {
@@ -92,8 +90,8 @@
 	}
 }
 
-// field takes one "name: value" line in. Comments and unknown fields are
-// passed over, as the HTML standard has it.
+// parseField parses one "name: value" line. It ignores comments and unknown fields, as
+// the HTML standard requires.
 func (e *EventReader) parseField(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
--- a/native/store.go
+++ b/native/store.go
@@ -12,21 +12,20 @@
 	"github.com/gravitational/trace"
 )
 
-// PathWeights is the weight store's path: GET PathWeights{model}/{version}.
+// PathWeights is the path prefix of the weight store: GET PathWeights{model}/{version}.
 const PathWeights = "/v1/weights/"
 
-// StoreConfig tunes a StoreClient. The zero value of a field means the default
-// named beside it.
+// StoreConfig configures a StoreClient. A zero field means the default named beside it.
 type StoreConfig struct {
 	DialTimeout time.Duration // DefaultDialTimeout
 }
 
-// StoreClient reads model weights from the weight store.
+// StoreClient downloads model weights from the weight store.
 type StoreClient struct {
 	transport *http.Transport
 }
 
-// NewStore returns a client of the weight store. Close it when done.
+// NewStore returns a client for the weight store. The caller must close it.
 func NewStore(cfg StoreConfig) *StoreClient {
 	cfg.DialTimeout = cmp.Or(cfg.DialTimeout, DefaultDialTimeout)
 	return &StoreClient{
@@ -34,12 +33,12 @@
 	}
 }
 
-// Close closes the connections that are not in use.
+// Close closes the idle connections.
 func (c *StoreClient) Close() { c.transport.CloseIdleConnections() }
 
-// Fetch reads the weights of a model's version from the store at address and
-// returns their size in bytes. A store at its limit answers with an error for
-// which RetryAfter reports the wait that it asks for.
+// Fetch downloads and discards the weights of a model version from the store at
+// address, and returns their size in bytes. If the store is overloaded, RetryAfter
+// returns the requested delay from the error.
 func (c *StoreClient) Fetch(ctx context.Context, address, model, version string) (int64, error) {
 	path := PathWeights + url.PathEscape(model) + "/" + url.PathEscape(version)
 	req, err := newRequest(ctx, http.MethodGet, address, path, nil)
@@ -61,8 +60,8 @@
 	return n, nil
 }
 
-// RetryAfter returns the wait that the peer asked for with a refusal, and
-// whether err is such a refusal: status 429 or 503 with a Retry-After.
+// RetryAfter returns the delay that the peer requests before a retry, and whether err
+// is an overload refusal: status 429 or 503 with a Retry-After header.
 func RetryAfter(err error) (time.Duration, bool) {
 	var callErr *CallError
 	if !errors.As(err, &callErr) {
--- a/native/stream.go
+++ b/native/stream.go
@@ -9,11 +9,11 @@
 	"github.com/gravitational/trace"
 )
 
-// doneMark is the data of the event that ends a stream.
+// streamEnd is the data of the event that ends a stream.
 const streamEnd = "[DONE]"
 
-// ChatStream is the streamed answer of a model engine. Next belongs to one
-// goroutine; Close may be called from any, and ends a Next that waits.
+// ChatStream is the streamed answer of a model engine. Only one goroutine may call
+// Next; Close may be called concurrently and makes a blocked Next return.
 type ChatStream struct {
 	peer      string
 	body      io.ReadCloser
@@ -27,13 +27,13 @@
 	return &ChatStream{peer: peer, body: body, events: NewEventReader(body, maxEvent)}
 }
 
-// Next returns the next chunk. It returns a bare io.EOF after the stream's end
-// mark. Every other end is a *CallError with StepBody and MaybeRan; where the
-// connection ended early, errors.Is(err, io.ErrUnexpectedEOF) holds, because an
-// answer without its end mark is not whole even if its bytes look so.
+// Next returns the next chunk. It returns io.EOF, not wrapped, after the event "[DONE]".
+// Any other error is a *CallError with StepBody and MaybeRan. If the connection ends
+// before "[DONE]", the answer is truncated and errors.Is(err, io.ErrUnexpectedEOF) is
+// true.
 //
-// Next does not tell a slow engine from a silent link: it waits until a chunk
-// comes, the stream is closed, or the context given to Chat ends.
+// Next has no timeout: it blocks until a chunk arrives, the stream is closed or the
+// context given to Chat ends.
 func (s *ChatStream) Next() (ChatChunk, error) {
 	if s.done {
 		return ChatChunk{}, io.EOF
@@ -59,11 +59,11 @@
 	return chunk, nil
 }
 
-// Usage returns the engine's count of tokens; zero until the last chunk.
+// Usage returns the engine's token counts; zero before the last chunk.
 func (s *ChatStream) Usage() Usage { return s.usage }
 
-// Close ends the stream. An engine takes the closed connection of an answer
-// that has not ended as a cancel.
+// Close closes the stream. Before the end of the answer it closes the connection, which
+// the engine treats as a cancel.
 func (s *ChatStream) Close() error {
 	var err error
 	s.closeOnce.Do(func() { err = s.body.Close() })
--- a/native/stream_test.go
+++ b/native/stream_test.go
@@ -13,8 +13,8 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// BenchmarkChat prints what a streamed answer of 64 tokens costs, the engine
-// stand-in and the client together, over loopback.
+// BenchmarkChat measures a streamed answer of 64 tokens over loopback, including the
+// fake engine.
 func BenchmarkChat(b *testing.B) {
 	const tokens = 64
 	engine := fake.NewEngine(fake.EngineConfig{Model: "m"}, fake.Deps{})
--- a/native/transport.go
+++ b/native/transport.go
@@ -16,29 +16,28 @@
 // Headers of the protocols in this package.
 const (
 	HeaderRequestID  = "X-Request-Id"
-	HeaderNotRun     = "X-Not-Run" // on an error status: the request was refused before it ran
+	HeaderNotRun     = "X-Not-Run" // on an error status: the request was rejected without being run
 	HeaderRetryAfter = "Retry-After"
 )
 
-// Bounds and defaults of the clients.
+// Defaults and limits of the clients.
 const (
-	DefaultDialTimeout = time.Second      // within a region a connection takes a few milliseconds; a second is a lost peer
-	DefaultIdleTimeout = 20 * time.Second // below the idle time of usual servers, so that they do not close first
+	DefaultDialTimeout = time.Second      // peers are in the same region
+	DefaultIdleTimeout = 20 * time.Second // below the idle timeout of common servers, so that the client closes first
 	DefaultIdlePerPeer = 64
 	DefaultMaxEvent    = 64 << 10 // bytes of one server-sent event
 	DefaultMaxReply    = 8 << 20  // bytes of one JSON reply
 
 	bufferBytes       = 4 << 10
 	maxErrorTextBytes = 512
-	maxRetryAfter     = time.Hour // a longer Retry-After is cut to this
+	maxRetryAfter     = time.Hour // a longer Retry-After is reduced to this
 )
 
-var errSealed = errors.New("connection given up before the request was written")
+var errSealed = errors.New("request abandoned before it was written")
 
-// countedConn counts the bytes that were given to a connection. Only this tells
-// for sure whether a failed request can have reached the peer: net/http reports
-// headers as written when they are in a buffer, and goes on writing for a
-// moment after a cancelled call has returned.
+// countingConn counts the bytes passed to Write, to decide whether a failed request can
+// have reached the peer. The hooks of net/http are not enough: they report buffered
+// headers as written, and the transport may write after a cancelled call has returned.
 type countingConn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -46,7 +45,7 @@
 	sealed  bool
 }
 
-// Write counts p before any byte of it leaves, and writes nothing once sealed.
+// Write counts p before writing it. Once the connection is sealed, it returns errSealed.
 func (c *countingConn) Write(p []byte) (int, error) {
 	if !c.addWritten(len(p)) {
 		return 0, errSealed
@@ -70,8 +69,8 @@
 	return c.written
 }
 
-// sealUnless seals the connection if nothing was written since base, and
-// reports whether something was.
+// sealIfUnwritten seals the connection if no byte has been written since the count was
+// writtenBefore, and reports whether one has.
 func (c *countingConn) sealIfUnwritten(writtenBefore int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,14 +81,14 @@
 	return false
 }
 
-// sendTracker learns whether any byte of one request was written.
+// sendTracker records whether any byte of one request was written.
 type sendTracker struct {
 	mu            sync.Mutex
 	conn          *countingConn
 	writtenBefore int64
 }
 
-// attach returns a context whose request reports to the tracker.
+// attach returns a context that makes a request's connection known to the tracker.
 func (t *sendTracker) attach(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: t.gotConn})
 }
@@ -106,9 +105,9 @@
 	t.writtenBefore = writtenBefore
 }
 
-// sent reports whether any byte of the request was written, and makes sure
-// that none will be written later if none was so far. Call it only after the
-// round trip has failed.
+// sent reports whether any byte of the request was written. If not, it seals the
+// connection, so that none is written later. Call it only after the round trip has
+// failed.
 func (t *sendTracker) sent() bool {
 	t.mu.Lock()
 	conn, writtenBefore := t.conn, t.writtenBefore
@@ -119,7 +118,7 @@
 	return conn.sealIfUnwritten(writtenBefore)
 }
 
-// transportConfig tunes newTransport.
+// transportConfig holds the settings of newTransport.
 type transportConfig struct {
 	dialTimeout time.Duration
 	idleTimeout time.Duration
@@ -127,8 +126,8 @@
 	keepAlive   bool
 }
 
-// newTransport returns an HTTP/1.1 transport over counted connections, without
-// proxies and without compression of its own.
+// newTransport returns an HTTP/1.1 transport that uses countingConn, no proxy and no
+// compression.
 func newTransport(cfg transportConfig) *http.Transport {
 	dialer := &net.Dialer{Timeout: cfg.dialTimeout, KeepAlive: cfg.idleTimeout}
 	return &http.Transport{
@@ -148,15 +147,14 @@
 	}
 }
 
-// onceBody hides what a body is from net/http. The transport replays a request
-// on a new connection by itself when a pooled one breaks, if the request has an
-// Idempotency-Key header or a safe method and its body is absent or can be had
-// again. A replayed statement credit would be booked twice with no trace at the
-// entry. A request that has a body of an unknown type and no GetBody is never
-// replayed, so that every second try is a decision of the caller.
+// opaqueBody hides a body's type from net/http. When a pooled connection breaks,
+// http.Transport resends a request that has an Idempotency-Key header or a safe method
+// and whose body is absent or can be read again. That could run a request twice
+// without the entry noticing. A request with a body of unknown type and without
+// GetBody is never resent, so only the caller decides on retries.
 type opaqueBody struct{ io.ReadCloser }
 
-// forbidReplay makes sure that net/http sends req at most once.
+// forbidReplay changes req so that net/http sends it at most once.
 func forbidReplay(req *http.Request) {
 	if req.Body == nil || req.Body == http.NoBody {
 		req.Body = opaqueBody{http.NoBody}
@@ -164,7 +162,8 @@
 	req.GetBody = nil
 }
 
-// roundTrip sends req once, without following redirects, and types the error.
+// roundTrip sends req at most once, without following redirects. Every error is a
+// *CallError.
 func roundTrip(rt http.RoundTripper, req *http.Request) (*http.Response, error) {
 	forbidReplay(req)
 	var tracker sendTracker
@@ -179,7 +178,7 @@
 	return nil, &CallError{Step: StepForward, Peer: peer, Delivery: MaybeRan, Err: err}
 }
 
-// statusError types an answer with an error status and closes its body.
+// statusError returns the error for an answer with an error status, and closes its body.
 func statusError(peer string, resp *http.Response) *CallError {
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorTextBytes))
@@ -209,7 +208,8 @@
 	return MaybeRan
 }
 
-// parseRetryAfter reads a Retry-After in seconds; anything else counts as none.
+// parseRetryAfter parses a Retry-After header in seconds. It returns 0 for any other
+// format.
 func parseRetryAfter(value string) time.Duration {
 	seconds, err := strconv.ParseUint(value, 10, 32)
 	if err != nil {
--- a/native/transport_test.go
+++ b/native/transport_test.go
@@ -23,7 +23,7 @@
 
 const testTimeout = 10 * time.Second
 
-// propertySeed gives property tests one verdict; -rapid.seed=0 draws anew.
+// rapidSeed makes property tests reproducible; run with -rapid.seed=0 for a random seed.
 const rapidSeed = "20261202"
 
 func TestMain(m *testing.M) {
@@ -33,11 +33,11 @@
 	goleak.VerifyTestMain(m)
 }
 
-// cutter is a server that answers the first request on each connection and, at
-// the second, reads its head and cuts the connection without an answer.
+// cuttingServer answers the first request on each connection, reads the header of the
+// second and closes the connection without an answer.
 type cuttingServer struct {
 	ln           net.Listener
-	requestsRead atomic.Int64 // requests whose head was read
+	requestsRead atomic.Int64 // requests whose header was read
 	done         chan struct{}
 }
 
@@ -81,11 +81,9 @@
 	}
 }
 
-// A server takes a statement credit over a pooled connection, books it and dies
-// before its answer. net/http by itself sends a request with an
-// Idempotency-Key, or one with a safe method, once more on a new connection,
-// and the cedent is credited twice with no trace at the entry. Removing the
-// call of forbidReplay in roundTrip breaks this test.
+// Guards against net/http resending a request when a pooled connection closes before
+// the answer, as it does for safe methods and with an Idempotency-Key: the request
+// could run twice without the entry noticing.
 func TestPlainClientNeverReplays(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		for _, body := range []string{"", "credit 100"} {
@@ -127,8 +125,8 @@
 	return req
 }
 
-// A server is gone before the request is written. The entry may give the
-// request to another server only if it learns that nothing was sent.
+// Guards against reporting a refused connection as possibly run: the entry could not
+// send the request to another server.
 func TestPlainClientReportsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -144,9 +142,8 @@
 	require.Equal(t, address, callErr.Peer)
 }
 
-// The caller gives up while its request waits at a server that has read it and
-// has not answered. Whether it ran is unknown, and must not be told as not run.
-// Removing the line that adds to written in countedConn.count breaks this test.
+// Guards against reporting a request as not run when the caller cancels after the
+// server has read it: a retry could run it twice.
 func TestPlainClientReportsMaybeRanOnCancel(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -172,6 +169,8 @@
 	<-closed
 }
 
+// Guards against events longer than the bound and against an endless loop on malformed
+// input.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("data: {\"a\":1}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("id: 7\r\nevent: move\r\ndata: a\r\ndata: b\r\n\r\n"))
@@ -186,16 +185,15 @@
 				return
 			}
 			if len(event.Data)+len(event.ID)+len(event.Name) > maxEvent {
-				t.Fatalf("event of %d bytes passed the bound", len(event.Data))
+				t.Fatalf("event with %d bytes of data exceeds the bound", len(event.Data))
 			}
 		}
 		t.Fatal("more events than bytes")
 	})
 }
 
-// The connection of a stream ends inside an event, or without its end mark. A
-// client that took that for the end would show its user half an answer as a
-// whole one.
+// Guards against treating the end of the connection within an event as the end of the
+// stream: the user would see a truncated answer as complete.
 func TestEventReaderReportsTruncatedStream(t *testing.T) {
 	for input, want := range map[string]error{
 		"data: a\n\n":          io.EOF,
@@ -213,9 +211,8 @@
 	}
 }
 
-// At 770,000 tokens a second over the fleet, 64 bytes allocated per event come
-// to 3 GB a minute for the collectors. Dropping a buffer's reuse in
-// EventReader.reset breaks this test.
+// Guards against allocations per event, which would dominate garbage collection at the
+// fleet's token rate (buffer reuse in EventReader.reset).
 func TestEventReaderAllocatesNothingPerEvent(t *testing.T) {
 	const events = 1000
 	stream := strings.Repeat("id: 7\ndata: {\"choices\":[{\"delta\":{\"content\":\" pollen\"}}]}\n\n", events+2)
