--- a/backend/exchange.go
+++ b/backend/exchange.go
@@ -130,13 +130,13 @@
 			return resp, nil
 		}
 		if resp.Close {
-			return nil, errors.New("answer does not match the call, and the server closes the connection")
+			return nil, errors.New("answer of another call, and the connection ends")
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.New("too many answers that do not match the call")
+	return nil, errors.New("answers of other calls")
 }
 
 // Read reads the body. It returns io.EOF at the end of a complete answer and an
--- a/native/transport.go
+++ b/native/transport.go
@@ -33,7 +33,7 @@
 	maxRetryAfter     = time.Hour // a longer Retry-After is reduced to this
 )
 
-var errSealed = errors.New("request abandoned before it was written")
+var errSealed = errors.New("connection given up before the request was written")
 
 // countingConn counts the bytes passed to Write, to decide whether a failed request can
 // have reached the peer. The hooks of net/http are not enough: they report buffered
