--- a/backend/pool.go
+++ b/backend/pool.go
@@ -8,20 +8,17 @@
 	"time"
 )
 
-// Config bounds a Pool.
+// Config holds the limits of a Pool.
 type Config struct {
 	DialTimeout time.Duration
-	// MaxIdle bounds the idle connections to one server.
+	// MaxIdle is the maximum number of idle connections per server.
 	MaxIdle int
-	// BufferBytes is the size of a connection's read buffer. Memory at the peak is
-	// this times the connections.
+	// BufferBytes is the size of the read buffer of one connection.
 	BufferBytes int
 }
 
-// DefaultConfig returns the bounds for instances with a few hundred megabytes.
-// A server of the same region accepts a connection in a millisecond; one that
-// has not after half a second is down or cut off, and the caller's objective is
-// about that long.
+// DefaultConfig returns limits for an instance with a few hundred megabytes of
+// memory and servers in the same region.
 func DefaultConfig() Config {
 	return Config{DialTimeout: 500 * time.Millisecond, MaxIdle: 64, BufferBytes: 4 << 10}
 }
@@ -34,7 +31,7 @@
 	dials  atomic.Int64
 
 	mu   sync.Mutex
-	idle map[string][]*conn // by address, the one used last at the end
+	idle map[string][]*conn // by address, most recently used last
 }
 
 // NewPool returns a pool without connections.
@@ -45,23 +42,23 @@
 // Dials returns how many connections have been opened.
 func (p *Pool) Dials() int64 { return p.dials.Load() }
 
-// take returns a connection, idle or new.
-func (p *Pool) take(ctx context.Context, addr string) (*conn, error) {
+// get returns an idle connection that can be reused, or dials a new one.
+func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	for {
-		c := p.pop(addr)
+		c := p.popIdle(addr)
 		if c == nil {
 			break
 		}
-		if p.now().Before(c.reusableUntil()) && c.quiet() {
+		if p.now().Before(c.reusableUntil()) && c.openAndEmpty() {
 			return c, nil
 		}
-		_ = c.Close() // it was of no use any more
+		_ = c.Close() // expired or closed by the server
 	}
 	p.dials.Add(1)
 	return dial(ctx, p.dialer, addr, p.cfg.BufferBytes)
 }
 
-func (p *Pool) pop(addr string) *conn {
+func (p *Pool) popIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -73,11 +70,11 @@
 	return c
 }
 
-// put takes a connection back after an answer that left it clean.
+// put returns a reusable connection to the pool, or closes it if MaxIdle is reached.
 func (p *Pool) put(addr string, c *conn) {
 	c.used = true
-	c.idleAt = p.now()
-	c.written.Store(0)
+	c.idleSince = p.now()
+	c.bytesWritten.Store(0)
 	p.mu.Lock()
 	list := p.idle[addr]
 	full := len(list) >= p.cfg.MaxIdle
@@ -86,13 +83,13 @@
 	}
 	p.mu.Unlock()
 	if full {
-		_ = c.Close() // no room for it
+		_ = c.Close()
 	}
 }
 
-// Forget closes the idle connections to a server that is gone. Its address may
-// be another server's soon.
-func (p *Pool) Forget(addr string) {
+// CloseIdle closes the idle connections to addr. Call it when a server leaves: its
+// address may be reused by another one.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
 	delete(p.idle, addr)
@@ -100,42 +97,42 @@
 	closeAll(list)
 }
 
-// Sweep closes connections that will not be used again.
+// Sweep closes the idle connections that have expired. Call it periodically.
 func (p *Pool) Sweep() {
 	now := p.now()
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for addr, list := range p.idle {
-		keep := list[:0]
+		usable := list[:0]
 		for _, c := range list {
 			if now.Before(c.reusableUntil()) {
-				keep = append(keep, c)
+				usable = append(usable, c)
 				continue
 			}
-			old = append(old, c)
+			expired = append(expired, c)
 		}
-		p.idle[addr] = keep
-		if len(keep) == 0 {
+		p.idle[addr] = usable
+		if len(usable) == 0 {
 			delete(p.idle, addr)
 		}
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(expired)
 }
 
 // Close closes all idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	all := p.idle
+	idle := p.idle
 	p.idle = make(map[string][]*conn)
 	p.mu.Unlock()
-	for _, list := range all {
+	for _, list := range idle {
 		closeAll(list)
 	}
 }
 
 func closeAll(list []*conn) {
 	for _, c := range list {
-		_ = c.Close() // nothing was waiting on it
+		_ = c.Close() // an error on an idle connection affects no request
 	}
 }
--- a/instance/view_test.go
+++ b/instance/view_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes rapid's seed, so that every run gives the same verdict.
+// TestMain fixes rapid's seed so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -31,8 +31,8 @@
 	return &Member{ID: id, Role: role, State: state}
 }
 
-// TestViewAgainstModel compares every query with a plain list of what was
-// applied, after each batch, and checks that earlier snapshots stand still.
+// Guards against lost or misplaced updates and against changes to a snapshot that a
+// reader still uses: compares every query with a simple model after each batch.
 func TestViewAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		v := NewView()
@@ -40,8 +40,8 @@
 		state := rapid.SampledFrom([]State{StateServing, StateLeaving, StateGone})
 		name := rapid.SampledFrom([]string{"m1", "m2"})
 		for range rapid.IntRange(1, 20).Draw(rt, "batches") {
-			before := v.Servers("m1")
-			copied := slices.Clone(before)
+			snapshot := v.Servers("m1")
+			snapshotCopy := slices.Clone(snapshot)
 			var batch []Update
 			for range rapid.IntRange(1, 5).Draw(rt, "updates") {
 				id := fmt.Sprintf("i%d", rapid.IntRange(0, 6).Draw(rt, "id"))
@@ -54,22 +54,22 @@
 					batch = append(batch, Update{Member: members[id]})
 				case 2:
 					delete(servers, id)
-					batch = append(batch, Update{ForgetServer: id})
+					batch = append(batch, Update{RemoveServer: id})
 				case 3:
 					delete(members, id)
-					batch = append(batch, Update{ForgetMember: id})
+					batch = append(batch, Update{RemoveMember: id})
 				}
 			}
 			v.Apply(batch)
-			require.Equal(rt, copied, before, "a snapshot in a reader's hands has changed")
-			requireLike(rt, v, servers, members)
+			require.Equal(rt, snapshotCopy, snapshot, "a returned snapshot has changed")
+			requireViewEquals(rt, v, servers, members)
 		}
 	})
 }
 
-func requireLike(t *rapid.T, v *View, servers map[string]*Server, members map[string]*Member) {
-	var present, m1 []*Server
-	var all, entries []*Member
+func requireViewEquals(t *rapid.T, v *View, servers map[string]*Server, members map[string]*Member) {
+	var present, byModel []*Server
+	var all, byRole []*Member
 	for i := range 7 {
 		id := fmt.Sprintf("i%d", i)
 		s, ok := v.Server(id)
@@ -78,7 +78,7 @@
 			present = append(present, s)
 		}
 		if ok && s.State == StateServing && s.Model == "m1" {
-			m1 = append(m1, s)
+			byModel = append(byModel, s)
 		}
 		m, ok := v.Member(id)
 		require.Equal(t, members[id] != nil, ok)
@@ -86,15 +86,17 @@
 			all = append(all, m)
 		}
 		if ok && m.State != StateGone && m.Role == "m1" {
-			entries = append(entries, m)
+			byRole = append(byRole, m)
 		}
 	}
 	require.True(t, slices.Equal(present, v.AllServers()), "present")
-	require.True(t, slices.Equal(m1, v.Servers("m1")), "by name")
+	require.True(t, slices.Equal(byModel, v.Servers("m1")), "by name")
 	require.True(t, slices.Equal(all, v.Members("")), "all members")
-	require.True(t, slices.Equal(entries, v.Members("m1")), "members by role")
+	require.True(t, slices.Equal(byRole, v.Members("m1")), "members by role")
 }
 
+// Guards against a plain server that is listed under only one of its services, and
+// against lost records.
 func TestViewPlainServicesAndRecords(t *testing.T) {
 	v := NewView()
 	s := &Server{Announcement: Announcement{ID: "p", Services: []string{"tiles", "alerts"}, State: StateServing}}
@@ -108,7 +110,7 @@
 	require.False(t, ok)
 }
 
-func bigView(n int) *View {
+func viewWithServers(n int) *View {
 	v := NewView()
 	var batch []Update
 	for i := range n {
@@ -118,10 +120,9 @@
 	return v
 }
 
-// Routers read on every request while membership writes. Run with the race
-// detector, this fails if a reader can see a snapshot that is still written to.
+// Guards against writes to a snapshot that a reader can see. Needs the race detector.
 func TestViewReadersDuringWrites(t *testing.T) {
-	v := bigView(100)
+	v := viewWithServers(100)
 	var readers sync.WaitGroup
 	stop := make(chan struct{})
 	for range 4 {
@@ -148,8 +149,9 @@
 	readers.Wait()
 }
 
+// Guards against allocations in queries that the router makes for every request.
 func TestViewReadsDoNotAllocate(t *testing.T) {
-	v := bigView(600)
+	v := viewWithServers(600)
 	require.Zero(t, testing.AllocsPerRun(100, func() {
 		n := 0
 		for _, s := range v.Servers("m") {
@@ -162,7 +164,7 @@
 }
 
 func BenchmarkViewRead600(b *testing.B) {
-	v := bigView(600)
+	v := viewWithServers(600)
 	b.ReportAllocs()
 	for b.Loop() {
 		n := 0
@@ -173,7 +175,7 @@
 }
 
 func BenchmarkViewApplyLoad600(b *testing.B) {
-	v := bigView(600)
+	v := viewWithServers(600)
 	batch := []Update{{Server: server("s0300", "m", StateServing)}}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/membership/event.go
+++ b/membership/event.go
@@ -58,7 +58,7 @@
 }
 
 func removalRank(u instance.Update) int {
-	if u.ForgetServer != "" || u.ForgetMember != "" {
+	if u.RemoveServer != "" || u.RemoveMember != "" {
 		return 1
 	}
 	return 0
@@ -67,9 +67,9 @@
 func (c *core) appendRemoval(updates []instance.Update, r *record) []instance.Update {
 	switch r.kind {
 	case recordServer:
-		return append(updates, instance.Update{ForgetServer: r.id})
+		return append(updates, instance.Update{RemoveServer: r.id})
 	case recordMember:
-		return append(updates, instance.Update{ForgetMember: r.id})
+		return append(updates, instance.Update{RemoveMember: r.id})
 	default:
 		return updates
 	}
--- a/native/conn_test.go
+++ b/native/conn_test.go
@@ -7,26 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A round trip is cancelled just before net/http writes the request, and the
-// write comes after the client has been told "not sent". The entry would then
-// run the request elsewhere while the first server gets it too. Removing the
-// line that sets sealed in sealUnless breaks this test.
+// Guards against net/http writing a cancelled request after the client has reported it
+// as not sent: the entry would send it to another server, and it would run twice.
 func TestSealedConnWritesNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	conn := &countedConn{Conn: near}
-	require.False(t, conn.sealUnless(conn.total()))
+	conn := &countingConn{Conn: near}
+	require.False(t, conn.sealIfUnwritten(conn.bytesWritten()))
 	require.NoError(t, near.Close())
 	_, err := conn.Write([]byte("POST /statements"))
 	require.ErrorIs(t, err, errSealed)
-	require.Zero(t, conn.total())
+	require.Zero(t, conn.bytesWritten())
 }
 
-func TestCountedConnKnowsOfPartialWrites(t *testing.T) {
+// Guards against reporting a request as not sent after a failed write, which may have
+// written part of it.
+func TestFailedWriteCountsAsWritten(t *testing.T) {
 	near, far := net.Pipe()
 	require.NoError(t, far.Close())
-	conn := &countedConn{Conn: near}
+	conn := &countingConn{Conn: near}
 	_, err := conn.Write([]byte("POST /statements"))
 	require.Error(t, err)
-	require.True(t, conn.sealUnless(0))
+	require.True(t, conn.sealIfUnwritten(0))
 }
