--- a/capacity/announcements.go
+++ b/capacity/announcements.go
@@ -20,20 +20,20 @@
 )
 
 // announcementsQuiet is below the silence after which a server counts as gone.
-const announcementsQuiet = 2 * time.Second
+const idleServerWindow = 2 * time.Second
 
 // Announcements measures what backend servers of one model cost one real entry,
 // by their number: the announcement by which a server becomes known, one that
 // brings nothing new, and the share of a core that the entry then uses while
 // nothing arrives. The announcing side runs in this process too.
 func Announcements(ctx context.Context, servers ...int) (*Table, error) {
-	t := &Table{Size: "backend servers", Columns: []string{"first µs", "later µs", "quiet core %"}}
+	t := &Table{SizeLabel: "backend servers", Columns: []string{"first µs", "later µs", "quiet core %"}}
 	for _, n := range servers {
 		s, err := newServingSite(ctx, 1, 0, 0)
 		if err != nil {
 			return nil, err
 		}
-		values, err := s.announcements(n)
+		values, err := s.measureAnnouncements(n)
 		s.close()
 		if err != nil {
 			return nil, err
@@ -43,31 +43,31 @@
 	return t, nil
 }
 
-func (s *site) announcements(n int) ([]float64, error) {
-	if err := s.eventually("announce", func() error { return s.announce(announcement(0)) }); err != nil {
+func (s *site) measureAnnouncements(n int) ([]float64, error) {
+	if err := s.eventually("announce", func() error { return s.announce(testAnnouncement(0)) }); err != nil {
 		return nil, err
 	}
-	<-time.After(settle)
-	m := newMeter()
-	idle := m.idle
+	<-time.After(settleTime)
+	m := newCPUMeter()
+	idleCores := m.idleCores
 	if err := s.announceAll(n, 1); err != nil {
 		return nil, err
 	}
-	first := m.perUnit(n)
+	firstMicroseconds := m.microsecondsPerUnit(n)
 	m.start()
 	if err := s.announceAll(n, 2); err != nil {
 		return nil, err
 	}
-	later := m.perUnit(n)
-	used := processorTime()
-	<-time.After(announcementsQuiet)
-	quiet := (processorTime()-used).Seconds()/announcementsQuiet.Seconds() - idle
-	return []float64{first, later, quiet * 100}, nil
+	laterMicroseconds := m.microsecondsPerUnit(n)
+	cpuBefore := cpuTime()
+	<-time.After(idleServerWindow)
+	quietCores := (cpuTime()-cpuBefore).Seconds()/idleServerWindow.Seconds() - idleCores
+	return []float64{firstMicroseconds, laterMicroseconds, quietCores * 100}, nil
 }
 
 func (s *site) announceAll(n int, sequence uint64) error {
 	for i := range n {
-		a := announcement(i)
+		a := testAnnouncement(i)
 		a.Sequence = sequence
 		if err := s.announce(a); err != nil {
 			return err
@@ -103,13 +103,13 @@
 // servers, by their number: beyond what they send each other anyway. An entry
 // does not count what arrives over links that others have dialled.
 func Join(ctx context.Context, servers ...int) (*Table, error) {
-	t := &Table{Size: "backend servers", Columns: []string{"membership B", "ms"}}
+	t := &Table{SizeLabel: "backend servers", Columns: []string{"membership B", "ms"}}
 	for _, n := range servers {
 		s, err := newServingSite(ctx, 2, 0, 0)
 		if err != nil {
 			return nil, err
 		}
-		values, err := s.join(n)
+		values, err := s.measureJoin(n)
 		s.close()
 		if err != nil {
 			return nil, err
@@ -119,12 +119,12 @@
 	return t, nil
 }
 
-func (s *site) join(servers int) ([]float64, error) {
+func (s *site) measureJoin(servers int) ([]float64, error) {
 	if err := s.eventually("announce", func() error { return s.announceAll(1, 1) }); err != nil {
 		return nil, err
 	}
-	<-time.After(settle)
-	s.run("announcements", func(ctx context.Context) error {
+	<-time.After(settleTime)
+	s.runDaemon("announcements", func(ctx context.Context) error {
 		for sequence := uint64(2); ctx.Err() == nil; sequence++ {
 			if err := s.announceAll(servers, sequence); err != nil {
 				return err
@@ -133,37 +133,37 @@
 		}
 		return nil
 	})
-	known := func(e entryAddresses) func() error { return func() error { return s.knows(e, servers) } }
-	if err := s.eventually("servers known", known(s.entries[1])); err != nil {
+	allKnown := func(e entryAddresses) func() error { return func() error { return s.checkServersKnown(e, servers) } }
+	if err := s.eventually("servers known", allKnown(s.entries[1])); err != nil {
 		return nil, err
 	}
-	quiet, err := s.membershipSent(2)
+	bytesBeforeIdle, err := s.membershipSent(2)
 	if err != nil {
 		return nil, err
 	}
-	<-time.After(quietPeriod)
-	before, err := s.membershipSent(2)
+	<-time.After(trafficWindow)
+	bytesBefore, err := s.membershipSent(2)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	startTime := time.Now()
 	if err := s.startEntries(1); err != nil {
 		return nil, err
 	}
-	if err := s.eventually("newcomer knows all", known(s.entries[2])); err != nil {
+	if err := s.eventually("newcomer knows all", allKnown(s.entries[2])); err != nil {
 		return nil, err
 	}
-	took := time.Since(began)
-	after, err := s.membershipSent(2)
-	usual := (before - quiet) * took.Seconds() / quietPeriod.Seconds()
-	return []float64{after - before - usual, float64(took.Milliseconds())}, err
+	elapsed := time.Since(startTime)
+	bytesAfter, err := s.membershipSent(2)
+	idleBytes := (bytesBefore - bytesBeforeIdle) * elapsed.Seconds() / trafficWindow.Seconds()
+	return []float64{bytesAfter - bytesBefore - idleBytes, float64(elapsed.Milliseconds())}, err
 }
 
 // membershipSent is what the first n entries have sent of membership, in bytes.
 func (s *site) membershipSent(n int) (float64, error) {
 	var sum float64
 	for _, e := range s.entries[:n] {
-		traffic, err := s.linkTraffic(e.ops)
+		traffic, err := s.scrapeLinkTraffic(e.ops)
 		if err != nil {
 			return 0, err
 		}
@@ -173,18 +173,18 @@
 }
 
 // knows reports whether an entry's status lists so many backend servers.
-func (s *site) knows(e entryAddresses, servers int) error {
+func (s *site) checkServersKnown(e entryAddresses, servers int) error {
 	resp, err := http.Get("http://" + e.ops + "/v1/status")
 	if err != nil {
 		return trace.Wrap(err, "step=read status peer=%s", e.ops)
 	}
 	defer resp.Body.Close()
-	var v entry.StatusView
-	if err := json.NewDecoder(resp.Body).Decode(&v); err != nil {
+	var status entry.StatusView
+	if err := json.NewDecoder(resp.Body).Decode(&status); err != nil {
 		return trace.Wrap(err, "step=read status peer=%s", e.ops)
 	}
-	if len(v.Servers) < servers {
-		return fmt.Errorf("%s knows %d servers of %d", v.ID, len(v.Servers), servers)
+	if len(status.Servers) < servers {
+		return fmt.Errorf("%s knows %d servers of %d", status.ID, len(status.Servers), servers)
 	}
 	return nil
 }
@@ -193,21 +193,21 @@
 // does for each change of a server or an entry, by the number of entries.
 func Ownership(_ context.Context, entries ...int) (*Table, error) {
 	const servers, rounds = 600, 20
-	t := &Table{Size: "entries", Columns: []string{"µs/change"}}
-	var all []quarantine.Server
+	t := &Table{SizeLabel: "entries", Columns: []string{"µs/change"}}
+	var allServers []quarantine.Server
 	for i := range servers {
-		all = append(all, quarantine.Server{ID: announcement(i).ID, Incarnation: 1})
+		allServers = append(allServers, quarantine.Server{ID: testAnnouncement(i).ID, Incarnation: 1})
 	}
 	for _, n := range entries {
 		var ids []string
 		for i := range n {
 			ids = append(ids, fmt.Sprintf("entry-%03d", i))
 		}
-		used := processorTime()
+		cpuBefore := cpuTime()
 		for range rounds {
-			quarantine.NewView(ids[0], ids, all)
+			quarantine.NewView(ids[0], ids, allServers)
 		}
-		t.Rows = append(t.Rows, Row{float64(n), []float64{(processorTime() - used).Seconds() * 1e6 / rounds}})
+		t.Rows = append(t.Rows, Row{float64(n), []float64{(cpuTime() - cpuBefore).Seconds() * 1e6 / rounds}})
 	}
 	return t, nil
 }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -24,9 +24,9 @@
 			table.Rows = append(table.Rows, Row{Size: x, Values: []float64{base + slope*x + sign*noise}})
 		}
 		line := table.Fit(0)
-		require.InDelta(t, base, line.Base, 1e-6)
+		require.InDelta(t, base, line.Intercept, 1e-6)
 		require.InDelta(t, slope, line.Slope, 1e-6)
-		require.InDelta(t, noise*math.Sqrt(4.0/2/5), line.Error, 1e-6) // sqrt(residuals / (n-2) / spread)
+		require.InDelta(t, noise*math.Sqrt(4.0/2/5), line.SlopeError, 1e-6) // sqrt(residuals / (n-2) / spread)
 	})
 }
 
@@ -39,11 +39,11 @@
 // float, or when api.VersionReply goes out as a map with names.
 func TestBytesOfControlMessages(t *testing.T) {
 	bounds := []struct {
-		name  string
-		run   func(context.Context, ...int) (*Table, error)
-		sizes []int
-		most  map[int]float64 // bytes for one more of the size, by column
-		times int             // measurements of which the median counts
+		name      string
+		run       func(context.Context, ...int) (*Table, error)
+		sizes     []int
+		maxSlopes map[int]float64 // bytes for one more of the size, by column
+		runs      int             // measurements of which the median counts
 	}{
 		{"confirm", Confirm, []int{1, 3}, map[int]float64{0: 32, 1: 34}, 1},
 		{"leases", Leases, []int{5, 50}, map[int]float64{0: 150, 1: 172}, 1},
@@ -55,20 +55,20 @@
 		t.Run(b.name, func(t *testing.T) {
 			slopes := make(map[int][]float64)
 			var columns []string
-			for range b.times {
+			for range b.runs {
 				table, err := b.run(t.Context(), b.sizes...)
 				require.NoError(t, err)
 				columns = table.Columns
-				for column := range b.most {
+				for column := range b.maxSlopes {
 					slopes[column] = append(slopes[column], table.Fit(column).Slope)
 				}
 			}
-			for column, most := range b.most {
+			for column, maxSlope := range b.maxSlopes {
 				slices.Sort(slopes[column])
-				slope := slopes[column][b.times/2]
-				t.Logf("%s: %.1f, bound %.1f", columns[column], slope, most)
+				slope := slopes[column][b.runs/2]
+				t.Logf("%s: %.1f, bound %.1f", columns[column], slope, maxSlope)
 				require.Positive(t, slope, columns[column])
-				require.LessOrEqual(t, slope, most, columns[column])
+				require.LessOrEqual(t, slope, maxSlope, columns[column])
 			}
 		})
 	}
--- a/capacity/commits.go
+++ b/capacity/commits.go
@@ -20,7 +20,7 @@
 // Commits measures ledger records a second through control replicas with real
 // syncs, by the number of callers at work, with three replicas.
 func Commits(ctx context.Context, callers ...int) (*Table, error) {
-	return commitTable(ctx, "callers, 3 replicas", callers, func(n int) (replicas, atWork int) { return 3, n })
+	return commitTable(ctx, "callers, 3 replicas", callers, func(n int) (replicas, callers int) { return 3, n })
 }
 
 // CommitReplicas measures the same by the number of replicas, with 64 callers.
@@ -29,17 +29,17 @@
 	return commitTable(ctx, "replicas, 64 callers", replicas, func(n int) (int, int) { return n, commitCallers })
 }
 
-func commitTable(ctx context.Context, size string, sizes []int, of func(int) (int, int)) (*Table, error) {
-	t := &Table{Size: size, Columns: []string{
+func commitTable(ctx context.Context, size string, sizes []int, replicasAndCallers func(int) (int, int)) (*Table, error) {
+	t := &Table{SizeLabel: size, Columns: []string{
 		"commits/s", "p50 ms", "p99 ms", "all ends µs/commit", "replication B/commit, all replicas", "idle replication B/s, all replicas",
 	}}
 	for _, n := range sizes {
-		replicas, callers := of(n)
+		replicas, callers := replicasAndCallers(n)
 		s, err := newSite(ctx, replicas, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return nil, err
 		}
-		values, err := s.commits(callers)
+		values, err := s.measureCommits(callers)
 		s.close()
 		if err != nil {
 			return nil, err
@@ -49,60 +49,60 @@
 	return t, nil
 }
 
-func (s *site) commits(callers int) ([]float64, error) {
-	if _, err := s.client.Ledger(s.ctx, ledgerCommand(0)); err != nil { // dials
+func (s *site) measureCommits(callers int) ([]float64, error) {
+	if _, err := s.controlClient.Ledger(s.ctx, ledgerCommand(0)); err != nil { // dials
 		return nil, err
 	}
-	quiet, err := s.replicationBytes()
+	bytesBeforeIdle, err := s.replicationBytes()
 	if err != nil {
 		return nil, err
 	}
-	m := newMeter()
-	before, err := s.replicationBytes()
+	m := newCPUMeter()
+	bytesBefore, err := s.replicationBytes()
 	if err != nil {
 		return nil, err
 	}
-	var number atomic.Int64
+	var commandCount atomic.Int64
 	latencies := make([]*hdrhistogram.Histogram, callers)
 	ctx, cancel := context.WithTimeout(s.ctx, commitPeriod)
 	defer cancel()
-	var group sync.WaitGroup
-	began := time.Now()
+	var wg sync.WaitGroup
+	startTime := time.Now()
 	for i := range callers {
 		latencies[i] = hdrhistogram.New(1, int64(time.Minute), 3)
-		group.Go(func() {
+		wg.Go(func() {
 			for ctx.Err() == nil {
-				start := time.Now()
-				if _, err := s.client.Ledger(ctx, ledgerCommand(int(number.Add(1)))); err == nil {
-					_ = latencies[i].RecordValue(int64(time.Since(start))) // within the histogram's range
+				sentAt := time.Now()
+				if _, err := s.controlClient.Ledger(ctx, ledgerCommand(int(commandCount.Add(1)))); err == nil {
+					_ = latencies[i].RecordValue(int64(time.Since(sentAt))) // within the histogram's range
 				}
 			}
 		})
 	}
-	group.Wait()
-	elapsed := time.Since(began)
-	all := latencies[0]
+	wg.Wait()
+	elapsed := time.Since(startTime)
+	merged := latencies[0]
 	for _, h := range latencies[1:] {
-		all.Merge(h)
+		merged.Merge(h)
 	}
-	done := int(all.TotalCount())
-	used := m.perUnit(done)
-	after, err := s.replicationBytes()
+	committed := int(merged.TotalCount())
+	cpuPerCommit := m.microsecondsPerUnit(committed)
+	bytesAfter, err := s.replicationBytes()
 	if err != nil {
 		return nil, err
 	}
-	idle := (before - quiet) / idlePeriod.Seconds()
+	idleBytesPerSecond := (bytesBefore - bytesBeforeIdle) / idleWindow.Seconds()
 	return []float64{
-		float64(done) / elapsed.Seconds(), float64(all.ValueAtQuantile(50)) / 1e6, float64(all.ValueAtQuantile(99)) / 1e6,
-		used, (after - before - idle*elapsed.Seconds()) / float64(done), idle,
+		float64(committed) / elapsed.Seconds(), float64(merged.ValueAtQuantile(50)) / 1e6, float64(merged.ValueAtQuantile(99)) / 1e6,
+		cpuPerCommit, (bytesAfter - bytesBefore - idleBytesPerSecond*elapsed.Seconds()) / float64(committed), idleBytesPerSecond,
 	}, nil
 }
 
 // replicationBytes is what all replicas have sent each other, in bytes.
 func (s *site) replicationBytes() (float64, error) {
 	var sum float64
-	for _, ops := range s.ops {
-		traffic, err := s.linkTraffic(ops)
+	for _, ops := range s.controlOps {
+		traffic, err := s.scrapeLinkTraffic(ops)
 		if err != nil {
 			return 0, err
 		}
--- a/capacity/cost.go
+++ b/capacity/cost.go
@@ -7,7 +7,7 @@
 )
 
 // processorTime is what this process has used of all cores, user and system.
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0 // cannot fail for the calling process
@@ -16,41 +16,41 @@
 }
 
 // idlePeriod is how long meter watches a system that does nothing else.
-const idlePeriod = time.Second
+const idleWindow = time.Second
 
 // meter is the processor time of one piece of work, less what the system around
 // it uses all the time for its own timers.
-type meter struct {
-	idle    float64 // cores
-	began   time.Time
-	used    time.Duration
-	objects uint64
+type cpuMeter struct {
+	idleCores      float64 // cores
+	startTime      time.Time
+	cpuAtStart     time.Duration
+	objectsAtStart uint64
 }
 
-func newMeter() *meter {
-	m := &meter{}
+func newCPUMeter() *cpuMeter {
+	m := &cpuMeter{}
 	m.start()
-	<-time.After(idlePeriod)
-	m.idle = (processorTime() - m.used).Seconds() / time.Since(m.began).Seconds()
+	<-time.After(idleWindow)
+	m.idleCores = (cpuTime() - m.cpuAtStart).Seconds() / time.Since(m.startTime).Seconds()
 	m.start()
 	return m
 }
 
-func (m *meter) start() {
-	m.objects = allocatedObjects()
-	m.began, m.used = time.Now(), processorTime()
+func (m *cpuMeter) start() {
+	m.objectsAtStart = allocatedObjects()
+	m.startTime, m.cpuAtStart = time.Now(), cpuTime()
 }
 
 // perUnit is the processor time of one of n units of work since start, in
 // microseconds.
-func (m *meter) perUnit(n int) float64 {
-	used := (processorTime() - m.used).Seconds() - m.idle*time.Since(m.began).Seconds()
-	return used * 1e6 / float64(n)
+func (m *cpuMeter) microsecondsPerUnit(n int) float64 {
+	cpuSeconds := (cpuTime() - m.cpuAtStart).Seconds() - m.idleCores*time.Since(m.startTime).Seconds()
+	return cpuSeconds * 1e6 / float64(n)
 }
 
 // objectsPerUnit is how many heap objects one of n units of work allocated.
-func (m *meter) objectsPerUnit(n int) float64 {
-	return float64(allocatedObjects()-m.objects) / float64(n)
+func (m *cpuMeter) objectsPerUnit(n int) float64 {
+	return float64(allocatedObjects()-m.objectsAtStart) / float64(n)
 }
 
 func allocatedObjects() uint64 {
--- a/capacity/links.go
+++ b/capacity/links.go
@@ -17,9 +17,9 @@
 // number: heartbeats both ways, in bytes and messages, and the memory and
 // processor time of both ends.
 func Links(ctx context.Context, links ...int) (*Table, error) {
-	t := &Table{Size: "open links", Columns: []string{"heartbeat B/s", "heartbeats/s", "both ends core %", "both ends memory B"}}
+	t := &Table{SizeLabel: "open links", Columns: []string{"heartbeat B/s", "heartbeats/s", "both ends core %", "both ends memory B"}}
 	for _, n := range links {
-		values, err := linkCost(ctx, n)
+		values, err := measureLinks(ctx, n)
 		if err != nil {
 			return nil, err
 		}
@@ -28,10 +28,10 @@
 	return t, nil
 }
 
-func linkCost(ctx context.Context, n int) ([]float64, error) {
+func measureLinks(ctx context.Context, n int) ([]float64, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	var work sync.WaitGroup
-	defer work.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
 	log := slog.New(slog.DiscardHandler)
 	var addresses []string
@@ -43,10 +43,10 @@
 		self := link.PeerInfo{ID: fmt.Sprintf("entry-%d", i), Incarnation: 1, Address: l.Addr().String(), Role: "entry"}
 		srv := link.NewServer(link.ServerConfig{Self: self, ClusterKey: []byte(clusterKey)}, link.ServerDeps{Log: log})
 		link.Handle(srv, "echo", func(context.Context, link.PeerInfo, struct{}) (struct{}, error) { return struct{}{}, nil })
-		work.Go(func() { _ = srv.Serve(ctx, l) }) // ends with ctx
+		wg.Go(func() { _ = srv.Serve(ctx, l) }) // ends with ctx
 		addresses = append(addresses, l.Addr().String())
 	}
-	before := memoryInUse()
+	memoryBefore := memoryInUse()
 	traffic := link.NewTraffic(nil)
 	self := link.PeerInfo{ID: "capacity", Incarnation: 1, Role: "entry"}
 	pool := link.NewPool(link.PoolConfig{Self: self, ClusterKey: []byte(clusterKey)}, link.PoolDeps{Log: log, Traffic: traffic})
@@ -56,14 +56,14 @@
 			return nil, err
 		}
 	}
-	memory := memoryInUse() - before
-	used, began := processorTime(), time.Now()
-	quiet := traffic.Method(link.MethodHeartbeat)
-	<-time.After(quietPeriod)
-	core := (processorTime() - used).Seconds() / time.Since(began).Seconds()
-	after := traffic.Method(link.MethodHeartbeat)
-	seconds := time.Since(began).Seconds()
-	bytes := float64(after.BytesSent + after.BytesReceived - quiet.BytesSent - quiet.BytesReceived)
-	messages := float64(after.MessagesSent + after.MessagesReceived - quiet.MessagesSent - quiet.MessagesReceived)
-	return []float64{bytes / seconds, messages / seconds, core * 100, memory}, nil
+	memory := memoryInUse() - memoryBefore
+	cpuBefore, startTime := cpuTime(), time.Now()
+	trafficBefore := traffic.Method(link.MethodHeartbeat)
+	<-time.After(trafficWindow)
+	cores := (cpuTime() - cpuBefore).Seconds() / time.Since(startTime).Seconds()
+	trafficAfter := traffic.Method(link.MethodHeartbeat)
+	seconds := time.Since(startTime).Seconds()
+	bytes := float64(trafficAfter.BytesSent + trafficAfter.BytesReceived - trafficBefore.BytesSent - trafficBefore.BytesReceived)
+	messages := float64(trafficAfter.MessagesSent + trafficAfter.MessagesReceived - trafficBefore.MessagesSent - trafficBefore.MessagesReceived)
+	return []float64{bytes / seconds, messages / seconds, cores * 100, memory}, nil
 }
--- a/capacity/messages.go
+++ b/capacity/messages.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	polls       = 2000
-	reports     = 300
-	reportPause = 5 * time.Millisecond // demand is measured over time
+	pollCount      = 2000
+	reportCount    = 300
+	reportInterval = 5 * time.Millisecond // demand is measured over time
 )
 
 // Confirm measures how an entry learns that its catalogue is current, by the
 // number of control replicas: one call to each. Processor time is of both ends
 // together.
 func Confirm(ctx context.Context, replicas ...int) (*Table, error) {
-	t := &Table{Size: "control replicas", Columns: []string{"sent B/poll", "received B/poll", "both ends µs/poll"}}
+	t := &Table{SizeLabel: "control replicas", Columns: []string{"sent B/poll", "received B/poll", "both ends µs/poll"}}
 	for _, n := range replicas {
 		s, err := newSite(ctx, n, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return nil, err
 		}
-		values, err := s.confirm()
+		values, err := s.measureConfirm()
 		s.close()
 		if err != nil {
 			return nil, err
@@ -39,19 +39,19 @@
 	return t, nil
 }
 
-func (s *site) confirm() ([]float64, error) {
-	if _, err := s.client.Confirm(s.ctx); err != nil { // dials
+func (s *site) measureConfirm() ([]float64, error) {
+	if _, err := s.controlClient.Confirm(s.ctx); err != nil { // dials
 		return nil, err
 	}
-	m := newMeter()
+	m := newCPUMeter()
 	before := s.traffic.Method(api.MethodVersion)
-	for range polls {
-		if _, err := s.client.Confirm(s.ctx); err != nil {
+	for range pollCount {
+		if _, err := s.controlClient.Confirm(s.ctx); err != nil {
 			return nil, err
 		}
 	}
 	sent, received := s.bytesSince(before)
-	return []float64{sent / polls, received / polls, m.perUnit(polls)}, nil
+	return []float64{sent / pollCount, received / pollCount, m.microsecondsPerUnit(pollCount)}, nil
 }
 
 func (s *site) bytesSince(before link.MethodTraffic) (sent, received float64) {
@@ -62,13 +62,13 @@
 // Leases measures one entry's report of its demand and the leases that answer
 // it, by the number of workspaces that have limits. Each workspace has calls.
 func Leases(ctx context.Context, workspaces ...int) (*Table, error) {
-	t := &Table{Size: "limited workspaces", Columns: []string{"sent B/report", "received B/report", "both ends µs/report"}}
+	t := &Table{SizeLabel: "limited workspaces", Columns: []string{"sent B/report", "received B/report", "both ends µs/report"}}
 	for _, n := range workspaces {
 		s, err := newSite(ctx, 1, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return nil, err
 		}
-		values, err := s.leases(n)
+		values, err := s.measureLeases(n)
 		s.close()
 		if err != nil {
 			return nil, err
@@ -78,40 +78,40 @@
 	return t, nil
 }
 
-func (s *site) leases(workspaces int) ([]float64, error) {
-	if err := s.apply(limitedCatalogue(workspaces)); err != nil {
+func (s *site) measureLeases(workspaces int) ([]float64, error) {
+	if err := s.applyCatalogue(limitedCatalogue(workspaces)); err != nil {
 		return nil, err
 	}
 	e, err := newLimitedEntry(1, workspaces)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.eventually("first lease", func() error { return e.report(s.ctx, s.client) }); err != nil {
+	if err := s.eventually("first lease", func() error { return e.sendReport(s.ctx, s.controlClient) }); err != nil {
 		return nil, err
 	}
-	m := newMeter()
+	m := newCPUMeter()
 	before := s.traffic.Method(api.MethodLeases)
-	for range reports {
-		<-time.After(reportPause)
-		if err := e.report(s.ctx, s.client); err != nil {
+	for range reportCount {
+		<-time.After(reportInterval)
+		if err := e.sendReport(s.ctx, s.controlClient); err != nil {
 			return nil, err
 		}
 	}
 	sent, received := s.bytesSince(before)
-	return []float64{sent / reports, received / reports, m.perUnit(reports)}, nil
+	return []float64{sent / reportCount, received / reportCount, m.microsecondsPerUnit(reportCount)}, nil
 }
 
 // LeaseEntries measures one report at the leader by the number of entries that
 // hold parts of the limits, with 50 limited workspaces.
 func LeaseEntries(ctx context.Context, entries ...int) (*Table, error) {
 	const workspaces, rounds = 50, 5
-	t := &Table{Size: "entries", Columns: []string{"both ends µs/report", "leader's memory, kB"}}
+	t := &Table{SizeLabel: "entries", Columns: []string{"both ends µs/report", "leader's memory, kB"}}
 	for _, n := range entries {
 		s, err := newSite(ctx, 1, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return nil, err
 		}
-		values, err := s.leaseEntries(n, workspaces, rounds)
+		values, err := s.measureLeaseEntries(n, workspaces, rounds)
 		s.close()
 		if err != nil {
 			return nil, err
@@ -121,38 +121,38 @@
 	return t, nil
 }
 
-func (s *site) leaseEntries(n, workspaces, rounds int) ([]float64, error) {
-	if err := s.apply(limitedCatalogue(workspaces)); err != nil {
+func (s *site) measureLeaseEntries(n, workspaces, rounds int) ([]float64, error) {
+	if err := s.applyCatalogue(limitedCatalogue(workspaces)); err != nil {
 		return nil, err
 	}
-	var all []*limitedEntry
+	var entries []*limitedEntry
 	for i := range n {
 		e, err := newLimitedEntry(i, workspaces)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, e)
+		entries = append(entries, e)
 	}
-	before := memoryInUse()
-	round := func() error {
-		for _, e := range all {
-			if err := s.eventually("lease", func() error { return e.report(s.ctx, s.client) }); err != nil {
+	memoryBefore := memoryInUse()
+	reportAll := func() error {
+		for _, e := range entries {
+			if err := s.eventually("lease", func() error { return e.sendReport(s.ctx, s.controlClient) }); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	if err := round(); err != nil {
+	if err := reportAll(); err != nil {
 		return nil, err
 	}
-	memory := memoryInUse() - before
-	m := newMeter()
+	memory := memoryInUse() - memoryBefore
+	m := newCPUMeter()
 	for range rounds {
-		if err := round(); err != nil {
+		if err := reportAll(); err != nil {
 			return nil, err
 		}
 	}
-	return []float64{m.perUnit(rounds * n), memory / 1000}, nil
+	return []float64{m.microsecondsPerUnit(rounds * n), memory / 1000}, nil
 }
 
 // limitedEntry reports demand as an entry does: by policy/admit.
@@ -171,24 +171,24 @@
 	}
 	e := &limitedEntry{name: fmt.Sprintf("entry-%03d", number), workspaces: workspaces, admitter: admitter}
 	for i := range workspaces {
-		w := workspaceNumber(i)
+		w := testWorkspace(i)
 		admitter.SetLimits(time.Now(), w.Name, w.Limits)
 	}
 	return e, nil
 }
 
 // report lets one request of each workspace in, reports, and applies the leases.
-func (e *limitedEntry) report(ctx context.Context, client *api.Client) error {
+func (e *limitedEntry) sendReport(ctx context.Context, client *api.Client) error {
 	for i := range e.workspaces {
 		e.admitter.Decide(time.Now(), admit.Request{
-			Workspace: workspaceNumber(i).Name, Class: contract.ClassStandard, Cost: 300, Deadline: time.Now().Add(time.Minute),
+			Workspace: testWorkspace(i).Name, Class: contract.ClassStandard, Cost: 300, Deadline: time.Now().Add(time.Minute),
 		}, 0)
 	}
 	for range 2 { // the first answer to a new leader's entry tells only the term
 		e.sequence++
-		asked := time.Now()
+		sentAt := time.Now()
 		reply, err := client.Leases(ctx, admit.Report{
-			Entry: e.name, Term: e.term, Sequence: e.sequence, Demands: e.admitter.Demands(asked, e.term),
+			Entry: e.name, Term: e.term, Sequence: e.sequence, Demands: e.admitter.Demands(sentAt, e.term),
 		})
 		if err != nil {
 			return err
@@ -198,7 +198,7 @@
 			continue
 		}
 		for _, l := range reply.Leases {
-			e.admitter.Apply(time.Now(), asked, l)
+			e.admitter.Apply(time.Now(), sentAt, l)
 		}
 		return nil
 	}
@@ -206,10 +206,10 @@
 }
 
 // service number i, with an owner and one workspace that may call it.
-func serviceNumber(i int) contract.Service {
+func testService(i int) contract.Service {
 	name := fmt.Sprintf("service-%04d", i)
 	return contract.Service{
 		Name: name, Owner: name + "@example.com", Kind: contract.KindModel, Model: strings.ToLower(name),
-		Workspaces: []string{workspaceNumber(i).Name},
+		Workspaces: []string{testWorkspace(i).Name},
 	}
 }
--- a/capacity/nodes.go
+++ b/capacity/nodes.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	changes     = 5
-	quietPeriod = 5 * time.Second
-	settle      = 2 * time.Second
+	catalogueChanges = 5
+	trafficWindow    = 5 * time.Second
+	settleTime       = 2 * time.Second
 )
 
 // Nodes measures real entries over loopback, by their number, before three
@@ -26,11 +26,11 @@
 // whole process, control replicas included, for each entry. Membership is what
 // the entry sends; it receives as much, over links that others have dialled.
 func Nodes(ctx context.Context, entries ...int) (*Table, error) {
-	t := &Table{Size: "entries", Columns: []string{
+	t := &Table{SizeLabel: "entries", Columns: []string{
 		"membership sent B/s", "version B/s", "leases B/s", "heartbeats B/s", "other B/s", "core %/entry", "in force, mean ms", "worst ms",
 	}}
 	for _, n := range entries {
-		values, err := nodeCost(ctx, n)
+		values, err := measureNodes(ctx, n)
 		if err != nil {
 			return nil, err
 		}
@@ -39,8 +39,8 @@
 	return t, nil
 }
 
-func nodeCost(ctx context.Context, n int) ([]float64, error) {
-	w := newWatcher()
+func measureNodes(ctx context.Context, n int) ([]float64, error) {
+	w := newVersionWatcher()
 	s, err := newSite(ctx, 3, slog.New(w))
 	if err != nil {
 		return nil, err
@@ -49,34 +49,34 @@
 	if err := s.startEntries(n); err != nil {
 		return nil, err
 	}
-	if err := s.eventually("catalogue everywhere", func() error { return w.reached(s.version, n) }); err != nil {
+	if err := s.eventually("catalogue everywhere", func() error { return w.checkActive(s.catalogueVersion, n) }); err != nil {
 		return nil, err
 	}
-	<-time.After(settle)
-	traffic, err := s.quietTraffic()
+	<-time.After(settleTime)
+	traffic, err := s.idleTraffic()
 	if err != nil {
 		return nil, err
 	}
-	mean, worst, err := s.inForce(w, n)
+	mean, worst, err := s.measureActivation(w, n)
 	return append(traffic, mean, worst), err
 }
 
 // quietTraffic returns one entry's bytes a second by purpose, and processor time.
-func (s *site) quietTraffic() ([]float64, error) {
+func (s *site) idleTraffic() ([]float64, error) {
 	var before, after map[string]float64
 	before, err := s.allLinkBytes()
 	if err != nil {
 		return nil, err
 	}
-	used := processorTime()
-	<-time.After(quietPeriod)
-	core := (processorTime() - used).Seconds() / quietPeriod.Seconds()
+	cpuBefore := cpuTime()
+	<-time.After(trafficWindow)
+	cores := (cpuTime() - cpuBefore).Seconds() / trafficWindow.Seconds()
 	if after, err = s.allLinkBytes(); err != nil {
 		return nil, err
 	}
 	var gossip, version, leases, heartbeats, other float64
 	for method, bytes := range after {
-		rate := (bytes - before[method]) / quietPeriod.Seconds() / float64(len(s.entries))
+		rate := (bytes - before[method]) / trafficWindow.Seconds() / float64(len(s.entries))
 		switch method {
 		case membership.Method:
 			gossip += rate
@@ -90,14 +90,14 @@
 			other += rate
 		}
 	}
-	return []float64{gossip, version, leases, heartbeats, other, core * 100 / float64(len(s.entries))}, nil
+	return []float64{gossip, version, leases, heartbeats, other, cores * 100 / float64(len(s.entries))}, nil
 }
 
 // allLinkBytes sums up what all entries' pools have sent and received.
 func (s *site) allLinkBytes() (map[string]float64, error) {
 	sum := map[string]float64{}
 	for _, e := range s.entries {
-		traffic, err := s.linkTraffic(e.ops)
+		traffic, err := s.scrapeLinkTraffic(e.ops)
 		if err != nil {
 			return nil, err
 		}
@@ -109,38 +109,38 @@
 }
 
 // inForce changes the catalogue and waits until every entry follows, some times.
-func (s *site) inForce(w *watcher, entries int) (mean, worst float64, err error) {
-	for i := range changes {
-		if err := s.apply(limitedCatalogue(10 + i)); err != nil {
+func (s *site) measureActivation(w *versionWatcher, entries int) (mean, worst float64, err error) {
+	for i := range catalogueChanges {
+		if err := s.applyCatalogue(limitedCatalogue(10 + i)); err != nil {
 			return 0, 0, err
 		}
-		accepted := time.Now()
-		if err := s.eventually("in force", func() error { return w.reached(s.version, entries) }); err != nil {
+		acceptedAt := time.Now()
+		if err := s.eventually("in force", func() error { return w.checkActive(s.catalogueVersion, entries) }); err != nil {
 			return 0, 0, err
 		}
-		took := w.last(s.version).Sub(accepted).Seconds() * 1e3
-		mean += took / changes
-		worst = max(worst, took)
+		elapsedMs := w.lastActivated(s.catalogueVersion).Sub(acceptedAt).Seconds() * 1e3
+		mean += elapsedMs / catalogueChanges
+		worst = max(worst, elapsedMs)
 	}
 	return mean, worst, nil
 }
 
 // watcher is a log handler that notes when entries put a version in force.
-type watcher struct {
-	mu    sync.Mutex
-	count map[uint64]int
-	when  map[uint64]time.Time
+type versionWatcher struct {
+	mu             sync.Mutex
+	entryCount     map[uint64]int
+	lastActivation map[uint64]time.Time
 }
 
-func newWatcher() *watcher {
-	return &watcher{count: map[uint64]int{}, when: map[uint64]time.Time{}}
+func newVersionWatcher() *versionWatcher {
+	return &versionWatcher{entryCount: map[uint64]int{}, lastActivation: map[uint64]time.Time{}}
 }
 
 // Enabled implements slog.Handler.
-func (w *watcher) Enabled(_ context.Context, l slog.Level) bool { return l >= slog.LevelInfo }
+func (w *versionWatcher) Enabled(_ context.Context, l slog.Level) bool { return l >= slog.LevelInfo }
 
 // Handle implements slog.Handler.
-func (w *watcher) Handle(_ context.Context, r slog.Record) error {
+func (w *versionWatcher) Handle(_ context.Context, r slog.Record) error {
 	if r.Message != event.CatalogueTaken.String() {
 		return nil
 	}
@@ -150,30 +150,30 @@
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.count[a.Value.Uint64()]++
-		w.when[a.Value.Uint64()] = r.Time
+		w.entryCount[a.Value.Uint64()]++
+		w.lastActivation[a.Value.Uint64()] = r.Time
 		return false
 	})
 	return nil
 }
 
 // WithAttrs implements slog.Handler.
-func (w *watcher) WithAttrs([]slog.Attr) slog.Handler { return w }
+func (w *versionWatcher) WithAttrs([]slog.Attr) slog.Handler { return w }
 
 // WithGroup implements slog.Handler.
-func (w *watcher) WithGroup(string) slog.Handler { return w }
+func (w *versionWatcher) WithGroup(string) slog.Handler { return w }
 
-func (w *watcher) reached(version uint64, entries int) error {
+func (w *versionWatcher) checkActive(version uint64, entries int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.count[version] < entries {
-		return fmt.Errorf("version %d is in force at %d of %d entries", version, w.count[version], entries)
+	if w.entryCount[version] < entries {
+		return fmt.Errorf("version %d is in force at %d of %d entries", version, w.entryCount[version], entries)
 	}
 	return nil
 }
 
-func (w *watcher) last(version uint64) time.Time {
+func (w *versionWatcher) lastActivated(version uint64) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.when[version]
+	return w.lastActivation[version]
 }
--- a/capacity/page_test.go
+++ b/capacity/page_test.go
@@ -10,20 +10,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-const page = "../docs/CAPACITY.md"
+const pagePath = "../docs/CAPACITY.md"
 
 // A page that names a command which no longer exists cannot be checked by its
 // readers, and its figures grow old unseen. Fails when one of Measurements is
 // renamed or one is misspelt on the page.
 func TestPageNamesCommandsThatExist(t *testing.T) {
 	text := readPage(t)
-	known := map[string]bool{}
+	names := map[string]bool{}
 	for _, m := range Measurements() {
-		known[m.Name] = true
+		names[m.Name] = true
 		require.Contains(t, text, "go run ./cmd/capacity "+m.Name, "every measurement is on the page")
 	}
 	for _, match := range regexp.MustCompile(`go run \./cmd/capacity ([a-z-]+)`).FindAllStringSubmatch(text, -1) {
-		require.True(t, known[match[1]], match[0])
+		require.True(t, names[match[1]], match[0])
 	}
 	tests := regexp.MustCompile("go test (\\./[a-z/]+) [^`\n]*-(?:run|bench) (\\w+)").FindAllStringSubmatch(text, -1)
 	require.NotEmpty(t, tests)
@@ -54,21 +54,21 @@
 }
 
 // column returns a column of the table whose header begins with head.
-func column(text, head string, number int) []string {
-	_, table, _ := strings.Cut(text, "\n"+head)
+func column(text, header string, index int) []string {
+	_, table, _ := strings.Cut(text, "\n"+header)
 	table, _, _ = strings.Cut(table, "\n\n")
-	var out []string
+	var values []string
 	for _, line := range strings.Split(table, "\n")[1:] {
-		if cells := strings.Split(line, "|"); len(cells) > number {
-			out = append(out, strings.TrimSpace(cells[number]))
+		if cells := strings.Split(line, "|"); len(cells) > index {
+			values = append(values, strings.TrimSpace(cells[index]))
 		}
 	}
-	return out
+	return values
 }
 
 func readPage(t *testing.T) string {
 	t.Helper()
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
 	return string(text)
 }
--- a/capacity/requests.go
+++ b/capacity/requests.go
@@ -30,7 +30,7 @@
 // directly. The entry's part is the difference: caller and engine run in this
 // process too. Each token comes by itself, 5 ms after the one before.
 func Streaming(ctx context.Context, tokens ...int) (*Table, error) {
-	t := &Table{Size: "tokens/answer", Columns: []string{
+	t := &Table{SizeLabel: "tokens/answer", Columns: []string{
 		"through µs/answer", "direct µs/answer", "entry µs/answer", "entry objects/answer",
 	}}
 	s, err := newServingSite(ctx, 1, 1, tokenTime)
@@ -39,11 +39,11 @@
 	}
 	defer s.close()
 	for _, n := range tokens {
-		through, objects, err := s.answers(s.entries[0].callers, "chat", n)
+		through, objects, err := s.measureStreaming(s.entries[0].callers, "chat", n)
 		if err != nil {
 			return nil, err
 		}
-		direct, directObjects, err := s.answers(s.engine, model, n)
+		direct, directObjects, err := s.measureStreaming(s.engineAddress, model, n)
 		if err != nil {
 			return nil, err
 		}
@@ -67,7 +67,7 @@
 	}
 	for _, e := range s.entries {
 		if err == nil && engines > 0 {
-			err = s.eventually("serve", func() error { return s.chat(s.ctx, e.callers, "chat", 1) })
+			err = s.eventually("serve", func() error { return s.streamChat(s.ctx, e.callers, "chat", 1) })
 		}
 	}
 	if err != nil {
@@ -78,31 +78,31 @@
 }
 
 // answers has streamCallers callers get one answer each, at the same time.
-func (s *site) answers(address, service string, tokens int) (processor, objects float64, err error) {
-	round := func() error {
-		return together(streamCallers, func() error { return s.chat(s.ctx, address, service, tokens) })
+func (s *site) measureStreaming(address, service string, tokens int) (processor, objects float64, err error) {
+	streamAll := func() error {
+		return runConcurrently(streamCallers, func() error { return s.streamChat(s.ctx, address, service, tokens) })
 	}
-	if err := round(); err != nil { // dials
+	if err := streamAll(); err != nil { // dials
 		return 0, 0, err
 	}
 	const rounds = 3
-	m := newMeter()
+	m := newCPUMeter()
 	for range rounds {
-		if err := round(); err != nil {
+		if err := streamAll(); err != nil {
 			return 0, 0, err
 		}
 	}
-	return m.perUnit(rounds * streamCallers), m.objectsPerUnit(rounds * streamCallers), nil
+	return m.microsecondsPerUnit(rounds * streamCallers), m.objectsPerUnit(rounds * streamCallers), nil
 }
 
 // together runs f n times at once and returns one of the errors, if any.
-func together(n int, f func() error) error {
+func runConcurrently(n int, f func() error) error {
 	errs := make(chan error, n)
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for range n {
-		group.Go(func() { errs <- f() })
+		wg.Go(func() { errs <- f() })
 	}
-	group.Wait()
+	wg.Wait()
 	close(errs)
 	for err := range errs {
 		if err != nil {
@@ -113,8 +113,8 @@
 }
 
 // chat gets one whole streamed answer.
-func (s *site) chat(ctx context.Context, address, service string, tokens int) error {
-	resp, err := s.open(ctx, address, service, tokens)
+func (s *site) streamChat(ctx context.Context, address, service string, tokens int) error {
+	resp, err := s.sendChat(ctx, address, service, tokens)
 	if err != nil {
 		return err
 	}
@@ -123,15 +123,15 @@
 	if err != nil {
 		return trace.Wrap(err, "step=read answer peer=%s", address)
 	}
-	if got := bytes.Count(body, []byte(`"content":`)); resp.StatusCode != http.StatusOK || got < tokens {
-		return fmt.Errorf("%s: status %d, %d tokens of %d", address, resp.StatusCode, got, tokens)
+	if received := bytes.Count(body, []byte(`"content":`)); resp.StatusCode != http.StatusOK || received < tokens {
+		return fmt.Errorf("%s: status %d, %d tokens of %d", address, resp.StatusCode, received, tokens)
 	}
 	return nil
 }
 
-func (s *site) open(ctx context.Context, address, service string, tokens int) (*http.Response, error) {
+func (s *site) sendChat(ctx context.Context, address, service string, tokens int) (*http.Response, error) {
 	body, err := json.Marshal(native.ChatRequest{
-		Model: service, Stream: true, MaxTokens: tokens, Messages: []native.Message{{Role: "user", Content: fmt.Sprintf("Question %d", s.questions.Add(1))}},
+		Model: service, Stream: true, MaxTokens: tokens, Messages: []native.Message{{Role: "user", Content: fmt.Sprintf("Question %d", s.requestCount.Add(1))}},
 	})
 	if err != nil {
 		return nil, trace.Wrap(err, "step=encode request")
@@ -149,18 +149,18 @@
 // their number, through an entry and at the engine directly; the entry's part is
 // the difference.
 func InFlight(ctx context.Context, requests ...int) (*Table, error) {
-	t := &Table{Size: "requests in flight", Columns: []string{"through B", "direct B", "entry B"}}
+	t := &Table{SizeLabel: "requests in flight", Columns: []string{"through B", "direct B", "entry B"}}
 	s, err := newServingSite(ctx, 1, 1, time.Second)
 	if err != nil {
 		return nil, err
 	}
 	defer s.close()
 	for _, n := range requests {
-		through, err := s.inFlight(s.entries[0].callers, "chat", n)
+		through, err := s.measureInFlight(s.entries[0].callers, "chat", n)
 		if err != nil {
 			return nil, err
 		}
-		direct, err := s.inFlight(s.engine, model, n)
+		direct, err := s.measureInFlight(s.engineAddress, model, n)
 		if err != nil {
 			return nil, err
 		}
@@ -169,30 +169,30 @@
 	return t, nil
 }
 
-func (s *site) inFlight(address, service string, n int) (float64, error) {
+func (s *site) measureInFlight(address, service string, n int) (float64, error) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	http.DefaultClient.CloseIdleConnections()
-	<-time.After(settle) // until the requests of the size before have ended
-	before := memoryInUse()
+	<-time.After(settleTime) // until the requests of the size before have ended
+	memoryBefore := memoryInUse()
 	var mu sync.Mutex
-	var open []*http.Response
-	err := together(n, func() error {
-		resp, err := s.open(ctx, address, service, 1000)
+	var responses []*http.Response
+	err := runConcurrently(n, func() error {
+		resp, err := s.sendChat(ctx, address, service, 1000)
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		open = append(open, resp)
+		responses = append(responses, resp)
 		if resp.StatusCode != http.StatusOK {
 			return fmt.Errorf("%s: status %d", address, resp.StatusCode)
 		}
 		return nil
 	})
-	memory := memoryInUse() - before
+	memory := memoryInUse() - memoryBefore
 	cancel()
-	for _, resp := range open {
+	for _, resp := range responses {
 		_ = resp.Body.Close() // given up
 	}
 	return memory, err
@@ -202,13 +202,13 @@
 // the request runs, and tells it afterwards, by the number of entries, with 64
 // engines. All requests differ. An ask's bytes are of question and answer.
 func Asks(ctx context.Context, entries ...int) (*Table, error) {
-	t := &Table{Size: "entries", Columns: []string{"asks/request", "B/ask", "B/tell"}}
+	t := &Table{SizeLabel: "entries", Columns: []string{"asks/request", "B/ask", "B/tell"}}
 	for _, n := range entries {
 		s, err := newServingSite(ctx, n, askEngines, 0)
 		if err != nil {
 			return nil, err
 		}
-		values, err := s.asks()
+		values, err := s.measureAsks()
 		s.close()
 		if err != nil {
 			return nil, err
@@ -218,25 +218,25 @@
 	return t, nil
 }
 
-func (s *site) asks() ([]float64, error) {
-	first := s.entries[0]
-	before, err := s.linkTraffic(first.ops)
+func (s *site) measureAsks() ([]float64, error) {
+	firstEntry := s.entries[0]
+	before, err := s.scrapeLinkTraffic(firstEntry.ops)
 	if err != nil {
 		return nil, err
 	}
 	for range askRequests {
-		if err := s.chat(s.ctx, first.callers, "chat", 1); err != nil {
+		if err := s.streamChat(s.ctx, firstEntry.callers, "chat", 1); err != nil {
 			return nil, err
 		}
 	}
-	after, err := s.linkTraffic(first.ops)
+	after, err := s.scrapeLinkTraffic(firstEntry.ops)
 	if err != nil {
 		return nil, err
 	}
-	ask, tell := after[methodAsk].since(before[methodAsk]), after[methodTell].since(before[methodTell])
-	asks := ask.messages / 2 // the question and its answer
-	if asks == 0 {
+	askTraffic, tellTraffic := after[methodAsk].since(before[methodAsk]), after[methodTell].since(before[methodTell])
+	askCount := askTraffic.messages / 2 // the question and its answer
+	if askCount == 0 {
 		return []float64{0, 0, 0}, nil
 	}
-	return []float64{asks / askRequests, ask.bytes / asks, tell.bytes / tell.messages}, nil
+	return []float64{askCount / askRequests, askTraffic.bytes / askCount, tellTraffic.bytes / tellTraffic.messages}, nil
 }
--- a/capacity/silent.go
+++ b/capacity/silent.go
@@ -16,13 +16,13 @@
 // says nothing, as one that has frozen does. The next poll begins when the last
 // one has ended, so this adds to the time until a change is in force.
 func Silent(ctx context.Context, replicas ...int) (*Table, error) {
-	t := &Table{Size: "control replicas", Columns: []string{"all answer, mean ms", "one silent, mean ms", "worst ms"}}
+	t := &Table{SizeLabel: "control replicas", Columns: []string{"all answer, mean ms", "one silent, mean ms", "worst ms"}}
 	for _, n := range replicas {
 		s, err := newSite(ctx, n-1, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return nil, err
 		}
-		values, err := s.withSilentReplica()
+		values, err := s.measureSilent()
 		s.close()
 		if err != nil {
 			return nil, err
@@ -32,31 +32,31 @@
 	return t, nil
 }
 
-func (s *site) withSilentReplica() ([]float64, error) {
+func (s *site) measureSilent() ([]float64, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, trace.Wrap(err, "step=listen")
 	}
 	defer l.Close() // the backlog takes connections that nobody serves
-	usual, _, err := s.pollTimes(s.client)
+	meanAllAnswering, _, err := s.pollTimes(s.controlClient)
 	if err != nil {
 		return nil, err
 	}
-	mean, worst, err := s.pollTimes(api.NewClient(s.pool, append(s.control, l.Addr().String()), "capacity"))
-	return []float64{usual, mean, worst}, err
+	mean, worst, err := s.pollTimes(api.NewClient(s.pool, append(s.controlAddresses, l.Addr().String()), "capacity"))
+	return []float64{meanAllAnswering, mean, worst}, err
 }
 
 // pollTimes returns the mean and the worst time of some polls in milliseconds.
 func (s *site) pollTimes(client *api.Client) (mean, worst float64, err error) {
 	const rounds = 10
 	for range rounds {
-		began := time.Now()
+		startTime := time.Now()
 		if _, err := client.Confirm(s.ctx); err != nil {
 			return 0, 0, err
 		}
-		took := time.Since(began).Seconds() * 1e3
-		mean += took / rounds
-		worst = max(worst, took)
+		elapsedMs := time.Since(startTime).Seconds() * 1e3
+		mean += elapsedMs / rounds
+		worst = max(worst, elapsedMs)
 	}
 	return mean, worst, nil
 }
--- a/capacity/site.go
+++ b/capacity/site.go
@@ -37,32 +37,32 @@
 )
 
 const (
-	model       = "demo"
-	startBound  = 60 * time.Second
-	retryPause  = 20 * time.Millisecond
-	maxEntries  = 370 // of letter 1: entries that share the limits
-	engineSlots = 4096
+	model         = "demo"
+	startTimeout  = 60 * time.Second
+	retryInterval = 20 * time.Millisecond
+	maxEntries    = 370 // of letter 1: entries that share the limits
+	engineSlots   = 4096
 )
 
 // site is a set of control replicas, entries and one engine in this process.
 type site struct {
-	ctx      context.Context
-	cancel   context.CancelFunc
-	work     sync.WaitGroup
-	folder   string
-	log      *slog.Logger
-	control  []string // link addresses
-	ops      []string // of the control replicas
-	operator *operator.Client
-	entries  []entryAddresses
-	engine   string // address of the last one
-	engines  int
-	pool     *link.Pool
-	traffic  *link.Traffic // of pool
-	client   *api.Client
-	version  uint64
+	ctx              context.Context
+	cancel           context.CancelFunc
+	wg               sync.WaitGroup
+	folder           string
+	log              *slog.Logger
+	controlAddresses []string // link addresses
+	controlOps       []string // of the control replicas
+	operatorClient   *operator.Client
+	entries          []entryAddresses
+	engineAddress    string // address of the last one
+	engineCount      int
+	pool             *link.Pool
+	traffic          *link.Traffic // of pool
+	controlClient    *api.Client
+	catalogueVersion uint64
 
-	questions atomic.Int64 // asked so far; each is another request
+	requestCount atomic.Int64 // asked so far; each is another request
 }
 
 type entryAddresses struct{ callers, link, ops string }
@@ -81,14 +81,14 @@
 	}
 	s.pool = link.NewPool(link.PoolConfig{Self: link.PeerInfo{ID: "capacity", Incarnation: 1, Role: "entry"}, ClusterKey: []byte(clusterKey)},
 		link.PoolDeps{Log: log, Traffic: s.traffic})
-	s.client = api.NewClient(s.pool, s.control, "capacity")
-	return s, s.apply(baseCatalogue())
+	s.controlClient = api.NewClient(s.pool, s.controlAddresses, "capacity")
+	return s, s.applyCatalogue(baseCatalogue())
 }
 
 // close ends everything that the site has started and removes its files.
 func (s *site) close() {
 	s.cancel()
-	s.work.Wait()
+	s.wg.Wait()
 	if s.pool != nil {
 		s.pool.Close()
 	}
@@ -96,8 +96,8 @@
 }
 
 // run runs one daemon until the site is closed.
-func (s *site) run(name string, f func(context.Context) error) {
-	s.work.Go(func() {
+func (s *site) runDaemon(name string, f func(context.Context) error) {
+	s.wg.Go(func() {
 		if err := f(s.ctx); err != nil && s.ctx.Err() == nil {
 			s.log.Error("daemon ended", "name", name, "error", err)
 		}
@@ -105,22 +105,22 @@
 }
 
 func (s *site) startControl(replicas int) error {
-	var list, operators []string
+	var replicaList, operatorAddresses []string
 	addresses, err := freeAddresses(3 * replicas)
 	if err != nil {
 		return err
 	}
 	for i := range replicas {
 		a := addresses[3*i:]
-		s.control, operators, s.ops = append(s.control, a[0]), append(operators, a[1]), append(s.ops, a[2])
-		list = append(list, fmt.Sprintf("%d=%s", i+1, a[0]))
+		s.controlAddresses, operatorAddresses, s.controlOps = append(s.controlAddresses, a[0]), append(operatorAddresses, a[1]), append(s.controlOps, a[2])
+		replicaList = append(replicaList, fmt.Sprintf("%d=%s", i+1, a[0]))
 	}
-	s.operator = operator.New(operators, operatorKey)
+	s.operatorClient = operator.New(operatorAddresses, operatorKey)
 	for i := range replicas {
 		cfg := control.Config{}
 		err := configure(cfg.Declare, map[string]string{
-			"id": strconv.Itoa(i + 1), "data": filepath.Join(s.folder, strconv.Itoa(i+1)), "replicas": strings.Join(list, ","),
-			"link-listen": s.control[i], "operator-listen": operators[i], "ops-listen": s.ops[i],
+			"id": strconv.Itoa(i + 1), "data": filepath.Join(s.folder, strconv.Itoa(i+1)), "replicas": strings.Join(replicaList, ","),
+			"link-listen": s.controlAddresses[i], "operator-listen": operatorAddresses[i], "ops-listen": s.controlOps[i],
 			"cluster-key": clusterKey, "operator-key": operatorKey, "max-entries": strconv.Itoa(maxEntries),
 		})
 		if err != nil {
@@ -130,7 +130,7 @@
 		if err != nil {
 			return err
 		}
-		s.run("control", c.Run)
+		s.runDaemon("control", c.Run)
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 		cfg := entry.Config{}
 		err := configure(cfg.Declare, map[string]string{
 			"id": fmt.Sprintf("entry-%d", i+1), "region": fmt.Sprintf("r%d", 1+zone/3), "zone": fmt.Sprintf("z%d", zone+1),
-			"listen": a.callers, "link-listen": a.link, "ops-listen": a.ops, "control": strings.Join(s.control, ","),
+			"listen": a.callers, "link-listen": a.link, "ops-listen": a.ops, "control": strings.Join(s.controlAddresses, ","),
 			"entries": s.entries[0].link, "cluster-key": clusterKey, "announce-key": announceKey,
 			"drain-timeout": "1s", "capacity": "100000",
 		})
@@ -162,7 +162,7 @@
 		if err != nil {
 			return err
 		}
-		s.run("entry", e.Run)
+		s.runDaemon("entry", e.Run)
 	}
 	return nil
 }
@@ -173,46 +173,46 @@
 	if err != nil {
 		return trace.Wrap(err, "step=listen")
 	}
-	s.engine = l.Addr().String()
-	s.engines++
+	s.engineAddress = l.Addr().String()
+	s.engineCount++
 	e := fake.NewEngine(fake.EngineConfig{
-		ID: fmt.Sprintf("engine-%d", s.engines), Region: "r1", Zone: "z1", Class: "g1", Model: model, Slots: engineSlots, MaxWaiting: engineSlots,
+		ID: fmt.Sprintf("engine-%d", s.engineCount), Region: "r1", Zone: "z1", Class: "g1", Model: model, Slots: engineSlots, MaxWaiting: engineSlots,
 		TokenTime:  tokenTime,
 		Announcing: fake.Announcing{Entries: []string{"http://" + s.entries[0].callers}, Key: announceKey},
 	}, fake.Deps{Log: s.log})
-	s.run("engine", func(ctx context.Context) error { return e.Run(ctx, l) })
+	s.runDaemon("engine", func(ctx context.Context) error { return e.Run(ctx, l) })
 	return nil
 }
 
 // apply puts a catalogue in force, waiting for a leader if there is none yet.
-func (s *site) apply(c contract.Catalogue) error {
+func (s *site) applyCatalogue(c contract.Catalogue) error {
 	doc, err := contract.Format(c)
 	if err != nil {
 		return err
 	}
 	return s.eventually("apply catalogue", func() error {
-		current, err := s.operator.Catalogue(s.ctx)
+		current, err := s.operatorClient.Catalogue(s.ctx)
 		if err != nil {
 			return err
 		}
-		r, err := s.operator.Apply(s.ctx, doc, current.Version)
-		s.version = r.Version
+		r, err := s.operatorClient.Apply(s.ctx, doc, current.Version)
+		s.catalogueVersion = r.Version
 		return err
 	})
 }
 
 // eventually repeats try until it succeeds or startBound has passed.
-func (s *site) eventually(step string, try func() error) error {
-	end := time.Now().Add(startBound)
+func (s *site) eventually(step string, attempt func() error) error {
+	deadline := time.Now().Add(startTimeout)
 	for {
-		err := try()
+		err := attempt()
 		if err == nil {
 			return nil
 		}
-		if s.ctx.Err() != nil || time.Now().After(end) {
+		if s.ctx.Err() != nil || time.Now().After(deadline) {
 			return trace.Wrap(err, "step=%s", step)
 		}
-		<-time.After(retryPause)
+		<-time.After(retryInterval)
 	}
 }
 
@@ -225,33 +225,33 @@
 
 // linkTraffic asks the process behind an operations address for its traffic by
 // method.
-func (s *site) linkTraffic(ops string) (map[string]linkTraffic, error) {
+func (s *site) scrapeLinkTraffic(ops string) (map[string]linkTraffic, error) {
 	resp, err := http.Get("http://" + ops + "/metrics")
 	if err != nil {
 		return nil, trace.Wrap(err, "step=read metrics peer=%s", ops)
 	}
 	defer resp.Body.Close()
-	out := map[string]linkTraffic{}
+	byMethod := map[string]linkTraffic{}
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		rest, found := strings.CutPrefix(lines.Text(), "savoryreel_link_")
-		what, rest, _ := strings.Cut(rest, `_total{method="`)
+		metric, rest, _ := strings.Cut(rest, `_total{method="`)
 		method, rest, _ := strings.Cut(rest, `"`)
 		_, value, _ := strings.Cut(rest, "} ")
 		n, err := strconv.ParseFloat(value, 64)
 		if !found || err != nil {
 			continue
 		}
-		t := out[method]
-		switch what {
+		t := byMethod[method]
+		switch metric {
 		case "messages":
 			t.messages += n
 		case "bytes":
 			t.bytes += n
 		}
-		out[method] = t
+		byMethod[method] = t
 	}
-	return out, trace.Wrap(lines.Err(), "step=read metrics peer=%s", ops)
+	return byMethod, trace.Wrap(lines.Err(), "step=read metrics peer=%s", ops)
 }
 
 // baseCatalogue has one workspace without limits and one model service.
@@ -269,12 +269,12 @@
 func limitedCatalogue(n int) contract.Catalogue {
 	c := baseCatalogue()
 	for i := range n {
-		c.Workspaces = append(c.Workspaces, workspaceNumber(i))
+		c.Workspaces = append(c.Workspaces, testWorkspace(i))
 	}
 	return c
 }
 
-func workspaceNumber(i int) contract.Workspace {
+func testWorkspace(i int) contract.Workspace {
 	name := fmt.Sprintf("workspace-%04d", i)
 	return contract.Workspace{
 		Name: name, Owner: name + "@example.com", Class: contract.ClassStandard, Weight: 1 + i%10,
@@ -284,11 +284,11 @@
 }
 
 // configure loads a daemon's defaults with a few settings given.
-func configure(declare func(*settings.Set), given map[string]string) error {
+func configure(declare func(*settings.Set), overrides map[string]string) error {
 	flags := (&cobra.Command{}).Flags()
 	set := settings.New(flags)
 	declare(set)
-	for name, value := range given {
+	for name, value := range overrides {
 		if err := flags.Set(name, value); err != nil {
 			return trace.Wrap(err, "step=set %s", name)
 		}
@@ -298,14 +298,14 @@
 
 // freeAddresses returns loopback addresses that nobody listens on now.
 func freeAddresses(n int) ([]string, error) {
-	var out []string
+	var addresses []string
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, trace.Wrap(err, "step=find a free address")
 		}
 		defer l.Close()
-		out = append(out, l.Addr().String())
+		addresses = append(addresses, l.Addr().String())
 	}
-	return out, nil
+	return addresses, nil
 }
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -22,9 +22,9 @@
 // Catalogue measures a catalogue by its number of workspaces; it has as many
 // services.
 func Catalogue(_ context.Context, sizes ...int) (*Table, error) {
-	t := &Table{Size: "workspaces and services", Columns: []string{"B/transfer", "memory B", "decode µs", "apply a change µs"}}
+	t := &Table{SizeLabel: "workspaces and services", Columns: []string{"B/transfer", "memory B", "decode µs", "apply a change µs"}}
 	for _, n := range sizes {
-		values, err := catalogueCost(n)
+		values, err := measureCatalogue(n)
 		if err != nil {
 			return nil, err
 		}
@@ -33,50 +33,50 @@
 	return t, nil
 }
 
-func catalogueCost(n int) ([]float64, error) {
+func measureCatalogue(n int) ([]float64, error) {
 	const rounds = 20
 	c := limitedCatalogue(n)
 	for i := range n {
-		c.Services = append(c.Services, serviceNumber(i))
+		c.Services = append(c.Services, testService(i))
 	}
 	enc, err := msgpack.Marshal(&api.CatalogueReply{Index: 1, Version: 1, Catalogue: c})
 	if err != nil {
 		return nil, trace.Wrap(err, "step=encode catalogue")
 	}
-	before := memoryInUse()
+	memoryBefore := memoryInUse()
 	var reply api.CatalogueReply
 	if err := msgpack.Unmarshal(enc, &reply); err != nil {
 		return nil, trace.Wrap(err, "step=decode catalogue")
 	}
-	memory := memoryInUse() - before
+	memory := memoryInUse() - memoryBefore
 	runtime.KeepAlive(&reply)
-	decode := processorTime()
+	decodeTime := cpuTime()
 	for range rounds {
-		var again api.CatalogueReply
-		if err := msgpack.Unmarshal(enc, &again); err != nil {
+		var decoded api.CatalogueReply
+		if err := msgpack.Unmarshal(enc, &decoded); err != nil {
 			return nil, trace.Wrap(err, "step=decode catalogue")
 		}
 	}
-	decode = processorTime() - decode
-	book := contract.NewState()
-	apply := processorTime()
+	decodeTime = cpuTime() - decodeTime
+	state := contract.NewState()
+	applyTime := cpuTime()
 	for i := range rounds {
 		c.Workspaces[0].Weight = 1 + i
-		r := book.Apply(contract.Change{ID: fmt.Sprint(i), Kind: contract.ChangeApply, Base: book.Version(), Catalogue: &c})
+		r := state.Apply(contract.Change{ID: fmt.Sprint(i), Kind: contract.ChangeApply, Base: state.Version(), Catalogue: &c})
 		if r.Code != contract.CodeAccepted {
 			return nil, fmt.Errorf("change refused: %s", r.Reason)
 		}
 	}
-	apply = processorTime() - apply
-	return []float64{float64(len(enc)), memory, decode.Seconds() * 1e6 / rounds, apply.Seconds() * 1e6 / rounds}, nil
+	applyTime = cpuTime() - applyTime
+	return []float64{float64(len(enc)), memory, decodeTime.Seconds() * 1e6 / rounds, applyTime.Seconds() * 1e6 / rounds}, nil
 }
 
 // Ledger measures a control replica's state machine by the number of records
 // that the ledger holds, each with a kept answer of 200 bytes.
 func Ledger(_ context.Context, sizes ...int) (*Table, error) {
-	t := &Table{Size: "ledger records", Columns: []string{"memory B", "µs/command", "snapshot B", "snapshot ms", "restore ms"}}
+	t := &Table{SizeLabel: "ledger records", Columns: []string{"memory B", "µs/command", "snapshot B", "snapshot ms", "restore ms"}}
 	for _, n := range sizes {
-		values, err := ledgerCost(n)
+		values, err := measureLedger(n)
 		if err != nil {
 			return nil, err
 		}
@@ -85,37 +85,37 @@
 	return t, nil
 }
 
-func ledgerCost(n int) ([]float64, error) {
-	before := memoryInUse()
+func measureLedger(n int) ([]float64, error) {
+	memoryBefore := memoryInUse()
 	m := control.NewMachine(nil, nil)
-	used := processorTime()
+	cpuUsed := cpuTime()
 	for i := range n {
-		if err := recordCall(m, i); err != nil {
+		if err := applyCall(m, i); err != nil {
 			return nil, err
 		}
 	}
-	used = processorTime() - used
-	memory := memoryInUse() - before
-	began := time.Now()
+	cpuUsed = cpuTime() - cpuUsed
+	memory := memoryInUse() - memoryBefore
+	startTime := time.Now()
 	snapshot, err := m.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	took := time.Since(began)
-	began = time.Now()
+	snapshotTime := time.Since(startTime)
+	startTime = time.Now()
 	if err := control.NewMachine(nil, nil).Restore(snapshot); err != nil {
 		return nil, err
 	}
-	restore := time.Since(began)
+	restoreTime := time.Since(startTime)
 	runtime.KeepAlive(m)
 	return []float64{
-		memory, used.Seconds() * 1e6 / float64(2*n), float64(len(snapshot)),
-		took.Seconds() * 1e3, restore.Seconds() * 1e3,
+		memory, cpuUsed.Seconds() * 1e6 / float64(2*n), float64(len(snapshot)),
+		snapshotTime.Seconds() * 1e3, restoreTime.Seconds() * 1e3,
 	}, nil
 }
 
 // recordCall begins and finishes call number i.
-func recordCall(m *control.Machine, i int) error {
+func applyCall(m *control.Machine, i int) error {
 	begin := ledgerCommand(i)
 	finish := begin
 	finish.Op, finish.Answer = ledger.OpFinish, &ledger.Answer{Status: 200, ContentType: "application/json", Body: make([]byte, 200)}
@@ -142,9 +142,9 @@
 // Servers measures what an entry holds for backend servers of one model: the
 // view and the router. A decision has eight prefixes, none of them cached.
 func Servers(_ context.Context, sizes ...int) (*Table, error) {
-	t := &Table{Size: "backend servers", Columns: []string{"view B", "router B", "decision µs"}}
+	t := &Table{SizeLabel: "backend servers", Columns: []string{"view B", "router B", "decision µs"}}
 	for _, n := range sizes {
-		values, err := serverCost(n)
+		values, err := measureServers(n)
 		if err != nil {
 			return nil, err
 		}
@@ -153,14 +153,14 @@
 	return t, nil
 }
 
-func serverCost(n int) ([]float64, error) {
+func measureServers(n int) ([]float64, error) {
 	const decisions = 20_000
-	before := memoryInUse()
+	memoryBefore := memoryInUse()
 	view := instance.NewView()
 	for i := range n {
-		view.Apply([]instance.Update{{Server: &instance.Server{Announcement: announcement(i), HeardBy: "entry-001"}}})
+		view.Apply([]instance.Update{{Server: &instance.Server{Announcement: testAnnouncement(i), HeardBy: "entry-001"}}})
 	}
-	inView := memoryInUse()
+	memoryWithView := memoryInUse()
 	router, err := route.New(route.DefaultConfig())
 	if err != nil {
 		return nil, err
@@ -169,22 +169,22 @@
 	for _, s := range view.AllServers() {
 		router.Announce(&s.Announcement, now, now)
 	}
-	inRouter := memoryInUse()
-	used := processorTime()
+	memoryWithRouter := memoryInUse()
+	cpuUsed := cpuTime()
 	for i := range decisions {
 		router.Choose(&route.Request{
 			Now: now, Seed: uint64(i), PromptTokens: 500, Zone: "z1", Region: "r1",
 			Prefixes: []uint64{uint64(i), 1, 2, 3, 4, 5, 6, 7},
 		})
 	}
-	used = processorTime() - used
+	cpuUsed = cpuTime() - cpuUsed
 	runtime.KeepAlive(view)
 	runtime.KeepAlive(router)
-	return []float64{inView - before, inRouter - inView, used.Seconds() * 1e6 / decisions}, nil
+	return []float64{memoryWithView - memoryBefore, memoryWithRouter - memoryWithView, cpuUsed.Seconds() * 1e6 / decisions}, nil
 }
 
 // announcement is of backend server number i. Nobody listens at its address.
-func announcement(i int) instance.Announcement {
+func testAnnouncement(i int) instance.Announcement {
 	return instance.Announcement{
 		ID: fmt.Sprintf("gpu-server-%04d", i), Incarnation: 1, Sequence: 1, Address: fmt.Sprintf("127.0.0.1:%d", 1+i), Region: "r1", Zone: fmt.Sprintf("z%d", 1+i%3), Class: "g1",
 		State: instance.StateServing, Model: model, Slots: 64,
@@ -195,9 +195,9 @@
 // for each server, and the events that fill it. The index keeps few more of one
 // server.
 func Prefixes(_ context.Context, sizes ...int) (*Table, error) {
-	t := &Table{Size: "cached prefixes", Columns: []string{"memory B", "event µs", "event B as JSON"}}
+	t := &Table{SizeLabel: "cached prefixes", Columns: []string{"memory B", "event µs", "event B as JSON"}}
 	for _, n := range sizes {
-		values, err := prefixCost(n)
+		values, err := measurePrefixes(n)
 		if err != nil {
 			return nil, err
 		}
@@ -206,18 +206,18 @@
 	return t, nil
 }
 
-func prefixCost(n int) ([]float64, error) {
+func measurePrefixes(n int) ([]float64, error) {
 	const perServer = 1000
 	servers := max(1, n/perServer)
-	before := memoryInUse()
+	memoryBefore := memoryInUse()
 	index := route.NewPrefixIndex()
-	used := processorTime()
+	cpuUsed := cpuTime()
 	for i := range n {
 		event := instance.CacheEvent{Sequence: uint64(i/servers + 1), Prefix: uint64(i) * 0x9e3779b97f4a7c15, Stored: true, Tokens: 500}
-		index.Apply(announcement(i%servers).ID, 1, event)
+		index.Apply(testAnnouncement(i%servers).ID, 1, event)
 	}
-	used = processorTime() - used
-	memory := memoryInUse() - before
+	cpuUsed = cpuTime() - cpuUsed
+	memory := memoryInUse() - memoryBefore
 	enc, err := json.Marshal(instance.CacheEvent{Sequence: 10_000, Prefix: 0x9e3779b97f4a7c15, Stored: true, Tokens: 500})
 	if err != nil {
 		return nil, trace.Wrap(err, "step=encode event")
@@ -225,5 +225,5 @@
 	if index.Len() != n {
 		return nil, fmt.Errorf("%d prefixes indexed of %d", index.Len(), n)
 	}
-	return []float64{memory, used.Seconds() * 1e6 / float64(n), float64(len(enc))}, nil
+	return []float64{memory, cpuUsed.Seconds() * 1e6 / float64(n), float64(len(enc))}, nil
 }
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -9,9 +9,9 @@
 
 // Table is what one measurement found at several sizes.
 type Table struct {
-	Size    string   // what differs from row to row
-	Columns []string // with their units
-	Rows    []Row
+	SizeLabel string   // what differs from row to row
+	Columns   []string // with their units
+	Rows      []Row
 }
 
 // Row is one size. Values are in the order of the table's columns.
@@ -22,13 +22,13 @@
 
 // Line is the straight line that fits a column best by least squares.
 type Line struct {
-	Base  float64 // at size 0
-	Slope float64 // per unit of size
-	Error float64 // standard error of the slope; NaN with fewer than three sizes
+	Intercept  float64 // at size 0
+	Slope      float64 // per unit of size
+	SlopeError float64 // standard error of the slope; NaN with fewer than three sizes
 }
 
 // At is the line's value at a size.
-func (l Line) At(size float64) float64 { return l.Base + l.Slope*size }
+func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
 // Fit returns the line through a column of the table.
 func (t *Table) Fit(column int) Line {
@@ -41,15 +41,15 @@
 	}
 	spread := sxx - sx*sx/n
 	slope := (sxy - sx*sy/n) / spread
-	line := Line{Slope: slope, Base: (sy - slope*sx) / n}
+	line := Line{Slope: slope, Intercept: (sy - slope*sx) / n}
 	var residuals float64
 	for _, r := range t.Rows {
 		d := r.Values[column] - line.At(r.Size)
 		residuals += d * d
 	}
-	line.Error = math.NaN()
+	line.SlopeError = math.NaN()
 	if n > 2 {
-		line.Error = math.Sqrt(residuals / (n - 2) / spread)
+		line.SlopeError = math.Sqrt(residuals / (n - 2) / spread)
 	}
 	return line
 }
@@ -57,7 +57,7 @@
 // Write prints the rows and, below them, the line of each column.
 func (t *Table) Write(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(tw, "%s\t", t.Size)
+	fmt.Fprintf(tw, "%s\t", t.SizeLabel)
 	for _, c := range t.Columns {
 		fmt.Fprintf(tw, "%s\t", c)
 	}
@@ -65,14 +65,14 @@
 	for _, r := range t.Rows {
 		writeRow(tw, fmt.Sprint(r.Size), r.Values)
 	}
-	var bases, slopes, errors []float64
+	var intercepts, slopes, slopeErrors []float64
 	for i := range t.Columns {
 		l := t.Fit(i)
-		bases, slopes, errors = append(bases, l.Base), append(slopes, l.Slope), append(errors, l.Error)
+		intercepts, slopes, slopeErrors = append(intercepts, l.Intercept), append(slopes, l.Slope), append(slopeErrors, l.SlopeError)
 	}
-	writeRow(tw, "base", bases)
+	writeRow(tw, "base", intercepts)
 	writeRow(tw, "slope", slopes)
-	writeRow(tw, "error of slope", errors)
+	writeRow(tw, "error of slope", slopeErrors)
 	return tw.Flush()
 }
 
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -22,14 +22,14 @@
 	runtime.GOMAXPROCS(min(maxCores, runtime.NumCPU()))
 	root := &cobra.Command{Use: "capacity", Short: "Measure what the system's own work costs", SilenceUsage: true}
 	for _, m := range capacity.Measurements() {
-		root.AddCommand(command(m))
+		root.AddCommand(newCommand(m))
 	}
 	if err := root.Execute(); err != nil {
 		os.Exit(1)
 	}
 }
 
-func command(m capacity.Measurement) *cobra.Command {
+func newCommand(m capacity.Measurement) *cobra.Command {
 	return &cobra.Command{
 		Use: m.Name + " [size...]", Short: m.Short,
 		RunE: func(cmd *cobra.Command, args []string) error {
