--- a/capacity/announcements.go
+++ b/capacity/announcements.go
@@ -19,13 +19,14 @@
 	"savoryreel.example/savoryreel/policy/quarantine"
 )
 
-// announcementsQuiet is below the silence after which a server counts as gone.
+// idleServerWindow is shorter than the time after which an entry considers a
+// server without announcements gone.
 const idleServerWindow = 2 * time.Second
 
-// Announcements measures what backend servers of one model cost one real entry,
-// by their number: the announcement by which a server becomes known, one that
-// brings nothing new, and the share of a core that the entry then uses while
-// nothing arrives. The announcing side runs in this process too.
+// Announcements measures the processor time that backend servers of one model
+// cost a real entry, by their number: a server's first announcement, a repeated
+// one without changes, and the entry's load while no announcements arrive. The
+// announcing side runs in this process too and is included.
 func Announcements(ctx context.Context, servers ...int) (*Table, error) {
 	t := &Table{SizeLabel: "backend servers", Columns: []string{"first µs", "later µs", "quiet core %"}}
 	for _, n := range servers {
@@ -43,6 +44,7 @@
 	return t, nil
 }
 
+// measureAnnouncements returns one row for n servers.
 func (s *site) measureAnnouncements(n int) ([]float64, error) {
 	if err := s.eventually("announce", func() error { return s.announce(testAnnouncement(0)) }); err != nil {
 		return nil, err
@@ -65,6 +67,8 @@
 	return []float64{firstMicroseconds, laterMicroseconds, quietCores * 100}, nil
 }
 
+// announceAll announces the first n servers to the first entry, all with the same
+// sequence number.
 func (s *site) announceAll(n int, sequence uint64) error {
 	for i := range n {
 		a := testAnnouncement(i)
@@ -76,6 +80,7 @@
 	return nil
 }
 
+// announce sends an announcement to the first entry.
 func (s *site) announce(a instance.Announcement) error {
 	body, err := json.Marshal(&a)
 	if err != nil {
@@ -92,16 +97,17 @@
 		return trace.Wrap(err, "step=announce peer=%s", address)
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is used again
+	_, _ = io.Copy(io.Discard, resp.Body) // lets the client reuse the connection
 	if resp.StatusCode != http.StatusNoContent {
 		return fmt.Errorf("announcement: status %d", resp.StatusCode)
 	}
 	return nil
 }
 
-// Join measures what two entries send a third one until it knows all backend
-// servers, by their number: beyond what they send each other anyway. An entry
-// does not count what arrives over links that others have dialled.
+// Join measures the membership bytes that two entries send, beyond their usual
+// traffic, until a third, new entry lists all backend servers, and how long that
+// takes, by the number of servers. An entry does not count bytes received over
+// links that others dialled.
 func Join(ctx context.Context, servers ...int) (*Table, error) {
 	t := &Table{SizeLabel: "backend servers", Columns: []string{"membership B", "ms"}}
 	for _, n := range servers {
@@ -119,6 +125,7 @@
 	return t, nil
 }
 
+// measureJoin returns one row for this many servers.
 func (s *site) measureJoin(servers int) ([]float64, error) {
 	if err := s.eventually("announce", func() error { return s.announceAll(1, 1) }); err != nil {
 		return nil, err
@@ -159,7 +166,8 @@
 	return []float64{bytesAfter - bytesBefore - idleBytes, float64(elapsed.Milliseconds())}, err
 }
 
-// membershipSent is what the first n entries have sent of membership, in bytes.
+// membershipSent returns the bytes that the first n entries have sent for
+// membership.
 func (s *site) membershipSent(n int) (float64, error) {
 	var sum float64
 	for _, e := range s.entries[:n] {
@@ -172,7 +180,8 @@
 	return sum, nil
 }
 
-// knows reports whether an entry's status lists so many backend servers.
+// checkServersKnown returns an error unless the entry's status lists at least this
+// many backend servers.
 func (s *site) checkServersKnown(e entryAddresses, servers int) error {
 	resp, err := http.Get("http://" + e.ops + "/v1/status")
 	if err != nil {
@@ -184,13 +193,13 @@
 		return trace.Wrap(err, "step=read status peer=%s", e.ops)
 	}
 	if len(status.Servers) < servers {
-		return fmt.Errorf("%s knows %d servers of %d", status.ID, len(status.Servers), servers)
+		return fmt.Errorf("%s lists %d of %d servers", status.ID, len(status.Servers), servers)
 	}
 	return nil
 }
 
-// Ownership measures the rebuilding of who owns which server, which an entry
-// does for each change of a server or an entry, by the number of entries.
+// Ownership measures the reassignment of servers to their owning entries, by the
+// number of entries. An entry does it on each change of a server or an entry.
 func Ownership(_ context.Context, entries ...int) (*Table, error) {
 	const servers, rounds = 600, 20
 	t := &Table{SizeLabel: "entries", Columns: []string{"µs/change"}}
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -11,15 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// A least-squares fit with an error in it would make every figure that the page
-// works out wrong, and nobody would see it: the page's numbers look plausible
-// whatever they are. A reader would size a site by them. Fails without "- sx*sy/n" in Table.Fit.
+// Guards against a wrong least-squares fit: every extrapolated figure in
+// docs/CAPACITY.md would be wrong but plausible.
 func TestFitFindsTheLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, slope := rapid.Float64Range(-1e3, 1e3).Draw(t, "base"), rapid.Float64Range(-1e3, 1e3).Draw(t, "slope")
 		noise := rapid.Float64Range(0, 10).Draw(t, "noise")
 		table := &Table{Columns: []string{"y"}}
-		for i, sign := range []float64{1, -1, -1, 1} { // of no slope and no base
+		for i, sign := range []float64{1, -1, -1, 1} { // this pattern changes neither slope nor intercept
 			x := float64(i + 1)
 			table.Rows = append(table.Rows, Row{Size: x, Values: []float64{base + slope*x + sign*noise}})
 		}
@@ -30,20 +29,19 @@
 	})
 }
 
-// A message that grows by a field is paid for by every entry every second; at
-// the size to design for nobody notices until control's budget is gone. The
-// bounds are the bytes first measured and a tenth; for the index's memory, which depends
-// on how full its map happens to be, more. A map's hash seed is drawn anew each time, and
-// with it when the map grows: single measurements lie between 77 and 225 bytes, so the
-// median of several is held to the bound. Fails when admit.Demand gets one more
-// float, or when api.VersionReply goes out as a map with names.
+// Guards against control messages and state that grow unnoticed, for example by a
+// new field: every entry sends them all the time, so the control replicas' traffic
+// and memory would exceed their budget at full size.
+//
+// The prefix index is a map, whose growth depends on a random hash seed; the
+// median of several runs is compared with the bound.
 func TestBytesOfControlMessages(t *testing.T) {
 	bounds := []struct {
 		name      string
 		run       func(context.Context, ...int) (*Table, error)
 		sizes     []int
-		maxSlopes map[int]float64 // bytes for one more of the size, by column
-		runs      int             // measurements of which the median counts
+		maxSlopes map[int]float64 // maximum bytes per unit of size, by column
+		runs      int             // the median of the runs is checked
 	}{
 		{"confirm", Confirm, []int{1, 3}, map[int]float64{0: 32, 1: 34}, 1},
 		{"leases", Leases, []int{5, 50}, map[int]float64{0: 150, 1: 172}, 1},
--- a/capacity/commits.go
+++ b/capacity/commits.go
@@ -14,21 +14,24 @@
 
 const (
 	commitPeriod  = 3 * time.Second
-	commitCallers = 64 // where the number of replicas varies
+	commitCallers = 64 // of CommitReplicas
 )
 
-// Commits measures ledger records a second through control replicas with real
-// syncs, by the number of callers at work, with three replicas.
+// Commits measures ledger commits through three control replicas that sync to
+// disk, by the number of concurrent callers.
 func Commits(ctx context.Context, callers ...int) (*Table, error) {
 	return commitTable(ctx, "callers, 3 replicas", callers, func(n int) (replicas, callers int) { return 3, n })
 }
 
-// CommitReplicas measures the same by the number of replicas, with 64 callers.
-// All replicas share this machine's disk and processors.
+// CommitReplicas measures the same as Commits by the number of replicas, with
+// commitCallers concurrent callers. All replicas share this machine's disk and
+// processors.
 func CommitReplicas(ctx context.Context, replicas ...int) (*Table, error) {
 	return commitTable(ctx, "replicas, 64 callers", replicas, func(n int) (int, int) { return n, commitCallers })
 }
 
+// commitTable measures one row for each size, which replicasAndCallers maps to a
+// number of replicas and of callers.
 func commitTable(ctx context.Context, size string, sizes []int, replicasAndCallers func(int) (int, int)) (*Table, error) {
 	t := &Table{SizeLabel: size, Columns: []string{
 		"commits/s", "p50 ms", "p99 ms", "all ends µs/commit", "replication B/commit, all replicas", "idle replication B/s, all replicas",
@@ -49,8 +52,9 @@
 	return t, nil
 }
 
+// measureCommits returns one row with this many concurrent callers.
 func (s *site) measureCommits(callers int) ([]float64, error) {
-	if _, err := s.controlClient.Ledger(s.ctx, ledgerCommand(0)); err != nil { // dials
+	if _, err := s.controlClient.Ledger(s.ctx, ledgerCommand(0)); err != nil { // opens the links before the measurement
 		return nil, err
 	}
 	bytesBeforeIdle, err := s.replicationBytes()
@@ -98,7 +102,7 @@
 	}, nil
 }
 
-// replicationBytes is what all replicas have sent each other, in bytes.
+// replicationBytes returns the bytes of replication traffic of all replicas.
 func (s *site) replicationBytes() (float64, error) {
 	var sum float64
 	for _, ops := range s.controlOps {
--- a/capacity/cost.go
+++ b/capacity/cost.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// processorTime is what this process has used of all cores, user and system.
+// cpuTime returns the user and system time that this process has used on all
+// cores.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -15,11 +16,11 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// idlePeriod is how long meter watches a system that does nothing else.
+// idleWindow is how long newCPUMeter samples the idle system.
 const idleWindow = time.Second
 
-// meter is the processor time of one piece of work, less what the system around
-// it uses all the time for its own timers.
+// cpuMeter measures the processor time and heap allocations of a piece of work.
+// It subtracts the processor time that the idle system uses for its timers.
 type cpuMeter struct {
 	idleCores      float64 // cores
 	startTime      time.Time
@@ -27,6 +28,8 @@
 	objectsAtStart uint64
 }
 
+// newCPUMeter samples the idle system for idleWindow, which blocks, and starts
+// the measurement.
 func newCPUMeter() *cpuMeter {
 	m := &cpuMeter{}
 	m.start()
@@ -36,33 +39,36 @@
 	return m
 }
 
+// start begins a new measurement with the same idle load.
 func (m *cpuMeter) start() {
 	m.objectsAtStart = allocatedObjects()
 	m.startTime, m.cpuAtStart = time.Now(), cpuTime()
 }
 
-// perUnit is the processor time of one of n units of work since start, in
-// microseconds.
+// microsecondsPerUnit returns the processor time since start divided by the n
+// units of work done, in microseconds.
 func (m *cpuMeter) microsecondsPerUnit(n int) float64 {
 	cpuSeconds := (cpuTime() - m.cpuAtStart).Seconds() - m.idleCores*time.Since(m.startTime).Seconds()
 	return cpuSeconds * 1e6 / float64(n)
 }
 
-// objectsPerUnit is how many heap objects one of n units of work allocated.
+// objectsPerUnit returns the heap objects allocated since start divided by the n
+// units of work done.
 func (m *cpuMeter) objectsPerUnit(n int) float64 {
 	return float64(allocatedObjects()-m.objectsAtStart) / float64(n)
 }
 
+// allocatedObjects returns the heap objects allocated since the process started.
 func allocatedObjects() uint64 {
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	return s.Mallocs
 }
 
-// memoryInUse is what live objects and stacks take, in bytes.
+// memoryInUse returns the bytes of live heap objects and stacks.
 func memoryInUse() float64 {
 	runtime.GC()
-	runtime.GC() // the second frees what finalizers and pools held through the first
+	runtime.GC() // frees what finalizers and sync.Pool retain through the first
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	return float64(s.HeapAlloc + s.StackInuse)
--- a/capacity/links.go
+++ b/capacity/links.go
@@ -13,9 +13,9 @@
 	"savoryreel.example/savoryreel/link"
 )
 
-// Links measures what links cost that are open and carry nothing, by their
-// number: heartbeats both ways, in bytes and messages, and the memory and
-// processor time of both ends.
+// Links measures the overhead of idle links by their number: heartbeats in both
+// directions, in bytes and messages, and the memory and processor time of both
+// ends together.
 func Links(ctx context.Context, links ...int) (*Table, error) {
 	t := &Table{SizeLabel: "open links", Columns: []string{"heartbeat B/s", "heartbeats/s", "both ends core %", "both ends memory B"}}
 	for _, n := range links {
@@ -28,6 +28,7 @@
 	return t, nil
 }
 
+// measureLinks returns one row for n open links.
 func measureLinks(ctx context.Context, n int) ([]float64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -43,7 +44,7 @@
 		self := link.PeerInfo{ID: fmt.Sprintf("entry-%d", i), Incarnation: 1, Address: l.Addr().String(), Role: "entry"}
 		srv := link.NewServer(link.ServerConfig{Self: self, ClusterKey: []byte(clusterKey)}, link.ServerDeps{Log: log})
 		link.Handle(srv, "echo", func(context.Context, link.PeerInfo, struct{}) (struct{}, error) { return struct{}{}, nil })
-		wg.Go(func() { _ = srv.Serve(ctx, l) }) // ends with ctx
+		wg.Go(func() { _ = srv.Serve(ctx, l) }) // returns when ctx is cancelled
 		addresses = append(addresses, l.Addr().String())
 	}
 	memoryBefore := memoryInUse()
--- a/capacity/messages.go
+++ b/capacity/messages.go
@@ -16,12 +16,12 @@
 const (
 	pollCount      = 2000
 	reportCount    = 300
-	reportInterval = 5 * time.Millisecond // demand is measured over time
+	reportInterval = 5 * time.Millisecond // demand is a rate, so reports need time between them
 )
 
-// Confirm measures how an entry learns that its catalogue is current, by the
-// number of control replicas: one call to each. Processor time is of both ends
-// together.
+// Confirm measures the poll by which an entry confirms that its catalogue is
+// current, by the number of control replicas. A poll calls each replica once.
+// Processor time is that of both ends together.
 func Confirm(ctx context.Context, replicas ...int) (*Table, error) {
 	t := &Table{SizeLabel: "control replicas", Columns: []string{"sent B/poll", "received B/poll", "both ends µs/poll"}}
 	for _, n := range replicas {
@@ -39,8 +39,9 @@
 	return t, nil
 }
 
+// measureConfirm returns the row of this site.
 func (s *site) measureConfirm() ([]float64, error) {
-	if _, err := s.controlClient.Confirm(s.ctx); err != nil { // dials
+	if _, err := s.controlClient.Confirm(s.ctx); err != nil { // opens the links before the measurement
 		return nil, err
 	}
 	m := newCPUMeter()
@@ -54,13 +55,15 @@
 	return []float64{sent / pollCount, received / pollCount, m.microsecondsPerUnit(pollCount)}, nil
 }
 
+// bytesSince returns the bytes of before's method that the site's pool has sent
+// and received since before.
 func (s *site) bytesSince(before link.MethodTraffic) (sent, received float64) {
 	after := s.traffic.Method(before.Method)
 	return float64(after.BytesSent - before.BytesSent), float64(after.BytesReceived - before.BytesReceived)
 }
 
-// Leases measures one entry's report of its demand and the leases that answer
-// it, by the number of workspaces that have limits. Each workspace has calls.
+// Leases measures one entry's demand report and the leases in the reply, by the
+// number of workspaces with limits. Every workspace has demand.
 func Leases(ctx context.Context, workspaces ...int) (*Table, error) {
 	t := &Table{SizeLabel: "limited workspaces", Columns: []string{"sent B/report", "received B/report", "both ends µs/report"}}
 	for _, n := range workspaces {
@@ -78,6 +81,7 @@
 	return t, nil
 }
 
+// measureLeases returns one row for this many limited workspaces.
 func (s *site) measureLeases(workspaces int) ([]float64, error) {
 	if err := s.applyCatalogue(limitedCatalogue(workspaces)); err != nil {
 		return nil, err
@@ -101,8 +105,8 @@
 	return []float64{sent / reportCount, received / reportCount, m.microsecondsPerUnit(reportCount)}, nil
 }
 
-// LeaseEntries measures one report at the leader by the number of entries that
-// hold parts of the limits, with 50 limited workspaces.
+// LeaseEntries measures one demand report at the leader by the number of entries
+// that hold leases, with 50 limited workspaces.
 func LeaseEntries(ctx context.Context, entries ...int) (*Table, error) {
 	const workspaces, rounds = 50, 5
 	t := &Table{SizeLabel: "entries", Columns: []string{"both ends µs/report", "leader's memory, kB"}}
@@ -121,6 +125,7 @@
 	return t, nil
 }
 
+// measureLeaseEntries returns one row for n entries.
 func (s *site) measureLeaseEntries(n, workspaces, rounds int) ([]float64, error) {
 	if err := s.applyCatalogue(limitedCatalogue(workspaces)); err != nil {
 		return nil, err
@@ -155,7 +160,8 @@
 	return []float64{m.microsecondsPerUnit(rounds * n), memory / 1000}, nil
 }
 
-// limitedEntry reports demand as an entry does: by policy/admit.
+// limitedEntry reports demand and applies leases with policy/admit, as an entry
+// does.
 type limitedEntry struct {
 	name       string
 	workspaces int
@@ -164,6 +170,8 @@
 	sequence   uint64
 }
 
+// newLimitedEntry returns a limitedEntry with the first workspaces of
+// limitedCatalogue.
 func newLimitedEntry(number, workspaces int) (*limitedEntry, error) {
 	admitter, err := admit.New(admit.DefaultConfig())
 	if err != nil {
@@ -177,14 +185,15 @@
 	return e, nil
 }
 
-// report lets one request of each workspace in, reports, and applies the leases.
+// sendReport admits one request of each workspace, sends a demand report and
+// applies the leases in the reply.
 func (e *limitedEntry) sendReport(ctx context.Context, client *api.Client) error {
 	for i := range e.workspaces {
 		e.admitter.Decide(time.Now(), admit.Request{
 			Workspace: testWorkspace(i).Name, Class: contract.ClassStandard, Cost: 300, Deadline: time.Now().Add(time.Minute),
 		}, 0)
 	}
-	for range 2 { // the first answer to a new leader's entry tells only the term
+	for range 2 { // an entry's first report to a leader returns the term only
 		e.sequence++
 		sentAt := time.Now()
 		reply, err := client.Leases(ctx, admit.Report{
@@ -202,10 +211,10 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("%s got no lease", e.name)
+	return fmt.Errorf("no lease granted to %s", e.name)
 }
 
-// service number i, with an owner and one workspace that may call it.
+// testService returns service i, which only workspace i may call.
 func testService(i int) contract.Service {
 	name := fmt.Sprintf("service-%04d", i)
 	return contract.Service{
--- a/capacity/nodes.go
+++ b/capacity/nodes.go
@@ -19,12 +19,12 @@
 	settleTime       = 2 * time.Second
 )
 
-// Nodes measures real entries over loopback, by their number, before three
-// control replicas: bytes that one entry sends and receives over links while
-// nothing happens, by what they are for, and how long a change takes from its
-// acceptance until it is in force at the last entry. Processor time is of the
-// whole process, control replicas included, for each entry. Membership is what
-// the entry sends; it receives as much, over links that others have dialled.
+// Nodes measures real entries over loopback, by their number, with three control
+// replicas: the link traffic of one idle entry by purpose, and the time from the
+// acceptance of a catalogue change until it is in force at the last entry.
+// Processor time is that of the whole process, control replicas included, divided
+// by the entries. Membership counts sent bytes only; an entry receives about as
+// many over links that others dialled.
 func Nodes(ctx context.Context, entries ...int) (*Table, error) {
 	t := &Table{SizeLabel: "entries", Columns: []string{
 		"membership sent B/s", "version B/s", "leases B/s", "heartbeats B/s", "other B/s", "core %/entry", "in force, mean ms", "worst ms",
@@ -39,6 +39,7 @@
 	return t, nil
 }
 
+// measureNodes returns one row for n entries.
 func measureNodes(ctx context.Context, n int) ([]float64, error) {
 	w := newVersionWatcher()
 	s, err := newSite(ctx, 3, slog.New(w))
@@ -61,7 +62,8 @@
 	return append(traffic, mean, worst), err
 }
 
-// quietTraffic returns one entry's bytes a second by purpose, and processor time.
+// idleTraffic returns the bytes per second of one idle entry by purpose, and its
+// processor time in percent of a core.
 func (s *site) idleTraffic() ([]float64, error) {
 	var before, after map[string]float64
 	before, err := s.allLinkBytes()
@@ -93,7 +95,8 @@
 	return []float64{gossip, version, leases, heartbeats, other, cores * 100 / float64(len(s.entries))}, nil
 }
 
-// allLinkBytes sums up what all entries' pools have sent and received.
+// allLinkBytes returns the bytes that all entries together have sent and
+// received, by method.
 func (s *site) allLinkBytes() (map[string]float64, error) {
 	sum := map[string]float64{}
 	for _, e := range s.entries {
@@ -108,7 +111,8 @@
 	return sum, nil
 }
 
-// inForce changes the catalogue and waits until every entry follows, some times.
+// measureActivation changes the catalogue several times and returns the mean and
+// the longest time until the last entry has activated a change, in milliseconds.
 func (s *site) measureActivation(w *versionWatcher, entries int) (mean, worst float64, err error) {
 	for i := range catalogueChanges {
 		if err := s.applyCatalogue(limitedCatalogue(10 + i)); err != nil {
@@ -125,7 +129,8 @@
 	return mean, worst, nil
 }
 
-// watcher is a log handler that notes when entries put a version in force.
+// versionWatcher is a log handler that records which catalogue versions the
+// entries have activated, and when. It is safe for concurrent use.
 type versionWatcher struct {
 	mu             sync.Mutex
 	entryCount     map[uint64]int
@@ -163,6 +168,8 @@
 // WithGroup implements slog.Handler.
 func (w *versionWatcher) WithGroup(string) slog.Handler { return w }
 
+// checkActive returns an error unless the given number of entries have activated
+// the version.
 func (w *versionWatcher) checkActive(version uint64, entries int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -172,6 +179,7 @@
 	return nil
 }
 
+// lastActivated returns when the last entry activated the version.
 func (w *versionWatcher) lastActivated(version uint64) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/capacity/page_test.go
+++ b/capacity/page_test.go
@@ -12,9 +12,8 @@
 
 const pagePath = "../docs/CAPACITY.md"
 
-// A page that names a command which no longer exists cannot be checked by its
-// readers, and its figures grow old unseen. Fails when one of Measurements is
-// renamed or one is misspelt on the page.
+// Guards against a page that names measurements or tests that do not exist, or
+// omits a measurement: readers could not reproduce its figures.
 func TestPageNamesCommandsThatExist(t *testing.T) {
 	text := readPage(t)
 	names := map[string]bool{}
@@ -32,9 +31,8 @@
 	}
 }
 
-// The table of budgets is what the users check the design by. If a size were
-// changed or dropped there, a design that misses it would look as if it
-// fitted. Fails when a number in the page's first column is changed.
+// Guards against a required size that is changed in or missing from the page's
+// table of budgets: a design that misses it would appear to meet its budget.
 func TestPageRepeatsTheSizes(t *testing.T) {
 	sizes := []string{
 		"370 nodes before 600 servers on 4,800 accelerators",
@@ -53,7 +51,8 @@
 	}
 }
 
-// column returns a column of the table whose header begins with head.
+// column returns the cells of a column of the table whose header row begins with
+// header.
 func column(text, header string, index int) []string {
 	_, table, _ := strings.Cut(text, "\n"+header)
 	table, _, _ = strings.Cut(table, "\n\n")
@@ -66,6 +65,7 @@
 	return values
 }
 
+// readPage returns the text of docs/CAPACITY.md.
 func readPage(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(pagePath)
@@ -73,7 +73,7 @@
 	return string(text)
 }
 
-// testFiles returns the text of a package's tests.
+// testFiles returns the concatenated test files of a folder.
 func testFiles(t *testing.T, folder string) string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(folder, "*_test.go"))
--- a/capacity/requests.go
+++ b/capacity/requests.go
@@ -20,15 +20,15 @@
 	streamCallers = 50
 	tokenTime     = 5 * time.Millisecond
 	askRequests   = 400
-	askEngines    = 64 // so that nearly every entry owns one
+	askEngines    = 64 // enough that nearly every entry owns one
 	methodAsk     = "entry.quarantine.ask"
 	methodTell    = "entry.quarantine.tell"
 )
 
-// Streaming measures the processor time and the heap objects of streamed
-// answers, by their length in tokens, through an entry and at the engine
-// directly. The entry's part is the difference: caller and engine run in this
-// process too. Each token comes by itself, 5 ms after the one before.
+// Streaming measures the processor time and heap objects of streamed answers by
+// their length in tokens, through an entry and directly at the engine. The
+// entry's cost is the difference, since caller and engine run in this process
+// too. Tokens arrive one at a time, every 5 ms.
 func Streaming(ctx context.Context, tokens ...int) (*Table, error) {
 	t := &Table{SizeLabel: "tokens/answer", Columns: []string{
 		"through µs/answer", "direct µs/answer", "entry µs/answer", "entry objects/answer",
@@ -52,8 +52,9 @@
 	return t, nil
 }
 
-// newServingSite starts control, entries and engines and waits until all entries
-// serve, if there are engines.
+// newServingSite starts a control replica, entries and engines. If there are
+// engines, it waits until every entry serves requests. The caller must close the
+// site.
 func newServingSite(ctx context.Context, entries, engines int, tokenTime time.Duration) (*site, error) {
 	s, err := newSite(ctx, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -77,12 +78,14 @@
 	return s, nil
 }
 
-// answers has streamCallers callers get one answer each, at the same time.
+// measureStreaming lets streamCallers concurrent callers request one answer each,
+// several times, and returns the processor time in microseconds and the heap
+// objects per answer.
 func (s *site) measureStreaming(address, service string, tokens int) (processor, objects float64, err error) {
 	streamAll := func() error {
 		return runConcurrently(streamCallers, func() error { return s.streamChat(s.ctx, address, service, tokens) })
 	}
-	if err := streamAll(); err != nil { // dials
+	if err := streamAll(); err != nil { // opens the connections before the measurement
 		return 0, 0, err
 	}
 	const rounds = 3
@@ -95,7 +98,8 @@
 	return m.microsecondsPerUnit(rounds * streamCallers), m.objectsPerUnit(rounds * streamCallers), nil
 }
 
-// together runs f n times at once and returns one of the errors, if any.
+// runConcurrently runs f in n goroutines, waits for all of them and returns one of
+// their errors, if any.
 func runConcurrently(n int, f func() error) error {
 	errs := make(chan error, n)
 	var wg sync.WaitGroup
@@ -112,7 +116,8 @@
 	return nil
 }
 
-// chat gets one whole streamed answer.
+// streamChat sends a chat request and reads the whole streamed answer. It returns
+// an error if the answer has fewer than the requested tokens.
 func (s *site) streamChat(ctx context.Context, address, service string, tokens int) error {
 	resp, err := s.sendChat(ctx, address, service, tokens)
 	if err != nil {
@@ -129,6 +134,8 @@
 	return nil
 }
 
+// sendChat sends a chat request with a unique prompt and returns the response,
+// whose body the caller must close.
 func (s *site) sendChat(ctx context.Context, address, service string, tokens int) (*http.Response, error) {
 	body, err := json.Marshal(native.ChatRequest{
 		Model: service, Stream: true, MaxTokens: tokens, Messages: []native.Message{{Role: "user", Content: fmt.Sprintf("Question %d", s.requestCount.Add(1))}},
@@ -146,7 +153,7 @@
 }
 
 // InFlight measures the memory of requests that wait for their second token, by
-// their number, through an entry and at the engine directly; the entry's part is
+// their number, through an entry and directly at the engine. The entry's cost is
 // the difference.
 func InFlight(ctx context.Context, requests ...int) (*Table, error) {
 	t := &Table{SizeLabel: "requests in flight", Columns: []string{"through B", "direct B", "entry B"}}
@@ -169,11 +176,12 @@
 	return t, nil
 }
 
+// measureInFlight returns the memory of n requests in flight at address, in bytes.
 func (s *site) measureInFlight(address, service string, n int) (float64, error) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	http.DefaultClient.CloseIdleConnections()
-	<-time.After(settleTime) // until the requests of the size before have ended
+	<-time.After(settleTime) // lets the requests of the previous row end
 	memoryBefore := memoryInUse()
 	var mu sync.Mutex
 	var responses []*http.Response
@@ -193,14 +201,15 @@
 	memory := memoryInUse() - memoryBefore
 	cancel()
 	for _, resp := range responses {
-		_ = resp.Body.Close() // given up
+		_ = resp.Body.Close() // the request is cancelled already
 	}
 	return memory, err
 }
 
-// Asks measures what an entry asks the owner of a request's fingerprint before
-// the request runs, and tells it afterwards, by the number of entries, with 64
-// engines. All requests differ. An ask's bytes are of question and answer.
+// Asks measures the quarantine messages between an entry and the owner of a
+// request's fingerprint, by the number of entries, with askEngines engines: the
+// query before the request runs (ask) and the report of its outcome (tell). Every
+// request has another fingerprint. The bytes of an ask include the reply.
 func Asks(ctx context.Context, entries ...int) (*Table, error) {
 	t := &Table{SizeLabel: "entries", Columns: []string{"asks/request", "B/ask", "B/tell"}}
 	for _, n := range entries {
@@ -218,6 +227,7 @@
 	return t, nil
 }
 
+// measureAsks returns the row of this site, measured at the first entry.
 func (s *site) measureAsks() ([]float64, error) {
 	firstEntry := s.entries[0]
 	before, err := s.scrapeLinkTraffic(firstEntry.ops)
@@ -234,7 +244,7 @@
 		return nil, err
 	}
 	askTraffic, tellTraffic := after[methodAsk].since(before[methodAsk]), after[methodTell].since(before[methodTell])
-	askCount := askTraffic.messages / 2 // the question and its answer
+	askCount := askTraffic.messages / 2 // request and reply
 	if askCount == 0 {
 		return []float64{0, 0, 0}, nil
 	}
--- a/capacity/silent.go
+++ b/capacity/silent.go
@@ -12,9 +12,9 @@
 )
 
 // Silent measures how long the poll that confirms an entry's catalogue takes
-// while one more control replica, of so many together, takes connections and
-// says nothing, as one that has frozen does. The next poll begins when the last
-// one has ended, so this adds to the time until a change is in force.
+// while one of the control replicas accepts connections but does not respond,
+// like a frozen process. Each poll begins when the previous one has ended, so
+// this adds to the time until a change is in force.
 func Silent(ctx context.Context, replicas ...int) (*Table, error) {
 	t := &Table{SizeLabel: "control replicas", Columns: []string{"all answer, mean ms", "one silent, mean ms", "worst ms"}}
 	for _, n := range replicas {
@@ -32,12 +32,14 @@
 	return t, nil
 }
 
+// measureSilent polls the site's replicas alone, then with a replica that does
+// not respond.
 func (s *site) measureSilent() ([]float64, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, trace.Wrap(err, "step=listen")
 	}
-	defer l.Close() // the backlog takes connections that nobody serves
+	defer l.Close() // the kernel accepts connections into the backlog; nothing serves them
 	meanAllAnswering, _, err := s.pollTimes(s.controlClient)
 	if err != nil {
 		return nil, err
@@ -46,7 +48,8 @@
 	return []float64{meanAllAnswering, mean, worst}, err
 }
 
-// pollTimes returns the mean and the worst time of some polls in milliseconds.
+// pollTimes returns the mean and the longest time of several polls in
+// milliseconds.
 func (s *site) pollTimes(client *api.Client) (mean, worst float64, err error) {
 	const rounds = 10
 	for range rounds {
--- a/capacity/site.go
+++ b/capacity/site.go
@@ -28,7 +28,7 @@
 	"savoryreel.example/savoryreel/settings"
 )
 
-// Keys of the sites that are measured; they listen on loopback addresses only.
+// Keys of the measured sites, which listen on loopback addresses only.
 const (
 	clusterKey   = "capacity-cluster"
 	operatorKey  = "capacity-operator"
@@ -40,11 +40,12 @@
 	model         = "demo"
 	startTimeout  = 60 * time.Second
 	retryInterval = 20 * time.Millisecond
-	maxEntries    = 370 // of letter 1: entries that share the limits
+	maxEntries    = 370 // entries that share the limits, at the size the system is designed for
 	engineSlots   = 4096
 )
 
-// site is a set of control replicas, entries and one engine in this process.
+// site runs control replicas, entries and engines in this process. sendChat and
+// streamChat may be called concurrently.
 type site struct {
 	ctx              context.Context
 	cancel           context.CancelFunc
@@ -52,22 +53,25 @@
 	folder           string
 	log              *slog.Logger
 	controlAddresses []string // link addresses
-	controlOps       []string // of the control replicas
+	controlOps       []string // operations addresses of the control replicas
 	operatorClient   *operator.Client
 	entries          []entryAddresses
-	engineAddress    string // address of the last one
+	engineAddress    string // address of the engine started last
 	engineCount      int
 	pool             *link.Pool
 	traffic          *link.Traffic // of pool
 	controlClient    *api.Client
 	catalogueVersion uint64
 
-	requestCount atomic.Int64 // asked so far; each is another request
+	requestCount atomic.Int64 // makes each request's prompt unique
 }
 
+// entryAddresses holds the addresses at which an entry listens for callers, for
+// links and for operations.
 type entryAddresses struct{ callers, link, ops string }
 
-// newSite starts control replicas and waits until they have a leader.
+// newSite starts control replicas, waits until they have a leader and applies
+// baseCatalogue. The caller must close the site.
 func newSite(ctx context.Context, replicas int, log *slog.Logger) (*site, error) {
 	folder, err := os.MkdirTemp("", "savoryreel-capacity-")
 	if err != nil {
@@ -85,25 +89,27 @@
 	return s, s.applyCatalogue(baseCatalogue())
 }
 
-// close ends everything that the site has started and removes its files.
+// close stops every daemon of the site, waits for them and removes their files.
 func (s *site) close() {
 	s.cancel()
 	s.wg.Wait()
 	if s.pool != nil {
 		s.pool.Close()
 	}
-	_ = os.RemoveAll(s.folder) // temporary; nothing depends on its end
+	_ = os.RemoveAll(s.folder) // a leftover temporary folder does no harm
 }
 
-// run runs one daemon until the site is closed.
+// runDaemon runs f in a goroutine until the site is closed.
 func (s *site) runDaemon(name string, f func(context.Context) error) {
 	s.wg.Go(func() {
 		if err := f(s.ctx); err != nil && s.ctx.Err() == nil {
-			s.log.Error("daemon ended", "name", name, "error", err)
+			s.log.Error("daemon failed", "name", name, "error", err)
 		}
 	})
 }
 
+// startControl configures and starts the control replicas. It does not wait for
+// a leader.
 func (s *site) startControl(replicas int) error {
 	var replicaList, operatorAddresses []string
 	addresses, err := freeAddresses(3 * replicas)
@@ -135,7 +141,8 @@
 	return nil
 }
 
-// startEntries starts n more entries, in five zones of two regions.
+// startEntries starts n more entries, spread over five zones in two regions.
+// The first entry of the site is the contact point of all others.
 func (s *site) startEntries(n int) error {
 	addresses, err := freeAddresses(3 * n)
 	if err != nil {
@@ -167,7 +174,8 @@
 	return nil
 }
 
-// startEngine starts a stand-in engine that announces itself to the first entry.
+// startEngine starts a stand-in engine that announces itself to the first entry
+// and produces one token every tokenTime.
 func (s *site) startEngine(tokenTime time.Duration) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -184,7 +192,8 @@
 	return nil
 }
 
-// apply puts a catalogue in force, waiting for a leader if there is none yet.
+// applyCatalogue replaces the catalogue and sets catalogueVersion. It retries
+// until there is a leader.
 func (s *site) applyCatalogue(c contract.Catalogue) error {
 	doc, err := contract.Format(c)
 	if err != nil {
@@ -201,7 +210,8 @@
 	})
 }
 
-// eventually repeats try until it succeeds or startBound has passed.
+// eventually repeats attempt until it succeeds, and returns the last error once
+// startTimeout has passed or the site is closed.
 func (s *site) eventually(step string, attempt func() error) error {
 	deadline := time.Now().Add(startTimeout)
 	for {
@@ -216,15 +226,16 @@
 	}
 }
 
-// linkTraffic is what a process has sent and received over links by one method.
+// linkTraffic counts the messages and bytes of one method that a process has
+// sent and received over links.
 type linkTraffic struct{ messages, bytes float64 }
 
 func (t linkTraffic) since(before linkTraffic) linkTraffic {
 	return linkTraffic{messages: t.messages - before.messages, bytes: t.bytes - before.bytes}
 }
 
-// linkTraffic asks the process behind an operations address for its traffic by
-// method.
+// scrapeLinkTraffic reads a daemon's traffic by method from the metrics at its
+// operations address.
 func (s *site) scrapeLinkTraffic(ops string) (map[string]linkTraffic, error) {
 	resp, err := http.Get("http://" + ops + "/metrics")
 	if err != nil {
@@ -254,7 +265,8 @@
 	return byMethod, trace.Wrap(lines.Err(), "step=read metrics peer=%s", ops)
 }
 
-// baseCatalogue has one workspace without limits and one model service.
+// baseCatalogue returns a catalogue with one workspace without limits and one
+// model service.
 func baseCatalogue() contract.Catalogue {
 	return contract.Catalogue{
 		Workspaces: []contract.Workspace{{
@@ -265,7 +277,8 @@
 	}
 }
 
-// limitedCatalogue adds n workspaces that have all three limits.
+// limitedCatalogue returns baseCatalogue with n more workspaces, each with all
+// three limits.
 func limitedCatalogue(n int) contract.Catalogue {
 	c := baseCatalogue()
 	for i := range n {
@@ -274,6 +287,7 @@
 	return c
 }
 
+// testWorkspace returns workspace i, whose limits no measurement reaches.
 func testWorkspace(i int) contract.Workspace {
 	name := fmt.Sprintf("workspace-%04d", i)
 	return contract.Workspace{
@@ -283,7 +297,8 @@
 	}
 }
 
-// configure loads a daemon's defaults with a few settings given.
+// configure loads a daemon's default settings with overrides, which are keyed by
+// flag name.
 func configure(declare func(*settings.Set), overrides map[string]string) error {
 	flags := (&cobra.Command{}).Flags()
 	set := settings.New(flags)
@@ -296,7 +311,8 @@
 	return set.Load()
 }
 
-// freeAddresses returns loopback addresses that nobody listens on now.
+// freeAddresses returns n unused loopback addresses. Another process may take one
+// before the caller listens on it.
 func freeAddresses(n int) ([]string, error) {
 	var addresses []string
 	for range n {
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -19,8 +19,8 @@
 	"savoryreel.example/savoryreel/replica"
 )
 
-// Catalogue measures a catalogue by its number of workspaces; it has as many
-// services.
+// Catalogue measures the transfer, memory and change of a catalogue by its number
+// of workspaces, with as many services.
 func Catalogue(_ context.Context, sizes ...int) (*Table, error) {
 	t := &Table{SizeLabel: "workspaces and services", Columns: []string{"B/transfer", "memory B", "decode µs", "apply a change µs"}}
 	for _, n := range sizes {
@@ -33,6 +33,7 @@
 	return t, nil
 }
 
+// measureCatalogue returns one row for n workspaces and n services.
 func measureCatalogue(n int) ([]float64, error) {
 	const rounds = 20
 	c := limitedCatalogue(n)
@@ -71,8 +72,8 @@
 	return []float64{float64(len(enc)), memory, decodeTime.Seconds() * 1e6 / rounds, applyTime.Seconds() * 1e6 / rounds}, nil
 }
 
-// Ledger measures a control replica's state machine by the number of records
-// that the ledger holds, each with a kept answer of 200 bytes.
+// Ledger measures a control replica's state machine by the number of records in
+// the ledger, each with a stored answer of 200 bytes.
 func Ledger(_ context.Context, sizes ...int) (*Table, error) {
 	t := &Table{SizeLabel: "ledger records", Columns: []string{"memory B", "µs/command", "snapshot B", "snapshot ms", "restore ms"}}
 	for _, n := range sizes {
@@ -85,6 +86,7 @@
 	return t, nil
 }
 
+// measureLedger returns one row for n records.
 func measureLedger(n int) ([]float64, error) {
 	memoryBefore := memoryInUse()
 	m := control.NewMachine(nil, nil)
@@ -114,7 +116,7 @@
 	}, nil
 }
 
-// recordCall begins and finishes call number i.
+// applyCall applies the commands that begin and finish call i.
 func applyCall(m *control.Machine, i int) error {
 	begin := ledgerCommand(i)
 	finish := begin
@@ -131,6 +133,7 @@
 	return nil
 }
 
+// ledgerCommand returns the command that begins call i.
 func ledgerCommand(i int) ledger.Command {
 	return ledger.Command{
 		Op: ledger.OpBegin, Key: ledger.Key{Workspace: "workspace-0001", Value: fmt.Sprintf("key-%032d", i)},
@@ -139,8 +142,9 @@
 	}
 }
 
-// Servers measures what an entry holds for backend servers of one model: the
-// view and the router. A decision has eight prefixes, none of them cached.
+// Servers measures the memory of an entry's view and router, and the processor
+// time of a routing decision, by the number of backend servers of one model. A
+// decision has eight prefixes, none of them cached.
 func Servers(_ context.Context, sizes ...int) (*Table, error) {
 	t := &Table{SizeLabel: "backend servers", Columns: []string{"view B", "router B", "decision µs"}}
 	for _, n := range sizes {
@@ -153,6 +157,7 @@
 	return t, nil
 }
 
+// measureServers returns one row for n servers.
 func measureServers(n int) ([]float64, error) {
 	const decisions = 20_000
 	memoryBefore := memoryInUse()
@@ -183,7 +188,8 @@
 	return []float64{memoryWithView - memoryBefore, memoryWithRouter - memoryWithView, cpuUsed.Seconds() * 1e6 / decisions}, nil
 }
 
-// announcement is of backend server number i. Nobody listens at its address.
+// testAnnouncement returns the announcement of backend server i. Nothing listens
+// at its address.
 func testAnnouncement(i int) instance.Announcement {
 	return instance.Announcement{
 		ID: fmt.Sprintf("gpu-server-%04d", i), Incarnation: 1, Sequence: 1, Address: fmt.Sprintf("127.0.0.1:%d", 1+i), Region: "r1", Zone: fmt.Sprintf("z%d", 1+i%3), Class: "g1",
@@ -191,9 +197,9 @@
 	}
 }
 
-// Prefixes measures the index of cached prefixes by the number of prefixes, 1,000
-// for each server, and the events that fill it. The index keeps few more of one
-// server.
+// Prefixes measures the index of cached prefixes and the events that fill it, by
+// the number of prefixes, 1,000 for each server. That is close to the index's
+// maximum for one server.
 func Prefixes(_ context.Context, sizes ...int) (*Table, error) {
 	t := &Table{SizeLabel: "cached prefixes", Columns: []string{"memory B", "event µs", "event B as JSON"}}
 	for _, n := range sizes {
@@ -206,6 +212,7 @@
 	return t, nil
 }
 
+// measurePrefixes returns one row for n prefixes.
 func measurePrefixes(n int) ([]float64, error) {
 	const perServer = 1000
 	servers := max(1, n/perServer)
@@ -223,7 +230,7 @@
 		return nil, trace.Wrap(err, "step=encode event")
 	}
 	if index.Len() != n {
-		return nil, fmt.Errorf("%d prefixes indexed of %d", index.Len(), n)
+		return nil, fmt.Errorf("%d of %d prefixes indexed", index.Len(), n)
 	}
 	return []float64{memory, cpuUsed.Seconds() * 1e6 / float64(n), float64(len(enc))}, nil
 }
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -7,30 +7,31 @@
 	"text/tabwriter"
 )
 
-// Table is what one measurement found at several sizes.
+// Table holds the results of one measurement at several sizes.
 type Table struct {
-	SizeLabel string   // what differs from row to row
-	Columns   []string // with their units
+	SizeLabel string   // heading of the column of sizes
+	Columns   []string // headings, with units
 	Rows      []Row
 }
 
-// Row is one size. Values are in the order of the table's columns.
+// Row holds the results at one size, in the order of the table's columns.
 type Row struct {
 	Size   float64
 	Values []float64
 }
 
-// Line is the straight line that fits a column best by least squares.
+// Line is a least-squares fit of one column against size.
 type Line struct {
-	Intercept  float64 // at size 0
+	Intercept  float64 // value at size 0
 	Slope      float64 // per unit of size
 	SlopeError float64 // standard error of the slope; NaN with fewer than three sizes
 }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// Fit returns the line through a column of the table.
+// Fit returns the least-squares line of the column with this index. The table
+// needs rows of at least two different sizes.
 func (t *Table) Fit(column int) Line {
 	n := float64(len(t.Rows))
 	var sx, sy, sxx, sxy float64
@@ -54,7 +55,7 @@
 	return line
 }
 
-// Write prints the rows and, below them, the line of each column.
+// Write prints the rows and, below them, the fitted line of each column.
 func (t *Table) Write(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(tw, "%s\t", t.SizeLabel)
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity prints one table of package capacity: what the system's own
-// work costs on this machine, at several sizes, with the line through each
-// column. The sizes may be given in place of those of docs/CAPACITY.md.
+// Command capacity runs one measurement of package capacity on this machine and
+// prints its table, with a line fitted through each column. Sizes given as
+// arguments replace those of docs/CAPACITY.md.
 package main
 
 import (
@@ -15,12 +15,12 @@
 	"savoryreel.example/savoryreel/capacity"
 )
 
-// maxCores leaves the rest of a shared machine to others.
+// maxCores leaves cores of a shared machine to other processes.
 const maxCores = 4
 
 func main() {
 	runtime.GOMAXPROCS(min(maxCores, runtime.NumCPU()))
-	root := &cobra.Command{Use: "capacity", Short: "Measure what the system's own work costs", SilenceUsage: true}
+	root := &cobra.Command{Use: "capacity", Short: "Measure the overhead of the system's own components", SilenceUsage: true}
 	for _, m := range capacity.Measurements() {
 		root.AddCommand(newCommand(m))
 	}
@@ -29,6 +29,7 @@
 	}
 }
 
+// newCommand returns the subcommand that runs m.
 func newCommand(m capacity.Measurement) *cobra.Command {
 	return &cobra.Command{
 		Use: m.Name + " [size...]", Short: m.Short,
@@ -40,7 +41,7 @@
 			for _, a := range args {
 				n, err := strconv.Atoi(a)
 				if err != nil || n <= 0 {
-					return fmt.Errorf("%q is no size", a)
+					return fmt.Errorf("size %q is not a positive integer", a)
 				}
 				sizes = append(sizes, n)
 			}
@@ -54,7 +55,8 @@
 	}
 }
 
-// printMachine tells what times were taken on, as far as it can be found out.
+// printMachine prints the platform, the cores in use and the load average, on
+// which the measured times depend.
 func printMachine(cmd *cobra.Command) {
 	load := "unknown"
 	if b, err := os.ReadFile("/proc/loadavg"); err == nil {
