--- a/capacity/announcements.go
+++ b/capacity/announcements.go
@@ -141,7 +141,7 @@
 		return nil
 	})
 	allKnown := func(e entryAddresses) func() error { return func() error { return s.checkServersKnown(e, servers) } }
-	if err := s.eventually("servers known", allKnown(s.entries[1])); err != nil {
+	if err := s.eventually("entry lists all servers", allKnown(s.entries[1])); err != nil {
 		return nil, err
 	}
 	bytesBeforeIdle, err := s.membershipSent(2)
@@ -157,7 +157,7 @@
 	if err := s.startEntries(1); err != nil {
 		return nil, err
 	}
-	if err := s.eventually("newcomer knows all", allKnown(s.entries[2])); err != nil {
+	if err := s.eventually("new entry lists all servers", allKnown(s.entries[2])); err != nil {
 		return nil, err
 	}
 	elapsed := time.Since(startTime)
--- a/capacity/nodes.go
+++ b/capacity/nodes.go
@@ -50,7 +50,7 @@
 	if err := s.startEntries(n); err != nil {
 		return nil, err
 	}
-	if err := s.eventually("catalogue everywhere", func() error { return w.checkActive(s.catalogueVersion, n) }); err != nil {
+	if err := s.eventually("catalogue in force at all entries", func() error { return w.checkActive(s.catalogueVersion, n) }); err != nil {
 		return nil, err
 	}
 	<-time.After(settleTime)
@@ -119,7 +119,7 @@
 			return 0, 0, err
 		}
 		acceptedAt := time.Now()
-		if err := s.eventually("in force", func() error { return w.checkActive(s.catalogueVersion, entries) }); err != nil {
+		if err := s.eventually("change in force at all entries", func() error { return w.checkActive(s.catalogueVersion, entries) }); err != nil {
 			return 0, 0, err
 		}
 		elapsedMs := w.lastActivated(s.catalogueVersion).Sub(acceptedAt).Seconds() * 1e3
--- a/capacity/requests.go
+++ b/capacity/requests.go
@@ -68,7 +68,7 @@
 	}
 	for _, e := range s.entries {
 		if err == nil && engines > 0 {
-			err = s.eventually("serve", func() error { return s.streamChat(s.ctx, e.callers, "chat", 1) })
+			err = s.eventually("entry serves requests", func() error { return s.streamChat(s.ctx, e.callers, "chat", 1) })
 		}
 	}
 	if err != nil {
