--- a/capacity/site.go
+++ b/capacity/site.go
@@ -28,7 +28,7 @@
 	"savoryreel.example/savoryreel/settings"
 )
 
-// Keys of the sites that are measured; they listen on loopback addresses only.
+// Keys of the measured sites, which listen on loopback addresses only.
 const (
 	clusterKey   = "capacity-cluster"
 	operatorKey  = "capacity-operator"
@@ -37,37 +37,41 @@
 )
 
 const (
-	model       = "demo"
-	startBound  = 60 * time.Second
-	retryPause  = 20 * time.Millisecond
-	maxEntries  = 370 // of letter 1: entries that share the limits
-	engineSlots = 4096
+	model         = "demo"
+	startTimeout  = 60 * time.Second
+	retryInterval = 20 * time.Millisecond
+	maxEntries    = 370 // entries that share the limits, at the size the system is designed for
+	engineSlots   = 4096
 )
 
-// site is a set of control replicas, entries and one engine in this process.
+// site runs control replicas, entries and engines in this process. sendChat and
+// streamChat may be called concurrently.
 type site struct {
-	ctx      context.Context
-	cancel   context.CancelFunc
-	work     sync.WaitGroup
-	folder   string
-	log      *slog.Logger
-	control  []string // link addresses
-	ops      []string // of the control replicas
-	operator *operator.Client
-	entries  []entryAddresses
-	engine   string // address of the last one
-	engines  int
-	pool     *link.Pool
-	traffic  *link.Traffic // of pool
-	client   *api.Client
-	version  uint64
+	ctx              context.Context
+	cancel           context.CancelFunc
+	wg               sync.WaitGroup
+	folder           string
+	log              *slog.Logger
+	controlAddresses []string // link addresses
+	controlOps       []string // operations addresses of the control replicas
+	operatorClient   *operator.Client
+	entries          []entryAddresses
+	engineAddress    string // address of the engine started last
+	engineCount      int
+	pool             *link.Pool
+	traffic          *link.Traffic // of pool
+	controlClient    *api.Client
+	catalogueVersion uint64
 
-	questions atomic.Int64 // asked so far; each is another request
+	requestCount atomic.Int64 // makes each request's prompt unique
 }
 
+// entryAddresses holds the addresses at which an entry listens for callers, for
+// links and for operations.
 type entryAddresses struct{ callers, link, ops string }
 
-// newSite starts control replicas and waits until they have a leader.
+// newSite starts control replicas, waits until they have a leader and applies
+// baseCatalogue. The caller must close the site.
 func newSite(ctx context.Context, replicas int, log *slog.Logger) (*site, error) {
 	folder, err := os.MkdirTemp("", "savoryreel-capacity-")
 	if err != nil {
@@ -81,46 +85,48 @@
 	}
 	s.pool = link.NewPool(link.PoolConfig{Self: link.PeerInfo{ID: "capacity", Incarnation: 1, Role: "entry"}, ClusterKey: []byte(clusterKey)},
 		link.PoolDeps{Log: log, Traffic: s.traffic})
-	s.client = api.NewClient(s.pool, s.control, "capacity")
-	return s, s.apply(baseCatalogue())
+	s.controlClient = api.NewClient(s.pool, s.controlAddresses, "capacity")
+	return s, s.applyCatalogue(baseCatalogue())
 }
 
-// close ends everything that the site has started and removes its files.
+// close stops every daemon of the site, waits for them and removes their files.
 func (s *site) close() {
 	s.cancel()
-	s.work.Wait()
+	s.wg.Wait()
 	if s.pool != nil {
 		s.pool.Close()
 	}
-	_ = os.RemoveAll(s.folder) // temporary; nothing depends on its end
+	_ = os.RemoveAll(s.folder) // a leftover temporary folder does no harm
 }
 
-// run runs one daemon until the site is closed.
-func (s *site) run(name string, f func(context.Context) error) {
-	s.work.Go(func() {
+// runDaemon runs f in a goroutine until the site is closed.
+func (s *site) runDaemon(name string, f func(context.Context) error) {
+	s.wg.Go(func() {
 		if err := f(s.ctx); err != nil && s.ctx.Err() == nil {
-			s.log.Error("daemon ended", "name", name, "error", err)
+			s.log.Error("daemon failed", "name", name, "error", err)
 		}
 	})
 }
 
+// startControl configures and starts the control replicas. It does not wait for
+// a leader.
 func (s *site) startControl(replicas int) error {
-	var list, operators []string
+	var replicaList, operatorAddresses []string
 	addresses, err := freeAddresses(3 * replicas)
 	if err != nil {
 		return err
 	}
 	for i := range replicas {
 		a := addresses[3*i:]
-		s.control, operators, s.ops = append(s.control, a[0]), append(operators, a[1]), append(s.ops, a[2])
-		list = append(list, fmt.Sprintf("%d=%s", i+1, a[0]))
+		s.controlAddresses, operatorAddresses, s.controlOps = append(s.controlAddresses, a[0]), append(operatorAddresses, a[1]), append(s.controlOps, a[2])
+		replicaList = append(replicaList, fmt.Sprintf("%d=%s", i+1, a[0]))
 	}
-	s.operator = operator.New(operators, operatorKey)
+	s.operatorClient = operator.New(operatorAddresses, operatorKey)
 	for i := range replicas {
 		cfg := control.Config{}
 		err := configure(cfg.Declare, map[string]string{
-			"id": strconv.Itoa(i + 1), "data": filepath.Join(s.folder, strconv.Itoa(i+1)), "replicas": strings.Join(list, ","),
-			"link-listen": s.control[i], "operator-listen": operators[i], "ops-listen": s.ops[i],
+			"id": strconv.Itoa(i + 1), "data": filepath.Join(s.folder, strconv.Itoa(i+1)), "replicas": strings.Join(replicaList, ","),
+			"link-listen": s.controlAddresses[i], "operator-listen": operatorAddresses[i], "ops-listen": s.controlOps[i],
 			"cluster-key": clusterKey, "operator-key": operatorKey, "max-entries": strconv.Itoa(maxEntries),
 		})
 		if err != nil {
@@ -130,12 +136,13 @@
 		if err != nil {
 			return err
 		}
-		s.run("control", c.Run)
+		s.runDaemon("control", c.Run)
 	}
 	return nil
 }
 
-// startEntries starts n more entries, in five zones of two regions.
+// startEntries starts n more entries, spread over five zones in two regions.
+// The first entry of the site is the contact point of all others.
 func (s *site) startEntries(n int) error {
 	addresses, err := freeAddresses(3 * n)
 	if err != nil {
@@ -151,7 +158,7 @@
 		cfg := entry.Config{}
 		err := configure(cfg.Declare, map[string]string{
 			"id": fmt.Sprintf("entry-%d", i+1), "region": fmt.Sprintf("r%d", 1+zone/3), "zone": fmt.Sprintf("z%d", zone+1),
-			"listen": a.callers, "link-listen": a.link, "ops-listen": a.ops, "control": strings.Join(s.control, ","),
+			"listen": a.callers, "link-listen": a.link, "ops-listen": a.ops, "control": strings.Join(s.controlAddresses, ","),
 			"entries": s.entries[0].link, "cluster-key": clusterKey, "announce-key": announceKey,
 			"drain-timeout": "1s", "capacity": "100000",
 		})
@@ -162,99 +169,104 @@
 		if err != nil {
 			return err
 		}
-		s.run("entry", e.Run)
+		s.runDaemon("entry", e.Run)
 	}
 	return nil
 }
 
-// startEngine starts a stand-in engine that announces itself to the first entry.
+// startEngine starts a stand-in engine that announces itself to the first entry
+// and produces one token every tokenTime.
 func (s *site) startEngine(tokenTime time.Duration) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return trace.Wrap(err, "step=listen")
 	}
-	s.engine = l.Addr().String()
-	s.engines++
+	s.engineAddress = l.Addr().String()
+	s.engineCount++
 	e := fake.NewEngine(fake.EngineConfig{
-		ID: fmt.Sprintf("engine-%d", s.engines), Region: "r1", Zone: "z1", Class: "g1", Model: model, Slots: engineSlots, MaxWaiting: engineSlots,
+		ID: fmt.Sprintf("engine-%d", s.engineCount), Region: "r1", Zone: "z1", Class: "g1", Model: model, Slots: engineSlots, MaxWaiting: engineSlots,
 		TokenTime:  tokenTime,
 		Announcing: fake.Announcing{Entries: []string{"http://" + s.entries[0].callers}, Key: announceKey},
 	}, fake.Deps{Log: s.log})
-	s.run("engine", func(ctx context.Context) error { return e.Run(ctx, l) })
+	s.runDaemon("engine", func(ctx context.Context) error { return e.Run(ctx, l) })
 	return nil
 }
 
-// apply puts a catalogue in force, waiting for a leader if there is none yet.
-func (s *site) apply(c contract.Catalogue) error {
+// applyCatalogue replaces the catalogue and sets catalogueVersion. It retries
+// until there is a leader.
+func (s *site) applyCatalogue(c contract.Catalogue) error {
 	doc, err := contract.Format(c)
 	if err != nil {
 		return err
 	}
 	return s.eventually("apply catalogue", func() error {
-		current, err := s.operator.Catalogue(s.ctx)
+		current, err := s.operatorClient.Catalogue(s.ctx)
 		if err != nil {
 			return err
 		}
-		r, err := s.operator.Apply(s.ctx, doc, current.Version)
-		s.version = r.Version
+		r, err := s.operatorClient.Apply(s.ctx, doc, current.Version)
+		s.catalogueVersion = r.Version
 		return err
 	})
 }
 
-// eventually repeats try until it succeeds or startBound has passed.
-func (s *site) eventually(step string, try func() error) error {
-	end := time.Now().Add(startBound)
+// eventually repeats attempt until it succeeds, and returns the last error once
+// startTimeout has passed or the site is closed.
+func (s *site) eventually(step string, attempt func() error) error {
+	deadline := time.Now().Add(startTimeout)
 	for {
-		err := try()
+		err := attempt()
 		if err == nil {
 			return nil
 		}
-		if s.ctx.Err() != nil || time.Now().After(end) {
+		if s.ctx.Err() != nil || time.Now().After(deadline) {
 			return trace.Wrap(err, "step=%s", step)
 		}
-		<-time.After(retryPause)
+		<-time.After(retryInterval)
 	}
 }
 
-// linkTraffic is what a process has sent and received over links by one method.
+// linkTraffic counts the messages and bytes of one method that a process has
+// sent and received over links.
 type linkTraffic struct{ messages, bytes float64 }
 
 func (t linkTraffic) since(before linkTraffic) linkTraffic {
 	return linkTraffic{messages: t.messages - before.messages, bytes: t.bytes - before.bytes}
 }
 
-// linkTraffic asks the process behind an operations address for its traffic by
-// method.
-func (s *site) linkTraffic(ops string) (map[string]linkTraffic, error) {
+// scrapeLinkTraffic reads a daemon's traffic by method from the metrics at its
+// operations address.
+func (s *site) scrapeLinkTraffic(ops string) (map[string]linkTraffic, error) {
 	resp, err := http.Get("http://" + ops + "/metrics")
 	if err != nil {
 		return nil, trace.Wrap(err, "step=read metrics peer=%s", ops)
 	}
 	defer resp.Body.Close()
-	out := map[string]linkTraffic{}
+	byMethod := map[string]linkTraffic{}
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		rest, found := strings.CutPrefix(lines.Text(), "savoryreel_link_")
-		what, rest, _ := strings.Cut(rest, `_total{method="`)
+		metric, rest, _ := strings.Cut(rest, `_total{method="`)
 		method, rest, _ := strings.Cut(rest, `"`)
 		_, value, _ := strings.Cut(rest, "} ")
 		n, err := strconv.ParseFloat(value, 64)
 		if !found || err != nil {
 			continue
 		}
-		t := out[method]
-		switch what {
+		t := byMethod[method]
+		switch metric {
 		case "messages":
 			t.messages += n
 		case "bytes":
 			t.bytes += n
 		}
-		out[method] = t
+		byMethod[method] = t
 	}
-	return out, trace.Wrap(lines.Err(), "step=read metrics peer=%s", ops)
+	return byMethod, trace.Wrap(lines.Err(), "step=read metrics peer=%s", ops)
 }
 
-// baseCatalogue has one workspace without limits and one model service.
+// baseCatalogue returns a catalogue with one workspace without limits and one
+// model service.
 func baseCatalogue() contract.Catalogue {
 	return contract.Catalogue{
 		Workspaces: []contract.Workspace{{
@@ -265,16 +277,18 @@
 	}
 }
 
-// limitedCatalogue adds n workspaces that have all three limits.
+// limitedCatalogue returns baseCatalogue with n more workspaces, each with all
+// three limits.
 func limitedCatalogue(n int) contract.Catalogue {
 	c := baseCatalogue()
 	for i := range n {
-		c.Workspaces = append(c.Workspaces, workspaceNumber(i))
+		c.Workspaces = append(c.Workspaces, testWorkspace(i))
 	}
 	return c
 }
 
-func workspaceNumber(i int) contract.Workspace {
+// testWorkspace returns workspace i, whose limits no measurement reaches.
+func testWorkspace(i int) contract.Workspace {
 	name := fmt.Sprintf("workspace-%04d", i)
 	return contract.Workspace{
 		Name: name, Owner: name + "@example.com", Class: contract.ClassStandard, Weight: 1 + i%10,
@@ -283,12 +297,13 @@
 	}
 }
 
-// configure loads a daemon's defaults with a few settings given.
-func configure(declare func(*settings.Set), given map[string]string) error {
+// configure loads a daemon's default settings with overrides, which are keyed by
+// flag name.
+func configure(declare func(*settings.Set), overrides map[string]string) error {
 	flags := (&cobra.Command{}).Flags()
 	set := settings.New(flags)
 	declare(set)
-	for name, value := range given {
+	for name, value := range overrides {
 		if err := flags.Set(name, value); err != nil {
 			return trace.Wrap(err, "step=set %s", name)
 		}
@@ -296,16 +311,17 @@
 	return set.Load()
 }
 
-// freeAddresses returns loopback addresses that nobody listens on now.
+// freeAddresses returns n unused loopback addresses. Another process may take one
+// before the caller listens on it.
 func freeAddresses(n int) ([]string, error) {
-	var out []string
+	var addresses []string
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, trace.Wrap(err, "step=find a free address")
 		}
 		defer l.Close()
-		out = append(out, l.Addr().String())
+		addresses = append(addresses, l.Addr().String())
 	}
-	return out, nil
+	return addresses, nil
 }
