--- a/policy/policytest/baseline.go
+++ b/policy/policytest/baseline.go
@@ -8,22 +8,23 @@
 	"savoryreel.example/savoryreel/policy/queue"
 )
 
-// fifo serves in order of arrival. Unless dropExpired, it also starts what
-// nobody waits for any more.
+// fifo is a JobQueue in order of arrival. Unless dropExpired is set, it also
+// starts jobs whose callers have left.
 type fifo struct {
 	dropExpired bool
 	jobs        []*Job
-	tokens      int64
-	lastExpiry  time.Time // when expired jobs were last looked for
+	tokens      int64     // estimated work of jobs
+	lastExpiry  time.Time // last check for expired jobs
 }
 
-// expireEvery is how often a fifo looks for expired jobs.
+// expireInterval is the minimum time between two checks of a fifo for expired
+// jobs.
 const expireInterval = 100 * time.Millisecond
 
-// FIFO is a Line that serves in order of arrival and has no bound.
+// FIFO returns an unbounded JobQueue in order of arrival that never drops a job.
 func FIFO(*Scenario) JobQueue { return &fifo{} }
 
-// FIFOWithExpiry is FIFO that drops jobs whose callers have left.
+// FIFOWithExpiry returns a FIFO that drops jobs whose callers have left.
 func FIFOWithExpiry(*Scenario) JobQueue { return &fifo{dropExpired: true} }
 
 func (q *fifo) Push(_ time.Time, j *Job) []*Job {
@@ -75,10 +76,10 @@
 
 func (q *fifo) Len() int { return len(q.jobs) }
 
-// openGate admits everything.
+// admitAll is an Admitter that admits every job.
 type admitAll struct{}
 
-// Open is a Gate without limits.
+// AdmitAll returns an Admitter without limits.
 func AdmitAll(*Scenario) Admitter { return admitAll{} }
 
 func (admitAll) Admit(time.Time, *Job, queue.Backlog) (bool, time.Duration) { return true, 0 }
@@ -86,7 +87,8 @@
 func (admitAll) FirstToken(time.Time, *Job)                                 {}
 func (admitAll) Done(time.Time, *Job, int64)                                {}
 
-// silentRouter ignores all but Route.
+// noopRouterEvents implements the methods of Router other than Route and
+// ignores their events.
 type noopRouterEvents struct{}
 
 func (noopRouterEvents) Started(time.Time, *Job, int)                     {}
@@ -95,13 +97,14 @@
 func (noopRouterEvents) ObserveLoad(time.Time, time.Time, []ServerView)   {}
 func (noopRouterEvents) ObserveCache(time.Time, int, int, int, int, bool) {}
 
-// roundRobin takes the servers in turn.
+// roundRobin is a Router that cycles through the servers.
 type roundRobin struct {
 	noopRouterEvents
 	next int
 }
 
-// RoundRobin is a Router that takes the servers in turn.
+// RoundRobin returns a Router that cycles through the servers, starting at a
+// different one for each entry.
 func RoundRobin(_ *Scenario, entry int) Router { return &roundRobin{next: entry} }
 
 func (r *roundRobin) Route(_ time.Time, _ *Job, view []ServerView, tried []int) (int, bool) {
@@ -114,26 +117,27 @@
 	return 0, false
 }
 
-// leastLoad takes the server with the least load by one measure of it; ties
-// are broken at random.
+// leastLoad is a Router that chooses the server with the smallest load and
+// breaks ties at random.
 type leastLoad struct {
 	noopRouterEvents
 	load func(ServerView) int
 	rng  *rand.Rand
 }
 
-// LeastReported is a Router by the load that servers have reported.
+// LeastReportedLoad returns a Router by ServerView.ReportedLoad.
 func LeastReportedLoad(_ *Scenario, entry int) Router {
 	return &leastLoad{load: func(v ServerView) int { return v.ReportedLoad }, rng: routerRand(entry)}
 }
 
-// LeastBelieved is a Router by the reported load, corrected by the entry's own
-// starts and ends since, that prefers servers of which the entry has a free
-// slot.
+// LeastEstimatedLoad returns a Router by ServerView.EstimatedLoad that prefers
+// servers with a free slot assigned to the entry.
 func LeastEstimatedLoad(_ *Scenario, entry int) Router {
 	return &leastLoad{load: estimatedLoad, rng: routerRand(entry)}
 }
 
+// estimatedLoad returns v.EstimatedLoad, lowered by freeSlotPreference if the
+// entry has a free slot there.
 func estimatedLoad(v ServerView) int {
 	if v.Assigned > 0 && v.EstimatedLoad < v.Slots {
 		return v.EstimatedLoad - freeSlotPreference
@@ -141,7 +145,8 @@
 	return v.EstimatedLoad
 }
 
-// noSlot is more than any load.
+// freeSlotPreference exceeds every load, so that any server with a free slot
+// comes before all others.
 const freeSlotPreference = 1 << 20
 
 func routerRand(entry int) *rand.Rand { return rand.New(rand.NewPCG(uint64(entry), 77)) }
--- a/policy/policytest/decided.go
+++ b/policy/policytest/decided.go
@@ -9,18 +9,19 @@
 	"savoryreel.example/savoryreel/policy/queue"
 )
 
-// fairLine is policy/queue as a Line.
+// fairQueue implements JobQueue with policy/queue.
 type fairQueue struct {
 	queue     *queue.Queue
 	starter   *queue.Starter
 	jobs      map[string]*Job
-	slotsHeld map[string]int // slots by workspace
+	slotsHeld map[string]int // by workspace
 }
 
-// Fair is a Line of queue.Queue and queue.Starter with default configuration.
+// FairQueue returns a JobQueue made of queue.Queue and queue.Starter with their
+// default configurations.
 func FairQueue(s *Scenario) JobQueue { return FairQueueWith(queue.DefaultStartConfig())(s) }
 
-// FairWith is Fair with another configuration of the Starter.
+// FairQueueWith is FairQueue with cfg for the Starter.
 func FairQueueWith(cfg queue.StartConfig) func(*Scenario) JobQueue {
 	return func(*Scenario) JobQueue {
 		q, err := queue.New(queue.DefaultConfig())
@@ -100,7 +101,7 @@
 
 func (q *fairQueue) Len() int { return q.queue.Len() }
 
-// learntGate is policy/admit as a Gate.
+// policyAdmitter implements Admitter with policy/admit.
 type policyAdmitter struct {
 	admitter *admit.Admitter
 	drain    *admit.DrainEstimator
@@ -109,8 +110,8 @@
 	term     uint64
 }
 
-// Learnt is a Gate of admit.Admitter and admit.DrainEstimator with default
-// configuration.
+// PolicyAdmitter returns an Admitter made of admit.Admitter and
+// admit.DrainEstimator with their default configurations.
 func PolicyAdmitter(s *Scenario) Admitter {
 	cfg := admit.DefaultConfig()
 	admitter, err := admit.New(cfg)
@@ -154,8 +155,9 @@
 	}
 }
 
-// LeasedShares returns an exchange by which a control leader leases each
-// workspace's limits to the entries' gates, as admit.Shares decides.
+// LeasedShares returns a PolicySet.Exchange in which a control leader leases
+// shares of each workspace's limits to the entries, as admit.Shares decides. The
+// admitters must come from PolicyAdmitter.
 func LeasedShares(s *Scenario) func(time.Time, []Admitter) {
 	var shares *admit.Shares
 	return func(now time.Time, admitters []Admitter) {
@@ -188,7 +190,8 @@
 	return shares
 }
 
-// EqualShares returns an exchange that gives each entry the same fixed part.
+// EqualShares returns a PolicySet.Exchange that gives each entry the same fixed
+// share of each workspace's limits. The admitters must come from PolicyAdmitter.
 func EqualShares(s *Scenario) func(time.Time, []Admitter) {
 	leaseNumber := uint64(0)
 	return func(now time.Time, admitters []Admitter) {
--- a/policy/policytest/doc.go
+++ b/policy/policytest/doc.go
@@ -1,15 +1,15 @@
-// Package policytest plays patterns of load against the decisions under policy
-// in virtual time and reports what callers get. Tests use it; the product does
-// not.
+// Package policytest is a discrete-event simulation that compares the decisions
+// under policy with simple baselines. It runs a pattern of load in virtual time
+// and reports latency, goodput and fairness. Only tests use it.
 //
-// The model: callers send requests to entries; each entry admits, queues and
-// routes with its own copies of the policies; backend servers run requests side
-// by side in slots, prefill what their prefix cache does not hold and generate
-// tokens at a speed that falls as slots fill. Entries see each other's work only
-// through load reports that are late. It leaves out the network, the time that
-// decisions take and, unless a Set asks for them, callers that come back after a
-// refusal.
+// In the model, callers send requests to entries. Each entry admits, queues and
+// routes them with its own instances of the policies. A backend server runs one
+// request per slot, prefills the prompt tokens that its prefix cache does not
+// hold, and generates tokens more slowly the more slots are taken. An entry
+// learns of the other entries' requests only from delayed load reports. The
+// model leaves out network latency, the time a decision takes and, unless
+// PolicySet.CallersRetry is set, callers that retry after a refusal.
 //
-// Arrivals depend on the scenario and the seed only, so that every set of
-// policies meets the same requests, and a run repeats exactly.
+// Arrivals depend only on the scenario and the seed: every PolicySet gets the
+// same requests, and a run is reproducible.
 package policytest
--- a/policy/policytest/events.go
+++ b/policy/policytest/events.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// event is something that happens at a time; order breaks ties, so that a run
-// repeats exactly.
+// event is a function that the model calls at a virtual time. Events at the same
+// time run by sequence, which keeps a run reproducible.
 type event struct {
 	at       time.Time
 	sequence int
 	run      func()
 }
 
+// eventHeap is a heap (container/heap) with the earliest event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int      { return len(h) }
--- a/policy/policytest/fault.go
+++ b/policy/policytest/fault.go
@@ -8,6 +8,7 @@
 	"savoryreel.example/savoryreel/policy/retry"
 )
 
+// applyFault starts a fault, or ends it if active is false.
 func (m *model) applyFault(f *Fault, active bool) {
 	for _, i := range f.Servers {
 		b := m.servers[i]
@@ -25,8 +26,8 @@
 	}
 }
 
-// reclaim takes a server away. Entries know at once, and what ran there goes on
-// elsewhere from the tokens so far.
+// reclaim removes a server. Entries learn of it at once, and its jobs resume on
+// other servers after the tokens produced so far.
 func (m *model) reclaim(server int) {
 	b := m.servers[server]
 	b.alive = false
@@ -43,7 +44,7 @@
 	}
 }
 
-// lost lets a job go on whose server is gone.
+// resumeOnServerGone requeues a job whose server was reclaimed.
 func (m *model) resumeOnServerGone(j *Job) {
 	e := m.entries[j.Entry]
 	if !j.attemptFirstToken.IsZero() {
@@ -56,7 +57,7 @@
 	m.requeue(e, j)
 }
 
-// again puts a started job back into its entry's line, ahead of those that have
+// requeue returns a started job to its entry's queue, ahead of the jobs that have
 // not started.
 func (m *model) requeue(e *entry, j *Job) {
 	e.queue.Ended(m.now, j, j.EstimatedWork)
@@ -67,6 +68,7 @@
 	m.dispatch(e)
 }
 
+// endFailed ends a job that holds no slot with outcome Failed.
 func (m *model) endFailed(j *Job) {
 	e := m.entries[j.Entry]
 	e.queue.Ended(m.now, j, 0)
@@ -74,12 +76,13 @@
 	m.end(j, Failed)
 }
 
-// serverName is two letters, so that numbers and names convert without a table.
+// serverName returns a server's name of two letters; serverNumber is its inverse.
 func serverName(i int) string { return string(rune('A'+i/26)) + string(rune('a'+i%26)) }
 
 func serverNumber(name string) int { return int(name[0]-'A')*26 + int(name[1]-'a') }
 
-// failed is an attempt that ended in an error before its first token.
+// attemptFailed handles an attempt that failed before its first token: it
+// retries the job or ends it.
 func (m *model) attemptFailed(j *Job) {
 	e, server := m.entries[j.Entry], j.Server
 	m.removeFromServer(j, true)
@@ -102,9 +105,9 @@
 	m.scheduleAfter(v.After, m.ifAttemptCurrent(j, func() { m.requeue(e, j) }))
 }
 
-// watch hedges an attempt whose first token does not come. The model knows which
-// of the two attempts wins and runs only that one: a hedge that loses costs
-// nothing here, and one that wins leaves the first server at once.
+// scheduleHedgeCheck hedges an attempt whose first token is overdue. The model
+// computes which of the two attempts wins and runs only that one: a losing hedge
+// takes no server time, and a winning one frees the first server at once.
 func (m *model) scheduleHedgeCheck(e *entry, j *Job) {
 	if !m.policies.Hedge || e.retry == nil || j.hedged {
 		return
@@ -128,7 +131,8 @@
 	}))
 }
 
-// hedge moves the job if another server answers first.
+// tryHedge moves the job to another server if its first token comes earlier
+// there.
 func (m *model) tryHedge(e *entry, j *Job) {
 	other, ok := e.router.Route(m.now, j, e.view, []int{j.Server})
 	if !ok {
@@ -145,9 +149,12 @@
 	m.send(e, j, []int{server})
 }
 
-// usualSamples is how many first tokens the learnt p95 looks back on.
+// usualFirstTokenSamples is the number of recent first tokens of which
+// usualFirstToken takes the 95th percentile.
 const usualFirstTokenSamples = 200
 
+// usualFirstToken returns the 95th percentile of the recent delays from start to
+// first token, or an hour (which prevents hedging) while there are too few.
 func (e *entry) usualFirstToken() time.Duration {
 	recent := e.firstTokenDelays[max(0, len(e.firstTokenDelays)-usualFirstTokenSamples):]
 	if len(recent) < usualFirstTokenSamples/10 {
--- a/policy/policytest/model.go
+++ b/policy/policytest/model.go
@@ -9,17 +9,19 @@
 	"savoryreel.example/savoryreel/policy/retry"
 )
 
-// failAfter is when an attempt at a failing server fails.
+// failureDelay is the time from the start of an attempt at a failing or reclaimed
+// server to its error.
 const failureDelay = 20 * time.Millisecond
 
-// hedgeCheck is how often an entry looks at an attempt without a first token.
+// hedgeCheckInterval is the time between an entry's checks whether to hedge an
+// attempt without a first token.
 const hedgeCheckInterval = 100 * time.Millisecond
 
-// model is one run of a scenario with a set of policies.
+// model is the state of one run of a scenario with a PolicySet.
 type model struct {
 	scenario *Scenario
 	policies *PolicySet
-	rng      *rand.Rand // of the policies; arrivals have their own
+	rng      *rand.Rand // for the policies; arrivals have their own
 	now      time.Time
 	events   eventHeap
 	sequence int
@@ -27,14 +29,14 @@
 	entries          []*entry
 	servers          []*backend
 	jobs             []*Job
-	computedPrefixes map[prefix]bool // prefixes that some server has prefilled
+	computedPrefixes map[prefix]bool // prefixes that any server has prefilled
 	retries          int
 	hedges           int
 	callerRetries    int
 	reports          int
 }
 
-// entry is one entry with its policies.
+// entry is one entry with its instances of the policies.
 type entry struct {
 	number           int
 	queue            JobQueue
@@ -42,18 +44,19 @@
 	router           Router
 	retry            *retry.Policy
 	view             []ServerView
-	ownChanges       [][]loadChange // own starts and ends by server, newest last
+	ownChanges       [][]loadChange // own starts and ends by server, newest last; those before the last load report are dropped
 	firstTokenDelays []time.Duration
 	reportNumber     int // number of the last load report
 }
 
-// change is an own start or end at a server.
+// loadChange is a start (+1) or end (-1) of one of the entry's jobs at a server.
 type loadChange struct {
 	at    time.Time
 	delta int
 }
 
-// Run plays a scenario with a set of policies.
+// Run simulates a scenario with a PolicySet. The result depends only on its
+// arguments. PolicySet.Exchange may hold state, so each run needs a new set.
 func Run(s *Scenario, set *PolicySet, seed uint64) *Result {
 	m := &model{
 		scenario: s, policies: set, now: epoch,
@@ -70,6 +73,7 @@
 	return m.result()
 }
 
+// build creates the servers and entries and schedules the first events.
 func (m *model) build() {
 	for i := range m.scenario.Fleet.Servers {
 		m.servers = append(m.servers, &backend{
@@ -121,8 +125,8 @@
 
 func (m *model) finished() bool { return m.now.Sub(epoch) >= m.scenario.Duration }
 
-// exchange lets the entries meet the control leader and each other once a
-// second.
+// exchange runs once a second: the entries exchange their slots in use and call
+// the PolicySet's Exchange.
 func (m *model) exchange() {
 	if m.finished() {
 		return
@@ -139,6 +143,7 @@
 	m.policies.Exchange(m.now, admitters)
 }
 
+// exchangeSlotsHeld sends each entry the slots that the others hold, by workspace.
 func (m *model) exchangeSlotsHeld() {
 	for i := range m.scenario.Sources {
 		workspace := m.scenario.Sources[i].Workspace
@@ -152,7 +157,8 @@
 	}
 }
 
-// report sends each server's load to all entries; it arrives late.
+// reportLoad sends the load of all servers to each entry, where it arrives after
+// the fleet's ReportDelay, and schedules the next report.
 func (m *model) reportLoad() {
 	if m.finished() {
 		return
@@ -173,6 +179,8 @@
 	m.scheduleAfter(m.scenario.Fleet.ReportInterval, m.reportLoad)
 }
 
+// applyReport updates the view from a load report taken at takenAt, and adds the
+// entry's own starts and ends since then.
 func (e *entry) applyReport(now, takenAt time.Time, loads []int, number, entries int) {
 	e.reportNumber = number
 	free := make([]int, len(loads))
@@ -197,13 +205,14 @@
 	e.router.ObserveLoad(now, takenAt, e.view)
 }
 
+// recordChange applies an own start or end at a server to the view.
 func (e *entry) recordChange(now time.Time, server, delta int) {
 	e.view[server].EstimatedLoad += delta
 	e.view[server].Assigned -= delta
 	e.ownChanges[server] = append(e.ownChanges[server], loadChange{at: now, delta: delta})
 }
 
-// slots sums up the view.
+// slots returns the totals of the view over all live servers.
 func (e *entry) slots(entries int) queue.Slots {
 	s := queue.Slots{Entries: entries, EntryNumber: e.number, ReportNumber: e.reportNumber}
 	for _, v := range e.view {
@@ -221,6 +230,7 @@
 	return s
 }
 
+// arrive handles a request, or its caller's retry, at its entry.
 func (m *model) arrive(j *Job) {
 	e := m.entries[j.Entry]
 	m.endExpired(e)
@@ -237,7 +247,8 @@
 	m.dispatch(e)
 }
 
-// refuse ends a job, or lets its caller come back.
+// refuse ends a job, or schedules its caller's retry if that comes before the
+// deadline.
 func (m *model) refuse(j *Job, retryAfter time.Duration) {
 	if m.policies.FixedRetryAfter > 0 {
 		retryAfter = m.policies.FixedRetryAfter
@@ -257,6 +268,8 @@
 	}
 }
 
+// push queues a job and ends the jobs evicted for it, which may include the job
+// itself.
 func (m *model) push(e *entry, j *Job) {
 	for _, out := range e.queue.Push(m.now, j) {
 		e.admitter.Done(m.now, out, 0)
@@ -269,6 +282,7 @@
 	j.Ended = m.now
 }
 
+// endExpired ends the queued jobs whose callers have left.
 func (m *model) endExpired(e *entry) {
 	for _, j := range e.queue.Expired(m.now) {
 		e.admitter.Done(m.now, j, 0)
@@ -276,7 +290,8 @@
 	}
 }
 
-// dispatch starts what may start at an entry.
+// dispatch starts the queued jobs of an entry that may start now, and updates
+// its Admitter.
 func (m *model) dispatch(e *entry) {
 	m.endExpired(e)
 	m.startQueued(e)
@@ -297,7 +312,8 @@
 	}
 }
 
-// send routes a job and lets it run or wait at the server.
+// send starts an attempt at a server other than those in tried, where it runs or
+// waits for a slot. It reports whether there is such a server.
 func (m *model) send(e *entry, j *Job, tried []int) bool {
 	server, ok := e.router.Route(m.now, j, e.view, tried)
 	if !ok {
@@ -322,7 +338,8 @@
 	return true
 }
 
-// guard voids an event once the job's attempt is over.
+// ifAttemptCurrent wraps an event of a job's current attempt: run is skipped if
+// the job has ended or started another attempt by then.
 func (m *model) ifAttemptCurrent(j *Job, run func()) func() {
 	attempt := j.attemptNumber
 	return func() {
@@ -332,7 +349,7 @@
 	}
 }
 
-// fill moves waiting jobs of a server into free slots.
+// fillSlots moves waiting jobs of a server into its free slots.
 func (m *model) fillSlots(server int) {
 	b := m.servers[server]
 	for len(b.running) < b.fleet.Slots && len(b.waiting) > 0 {
@@ -343,7 +360,8 @@
 	}
 }
 
-// begin prefills a job and schedules its tokens.
+// startOnServer prefills a job that has got a slot and schedules its first and
+// last token.
 func (m *model) startOnServer(b *backend, j *Job) {
 	if b.failing {
 		m.scheduleAfter(failureDelay, m.ifAttemptCurrent(j, func() { m.attemptFailed(j) }))
@@ -369,7 +387,8 @@
 	m.scheduleAfter(untilFirstToken+time.Duration(j.AnswerTokens-j.ProducedTokens-1)*tokenInterval, m.ifAttemptCurrent(j, func() { m.endAnswered(j) }))
 }
 
-// tell sends cache events to all routers.
+// notifyCacheChange sends the changes of a server's prefix cache to the routers
+// of all entries.
 func (m *model) notifyCacheChange(j *Job, stored bool, evicted []prefix) {
 	for _, e := range m.entries {
 		if stored {
@@ -381,6 +400,7 @@
 	}
 }
 
+// firstToken handles the first token of an attempt.
 func (m *model) firstToken(j *Job, tokenInterval time.Duration) {
 	e := m.entries[j.Entry]
 	if j.FirstToken.IsZero() {
@@ -402,7 +422,8 @@
 	m.dispatch(m.entries[j.Entry])
 }
 
-// release gives the job's slot back and settles the policies' accounts.
+// releaseSlot frees the job's slot and reports its work to the entry's queue and
+// Admitter.
 func (m *model) releaseSlot(j *Job, work int64, failed bool) {
 	e := m.entries[j.Entry]
 	m.removeFromServer(j, failed)
@@ -410,7 +431,8 @@
 	e.admitter.Done(m.now, j, work)
 }
 
-// vacate takes the job off its server.
+// removeFromServer removes the job from its server, running or waiting, and
+// starts the next one there.
 func (m *model) removeFromServer(j *Job, failed bool) {
 	e, b := m.entries[j.Entry], m.servers[j.Server]
 	if !removeJob(&b.running, j) {
@@ -421,7 +443,7 @@
 	m.fillSlots(j.Server)
 }
 
-// leave is the caller giving up.
+// callerLeft handles the job's deadline, at which the caller leaves.
 func (m *model) callerLeft(j *Job) {
 	e := m.entries[j.Entry]
 	if j.Outcome != Pending {
--- a/policy/policytest/policies.go
+++ b/policy/policytest/policies.go
@@ -7,76 +7,81 @@
 	"savoryreel.example/savoryreel/policy/retry"
 )
 
-// Set is the policies of one entry, made anew for each entry and run.
+// PolicySet holds the constructors of the policies under test. Run calls them
+// once per entry.
 type PolicySet struct {
 	Name     string
 	JobQueue func(*Scenario) JobQueue
 	Admitter func(*Scenario) Admitter
 	Router   func(s *Scenario, entry int) Router
-	Retry    func() *retry.Policy // nil: nothing is retried but what was reclaimed
+	Retry    func() *retry.Policy // nil: retries only jobs of reclaimed servers
 	Hedge    bool
 
-	// OneClass has retries decided as if all jobs were of class standard.
+	// OneRetryClass decides retries as if all jobs were of class standard.
 	OneRetryClass bool
 
-	// ComeBack has refused callers come back when they were told to, as long as
-	// their patience lasts. RetryAfter, if set, is what all are told.
+	// CallersRetry makes refused callers retry after the delay they were given,
+	// until their deadline. FixedRetryAfter, if positive, replaces that delay.
 	CallersRetry    bool
 	FixedRetryAfter time.Duration
 
-	// Exchange, if set, is called once a second with all gates, as the control
-	// leader meets the entries.
+	// Exchange, if set, is called once a second with the entries' admitters. It
+	// stands for the exchange between the entries and the control leader.
 	Exchange func(now time.Time, admitters []Admitter)
 }
 
-// Line is where admitted jobs wait.
+// JobQueue holds the admitted jobs of one entry until they start.
 type JobQueue interface {
-	// Push adds a job. evicted have left to make room; the job itself may be
-	// among them.
+	// Push adds a job. It returns the jobs evicted to make room, which may include
+	// j.
 	Push(now time.Time, j *Job) (evicted []*Job)
-	// Next takes out a job that may start now, or nil.
+	// Next removes and returns a job that may start now, or returns nil.
 	Next(now time.Time, slots queue.Slots) *Job
-	// Expired takes out the jobs whose callers have left.
+	// Expired removes and returns jobs whose callers have left.
 	Expired(now time.Time) []*Job
-	// Ended notes that a started job has given its slot back; work is what it
-	// took, in the unit of Job.Estimate.
+	// Ended records that a started job has freed its slot; work is the work it
+	// took, in the unit of Job.EstimatedWork.
 	Ended(now time.Time, j *Job, work int64)
-	// Backlog is what j would wait behind.
+	// Backlog returns the queued work that j would wait for.
 	Backlog(now time.Time, j *Job, slots queue.Slots) queue.Backlog
-	// Held returns the slots held for a workspace, and Elsewhere tells what the
-	// other entries hold.
+	// SlotsHeld returns the slots that the workspace's jobs hold through this
+	// entry, and SetRemoteSlots sets those they hold through the other entries.
 	SlotsHeld(workspace string) int
 	SetRemoteSlots(workspace string, slots int)
 	Len() int
 }
 
-// Gate admits jobs.
+// Admitter decides which jobs an entry admits.
 type Admitter interface {
-	// Admit admits j, or says after what time to come back.
+	// Admit reports whether j is admitted, and if not, after what delay the caller
+	// may retry.
 	Admit(now time.Time, j *Job, backlog queue.Backlog) (ok bool, retryAfter time.Duration)
-	SetFull(now time.Time, full bool) // whether a job that came now would have to wait
+	SetFull(now time.Time, full bool) // full: a job that arrived now would have to wait
 	FirstToken(now time.Time, j *Job)
-	Done(now time.Time, j *Job, work int64) // also of a job that left without running
+	Done(now time.Time, j *Job, work int64) // work is 0 if the job did not run
 }
 
-// View is what an entry believes of a backend server.
+// ServerView is an entry's view of one backend server.
 type ServerView struct {
 	Alive         bool
 	Zone          int
 	Slots         int
-	ReportedLoad  int // running and waiting, as last reported
-	EstimatedLoad int // Reported, corrected by own starts and ends since
-	Assigned      int // the entry's part of the slots that are free
+	ReportedLoad  int // jobs running and waiting, as last reported
+	EstimatedLoad int // ReportedLoad plus the entry's own starts minus its ends since
+	Assigned      int // free slots assigned to this entry, less its own starts since
 }
 
 // Router chooses a backend server.
 type Router interface {
-	// Route returns the server to use; ok is false if there is none. tried are
-	// servers not to use.
+	// Route returns the index of the server to use, which is none of tried; ok is
+	// false if there is no such server.
 	Route(now time.Time, j *Job, view []ServerView, tried []int) (server int, ok bool)
 	Started(now time.Time, j *Job, server int)
 	FirstToken(now time.Time, j *Job, server int)
 	Ended(now time.Time, j *Job, server int, failed bool)
+	// ObserveLoad receives a load report that was taken at at.
 	ObserveLoad(now, at time.Time, view []ServerView)
+	// ObserveCache receives a change of a server's prefix cache: the prefix of a
+	// source was stored or evicted.
 	ObserveCache(now time.Time, server, source, prefix, tokens int, stored bool)
 }
