--- a/policy/policytest/model.go
+++ b/policy/policytest/model.go
@@ -44,9 +44,9 @@
 	router           Router
 	retry            *retry.Policy
 	view             []ServerView
-	ownChanges       [][]loadChange // own starts and ends by server, newest last; those before the last load report are dropped
+	ownChanges       [][]loadChange // by server, oldest first; only those after the last load report
 	firstTokenDelays []time.Duration
-	reportNumber     int // number of the last load report
+	reportNumber     int // of the last load report
 }
 
 // loadChange is a start (+1) or end (-1) of one of the entry's jobs at a server.
@@ -55,8 +55,8 @@
 	delta int
 }
 
-// Run simulates a scenario with a PolicySet. The result depends only on its
-// arguments. PolicySet.Exchange may hold state, so each run needs a new set.
+// Run simulates a scenario with a PolicySet that no other run has used. The
+// result depends only on the arguments.
 func Run(s *Scenario, set *PolicySet, seed uint64) *Result {
 	m := &model{
 		scenario: s, policies: set, now: epoch,
--- a/policy/policytest/patterns.go
+++ b/policy/policytest/patterns.go
@@ -6,22 +6,18 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// Target is the latency target of the size that the project designs for: first
-// token within 0.72 s and 46 ms between tokens.
+// Latency targets of all workspaces but those with long answers or batch jobs.
 const (
 	firstTokenTarget    = 720 * time.Millisecond
 	tokenIntervalTarget = 46 * time.Millisecond
 )
 
-// answerTokens is the mean answer: the size to design for is 770,000 tokens and
-// 3,500 requests a second.
+// meanAnswerTokens is the mean length of an answer at the design load of 770,000
+// tokens and 3,500 requests a second.
 const meanAnswerTokens = 220
 
-// site is the fleet of the smaller of today's sites: 12 model servers in three
-// zones. The size to design for has each server generate 1,283 tokens a second
-// at 46 ms between tokens at most, hence for 59 requests side by side; here 64
-// slots. Prefill and generation are those of a mid-sized model on one server, an
-// assumption that no run here can check.
+// smallSite returns the fleet of a site with 12 servers in three zones. Prefill
+// rate and token interval assume a mid-sized model on one server.
 func smallSite() Fleet {
 	return Fleet{
 		Servers: 12, Zones: 3, Slots: 64,
@@ -30,8 +26,8 @@
 	}
 }
 
-// capacity is how many of the usual requests a fleet answers in a second, all
-// slots taken, with half of the prompts cached.
+// requestCapacity returns how many requests of mean length a fleet answers per
+// second with all slots taken and the shared prefixes cached.
 func requestCapacity(f Fleet) float64 {
 	return float64(f.Servers*f.Slots) / f.slotTime(meanPromptTokens-prefixTokens, meanAnswerTokens).Seconds()
 }
@@ -41,8 +37,8 @@
 	prefixTokens     = 400
 )
 
-// workspaces are five, two of them large; their rates add up to load times the
-// site's capacity.
+// workspaceSources returns five workspaces, two of them large, whose rates add up
+// to load times the capacity of smallSite.
 func workspaceSources(load float64) []Source {
 	shares := []struct {
 		name         string
@@ -62,23 +58,25 @@
 	return sources
 }
 
+// newScenario returns a scenario of one minute on smallSite with seven entries.
 func newScenario(name string, sources []Source) *Scenario {
 	return &Scenario{
 		Name: name, Duration: 60 * time.Second, Warmup: 20 * time.Second, Entries: 7, Fleet: smallSite(), Sources: sources,
 	}
 }
 
-// Steady is half of the capacity, evenly over time.
+// Steady is a constant load of half the capacity.
 func Steady() *Scenario { return newScenario("steady, half of capacity", workspaceSources(0.5)) }
 
-// SurgeOfOne is Steady, with one workspace at twenty times its rate.
+// SurgeOfOneWorkspace is Steady with one workspace at 20 times its rate from 15 s
+// on.
 func SurgeOfOneWorkspace() *Scenario {
 	sources := workspaceSources(0.5)
 	sources[2].Surge = Surge{From: 15 * time.Second, To: 60 * time.Second, Factor: 20}
 	return newScenario("surge of one workspace, 20x", sources)
 }
 
-// Burst is Steady, with all workspaces at six times their rate for a second.
+// Burst is Steady with all workspaces at six times their rate for one second.
 func Burst() *Scenario {
 	sources := workspaceSources(0.5)
 	for i := range sources {
@@ -87,8 +85,8 @@
 	return newScenario("burst of all workspaces, 6x for 1 s", sources)
 }
 
-// Overload is Steady, with all workspaces at three times the capacity for ten
-// seconds.
+// Overload is Steady with a total load of three times the capacity for ten
+// seconds, and callers that wait for a minute.
 func Overload() *Scenario {
 	sources := workspaceSources(0.5)
 	for i := range sources {
@@ -100,8 +98,8 @@
 	return s
 }
 
-// FewCallers is one workspace of two callers that asks for the whole capacity
-// and has a limit of 40% of it.
+// FewCallers is Steady with one workspace whose two callers send as many requests
+// as the fleet can answer, with a rate limit of 40% of that.
 func FewCallers() *Scenario {
 	sources := workspaceSources(0.5)
 	sources[0].Callers = 2
@@ -110,15 +108,15 @@
 	return newScenario("few callers with most of the load", sources)
 }
 
-// OneSlow is a load of 0.7 with one server five times slower.
+// OneSlowServer is a load of 0.7 of the capacity with one server five times slower.
 func OneSlowServer() *Scenario {
 	s := newScenario("one slow server", workspaceSources(0.7))
 	s.Faults = []Fault{{Kind: SlowServer, At: 10 * time.Second, Until: s.Duration, Servers: []int{0}, Factor: 5}}
 	return s
 }
 
-// LongAmongShort is Steady with answers of 2,500 tokens that would take more
-// than the rest of the slots.
+// LongAnswersAmongShort is Steady with additional answers of 2,500 tokens that
+// need more slots than the short ones leave free.
 func LongAnswersAmongShort() *Scenario {
 	sources := workspaceSources(0.5)
 	sources[1].Rate /= 2
@@ -131,13 +129,12 @@
 	return s
 }
 
-// Saturation is all workspaces at load times the capacity.
+// Saturation is a constant load of load times the capacity.
 func Saturation(name string, load float64) *Scenario {
 	return newScenario(name, workspaceSources(load))
 }
 
-// SmallServers is five times the capacity of a site whose servers run 8 requests
-// side by side.
+// SmallServers is a load of five times the capacity on servers of 8 slots.
 func SmallServers() *Scenario {
 	s := Saturation("saturation 5x, 8 slots a server", 5)
 	small := smallSite()
@@ -149,14 +146,15 @@
 	return s
 }
 
-// ZoneReclaimed is a load of 0.6 from which a third of the servers goes.
+// ZoneReclaimed is a load of 0.6 of the capacity; all servers of one of the three
+// zones are reclaimed at 40 s.
 func ZoneReclaimed() *Scenario {
 	s := newScenario("a zone reclaimed", workspaceSources(0.6))
 	s.Faults = []Fault{{Kind: Reclaim, At: 40 * time.Second, Servers: []int{0, 3, 6, 9}}}
 	return s
 }
 
-// TwoFailing is Steady with two servers that fail every attempt for five
+// TwoFailingServers is Steady with two servers that fail every attempt for five
 // seconds.
 func TwoFailingServers() *Scenario {
 	s := newScenario("two servers fail all attempts", workspaceSources(0.5))
@@ -164,8 +162,8 @@
 	return s
 }
 
-// FourFailing is Steady with four servers that fail every attempt for fifteen
-// seconds, and half of each workspace's requests of class batch.
+// FourFailingServers is Steady with four servers that fail every attempt for 15
+// seconds. Half of each workspace's requests are of class batch, without targets.
 func FourFailingServers() *Scenario {
 	s := newScenario("four servers fail all attempts", workspaceSources(0.5))
 	for i := range s.Sources {
@@ -179,7 +177,7 @@
 	return s
 }
 
-// Patterns are all scenarios of the table in docs/DECISIONS.md.
+// TableScenarios returns the scenarios of the table in docs/DECISIONS.md.
 func TableScenarios() []*Scenario {
 	return []*Scenario{
 		Steady(), Burst(), SurgeOfOneWorkspace(), FewCallers(), OneSlowServer(), LongAnswersAmongShort(),
--- a/policy/policytest/policies.go
+++ b/policy/policytest/policies.go
@@ -7,8 +7,8 @@
 	"savoryreel.example/savoryreel/policy/retry"
 )
 
-// PolicySet holds the constructors of the policies under test. Run calls them
-// once per entry.
+// PolicySet holds the constructors of the policies under test, which Run calls
+// once per entry. Exchange may hold state, so each run needs a new PolicySet.
 type PolicySet struct {
 	Name     string
 	JobQueue func(*Scenario) JobQueue
--- a/policy/policytest/result.go
+++ b/policy/policytest/result.go
@@ -8,26 +8,26 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// Result is what callers got in one run. It counts jobs that arrived after the
-// warm-up.
+// Result summarises one run. Unless stated otherwise it covers the jobs that
+// arrived after the warm-up.
 type Result struct {
 	Offered, Answered, MetTargets      int
 	Refused, Evicted                   int
 	Expired, Late, Failed              int
 	Retries, Hedges                    int           // over the whole run
-	CallerRetries                      int           // arrivals of callers that had been refused before, over the whole run
-	FirstTokenP95                      time.Duration // arrival to first token, of answered jobs that have a target
-	TokenIntervalP95                   time.Duration // between tokens, of the same
-	Goodput                            float64       // work of answers that met their targets, as a part of the capacity
-	CostPerThousand                    float64       // server-seconds for 1,000 answers that met their targets
-	RecomputedTokens                   int           // tokens
-	Jain                               float64       // of the workspaces' work done, each over its max-min fair part
+	CallerRetries                      int           // of refused callers, over the whole run
+	FirstTokenP95                      time.Duration // from arrival, of answered jobs that have a target
+	TokenIntervalP95                   time.Duration // including the longest pause, of the same jobs
+	Goodput                            float64       // work of answers within the targets and the measured window, as a fraction of the capacity
+	CostPerThousand                    float64       // server-seconds per 1,000 answers that met their targets
+	RecomputedTokens                   int           // over the whole run
+	Jain                               float64       // Jain's index of the workspaces' AnsweredWork / FairWork
 	Interactive, Batch                 ClassResult
 	Workspaces                         []WorkspaceResult
 	capacitySlotSeconds, serverSeconds float64
 }
 
-// ClassResult is what the jobs of one class got.
+// ClassResult counts the jobs of one class.
 type ClassResult struct {
 	Offered int
 	Failed  int
@@ -40,22 +40,22 @@
 	}
 }
 
-// WorkspaceResult is what one workspace's callers got.
+// WorkspaceResult is one workspace's part of a Result. Work is in slot-seconds.
 type WorkspaceResult struct {
 	Workspace     string
 	Offered       int
 	Answered      int
 	MetTargets    int
 	FirstTokenP95 time.Duration
-	OfferedWork   float64 // work offered, seconds of a slot
-	AnsweredWork  float64 // work of answers, seconds of a slot
-	FairWork      float64 // its max-min fair part of what can be done
+	OfferedWork   float64 // within the workspace's limits
+	AnsweredWork  float64 // of complete answers
+	FairWork      float64 // max-min fair share of the capacity, weighted
 
 	firstTokenDelays []time.Duration
 	weight           int
 }
 
-// Workspace returns one workspace's part of the result.
+// Workspace returns the result of the named workspace, or nil.
 func (r *Result) Workspace(name string) *WorkspaceResult {
 	for i := range r.Workspaces {
 		if r.Workspaces[i].Workspace == name {
@@ -65,6 +65,7 @@
 	return nil
 }
 
+// result computes the Result after the last event.
 func (m *model) result() *Result {
 	r := &Result{Retries: m.retries, Hedges: m.hedges, CallerRetries: m.callerRetries}
 	windowSeconds := (m.scenario.Duration - m.scenario.Warmup).Seconds()
@@ -78,8 +79,8 @@
 	metWork := 0.0
 	for _, j := range m.jobs {
 		r.RecomputedTokens += j.RecomputedTokens
-		// Work is counted by when it ended, so that a queue that grows all
-		// along does not count as capacity that was never used.
+		// Goodput counts work by the end of the job. By arrival, jobs that
+		// were still queued at the end would count as unused capacity.
 		if j.MetTargets() && m.inWindow(j.Ended) {
 			metWork += m.slotSeconds(j)
 		}
@@ -104,11 +105,13 @@
 	return r
 }
 
+// inWindow reports whether t is after the warm-up and before the scenario's end.
 func (m *model) inWindow(t time.Time) bool {
 	sinceStart := t.Sub(epoch)
 	return sinceStart >= m.scenario.Warmup && sinceStart < m.scenario.Duration
 }
 
+// slotSeconds returns the time that the job takes a slot of a full server.
 func (m *model) slotSeconds(j *Job) float64 {
 	return m.scenario.Fleet.slotTime(j.PromptTokens-j.CachedTokens, j.AnswerTokens).Seconds()
 }
@@ -140,6 +143,7 @@
 	}
 }
 
+// workspace returns the entry of a source's workspace, which it adds if missing.
 func (r *Result) workspace(src *Source) *WorkspaceResult {
 	if w := r.Workspace(src.Workspace); w != nil {
 		return w
@@ -162,7 +166,8 @@
 	w.firstTokenDelays = append(w.firstTokenDelays, j.FirstToken.Sub(j.Arrived))
 }
 
-// limit caps what a workspace asks for at what its limits allow.
+// capByLimits scales a workspace's OfferedWork down to what its rate limit
+// allows.
 func (r *Result) capByLimits(src *Source, windowSeconds float64) {
 	w := r.Workspace(src.Workspace)
 	allowed := src.Limits.RequestsPerSecond * windowSeconds
@@ -172,9 +177,8 @@
 	w.OfferedWork *= allowed / float64(w.Offered)
 }
 
-// fairness computes each workspace's max-min fair part of the work that was
-// done or could have been, and Jain's index (Jain, Chiu and Hawe, 1984) of work
-// done over that part.
+// computeFairness computes each workspace's FairWork and Jain's fairness index
+// (Jain, Chiu and Hawe, 1984) of AnsweredWork / FairWork.
 func (r *Result) computeFairness() {
 	slices.SortFunc(r.Workspaces, func(a, b WorkspaceResult) int { return cmp.Compare(a.Workspace, b.Workspace) })
 	offeredWork := 0.0
@@ -193,7 +197,9 @@
 	r.Jain = sum * sum / (float64(len(r.Workspaces)) * squares)
 }
 
-// share fills up the workspaces by weight until capacity or demand runs out.
+// computeFairWork divides remaining, in slot-seconds, among the workspaces by
+// weighted max-min fairness: by increasing demand per weight, each gets its
+// demand or its weighted share of the rest, whichever is less.
 func (r *Result) computeFairWork(remaining float64) {
 	byDemand := make([]*WorkspaceResult, 0, len(r.Workspaces))
 	for i := range r.Workspaces {
--- a/policy/policytest/routed.go
+++ b/policy/policytest/routed.go
@@ -9,7 +9,7 @@
 	"savoryreel.example/savoryreel/policy/route"
 )
 
-// routed is policy/route as a Router.
+// policyRouter implements Router with policy/route.
 type policyRouter struct {
 	router         *route.Router
 	rng            *rand.Rand
@@ -20,18 +20,19 @@
 	announced      bool
 }
 
-// attempt is a job's attempt as the router knows it.
+// routedAttempt is the router's state of a job's current attempt.
 type routedAttempt struct {
 	verdict  route.Verdict
 	started  route.Attempt
-	answered bool // its first token has come
+	answered bool // the first token has arrived
 }
 
-// incarnation is that of all servers: none restarts in the model.
+// incarnation is the same for all servers: none restarts in the model.
 const incarnation = 1
 
-// Routed is a Router of route.Router with its default configuration, but for the
-// fleet's own figures, and for slow start: the fleet has been up for long.
+// PolicyRouter returns a Router made of route.Router with its default
+// configuration, except for the fleet's own speeds and for slow start, which is
+// off because no server has just started.
 func PolicyRouter(s *Scenario, entry int) Router {
 	cfg := route.DefaultConfig()
 	cfg.Entries = s.Entries
@@ -74,8 +75,8 @@
 
 func prefixHash(source, prefix int) uint64 { return uint64(source)<<32 | uint64(prefix) + 1 }
 
-// Route asks for a server among those of which the entry has a free slot, or
-// among all if it has none.
+// Route chooses among the servers with a free slot assigned to the entry, or
+// among all live servers if there is none.
 func (r *policyRouter) Route(now time.Time, j *Job, view []ServerView, tried []int) (int, bool) {
 	if !r.announced {
 		r.ObserveLoad(now, now, view)
@@ -95,6 +96,8 @@
 	return 0, false
 }
 
+// updateExclude sets r.exclude to the servers that Route must not choose; with
+// onlyFree also those without a free slot assigned to the entry.
 func (r *policyRouter) updateExclude(view []ServerView, tried []int, onlyFree bool) {
 	r.exclude = r.exclude[:0]
 	for i, v := range view {
--- a/policy/policytest/scenario.go
+++ b/policy/policytest/scenario.go
@@ -13,38 +13,41 @@
 type Scenario struct {
 	Name     string
 	Duration time.Duration
-	Warmup   time.Duration // what arrives before is not counted
+	Warmup   time.Duration // jobs that arrive before are not counted
 	Entries  int
 	Fleet    Fleet
 	Sources  []Source
 	Faults   []Fault
 }
 
-// Fleet is the backend servers.
+// Fleet describes the backend servers, which are all alike.
 type Fleet struct {
 	Servers        int
-	Zones          int // server i is in zone i modulo Zones
-	Slots          int // of each server
-	PrefillRate    float64
-	TokenInterval  time.Duration // between tokens on an idle server
-	FullSlowdown   float64       // part by which a full server's gap is longer
-	CacheTokens    int           // prefix cache of each server
-	ReportInterval time.Duration
-	ReportDelay    time.Duration
+	Zones          int           // server i is in zone i modulo Zones
+	Slots          int           // of each server
+	PrefillRate    float64       // tokens a second
+	TokenInterval  time.Duration // on an idle server
+	FullSlowdown   float64       // fraction by which a full server's token interval is longer
+	CacheTokens    int           // size of each server's prefix cache
+	ReportInterval time.Duration // between load reports
+	ReportDelay    time.Duration // until a load report reaches the entries
 }
 
-// fullGap is the time between tokens on a server whose slots are all taken.
+// fullTokenInterval returns the time between tokens on a server whose slots are
+// all taken.
 func (f *Fleet) fullTokenInterval() time.Duration {
 	return time.Duration(float64(f.TokenInterval) * (1 + f.FullSlowdown))
 }
 
-// slotTime is how long a job holds a slot of a full server.
+// slotTime returns the time that a job with uncached prompt tokens and answer
+// tokens takes a slot of a full server.
 func (f *Fleet) slotTime(uncached, answer int) time.Duration {
 	prefill := time.Duration(float64(uncached) / f.PrefillRate * float64(time.Second))
 	return prefill + time.Duration(answer)*f.fullTokenInterval()
 }
 
-// work is slotTime in tokens of answer, the unit of the policies' costs.
+// work returns slotTime in answer tokens of a full server, the unit of the
+// policies' costs.
 func (f *Fleet) work(uncached, answer int) int64 {
 	return int64(math.Ceil(float64(f.slotTime(uncached, answer)) / float64(f.fullTokenInterval())))
 }
@@ -57,48 +60,49 @@
 	Limits              contract.Limits
 	Rate                float64 // requests a second
 	Surge               Surge
-	Callers             int // each keeps to one entry
-	MeanPromptTokens    int // mean tokens, the shared prefix included
-	MeanAnswerTokens    int // mean tokens
-	Prefixes            int // shared prefixes; 0: none
+	Callers             int // each uses one entry only
+	MeanPromptTokens    int // including the shared prefix
+	MeanAnswerTokens    int
+	Prefixes            int // number of shared prefixes; 0: none
 	PrefixTokens        int // tokens of each
 	FirstTokenTarget    time.Duration
 	TokenIntervalTarget time.Duration
-	CallerTimeout       time.Duration // callers leave after it
+	CallerTimeout       time.Duration // after arrival, when the caller leaves
 }
 
-// Surge multiplies a source's rate for a time.
+// Surge multiplies a source's rate by Factor in [From, To).
 type Surge struct {
 	From, To time.Duration
 	Factor   float64
 }
 
-// Fault is something that happens to backend servers.
+// Fault is a fault of some backend servers.
 type Fault struct {
 	Kind    FaultKind
 	At      time.Duration
-	Until   time.Duration // SlowServer and FailingServer
+	Until   time.Duration // ignored for Reclaim
 	Servers []int
-	Factor  float64 // SlowServer: how many times slower
+	Factor  float64 // SlowServer: multiplies all times
 }
 
-// FaultKind tells faults apart.
+// FaultKind is a kind of fault.
 type FaultKind uint8
 
-// The kinds of fault.
+// Kinds of fault.
 const (
 	SlowServer    FaultKind = iota
-	FailingServer           // each attempt fails after failAfter
-	Reclaim                 // the servers are gone; what ran there goes on elsewhere
+	FailingServer           // each attempt fails after failureDelay
+	Reclaim                 // the servers end for good; their jobs resume on others
 )
 
+// epoch is the virtual time at which every run starts.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// spreadOfLengths is the standard deviation of the logarithm of prompt and
+// lengthSigma is the standard deviation of the logarithm of prompt and
 // answer lengths.
 const lengthSigma = 0.6
 
-// arrivals draws all jobs of a scenario, by time.
+// arrivals draws all jobs of a scenario, sorted by arrival.
 func (s *Scenario) arrivals(seed uint64) []*Job {
 	var jobs []*Job
 	for i := range s.Sources {
@@ -116,7 +120,9 @@
 	return jobs
 }
 
-// stream draws a Poisson process at the highest rate and thins it out.
+// sourceArrivals draws a source's jobs: a Poisson process at the maximum rate,
+// thinned to the rate at each time. Jobs that thinning drops are drawn too, so
+// that the random numbers don't depend on the surge's times.
 func (s *Scenario) sourceArrivals(src *Source, rng *rand.Rand) []*Job {
 	var jobs []*Job
 	maxRate := src.Rate * max(1, src.Surge.Factor)
@@ -159,7 +165,7 @@
 	return j
 }
 
-// length draws from a log-normal distribution with this mean.
+// drawLength draws from a log-normal distribution with the given mean.
 func drawLength(mean int, rng *rand.Rand) int {
 	mu := math.Log(float64(max(1, mean))) - lengthSigma*lengthSigma/2
 	return max(1, int(math.Exp(mu+lengthSigma*rng.NormFloat64())))
--- a/policy/policytest/server.go
+++ b/policy/policytest/server.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// backend is one backend server.
+// backend is the state of one backend server.
 type backend struct {
 	fleet        *Fleet
 	zone         int
 	alive        bool
-	slowFactor   float64 // factor on all times
+	slowFactor   float64 // multiplies all times; 1: normal speed
 	failing      bool
 	running      []*Job
 	waiting      []*Job
@@ -22,8 +22,9 @@
 	number       int
 }
 
-// lookup returns the job's prompt tokens that the cache holds, and stores its
-// prefix as most recently used. dropped are prefixes that made room.
+// lookup returns the number of the job's prompt tokens in the cache and makes its
+// prefix the most recently used. stored reports whether the prefix is new in the
+// cache; evicted are the prefixes removed to make room for it.
 func (b *backend) lookup(j *Job) (cachedTokens int, stored bool, evicted []prefix) {
 	if j.Prefix < 0 {
 		return 0, false, nil
@@ -45,17 +46,18 @@
 	return 0, true, evicted
 }
 
-// gap is the time between tokens as loaded now.
+// tokenInterval returns the time between tokens at the server's present load.
 func (b *backend) tokenInterval() time.Duration {
 	load := float64(len(b.running)) / float64(b.fleet.Slots)
 	return time.Duration(float64(b.fleet.TokenInterval) * (1 + b.fleet.FullSlowdown*load) * b.slowFactor)
 }
 
+// prefill returns the time to prefill tokens.
 func (b *backend) prefill(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / b.fleet.PrefillRate * b.slowFactor * float64(time.Second))
 }
 
-// drop removes a job from a list and reports whether it was there.
+// removeJob removes a job from a list and reports whether it was in it.
 func removeJob(list *[]*Job, j *Job) bool {
 	for i, other := range *list {
 		if other == j {
--- a/policy/policytest/sets.go
+++ b/policy/policytest/sets.go
@@ -2,60 +2,62 @@
 
 import "savoryreel.example/savoryreel/policy/retry"
 
-// Arrival is first come first served at the server with the least reported load,
-// without limits or expiry.
+// FirstComeLeastLoad is a baseline: first come, first served, at the server with
+// the least reported load, without limits or expiry.
 func FirstComeLeastLoad() *PolicySet {
 	return &PolicySet{Name: "first come, least reported load", JobQueue: FIFO, Admitter: AdmitAll, Router: LeastReportedLoad}
 }
 
-// ArrivalRoundRobin is first come first served in turn at all servers, without
-// limits; what expires leaves the queue.
+// FirstComeRoundRobin is a baseline: first come, first served, with round robin
+// over the servers and without limits. Expired jobs leave the queue.
 func FirstComeRoundRobin() *PolicySet {
 	return &PolicySet{Name: "first come with expiry, round robin", JobQueue: FIFOWithExpiry, Admitter: AdmitAll, Router: RoundRobin}
 }
 
-// FairOnly is the fair queue without admission, limits or affinity.
+// FairQueueOnly is the fair queue without admission, limits or prefix affinity.
 func FairQueueOnly() *PolicySet {
 	return &PolicySet{Name: "fair queue only", JobQueue: FairQueue, Admitter: AdmitAll, Router: LeastEstimatedLoad}
 }
 
-// NoAffinity is all decisions, but routing by load alone.
+// NoPrefixAffinity is AllDecisions with routing by load alone.
 func NoPrefixAffinity(s *Scenario) *PolicySet {
 	set := AllDecisions(s)
 	set.Name, set.Router = "all, routed by load alone", LeastEstimatedLoad
 	return set
 }
 
-// EqualLimits is all decisions, but limits split into equal parts.
+// EqualLimitShares is AllDecisions with each limit split equally among the
+// entries.
 func EqualLimitShares(s *Scenario) *PolicySet {
 	set := AllDecisions(s)
 	set.Name, set.Exchange = "all, limits in equal parts", EqualShares(s)
 	return set
 }
 
-// NoHedge is all decisions, but nothing is hedged.
+// NoHedging is AllDecisions without hedging.
 func NoHedging(s *Scenario) *PolicySet {
 	set := AllDecisions(s)
 	set.Name, set.Hedge = "all, no hedging", false
 	return set
 }
 
-// NoRetry is all decisions, but what fails is not repeated.
+// NoRetries is AllDecisions without retries and hedging. Jobs of reclaimed servers
+// still resume.
 func NoRetries(s *Scenario) *PolicySet {
 	set := AllDecisions(s)
 	set.Name, set.Retry, set.Hedge = "all, no retries", nil, false
 	return set
 }
 
-// OneClass is all decisions, but a retry of a batch job is decided like any
-// other.
+// OneRetryClass is AllDecisions with retries decided as if all jobs were of class
+// standard.
 func OneRetryClass(s *Scenario) *PolicySet {
 	set := AllDecisions(s)
 	set.Name, set.OneRetryClass = "all, one class of retries", true
 	return set
 }
 
-// All is all decisions with their default configurations.
+// AllDecisions is all decisions with their default configurations.
 func AllDecisions(s *Scenario) *PolicySet {
 	return &PolicySet{
 		Name: "all decisions", JobQueue: FairQueue, Admitter: PolicyAdmitter, Router: PolicyRouter, Retry: newRetryPolicy, Hedge: true,
