--- a/policy/policytest/decisions_test.go
+++ b/policy/policytest/decisions_test.go
@@ -20,10 +20,10 @@
 	tableBegin      = "<!-- table: go test ./policy/policytest -run TestDecisionsTable -update -->\n"
 	tableEnd        = "<!-- end of table -->\n"
 	tableSeed       = 1
-	maxParallelRuns = 4 // runs side by side
+	maxParallelRuns = 4
 )
 
-// setsOf are the rows of a pattern's part of the table.
+// policySetsFor returns the policy sets that the table compares for a scenario.
 func policySetsFor(s *Scenario) []*PolicySet {
 	sets := []*PolicySet{FirstComeLeastLoad(), FirstComeRoundRobin(), FairQueueOnly(), NoPrefixAffinity(s)}
 	for i := range s.Sources {
@@ -42,13 +42,14 @@
 	return append(sets, AllDecisions(s))
 }
 
-// row is one line of the table, run on its own.
+// tableRow is one row of the table; result is set by runRows.
 type tableRow struct {
 	scenario *Scenario
 	set      *PolicySet
 	result   *Result
 }
 
+// tableRows returns the rows of the table, not run yet.
 func tableRows() []*tableRow {
 	var rows []*tableRow
 	for _, s := range TableScenarios() {
@@ -59,12 +60,12 @@
 	return rows
 }
 
-// run plays each row; a run depends on nothing but its own row.
+// runRows runs the scenario of each row. The runs are independent.
 func runRows(rows []*tableRow) {
 	runParallel(len(rows), func(i int) { rows[i].result = Run(rows[i].scenario, rows[i].set, tableSeed) })
 }
 
-// sideBySide calls play for 0 to n-1, a few at once.
+// runParallel calls fn for 0 to n-1, up to maxParallelRuns at a time.
 func runParallel(n int, fn func(int)) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxParallelRuns)
@@ -78,7 +79,7 @@
 	wg.Wait()
 }
 
-// runSeeds plays a scenario with each of seeds.
+// runSeeds runs a scenario once for each of seeds.
 func runSeeds(s func() *Scenario, set func(*Scenario) *PolicySet) []*Result {
 	results := make([]*Result, len(seeds))
 	runParallel(len(seeds), func(i int) {
@@ -88,6 +89,7 @@
 	return results
 }
 
+// formatTable returns the table in Markdown.
 func formatTable(rows []*tableRow) string {
 	var b strings.Builder
 	b.WriteString("| pattern | decisions | p95 first token, s | same, workspace `quiet`, s | p95 between tokens, ms | goodput / capacity | server-seconds per 1,000 answers in target | tokens recomputed | Jain | offered | refused | in target |\n")
@@ -105,7 +107,8 @@
 	return b.String()
 }
 
-// The page's table is what a run gives. With -update the run is written to it.
+// Fails if the table in docs/DECISIONS.md differs from the results of a run. With
+// -update, the test writes the results into the page instead.
 func TestDecisionsTable(t *testing.T) {
 	rows := tableRows()
 	runRows(rows)
@@ -113,17 +116,19 @@
 	data, err := os.ReadFile(tablePage)
 	require.NoError(t, err)
 	before, rest, ok := strings.Cut(string(data), tableBegin)
-	require.True(t, ok, "the page has no table")
+	require.True(t, ok, "the page has no begin marker of the table")
 	want, after, ok := strings.Cut(rest, tableEnd)
-	require.True(t, ok, "the table has no end")
+	require.True(t, ok, "the page has no end marker of the table")
 	if *update {
 		page := before + tableBegin + got + tableEnd + after
 		require.NoError(t, os.WriteFile(tablePage, []byte(page), 0o644))
 		return
 	}
-	assert.Equal(t, want, got, "run it with -update")
+	assert.Equal(t, want, got, "the table is out of date: run this test with -update")
 }
 
+// Guards against a source of randomness other than the seed, such as map order: a
+// run wouldn't be reproducible.
 func TestSameSeedSameResult(t *testing.T) {
 	s := SurgeOfOneWorkspace()
 	assert.Equal(t, Run(s, AllDecisions(s), 7), Run(s, AllDecisions(s), 7))
@@ -131,7 +136,8 @@
 
 var seeds = []uint64{1, 2, 3, 4, 5}
 
-// firsts returns the p95 first token of a workspace over all seeds, and of each.
+// firstTokenP95 returns the 95th percentile of a workspace's delays to the first
+// token, over all seeds together and for each seed.
 func firstTokenP95(workspace string, s func() *Scenario, set func(*Scenario) *PolicySet) (overall time.Duration, bySeed []time.Duration) {
 	var pooled []time.Duration
 	for _, r := range runSeeds(s, set) {
@@ -142,24 +148,26 @@
 	return percentile(pooled, 95), bySeed
 }
 
-// A surge of twenty times falls on one workspace. A quiet one must not notice.
+// Guards against a surge of one workspace, 20 times its rate, that delays the first
+// tokens of another one with a small steady load. The baseline must show the delay,
+// or the scenario would prove nothing.
 func TestSurgeDoesNotDelayQuietWorkspace(t *testing.T) {
 	before, beforeBySeed := firstTokenP95("quiet", Steady, AllDecisions)
 	during, duringBySeed := firstTokenP95("quiet", SurgeOfOneWorkspace, AllDecisions)
 	ratio := during.Seconds() / before.Seconds()
-	t.Logf("quiet p95 %v, under the surge %v, ratio %.3f; by seed %v and %v", before, during, ratio, beforeBySeed, duringBySeed)
+	t.Logf("quiet: p95 first token %v, under the surge %v, ratio %.3f; by seed %v and %v", before, during, ratio, beforeBySeed, duringBySeed)
 	assert.LessOrEqual(t, ratio, 1.2)
 	baseline, _ := firstTokenP95("quiet", SurgeOfOneWorkspace, func(*Scenario) *PolicySet { return FirstComeLeastLoad() })
 	assert.Greater(t, baseline, 10*time.Second)
 }
 
-// A surge takes what others leave: their requests are let in, and it still gets
-// the rest.
+// Guards against a surge of one workspace that gets the requests of others refused,
+// or that gets less than the capacity they leave unused.
 func TestSurgeLeavesFairShares(t *testing.T) {
 	s := SurgeOfOneWorkspace()
 	r := Run(s, AllDecisions(s), 1)
 	for _, w := range r.Workspaces {
-		t.Logf("%s: in target %d of %d, work %.0f of a fair %.0f", w.Workspace, w.MetTargets, w.Offered, w.AnsweredWork, w.FairWork)
+		t.Logf("%s: %d of %d met targets, work answered %.0f, fair share %.0f slot-seconds", w.Workspace, w.MetTargets, w.Offered, w.AnsweredWork, w.FairWork)
 		assert.Greater(t, w.AnsweredWork, 0.85*w.FairWork)
 	}
 	quiet := r.Workspace("quiet")
@@ -167,8 +175,8 @@
 	assert.Greater(t, r.Jain, 0.99)
 }
 
-// Callers ask for five times what the fleet can do. It must go on doing what it
-// can, in time, and refuse the rest at once.
+// Guards against a collapse of goodput under overload: at two and five times the
+// capacity, admitted requests must still meet their targets.
 func TestGoodputAtSaturation(t *testing.T) {
 	for _, load := range []float64{2, 5} {
 		sum := 0.0
@@ -183,21 +191,20 @@
 	}
 }
 
-// One workspace's two callers each keep to one of seven entries. They must get
-// their limit, not two sevenths of it, and no more than it.
+// Guards against a rate limit split equally among seven entries: a workspace whose
+// callers use only two of them would get two sevenths of its limit.
 func TestFewCallersGetTheirLimit(t *testing.T) {
 	s := FewCallers()
 	allowed := s.Sources[0].Limits.RequestsPerSecond * (s.Duration - s.Warmup).Seconds()
 	leased := float64(Run(s, AllDecisions(s), 1).Workspace("large-a").Answered)
 	equal := float64(Run(s, EqualLimitShares(s), 1).Workspace("large-a").Answered)
-	t.Logf("of %.0f allowed: leased shares %.0f, equal parts %.0f", allowed, leased, equal)
+	t.Logf("answered of %.0f allowed: with leased shares %.0f, with equal shares %.0f", allowed, leased, equal)
 	assert.Greater(t, leased, 0.85*allowed)
 	assert.LessOrEqual(t, leased, allowed+float64(s.Entries))
 	assert.Less(t, equal, 0.35*allowed)
 }
 
-// A burst of a second is no load above capacity: it is answered, if late, and
-// next to nothing of it is refused.
+// Guards against refusing a burst of one second that the queue can absorb.
 func TestShortBurstIsNotRefused(t *testing.T) {
 	s := Burst()
 	r := Run(s, AllDecisions(s), 1)
@@ -205,20 +212,21 @@
 	assert.LessOrEqual(t, float64(r.Refused), 0.02*float64(r.Offered))
 }
 
-// Answers of 2,500 tokens would fill every slot. Short answers must still come
-// in time, and the long ones must get what the others leave.
+// Guards against long answers that take every slot, so that short ones wait for
+// seconds as with the baseline, and against starving the long ones of the slots
+// that remain.
 func TestLongAnswersDoNotDelayShortOnes(t *testing.T) {
 	s := LongAnswersAmongShort()
 	r, baseline := Run(s, AllDecisions(s), 1), Run(s, FirstComeLeastLoad(), 1)
-	t.Logf("p95 first token %v (first come %v), goodput %.3f", r.FirstTokenP95, baseline.FirstTokenP95, r.Goodput)
+	t.Logf("p95 first token %v (first come, first served: %v), goodput %.3f", r.FirstTokenP95, baseline.FirstTokenP95, r.Goodput)
 	assert.Less(t, r.FirstTokenP95, firstTokenTarget)
 	assert.Greater(t, baseline.FirstTokenP95, 10*time.Second)
 	longAnswers := r.Workspace("large-b")
 	assert.Greater(t, longAnswers.AnsweredWork, 0.9*longAnswers.FairWork)
 }
 
-// A third of the servers is reclaimed in one wave. Every request that ran there
-// is answered elsewhere.
+// Guards against requests that fail because their server was reclaimed, when a
+// third of the servers is reclaimed at once.
 func TestReclaimFailsNoRequest(t *testing.T) {
 	s := ZoneReclaimed()
 	r := Run(s, AllDecisions(s), 1)
@@ -227,18 +235,18 @@
 	assert.Zero(t, r.Evicted)
 }
 
-// Two servers fail whatever they are sent, and by failing fast look idle. What
-// they fail is tried again elsewhere, within a tenth of the load.
+// Guards against routing more requests to failing servers, which look idle because
+// they fail fast, and against retries of more than a tenth of the load.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	s := TwoFailingServers()
 	r, none := Run(s, AllDecisions(s), 1), Run(s, NoRetries(s), 1)
-	t.Logf("failed %d with %d retries and %d hedges, %d without", r.Failed, r.Retries, r.Hedges, none.Failed)
+	t.Logf("failed %d with %d retries and %d hedges, %d without retries", r.Failed, r.Retries, r.Hedges, none.Failed)
 	assert.Less(t, r.Failed, none.Failed/2)
 	assert.LessOrEqual(t, float64(r.Retries+r.Hedges), 0.1*float64(len(s.arrivals(1))))
 }
 
-// A third of the servers fails and the budget runs dry. What batch work leaves of
-// it goes to those somebody waits for.
+// Guards against batch jobs that use up the retry budget, with a third of the
+// servers failing, so that interactive requests fail for want of a retry.
 func TestBatchRetriesLeaveBudgetToInteractive(t *testing.T) {
 	failedJobs := func(set func(*Scenario) *PolicySet) (interactive, batch, offered int) {
 		for _, r := range runSeeds(FourFailingServers, set) {
@@ -250,20 +258,19 @@
 	}
 	interactive, batch, offered := failedJobs(AllDecisions)
 	withoutClass, withoutClassBatch, _ := failedJobs(OneRetryClass)
-	t.Logf("of %d interactive failed %d, without regard to class %d; batch %d and %d", offered, interactive, withoutClass, batch, withoutClassBatch)
+	t.Logf("of %d interactive jobs failed %d, with one retry class %d; batch jobs failed %d and %d", offered, interactive, withoutClass, batch, withoutClassBatch)
 	assert.Less(t, float64(interactive), 0.8*float64(withoutClass))
 }
 
-// Callers ask for three times the capacity for ten seconds, and those refused come
-// back when they were told to. Told all the same second, they would be refused
-// again and again.
+// Guards against a retry-after delay that ignores the backlog: after an overload of
+// ten seconds, callers would retry too early and be refused repeatedly.
 func TestRetryAfterMatchesFreeCapacity(t *testing.T) {
 	runWithRetryAfter := func(retryAfter time.Duration) *Result {
 		s := Overload()
 		set := AllDecisions(s)
 		set.CallersRetry, set.FixedRetryAfter = true, retryAfter
 		r := Run(s, set, 1)
-		t.Logf("told %v (0: what was learnt): came back %d times, answered %d of %d, p95 from first asking to first token %v",
+		t.Logf("retry-after %v (0: estimated): %d caller retries, answered %d of %d, p95 from first request to first token %v",
 			retryAfter, r.CallerRetries, r.Answered, r.Offered, r.FirstTokenP95)
 		return r
 	}
@@ -274,11 +281,12 @@
 	assert.GreaterOrEqual(t, float64(estimated.Answered), 0.99*float64(estimated.Offered))
 }
 
-// One server answers five times slower than the others.
+// Guards against routing to a server that is five times slower than the others, so
+// that its requests miss their targets.
 func TestSlowServerDoesNotMissTargets(t *testing.T) {
 	s := OneSlowServer()
 	r, baseline := Run(s, AllDecisions(s), 1), Run(s, FirstComeLeastLoad(), 1)
-	t.Logf("in target %d of %d (first come %d)", r.MetTargets, r.Offered, baseline.MetTargets)
+	t.Logf("%d of %d met targets (first come, first served: %d)", r.MetTargets, r.Offered, baseline.MetTargets)
 	assert.Greater(t, float64(r.MetTargets), 0.98*float64(r.Offered))
 	assert.Less(t, baseline.MetTargets, r.MetTargets)
 }
--- a/policy/policytest/patterns.go
+++ b/policy/policytest/patterns.go
@@ -6,7 +6,7 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// Latency targets of all workspaces but those with long answers or batch jobs.
+// Latency targets of interactive requests.
 const (
 	firstTokenTarget    = 720 * time.Millisecond
 	tokenIntervalTarget = 46 * time.Millisecond
@@ -115,8 +115,9 @@
 	return s
 }
 
-// LongAnswersAmongShort is Steady with additional answers of 2,500 tokens that
-// need more slots than the short ones leave free.
+// LongAnswersAmongShort is Steady with half of the rate of large-b, which also
+// requests answers of 2,500 tokens. These need more slots than the short answers
+// leave free.
 func LongAnswersAmongShort() *Scenario {
 	sources := workspaceSources(0.5)
 	sources[1].Rate /= 2
--- a/policy/policytest/result.go
+++ b/policy/policytest/result.go
@@ -79,8 +79,8 @@
 	metWork := 0.0
 	for _, j := range m.jobs {
 		r.RecomputedTokens += j.RecomputedTokens
-		// Goodput counts work by the end of the job. By arrival, jobs that
-		// were still queued at the end would count as unused capacity.
+		// Goodput counts work by when the job ended: otherwise a queue that
+		// grows throughout the run would look like unused capacity.
 		if j.MetTargets() && m.inWindow(j.Ended) {
 			metWork += m.slotSeconds(j)
 		}
--- a/policy/policytest/routed.go
+++ b/policy/policytest/routed.go
@@ -31,8 +31,8 @@
 const incarnation = 1
 
 // PolicyRouter returns a Router made of route.Router with its default
-// configuration, except for the fleet's own speeds and for slow start, which is
-// off because no server has just started.
+// configuration, except for the scenario's number of entries, prefill rate and
+// slot time, and for slow start, which is off: all servers have run for a while.
 func PolicyRouter(s *Scenario, entry int) Router {
 	cfg := route.DefaultConfig()
 	cfg.Entries = s.Entries
--- a/policy/policytest/server.go
+++ b/policy/policytest/server.go
@@ -12,7 +12,7 @@
 	running      []*Job
 	waiting      []*Job
 	cache        []prefix // least recently used first
-	cachedTokens int
+	cachedTokens int      // total of cache
 }
 
 // prefix is a shared prompt prefix in a cache.
