--- a/policy/policytest/fault.go
+++ b/policy/policytest/fault.go
@@ -105,9 +105,10 @@
 	m.scheduleAfter(v.After, m.ifAttemptCurrent(j, func() { m.requeue(e, j) }))
 }
 
-// scheduleHedgeCheck hedges an attempt whose first token is overdue. The model
-// computes which of the two attempts wins and runs only that one: a losing hedge
-// takes no server time, and a winning one frees the first server at once.
+// scheduleHedgeCheck checks every hedgeCheckInterval whether to hedge an attempt
+// without a first token, until it is hedged. The model computes which of
+// the two attempts wins and runs only that one: a losing hedge takes no server
+// time, and a winning one frees the first server at once.
 func (m *model) scheduleHedgeCheck(e *entry, j *Job) {
 	if !m.policies.Hedge || e.retry == nil || j.hedged {
 		return
