--- a/load/caller.go
+++ b/load/caller.go
@@ -18,13 +18,13 @@
 	deadlineGrace = 2 * time.Second // how long past its deadline a caller still listens
 	maxRedirects  = 4
 	maxReconnects = 3 // of one stream
-	maxEvent      = 64 << 10
+	maxEventBytes = 64 << 10
 )
 
 var (
-	errWrongAnswer = errors.New("the answer is not the one expected")
-	errCutStream   = errors.New("the stream ended without its end mark")
-	errRedirects   = errors.New("too many redirects")
+	errWrongAnswer      = errors.New("the answer is not the one expected")
+	errTruncated        = errors.New("the stream ended without its end mark")
+	errTooManyRedirects = errors.New("too many redirects")
 )
 
 // Outcome is how a request ended at the caller.
@@ -42,25 +42,25 @@
 )
 
 // report is what one request met. Times count from its intended start.
-type report struct {
-	outcome Outcome
-	lag     time.Duration // of the real start
-	first   time.Duration // to the first token, or to a plain answer's head; 0: none
-	end     time.Duration
-	gaps    []time.Duration // between tokens
-	tokens  int
-	redials int // entries that could not be reached before one could
-	err     error
+type callResult struct {
+	outcome    Outcome
+	startLag   time.Duration // of the real start
+	firstToken time.Duration // to the first token, or to a plain answer's head; 0: none
+	latency    time.Duration
+	tokenGaps  []time.Duration // between tokens
+	tokens     int
+	redials    int // entries that could not be reached before one could
+	err        error
 
 	reconnects int // streams that broke and were taken up again
 }
 
 // caller makes requests. It is safe for concurrent use.
 type caller struct {
-	cfg    Config
-	runID  string // makes idempotency keys unique over runs
-	client *http.Client
-	choice *entryChoice
+	cfg     Config
+	runID   string // makes idempotency keys unique over runs
+	client  *http.Client
+	entries *entryCache
 }
 
 func newClient(maxInFlight int) *http.Client {
@@ -75,26 +75,26 @@
 }
 
 // call makes one request whose start was intended at the given time.
-func (c *caller) call(ctx context.Context, a arrival, intended time.Time) report {
+func (c *caller) call(ctx context.Context, a arrival, intendedStart time.Time) callResult {
 	part := c.cfg.Parts[a.part]
-	r := report{lag: time.Since(intended)}
+	r := callResult{startLag: time.Since(intendedStart)}
 	ctx, cancel := context.WithTimeout(ctx, part.timeout())
 	defer cancel()
 	var state streamState
 	for {
-		r.outcome, r.err = c.attempt(ctx, part, a, intended, &state, &r)
+		r.outcome, r.err = c.attempt(ctx, part, a, intendedStart, &state, &r)
 		broken := r.outcome == Broken && ctx.Err() == nil
-		if !broken || state.lastID == "" || r.reconnects == maxReconnects {
+		if !broken || state.lastEventID == "" || r.reconnects == maxReconnects {
 			break
 		}
 		r.reconnects++
 	}
-	r.end = time.Since(intended)
+	r.latency = time.Since(intendedStart)
 	return r
 }
 
 // attempt sends the request, or takes its stream up again, and reads the answer.
-func (c *caller) attempt(ctx context.Context, p Part, a arrival, intended time.Time, state *streamState, r *report) (Outcome, error) {
+func (c *caller) attempt(ctx context.Context, p Part, a arrival, intendedStart time.Time, state *streamState, r *callResult) (Outcome, error) {
 	resp, err := c.send(ctx, p, a, state, r)
 	if err != nil {
 		return Broken, err
@@ -103,16 +103,16 @@
 	if state.requestID == "" {
 		state.requestID = resp.Header.Get(native.HeaderRequestID)
 	}
-	return c.take(resp, p, a, intended, state, r)
+	return c.readAnswer(resp, p, a, intendedStart, state, r)
 }
 
 // send tries the entries in their order until one can be reached. Nothing is
 // sent twice: it goes on only while no connection was made.
-func (c *caller) send(ctx context.Context, p Part, a arrival, state *streamState, r *report) (*http.Response, error) {
+func (c *caller) send(ctx context.Context, p Part, a arrival, state *streamState, r *callResult) (*http.Response, error) {
 	if p.Direct != "" {
 		return c.sendTo(ctx, "http://"+p.Direct, p, a, state)
 	}
-	urls, err := c.choice.get(ctx)
+	urls, err := c.entries.get(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -124,13 +124,13 @@
 		if err == nil {
 			return resp, nil
 		}
-		c.choice.demote(url)
+		c.entries.demote(url)
 		if connected || ctx.Err() != nil {
 			return nil, err
 		}
 		r.redials++
 	}
-	c.choice.expire()
+	c.entries.expire()
 	return nil, err
 }
 
@@ -140,7 +140,7 @@
 	var location *url.URL
 	for range maxRedirects {
 		req, err := c.cfg.Dialect.NewRequest(ctx, base, p,
-			Call{RunID: c.runID, Index: a.index, RequestID: state.requestID, LastID: state.lastID})
+			Call{RunID: c.runID, Index: a.index, RequestID: state.requestID, LastEventID: state.lastEventID})
 		if err != nil {
 			return nil, err
 		}
@@ -160,31 +160,31 @@
 			return nil, err
 		}
 	}
-	return nil, errRedirects
+	return nil, errTooManyRedirects
 }
 
 // take reads the answer and says how the request ended.
-func (c *caller) take(resp *http.Response, p Part, a arrival, intended time.Time, state *streamState, r *report) (Outcome, error) {
+func (c *caller) readAnswer(resp *http.Response, p Part, a arrival, intendedStart time.Time, state *streamState, r *callResult) (Outcome, error) {
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxEvent))
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxEventBytes))
 		return c.cfg.Dialect.Refusal(resp.StatusCode, resp.Header), fmt.Errorf("status %d", resp.StatusCode)
 	}
 	if p.Kind == Plain {
-		return takePlain(resp, intended, r)
+		return readPlain(resp, intendedStart, r)
 	}
-	outcome, err := takeStream(c.cfg.Dialect, resp.Body, intended, state, r)
+	outcome, err := readStream(c.cfg.Dialect, resp.Body, intendedStart, state, r)
 	if outcome != Answered || c.cfg.Expect == nil {
 		return outcome, err
 	}
-	want := c.cfg.Expect(p.Model, messages(p, a.index), p.MaxTokens)
+	want := c.cfg.Expect(p.Model, promptMessages(p, a.index), p.MaxTokens)
 	if state.text.String() != strings.Join(want, "") {
 		return Wrong, errWrongAnswer
 	}
 	return Answered, nil
 }
 
-func takePlain(resp *http.Response, intended time.Time, r *report) (Outcome, error) {
-	r.first = time.Since(intended)
+func readPlain(resp *http.Response, intendedStart time.Time, r *callResult) (Outcome, error) {
+	r.firstToken = time.Since(intendedStart)
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return Broken, err
 	}
--- a/load/config.go
+++ b/load/config.go
@@ -17,7 +17,7 @@
 	DefaultTimeout     = time.Minute
 	DefaultMaxTokens   = 32
 
-	maxArrivals = 5_000_000 // of one run; the schedule is held in memory
+	maxScheduled = 5_000_000 // of one run; the schedule is held in memory
 )
 
 // Kind says what a part calls.
@@ -107,10 +107,10 @@
 
 // Validate returns all faults of the configuration together.
 func (c Config) Validate() error {
-	var faults []error
+	var errs []error
 	add := func(ok bool, format string, args ...any) {
 		if !ok {
-			faults = append(faults, fmt.Errorf(format, args...))
+			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
 	add(c.Rate > 0, "rate must be above 0")
@@ -130,12 +130,12 @@
 		add(names[s.Part], "surge: there is no part %q", s.Part)
 		add(s.Factor >= 0 && s.From >= 0 && s.For >= 0, "surge of %q: must not be negative", s.Part)
 	}
-	add(c.expected() <= maxArrivals, "the run would have more than %d requests", maxArrivals)
-	return errors.Join(faults...)
+	add(c.maxRequests() <= maxScheduled, "the run would have more than %d requests", maxScheduled)
+	return errors.Join(errs...)
 }
 
 // expected bounds the number of requests from above, surges at full weight.
-func (c Config) expected() float64 {
+func (c Config) maxRequests() float64 {
 	n := c.Rate * c.Duration.Seconds()
 	for _, s := range c.Surges {
 		n += c.Rate * s.Factor * s.For.Seconds()
--- a/load/dialect.go
+++ b/load/dialect.go
@@ -18,27 +18,27 @@
 	// to use.
 	ListPath() string
 	ReadList(body []byte) (EntryList, error)
-	// AskEntries reports whether entries can be asked too, and not only the addresses
+	// EntriesServeList reports whether entries can be asked too, and not only the addresses
 	// that callers are given.
-	AskEntries() bool
+	EntriesServeList() bool
 	// NewRequest returns a request to the entry or engine at base, a URL without path.
 	NewRequest(ctx context.Context, base string, p Part, call Call) (*http.Request, error)
 	// Refusal says how a request ended whose answer is no success.
 	Refusal(status int, h http.Header) Outcome
 	// ReadEvent reads one event of a stream.
 	ReadEvent(event native.Event) (Chunk, error)
-	// EndMark reports whether a stream is whole only with a last event that says so,
+	// NeedsEndMark reports whether a stream is whole only with a last event that says so,
 	// and not once its body has come to its end.
-	EndMark() bool
+	NeedsEndMark() bool
 }
 
 // EntryList is the answer to which entries to use.
 type EntryList struct {
 	Addresses []string // host:port
-	Valid     time.Duration
+	TTL       time.Duration
 	// Spread says that callers take any of them at random, and not the first that
 	// they can reach.
-	Spread bool
+	Shuffle bool
 }
 
 // Call is what tells one request of a part from the others.
@@ -47,7 +47,7 @@
 	Index int    // of the request in the run
 	// RequestID and LastID are set where a stream is taken up again: the id that the
 	// first answer named, and that of the last event that came.
-	RequestID, LastID string
+	RequestID, LastEventID string
 }
 
 // Chunk is what one event of a stream brings.
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestRunChecksAnswersAndComparesWithTheEngine(t *testing.T) {
+func TestRunChecksAnswersAndMeasuresOverhead(t *testing.T) {
 	_, engine := startEngine(t, fake.EngineConfig{Slots: 64})
 	entry := startEntry(t, engine)
 	direct := chatPart("direct")
@@ -77,9 +77,9 @@
 	require.NoError(t, err)
 	t.Logf("through the same server: %+v", overhead)
 
-	again, err := load.Run(context.Background(), cfg)
+	repeated, err := load.Run(context.Background(), cfg)
 	require.NoError(t, err)
-	require.Equal(t, result.Total.Requests, again.Total.Requests, "one seed, one schedule")
+	require.Equal(t, result.Total.Requests, repeated.Total.Requests, "one seed, one schedule")
 
 	cfg.Expect = func(string, []native.Message, int) []string { return []string{"other"} }
 	wrong, err := load.Run(context.Background(), cfg)
@@ -91,7 +91,7 @@
 // would send the next one only then, and report every answer as quick. Here
 // each request's wait for a free caller counts. Giving runner.work's call the
 // present time in place of the intended one breaks this test.
-func TestRunCountsLateStartsAgainstTheSystem(t *testing.T) {
+func TestRunMeasuresLatencyFromIntendedStart(t *testing.T) {
 	const answer = 20 * time.Millisecond
 	_, engine := startEngine(t, fake.EngineConfig{FirstToken: answer})
 	entry := startEntry(t, engine)
@@ -107,13 +107,13 @@
 	require.Equal(t, n, result.Total.Outcomes.Answered)
 	// All n run one after the other and the last was meant to start by 400 ms.
 	// The bound holds on any machine: a timer may fire late and never early.
-	least := time.Duration(n)*answer - 400*time.Millisecond
-	require.GreaterOrEqual(t, result.Total.FirstToken.Max, 0.99*float64(least.Milliseconds()))
+	minLatency := time.Duration(n)*answer - 400*time.Millisecond
+	require.GreaterOrEqual(t, result.Total.FirstToken.Max, 0.99*float64(minLatency.Milliseconds()))
 }
 
 // The system stops answering. A run must end all the same, and a request that
 // never started must not vanish from the figures.
-func TestRunEndsWhenTheSystemIsFrozen(t *testing.T) {
+func TestRunEndsAndCountsUnstartedWhenServerHangs(t *testing.T) {
 	e, engine := startEngine(t, fake.EngineConfig{})
 	e.SetFaults(fake.Faults{Freeze: true})
 	entry := startEntry(t, engine)
@@ -171,7 +171,7 @@
 
 // An entry drains and sends its callers to another one. The key must go along,
 // or the other entry would turn the caller away as unknown.
-func TestRunFollowsARedirectWithItsKey(t *testing.T) {
+func TestRunKeepsKeyOnRedirect(t *testing.T) {
 	_, engine := startEngine(t, fake.EngineConfig{})
 	other := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Authorization") != "Bearer "+testKey {
@@ -180,12 +180,12 @@
 		}
 		engine.ServeHTTP(w, r)
 	}))
-	leaving := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	draining := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Location", other.URL+r.URL.Path)
 		w.WriteHeader(http.StatusTemporaryRedirect)
 	}))
 	result, err := load.Run(context.Background(), load.Config{
-		Entries: []string{leaving.URL}, Rate: 100, Duration: 100 * time.Millisecond, Seed: 5,
+		Entries: []string{draining.URL}, Rate: 100, Duration: 100 * time.Millisecond, Seed: 5,
 		Parts: []load.Part{chatPart("moved")}, Expect: fake.Answer,
 	})
 	require.NoError(t, err)
@@ -195,16 +195,16 @@
 
 // An entry dies in the middle of a stream, and another one goes on with it. The
 // caller reads one whole answer, whose gap is in the figures.
-func TestRunTakesUpABrokenStream(t *testing.T) {
-	const cut = 2 // tokens before the entry dies
+func TestRunResumesBrokenStream(t *testing.T) {
+	const sentTokens = 2 // tokens before the entry dies
 	entry := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req native.ChatRequest
 		_ = json.NewDecoder(r.Body).Decode(&req)
 		answer := fake.Answer(testModel, req.Messages, req.MaxTokens)
-		from, to := 0, cut
+		from, to := 0, sentTokens
 		if id := r.Header.Get("Last-Event-ID"); id != "" {
-			from, to = cut, len(answer)
-			if id != fmt.Sprint(cut-1) || r.Header.Get("X-Request-Id") != "req-1" {
+			from, to = sentTokens, len(answer)
+			if id != fmt.Sprint(sentTokens-1) || r.Header.Get("X-Request-Id") != "req-1" {
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
@@ -227,7 +227,7 @@
 	require.Equal(t, result.Total.Requests, result.Total.Reconnects)
 }
 
-func TestResultIsWrittenWithoutKeysAndOutsideResources(t *testing.T) {
+func TestReportHasNoKeysOrExternalResources(t *testing.T) {
 	_, engine := startEngine(t, fake.EngineConfig{})
 	entry := startEntry(t, engine)
 	result, err := load.Run(context.Background(), load.Config{
@@ -238,9 +238,9 @@
 	var asJSON, asHTML bytes.Buffer
 	require.NoError(t, result.WriteJSON(&asJSON))
 	require.NoError(t, result.WriteHTML(&asHTML))
-	var back load.Result
-	require.NoError(t, json.Unmarshal(asJSON.Bytes(), &back))
-	require.Equal(t, *result, back)
+	var decoded load.Result
+	require.NoError(t, json.Unmarshal(asJSON.Bytes(), &decoded))
+	require.Equal(t, *result, decoded)
 	page := asHTML.String()
 	require.Equal(t, 3, strings.Count(page, "<svg"))
 	require.NotContains(t, page, "a <b>")
@@ -251,7 +251,7 @@
 	}
 }
 
-func TestConfigNamesAllItsFaults(t *testing.T) {
+func TestValidateReturnsAllErrors(t *testing.T) {
 	err := load.Config{
 		Rate:   -1,
 		Parts:  []load.Part{{Name: "a", Weight: 1, Kind: "x", Service: "s"}, {Name: "a"}},
--- a/load/native.go
+++ b/load/native.go
@@ -14,14 +14,14 @@
 
 // Names of the product's own protocol towards callers.
 const (
-	headerDeadline = "Savoryreel-Deadline-Ms"
-	headerOutcome  = "Savoryreel-Outcome"
-	headerKey      = "Idempotency-Key"
-	headerLastID   = "Last-Event-ID"
-	pathEntries    = "/v1/entries"
-	pathPlainCalls = "/svc/"
-	doneMark       = "[DONE]"
-	eventError     = "error"
+	headerDeadline       = "Savoryreel-Deadline-Ms"
+	headerOutcome        = "Savoryreel-Outcome"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerLastEventID    = "Last-Event-ID"
+	pathEntries          = "/v1/entries"
+	pathPlainCalls       = "/svc/"
+	doneMark             = "[DONE]"
+	eventError           = "error"
 )
 
 // Native is the product's own protocol.
@@ -30,8 +30,8 @@
 // ListPath implements Dialect.
 func (Native) ListPath() string { return pathEntries }
 
-// AskEntries implements Dialect.
-func (Native) AskEntries() bool { return true }
+// EntriesServeList implements Dialect.
+func (Native) EntriesServeList() bool { return true }
 
 // ReadList implements Dialect.
 func (Native) ReadList(body []byte) (EntryList, error) {
@@ -44,7 +44,7 @@
 	if err := json.Unmarshal(body, &in); err != nil {
 		return EntryList{}, err
 	}
-	list := EntryList{Valid: time.Duration(in.ValidSeconds * float64(time.Second))}
+	list := EntryList{TTL: time.Duration(in.ValidSeconds * float64(time.Second))}
 	for _, e := range in.Entries {
 		list.Addresses = append(list.Addresses, e.Address)
 	}
@@ -80,10 +80,10 @@
 		h.Set(headerDeadline, strconv.FormatInt(p.Deadline.Milliseconds(), 10))
 	}
 	if p.Once {
-		h.Set(headerKey, fmt.Sprintf("load-%s-%s-%d", call.RunID, p.Name, call.Index))
+		h.Set(headerIdempotencyKey, fmt.Sprintf("load-%s-%s-%d", call.RunID, p.Name, call.Index))
 	}
-	if call.LastID != "" {
-		h.Set(headerLastID, call.LastID)
+	if call.LastEventID != "" {
+		h.Set(headerLastEventID, call.LastEventID)
 		h.Set(native.HeaderRequestID, call.RequestID)
 	}
 }
@@ -94,14 +94,14 @@
 	}
 	return json.Marshal(native.ChatRequest{
 		Model:     p.Service,
-		Messages:  messages(p, index),
+		Messages:  promptMessages(p, index),
 		MaxTokens: p.MaxTokens,
 		Stream:    true,
 	})
 }
 
 // messages returns the prompt of a part's request with an index.
-func messages(p Part, index int) []native.Message {
+func promptMessages(p Part, index int) []native.Message {
 	var list []native.Message
 	if p.PrefixBytes > 0 {
 		list = append(list, native.Message{
@@ -126,12 +126,12 @@
 
 // statedOutcome returns the system's own word, or other where there is none.
 // An error that calls itself answered is a plain service's own error status.
-func statedOutcome(stated, other Outcome) Outcome {
+func statedOutcome(stated, fallback Outcome) Outcome {
 	switch stated {
 	case Answered, NotRun, Unknown:
 		return stated
 	default:
-		return other
+		return fallback
 	}
 }
 
@@ -167,5 +167,5 @@
 	return statedOutcome(problem.Outcome, Unknown)
 }
 
-// EndMark implements Dialect.
-func (Native) EndMark() bool { return true }
+// NeedsEndMark implements Dialect.
+func (Native) NeedsEndMark() bool { return true }
--- a/load/report.go
+++ b/load/report.go
@@ -16,13 +16,13 @@
 
 // Size of a plot in its own units, and of its frame.
 const (
-	plotWidth  = 640.0
-	plotHeight = 240.0
-	frameLeft  = 56.0
-	frameRight = 12.0
-	frameTop   = 12.0
-	frameBase  = 28.0
-	plotTicks  = 5
+	plotWidth   = 640.0
+	plotHeight  = 240.0
+	frameLeft   = 56.0
+	frameRight  = 12.0
+	frameTop    = 12.0
+	frameBottom = 28.0
+	plotTicks   = 5
 )
 
 // plot is a line plot, drawn by the template as inline SVG.
@@ -89,7 +89,7 @@
 }
 
 func (r *Result) outcomePlot() plot {
-	pick := func(name, colour string, count func(Outcomes) int) series {
+	newSeries := func(name, colour string, count func(Outcomes) int) series {
 		s := series{name: name, colour: colour}
 		for _, second := range r.Timeline {
 			s.x = append(s.x, float64(second.Second))
@@ -98,10 +98,10 @@
 		return s
 	}
 	return newPlot("Outcomes by second of intended start", "s", "requests", []series{
-		pick("answered", "#2a7d4f", func(o Outcomes) int { return o.Answered }),
-		pick("not run", "#c98a1b", func(o Outcomes) int { return o.NotRun }),
-		pick("unknown", "#8a4fbf", func(o Outcomes) int { return o.Unknown }),
-		pick("failed, broken, wrong, unstarted", "#c0392b", func(o Outcomes) int {
+		newSeries("answered", "#2a7d4f", func(o Outcomes) int { return o.Answered }),
+		newSeries("not run", "#c98a1b", func(o Outcomes) int { return o.NotRun }),
+		newSeries("unknown", "#8a4fbf", func(o Outcomes) int { return o.Unknown }),
+		newSeries("failed, broken, wrong, unstarted", "#c0392b", func(o Outcomes) int {
 			return o.Failed + o.Broken + o.Wrong + o.Unstarted
 		}),
 	})
@@ -122,7 +122,7 @@
 // curvePlot draws latency against percentile on an axis of nines, so that the
 // tail has as much room as the rest.
 func (r *Result) curvePlot() plot {
-	pick := func(name, colour string, d Distribution) series {
+	newSeries := func(name, colour string, d Distribution) series {
 		s := series{name: name, colour: colour}
 		for _, point := range d.Curve {
 			s.x = append(s.x, nines(point.Percent))
@@ -131,9 +131,9 @@
 		return s
 	}
 	p := newPlot("Latency by percentile", "percentile", "ms", []series{
-		pick("first token", "#2a6f9e", r.Total.FirstToken),
-		pick("between tokens", "#2a7d4f", r.Total.Between),
-		pick("whole answer", "#8a4fbf", r.Total.Whole),
+		newSeries("first token", "#2a6f9e", r.Total.FirstToken),
+		newSeries("between tokens", "#2a7d4f", r.Total.Between),
+		newSeries("whole answer", "#8a4fbf", r.Total.Whole),
 	})
 	p.XTicks = nil
 	for _, percent := range []float64{0, 50, 90, 99, 99.9, 99.99} {
@@ -145,11 +145,11 @@
 
 // nines maps 0, 90, 99, 99.9, ... percent to 0, 1, 2, 3, ..., and 100 to 4.5.
 func nines(percent float64) float64 {
-	const last = 4.5
+	const maxNines = 4.5
 	if percent >= 100 {
-		return last
+		return maxNines
 	}
-	return min(last, -math.Log10(1-percent/100))
+	return min(maxNines, -math.Log10(1-percent/100))
 }
 
 func newPlot(title, xLabel, yLabel string, all []series) plot {
@@ -162,9 +162,9 @@
 		Left:   frameLeft,
 		Top:    frameTop,
 		Right:  plotWidth - frameRight,
-		Base:   plotHeight - frameBase,
+		Base:   plotHeight - frameBottom,
 	}
-	xMax, yMax := extent(all)
+	xMax, yMax := maxValues(all)
 	for i, s := range all {
 		p.Lines = append(p.Lines, line{
 			Name:   s.name,
@@ -174,9 +174,9 @@
 		})
 	}
 	for i := range plotTicks + 1 {
-		share := float64(i) / plotTicks
-		p.XTicks = append(p.XTicks, tick{At: p.Left + share*(p.Right-p.Left), Label: formatTick(share * xMax)})
-		p.YTicks = append(p.YTicks, tick{At: p.Base - share*(p.Base-p.Top), Label: formatTick(share * yMax)})
+		fraction := float64(i) / plotTicks
+		p.XTicks = append(p.XTicks, tick{At: p.Left + fraction*(p.Right-p.Left), Label: formatTick(fraction * xMax)})
+		p.YTicks = append(p.YTicks, tick{At: p.Base - fraction*(p.Base-p.Top), Label: formatTick(fraction * yMax)})
 	}
 	return p
 }
@@ -192,7 +192,7 @@
 }
 
 // extent returns the highest values; at least 1, so that nothing divides by 0.
-func extent(all []series) (x, y float64) {
+func maxValues(all []series) (x, y float64) {
 	x, y = 1, 1
 	for _, s := range all {
 		for i := range s.x {
--- a/load/result.go
+++ b/load/result.go
@@ -141,7 +141,7 @@
 	}
 	x, y := a.FirstToken, b.FirstToken
 	if x.Count == 0 || y.Count == 0 {
-		return Overhead{}, trace.Wrap(errNothingToCompare)
+		return Overhead{}, trace.Wrap(errNoFirstToken)
 	}
 	return Overhead{
 		P50:      x.P50 / y.P50,
@@ -153,7 +153,7 @@
 	}, nil
 }
 
-var errNothingToCompare = errors.New("a part had no first token")
+var errNoFirstToken = errors.New("a part had no first token")
 
 func (r *Result) part(name string) (PartResult, error) {
 	i := slices.IndexFunc(r.Parts, func(p PartResult) bool { return p.Name == name })
@@ -183,23 +183,23 @@
 		Redials:      t.redials,
 		Reconnects:   t.reconnects,
 		Errors:       t.errors,
-		FirstToken:   newDistribution(t.first),
+		FirstToken:   newDistribution(t.firstToken),
 		Between:      newDistribution(t.between),
 		Whole:        newDistribution(t.whole),
 		Refusal:      newDistribution(t.refusal),
-		StartLag:     newDistribution(t.lag),
+		StartLag:     newDistribution(t.startLag),
 	}
 }
 
 func (t *tally) timeline() []Second {
 	seconds := make([]Second, len(t.seconds))
 	for i, s := range t.seconds {
-		slices.Sort(s.firsts)
+		slices.Sort(s.firstTokens)
 		seconds[i] = Second{
 			Second:   i,
 			Outcomes: s.outcomes,
-			P50:      quantile(s.firsts, 0.50),
-			P95:      quantile(s.firsts, 0.95),
+			P50:      quantile(s.firstTokens, 0.50),
+			P95:      quantile(s.firstTokens, 0.95),
 		}
 	}
 	return seconds
@@ -226,16 +226,16 @@
 	if h.TotalCount() == 0 {
 		return Distribution{}
 	}
-	at := func(percent float64) float64 { return fromMicroseconds(float64(h.ValueAtQuantile(percent))) }
+	at := func(percent float64) float64 { return microsecondsToMilliseconds(float64(h.ValueAtQuantile(percent))) }
 	d := Distribution{
 		Count: h.TotalCount(),
-		Mean:  fromMicroseconds(h.Mean()),
+		Mean:  microsecondsToMilliseconds(h.Mean()),
 		P50:   at(50),
 		P90:   at(90),
 		P95:   at(95),
 		P99:   at(99),
 		P999:  at(99.9),
-		Max:   fromMicroseconds(float64(h.Max())),
+		Max:   microsecondsToMilliseconds(float64(h.Max())),
 	}
 	for _, percent := range curvePercents {
 		d.Curve = append(d.Curve, Point{Percent: percent, Value: at(percent)})
@@ -243,6 +243,6 @@
 	return d
 }
 
-func fromMicroseconds(us float64) float64 {
+func microsecondsToMilliseconds(us float64) float64 {
 	return us * float64(time.Microsecond) / float64(time.Millisecond)
 }
--- a/load/run.go
+++ b/load/run.go
@@ -30,11 +30,11 @@
 
 // runner is one run.
 type runner struct {
-	cfg      Config
-	caller   *caller
-	schedule []arrival
-	next     atomic.Int64 // index in schedule
-	tallies  []*tally     // by part
+	cfg         Config
+	caller      *caller
+	schedule    []arrival
+	nextArrival atomic.Int64 // index in schedule
+	tallies     []*tally     // by part
 }
 
 func newRunner(cfg Config) *runner {
@@ -43,10 +43,10 @@
 		cfg:      cfg,
 		schedule: newSchedule(cfg),
 		caller: &caller{
-			cfg:    cfg,
-			runID:  uuid.NewString(),
-			client: client,
-			choice: newEntryChoice(client, cfg.Dialect, cfg.Entries),
+			cfg:     cfg,
+			runID:   uuid.NewString(),
+			client:  client,
+			entries: newEntryCache(client, cfg.Dialect, cfg.Entries),
 		},
 	}
 	for _, p := range cfg.Parts {
@@ -61,24 +61,24 @@
 func (r *runner) run(ctx context.Context, started time.Time) {
 	var callers sync.WaitGroup
 	for range min(r.cfg.MaxInFlight, len(r.schedule)) {
-		callers.Go(func() { r.work(ctx, started) })
+		callers.Go(func() { r.runCaller(ctx, started) })
 	}
 	callers.Wait()
 }
 
-func (r *runner) work(ctx context.Context, started time.Time) {
+func (r *runner) runCaller(ctx context.Context, started time.Time) {
 	for {
-		i := int(r.next.Add(1)) - 1
+		i := int(r.nextArrival.Add(1)) - 1
 		if i >= len(r.schedule) {
 			return
 		}
 		a := r.schedule[i]
-		intended := started.Add(a.at)
-		rep := report{outcome: Unstarted}
-		if sleepUntil(ctx, intended) {
-			rep = r.caller.call(ctx, a, intended)
+		intendedStart := started.Add(a.at)
+		result := callResult{outcome: Unstarted}
+		if sleepUntil(ctx, intendedStart) {
+			result = r.caller.call(ctx, a, intendedStart)
 		}
-		r.tallies[a.part].add(a.at, rep)
+		r.tallies[a.part].add(a.at, result)
 	}
 }
 
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -17,13 +17,13 @@
 // newSchedule returns the arrivals of a run by intended start. It is a pure
 // function of the configuration: the same seed gives the same schedule.
 func newSchedule(cfg Config) []arrival {
-	total := 0.0
+	totalWeight := 0.0
 	for _, p := range cfg.Parts {
-		total += p.Weight
+		totalWeight += p.Weight
 	}
 	var schedule []arrival
 	for i, p := range cfg.Parts {
-		schedule = append(schedule, partSchedule(cfg, i, cfg.Rate*p.Weight/total)...)
+		schedule = append(schedule, partSchedule(cfg, i, cfg.Rate*p.Weight/totalWeight)...)
 	}
 	slices.SortStableFunc(schedule, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	return schedule
@@ -33,25 +33,25 @@
 // thinning one of the highest rate (Lewis and Shedler 1979).
 func partSchedule(cfg Config, part int, rate float64) []arrival {
 	rng := rand.New(rand.NewPCG(cfg.Seed, uint64(part)))
-	peak := peakFactor(cfg, cfg.Parts[part].Name)
-	if peak == 0 {
+	maxFactor := maxSurgeFactor(cfg, cfg.Parts[part].Name)
+	if maxFactor == 0 {
 		return nil
 	}
 	var arrivals []arrival
 	at := time.Duration(0)
 	for {
-		at += time.Duration(rng.ExpFloat64() / (rate * peak) * float64(time.Second))
+		at += time.Duration(rng.ExpFloat64() / (rate * maxFactor) * float64(time.Second))
 		if at >= cfg.Duration {
 			return arrivals
 		}
-		if rng.Float64()*peak < factorAt(cfg, cfg.Parts[part].Name, at) {
+		if rng.Float64()*maxFactor < surgeFactor(cfg, cfg.Parts[part].Name, at) {
 			arrivals = append(arrivals, arrival{at: at, part: part, index: len(arrivals)})
 		}
 	}
 }
 
 // factorAt returns the product of the surges in force at a time.
-func factorAt(cfg Config, part string, at time.Duration) float64 {
+func surgeFactor(cfg Config, part string, at time.Duration) float64 {
 	factor := 1.0
 	for _, s := range cfg.Surges {
 		if s.Part == part && at >= s.From && at < s.From+s.For {
@@ -61,10 +61,10 @@
 	return factor
 }
 
-func peakFactor(cfg Config, part string) float64 {
-	peak := factorAt(cfg, part, 0)
+func maxSurgeFactor(cfg Config, part string) float64 {
+	maxFactor := surgeFactor(cfg, part, 0)
 	for _, s := range cfg.Surges {
-		peak = max(peak, factorAt(cfg, part, s.From), factorAt(cfg, part, s.From+s.For))
+		maxFactor = max(maxFactor, surgeFactor(cfg, part, s.From), surgeFactor(cfg, part, s.From+s.For))
 	}
-	return peak
+	return maxFactor
 }
--- a/load/tally.go
+++ b/load/tally.go
@@ -9,20 +9,20 @@
 
 // The histograms hold microseconds from 1 µs to 10 min with three digits.
 const (
-	histMin    = 1
-	histMax    = int64(10 * time.Minute / time.Microsecond)
-	histDigits = 3
+	histMinMicroseconds   = 1
+	histMaxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
+	histSignificantDigits = 3
 )
 
 // keptErrors bounds the examples of errors in a result.
-const keptErrors = 5
+const maxErrors = 5
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(histMin, histMax, histDigits)
+	return hdrhistogram.New(histMinMicroseconds, histMaxMicroseconds, histSignificantDigits)
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	us := max(histMin, min(d.Microseconds(), histMax))
+	us := max(histMinMicroseconds, min(d.Microseconds(), histMaxMicroseconds))
 	_ = h.RecordValue(us) // within the bounds, so it cannot fail
 }
 
@@ -37,10 +37,10 @@
 	redials    int
 	reconnects int
 	errors     []string
-	first      *hdrhistogram.Histogram
+	firstToken *hdrhistogram.Histogram
 	between    *hdrhistogram.Histogram
 	whole      *hdrhistogram.Histogram
-	lag        *hdrhistogram.Histogram
+	startLag   *hdrhistogram.Histogram
 	refusal    *hdrhistogram.Histogram
 	seconds    []second
 }
@@ -48,24 +48,24 @@
 // second is what became of the requests that should have started within one
 // second of the run.
 type second struct {
-	outcomes Outcomes
-	firsts   []time.Duration
+	outcomes    Outcomes
+	firstTokens []time.Duration
 }
 
 func newTally(p Part, duration time.Duration) *tally {
 	return &tally{
-		part:    p,
-		first:   newHistogram(),
-		between: newHistogram(),
-		whole:   newHistogram(),
-		lag:     newHistogram(),
-		refusal: newHistogram(),
-		seconds: make([]second, int((duration+time.Second-1)/time.Second)),
+		part:       p,
+		firstToken: newHistogram(),
+		between:    newHistogram(),
+		whole:      newHistogram(),
+		startLag:   newHistogram(),
+		refusal:    newHistogram(),
+		seconds:    make([]second, int((duration+time.Second-1)/time.Second)),
 	}
 }
 
 // add takes the report of a request that should have started at a time.
-func (t *tally) add(at time.Duration, r report) {
+func (t *tally) add(at time.Duration, r callResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.count++
@@ -75,32 +75,32 @@
 	t.tokens += r.tokens
 	t.redials += r.redials
 	t.reconnects += r.reconnects
-	if r.err != nil && len(t.errors) < keptErrors {
+	if r.err != nil && len(t.errors) < maxErrors {
 		t.errors = append(t.errors, string(r.outcome)+": "+r.err.Error())
 	}
 	if r.outcome == Unstarted {
 		return
 	}
-	record(t.lag, r.lag)
-	t.addTimes(r, s)
+	record(t.startLag, r.startLag)
+	t.addLatencies(r, s)
 }
 
-func (t *tally) addTimes(r report, s *second) {
-	for _, gap := range r.gaps {
+func (t *tally) addLatencies(r callResult, s *second) {
+	for _, gap := range r.tokenGaps {
 		record(t.between, gap)
 	}
-	if r.first > 0 {
-		record(t.first, r.first)
-		s.firsts = append(s.firsts, r.first)
+	if r.firstToken > 0 {
+		record(t.firstToken, r.firstToken)
+		s.firstTokens = append(s.firstTokens, r.firstToken)
 	}
 	switch r.outcome {
 	case Answered:
-		record(t.whole, r.end)
-		if t.part.FirstTokenTarget == 0 || r.first <= t.part.FirstTokenTarget {
+		record(t.whole, r.latency)
+		if t.part.FirstTokenTarget == 0 || r.firstToken <= t.part.FirstTokenTarget {
 			t.onTarget++
 		}
 	case NotRun:
-		record(t.refusal, r.end)
+		record(t.refusal, r.latency)
 	}
 }
 
@@ -112,13 +112,13 @@
 	t.tokens += other.tokens
 	t.redials += other.redials
 	t.reconnects += other.reconnects
-	t.first.Merge(other.first)
+	t.firstToken.Merge(other.firstToken)
 	t.between.Merge(other.between)
 	t.whole.Merge(other.whole)
-	t.lag.Merge(other.lag)
+	t.startLag.Merge(other.startLag)
 	t.refusal.Merge(other.refusal)
 	for i := range other.seconds {
 		t.seconds[i].outcomes.merge(other.seconds[i].outcomes)
-		t.seconds[i].firsts = append(t.seconds[i].firsts, other.seconds[i].firsts...)
+		t.seconds[i].firstTokens = append(t.seconds[i].firstTokens, other.seconds[i].firstTokens...)
 	}
 }
--- a/wallclock/system_linux.go
+++ b/wallclock/system_linux.go
@@ -12,10 +12,10 @@
 func System() *Clock {
 	start := time.Now()
 	return New(time.Now, func() time.Duration {
-		var since unix.Timespec
-		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &since); err != nil {
+		var boottime unix.Timespec
+		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boottime); err != nil {
 			return time.Since(start) // a kernel without this clock, on every call
 		}
-		return time.Duration(since.Nano())
+		return time.Duration(boottime.Nano())
 	})
 }
--- a/wallclock/wallclock.go
+++ b/wallclock/wallclock.go
@@ -20,89 +20,89 @@
 
 // maxAge is how long another instance's reading counts: long enough to outlast
 // a lost connection, short enough to forget an instance that is gone.
-const maxAge = 30 * time.Second
+const readingTTL = 30 * time.Second
 
 const (
 	// follows is how far the median may move and be followed at once: readings
 	// scatter by the links' delays, some tens of milliseconds.
-	follows = 100 * time.Millisecond
+	stepThreshold = 100 * time.Millisecond
 	// believeAfter is how long the median has to stay away from the time that was
 	// agreed on until it is believed. Clocks that were set wrong by mistake are
 	// set right within seconds.
-	believeAfter = 30 * time.Second
+	stepDelay = 30 * time.Second
 )
 
 // Clock is safe for concurrent use.
 type Clock struct {
-	wall   func() time.Time     // this instance's time of day
-	steady func() time.Duration // time since any fixed point, which no change of the clock moves
+	wall      func() time.Time     // this instance's time of day
+	monotonic func() time.Duration // time since any fixed point, which no change of the clock moves
 
-	mu     sync.Mutex
-	others map[string]reading
-	agreed agreement
+	mu       sync.Mutex
+	readings map[string]reading
+	estimate estimate
 }
 
 // agreement is the time that was agreed on last.
-type agreement struct {
-	offset time.Duration // of the time of day from the steady time
-	clocks int           // the most clocks that it was ever the median of; 0: there is none yet
-	since  time.Duration // steady time at which the median was last near it
+type estimate struct {
+	offset    time.Duration // of the time of day from the steady time
+	maxClocks int           // the most clocks that it was ever the median of; 0: there is none yet
+	lastNear  time.Duration // steady time at which the median was last near it
 }
 
 // reading is another instance's clock.
 type reading struct {
-	offset time.Duration // of its time of day from the steady time here
-	taken  time.Duration // steady time
+	offset   time.Duration // of its time of day from the steady time here
+	received time.Duration // steady time
 }
 
 // New returns a clock over an instance's time of day and its steady time.
-func New(wall func() time.Time, steady func() time.Duration) *Clock {
-	return &Clock{wall: wall, steady: steady, others: make(map[string]reading)}
+func New(wall func() time.Time, monotonic func() time.Duration) *Clock {
+	return &Clock{wall: wall, monotonic: monotonic, readings: make(map[string]reading)}
 }
 
 // offset is constant for a clock that runs well.
-func offset(wall time.Time, steady time.Duration) time.Duration {
-	return time.Duration(wall.UnixNano()) - steady
+func offset(wall time.Time, monotonic time.Duration) time.Duration {
+	return time.Duration(wall.UnixNano()) - monotonic
 }
 
 // Observe notes what another instance's clock has just shown.
 func (c *Clock) Observe(instance string, wall time.Time) {
-	steady := c.steady()
+	monotonic := c.monotonic()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.others[instance] = reading{offset: offset(wall, steady), taken: steady}
-	c.agree(steady) // also where nobody asks for the time: a jump has to be seen when it comes
+	c.readings[instance] = reading{offset: offset(wall, monotonic), received: monotonic}
+	c.update(monotonic) // also where nobody asks for the time: a jump has to be seen when it comes
 }
 
 // Now returns the time of day that most clocks agree on.
 func (c *Clock) Now() time.Time {
-	steady := c.steady()
+	monotonic := c.monotonic()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.agree(steady)
-	return time.Unix(0, int64(steady+c.agreed.offset))
+	c.update(monotonic)
+	return time.Unix(0, int64(monotonic+c.estimate.offset))
 }
 
 // agree takes the median for the time of day, unless it has jumped. The median of
 // more clocks than ever before is taken at once: a process that starts knows only
 // its own.
-func (c *Clock) agree(steady time.Duration) {
-	median, clocks := c.median(steady)
-	a := &c.agreed
-	near := (median - a.offset).Abs() <= follows
-	if !near && clocks <= a.clocks && steady-a.since < believeAfter {
+func (c *Clock) update(monotonic time.Duration) {
+	median, clocks := c.median(monotonic)
+	a := &c.estimate
+	near := (median - a.offset).Abs() <= stepThreshold
+	if !near && clocks <= a.maxClocks && monotonic-a.lastNear < stepDelay {
 		return
 	}
-	a.offset, a.since = median, steady
-	a.clocks = max(a.clocks, clocks)
+	a.offset, a.lastNear = median, monotonic
+	a.maxClocks = max(a.maxClocks, clocks)
 }
 
 // median returns the median offset of all clocks that are known, and their number.
-func (c *Clock) median(steady time.Duration) (time.Duration, int) {
-	offsets := []time.Duration{offset(c.wall(), steady)}
-	for name, r := range c.others {
-		if steady-r.taken > maxAge {
-			delete(c.others, name)
+func (c *Clock) median(monotonic time.Duration) (time.Duration, int) {
+	offsets := []time.Duration{offset(c.wall(), monotonic)}
+	for name, r := range c.readings {
+		if monotonic-r.received > readingTTL {
+			delete(c.readings, name)
 			continue
 		}
 		offsets = append(offsets, r.offset)
--- a/wallclock/wallclock_test.go
+++ b/wallclock/wallclock_test.go
@@ -8,70 +8,70 @@
 )
 
 // instance is one whose clock can be set.
-type instance struct {
-	right time.Time // the true time of day at steady time 0
-	jump  time.Duration
-	since time.Duration
+type testInstance struct {
+	startTime time.Time // the true time of day at steady time 0
+	jump      time.Duration
+	elapsed   time.Duration
 }
 
-func newInstance() *instance { return &instance{right: time.Unix(1_700_000_000, 0)} }
+func newTestInstance() *testInstance { return &testInstance{startTime: time.Unix(1_700_000_000, 0)} }
 
-func (i *instance) wall() time.Time       { return i.right.Add(i.since + i.jump) }
-func (i *instance) steady() time.Duration { return i.since }
-func (i *instance) truth() time.Time      { return i.right.Add(i.since) }
+func (i *testInstance) wall() time.Time          { return i.startTime.Add(i.elapsed + i.jump) }
+func (i *testInstance) monotonic() time.Duration { return i.elapsed }
+func (i *testInstance) trueTime() time.Time      { return i.startTime.Add(i.elapsed) }
 
-func (i *instance) requireRight(t *testing.T, c *Clock) {
+func (i *testInstance) requireCorrect(t *testing.T, c *Clock) {
 	t.Helper()
-	require.WithinDuration(t, i.truth(), c.Now(), 3*time.Millisecond)
+	require.WithinDuration(t, i.trueTime(), c.Now(), 3*time.Millisecond)
 }
 
 // An instance's clock jumps ahead by two seconds and back again. A customer would
 // see requests counted in a window in which it sent none.
 //
 // It breaks if Now returns the instance's own time of day.
-func TestOwnClockJumps(t *testing.T) {
-	i := newInstance()
-	c := New(i.wall, i.steady)
-	c.Observe("a", i.truth())
-	c.Observe("b", i.truth().Add(time.Millisecond))
-	i.since, i.jump = time.Second, 2*time.Second
-	i.requireRight(t, c)
+func TestJumpOfOwnClockIsIgnored(t *testing.T) {
+	i := newTestInstance()
+	c := New(i.wall, i.monotonic)
+	c.Observe("a", i.trueTime())
+	c.Observe("b", i.trueTime().Add(time.Millisecond))
+	i.elapsed, i.jump = time.Second, 2*time.Second
+	i.requireCorrect(t, c)
 	i.jump = 0
-	i.requireRight(t, c)
+	i.requireCorrect(t, c)
 }
 
 // One of three other clocks is wrong by five seconds. The median of them and the
 // own one is right.
-func TestOneOfTheOthersIsWrong(t *testing.T) {
-	i := newInstance()
-	c := New(i.wall, i.steady)
-	c.Observe("a", i.truth().Add(5*time.Second))
-	c.Observe("b", i.truth().Add(2*time.Millisecond))
-	c.Observe("c", i.truth().Add(-time.Millisecond))
-	i.since = 10 * time.Second
-	i.requireRight(t, c)
+func TestOneWrongClockIsIgnored(t *testing.T) {
+	i := newTestInstance()
+	c := New(i.wall, i.monotonic)
+	c.Observe("a", i.trueTime().Add(5*time.Second))
+	c.Observe("b", i.trueTime().Add(2*time.Millisecond))
+	c.Observe("c", i.trueTime().Add(-time.Millisecond))
+	i.elapsed = 10 * time.Second
+	i.requireCorrect(t, c)
 }
 
 // An instance that was observed long ago no longer counts.
-func TestOldReadingsAreForgotten(t *testing.T) {
-	i := newInstance()
-	c := New(i.wall, i.steady)
-	c.Observe("a", i.truth().Add(time.Hour))
-	c.Observe("b", i.truth().Add(time.Hour))
-	i.since = maxAge + time.Second
-	i.requireRight(t, c)
+func TestOldReadingsExpire(t *testing.T) {
+	i := newTestInstance()
+	c := New(i.wall, i.monotonic)
+	c.Observe("a", i.trueTime().Add(time.Hour))
+	c.Observe("b", i.trueTime().Add(time.Hour))
+	i.elapsed = readingTTL + time.Second
+	i.requireCorrect(t, c)
 }
 
 // watch observes three other instances each second for a while, with what their
 // clocks show beside the truth, and requires the right time all along.
-func (i *instance) watch(t *testing.T, c *Clock, seconds int, wrong ...time.Duration) {
+func (i *testInstance) observeFor(t *testing.T, c *Clock, seconds int, clockErrors ...time.Duration) {
 	t.Helper()
 	for range seconds {
-		i.since += time.Second
-		for k, by := range wrong {
-			c.Observe(string(rune('a'+k)), i.truth().Add(by))
+		i.elapsed += time.Second
+		for k, clockError := range clockErrors {
+			c.Observe(string(rune('a'+k)), i.trueTime().Add(clockError))
 		}
-		i.requireRight(t, c)
+		i.requireCorrect(t, c)
 	}
 }
 
@@ -80,77 +80,77 @@
 // window before the one in which they began.
 //
 // It breaks if the median is believed at once.
-func TestMostClocksJumpAndReturn(t *testing.T) {
-	i := newInstance()
-	c := New(i.wall, i.steady)
-	i.watch(t, c, 5, 0, 0, 0)
-	i.watch(t, c, 10, -4*time.Second, -4*time.Second, -4*time.Second)
-	i.watch(t, c, 40, 0, 0, 0)
-	i.watch(t, c, 10, 4*time.Second, 4*time.Second, 4*time.Second)
-	i.watch(t, c, 1, 0, 0, 0)
+func TestTemporaryJumpOfMostClocksIsIgnored(t *testing.T) {
+	i := newTestInstance()
+	c := New(i.wall, i.monotonic)
+	i.observeFor(t, c, 5, 0, 0, 0)
+	i.observeFor(t, c, 10, -4*time.Second, -4*time.Second, -4*time.Second)
+	i.observeFor(t, c, 40, 0, 0, 0)
+	i.observeFor(t, c, 10, 4*time.Second, 4*time.Second, 4*time.Second)
+	i.observeFor(t, c, 1, 0, 0, 0)
 }
 
 // A process stands still for three seconds and then reads the answers that came
 // meanwhile. All other clocks seem to be three seconds behind until the next ones.
 //
 // It breaks if the median is believed at once.
-func TestAnswersReadLate(t *testing.T) {
-	i := newInstance()
-	c := New(i.wall, i.steady)
-	i.watch(t, c, 5, 0, 0, 0)
-	i.since += 3 * time.Second
+func TestReadingsDelayedByPauseAreIgnored(t *testing.T) {
+	i := newTestInstance()
+	c := New(i.wall, i.monotonic)
+	i.observeFor(t, c, 5, 0, 0, 0)
+	i.elapsed += 3 * time.Second
 	for _, other := range []string{"a", "b", "c"} {
-		c.Observe(other, i.truth().Add(-3*time.Second))
+		c.Observe(other, i.trueTime().Add(-3*time.Second))
 	}
-	i.requireRight(t, c)
-	i.watch(t, c, 5, 0, 0, 0)
+	i.requireCorrect(t, c)
+	i.observeFor(t, c, 5, 0, 0, 0)
 }
 
 // A process starts on an instance whose clock is wrong, and hears the others a
 // moment later.
 //
 // It breaks if what it agreed on with itself has to be outlasted.
-func TestStartWithAWrongClock(t *testing.T) {
-	i := newInstance()
+func TestWrongClockAtStartIsCorrectedAtOnce(t *testing.T) {
+	i := newTestInstance()
 	i.jump = 4 * time.Second
-	c := New(i.wall, i.steady)
+	c := New(i.wall, i.monotonic)
 	c.Now()
-	i.watch(t, c, 2, 0, 0, 0)
+	i.observeFor(t, c, 2, 0, 0, 0)
 }
 
 // The others agree on another time for good: what this instance agreed on at its
 // start was wrong.
 //
 // It breaks if an agreement is never given up.
-func TestClocksAreSetRight(t *testing.T) {
-	i := newInstance()
-	c := New(i.wall, i.steady)
+func TestLastingStepOfMostClocksIsFollowed(t *testing.T) {
+	i := newTestInstance()
+	c := New(i.wall, i.monotonic)
 	for _, other := range []string{"a", "b", "c"} {
-		c.Observe(other, i.truth().Add(5*time.Second))
+		c.Observe(other, i.trueTime().Add(5*time.Second))
 	}
-	require.WithinDuration(t, i.truth().Add(5*time.Second), c.Now(), time.Millisecond)
-	for range int((believeAfter + time.Second).Seconds()) {
-		i.since += time.Second
+	require.WithinDuration(t, i.trueTime().Add(5*time.Second), c.Now(), time.Millisecond)
+	for range int((stepDelay + time.Second).Seconds()) {
+		i.elapsed += time.Second
 		for _, other := range []string{"a", "b", "c"} {
-			c.Observe(other, i.truth())
+			c.Observe(other, i.trueTime())
 		}
 		c.Now()
 	}
-	i.requireRight(t, c)
+	i.requireCorrect(t, c)
 }
 
 // Nobody sends anything for a minute; then most clocks jump, and a request comes.
 //
 // It breaks if the median is compared only when somebody asks for the time.
-func TestJumpAfterAQuietMinute(t *testing.T) {
-	i := newInstance()
-	c := New(i.wall, i.steady)
-	i.watch(t, c, 5, 0, 0, 0)
+func TestJumpIsIgnoredAfterMinuteWithoutCallsToNow(t *testing.T) {
+	i := newTestInstance()
+	c := New(i.wall, i.monotonic)
+	i.observeFor(t, c, 5, 0, 0, 0)
 	for range 60 {
-		i.since += time.Second
+		i.elapsed += time.Second
 		for _, other := range []string{"a", "b", "c"} {
-			c.Observe(other, i.truth())
+			c.Observe(other, i.trueTime())
 		}
 	}
-	i.watch(t, c, 5, 4*time.Second, 4*time.Second, 4*time.Second)
+	i.observeFor(t, c, 5, 4*time.Second, 4*time.Second, 4*time.Second)
 }
