--- a/load/config.go
+++ b/load/config.go
@@ -17,63 +17,63 @@
 	DefaultTimeout     = time.Minute
 	DefaultMaxTokens   = 32
 
-	maxScheduled = 5_000_000 // of one run; the schedule is held in memory
+	maxScheduled = 5_000_000 // requests of one run; the schedule is held in memory
 )
 
-// Kind says what a part calls.
+// Kind is the type of request that a part sends.
 type Kind string
 
-// The kinds of part.
+// The kinds of request.
 const (
 	Chat  Kind = "chat"  // POST /v1/chat/completions, streamed
 	Plain Kind = "plain" // any call under /svc/{service}
 )
 
-// Config describes a run.
+// Config configures a run.
 type Config struct {
 	Dialect     Dialect       // nil: Native
-	Entries     []string      // base URLs that are asked which entry to use; not needed if all parts are direct
-	Rate        float64       // requests a second over all parts, outside surges
+	Entries     []string      // base URLs from which the list of entries is fetched; not needed if all parts are direct
+	Rate        float64       // requests per second over all parts, without surges
 	Duration    time.Duration // of the schedule
-	Drain       time.Duration // DefaultDrain; after the schedule's end, for what is late or runs
-	MaxInFlight int           // DefaultMaxInFlight; callers at work at once
-	Seed        uint64        // of arrivals and prompts
-	Parts       []Part        // the mix
+	Drain       time.Duration // how long requests may still start and run after Duration; 0: DefaultDrain
+	MaxInFlight int           // concurrent requests; 0: DefaultMaxInFlight
+	Seed        uint64        // of the schedule; the same seed gives the same arrivals
+	Parts       []Part        // the request mix
 	Surges      []Surge
-	Expect      func(model string, messages []native.Message, tokens int) []string // answers to check chats by; nil: unchecked
+	Expect      func(model string, messages []native.Message, tokens int) []string // returns the expected tokens of a chat answer; nil: answers are not checked
 }
 
-// Part is one sort of request in the mix.
+// Part is one type of request in the mix.
 type Part struct {
-	Name      string // unique; in the report
-	Weight    float64
+	Name      string  // unique; appears in the report
+	Weight    float64 // its fraction of the rate is Weight over the sum of all weights
 	Kind      Kind
 	Service   string // chat: the request's model field
-	Workspace string // in the report only
-	Key       string // bearer key; never in the report
-	Direct    string // host:port of an engine that is called directly in place of an entry
+	Workspace string // only for the report
+	Key       string // bearer token; never in the report
+	Direct    string // host:port of a model engine to call instead of an entry; empty: call entries
 
-	Deadline         time.Duration // sent as Savoryreel-Deadline-Ms; 0: none, given up after DefaultTimeout
-	FirstTokenTarget time.Duration // answers whose first token came within it count as on target; 0: all do
+	Deadline         time.Duration // sent as Savoryreel-Deadline-Ms; 0: not sent, and the request times out after DefaultTimeout
+	FirstTokenTarget time.Duration // answers whose first token arrives within it count as on target; 0: all answers do
 
 	PrefixBytes int    // chat: length of the shared system message; 0: none
-	Prefixes    int    // chat: different system messages; at least 1
-	PromptBytes int    // chat: length of the user message, which is new each time
-	MaxTokens   int    // chat: DefaultMaxTokens
-	Model       string // chat: the model behind Service, for Expect
+	Prefixes    int    // chat: number of different system messages; 0: 1
+	PromptBytes int    // chat: length of the filler in the user message, which differs for each request
+	MaxTokens   int    // chat; 0: DefaultMaxTokens
+	Model       string // chat: model name passed to Expect; empty: Service
 
-	Method    string // plain: POST
-	Path      string // plain: after /svc/{service}
+	Method    string // plain; empty: POST
+	Path      string // plain: path after /svc/{service}
 	BodyBytes int    // plain
-	Once      bool   // with an Idempotency-Key of its own
+	Once      bool   // sends a unique Idempotency-Key with each request
 }
 
-// Surge multiplies the rate of one part for a while.
+// Surge multiplies the rate of one part during an interval of the run.
 type Surge struct {
 	Part   string
-	From   time.Duration // from the start of the run
-	For    time.Duration
-	Factor float64
+	From   time.Duration // start, since the start of the run
+	For    time.Duration // length
+	Factor float64       // 0: no requests
 }
 
 func (c Config) withDefaults() Config {
@@ -105,7 +105,7 @@
 	return p.Deadline + deadlineGrace
 }
 
-// Validate returns all faults of the configuration together.
+// Validate returns all errors of the configuration, joined.
 func (c Config) Validate() error {
 	var errs []error
 	add := func(ok bool, format string, args ...any) {
@@ -134,7 +134,8 @@
 	return errors.Join(errs...)
 }
 
-// expected bounds the number of requests from above, surges at full weight.
+// maxRequests returns an upper estimate of the expected number of requests: it applies
+// each surge to the rate of all parts.
 func (c Config) maxRequests() float64 {
 	n := c.Rate * c.Duration.Seconds()
 	for _, s := range c.Surges {
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,16 +1,15 @@
-// Package load puts a bounded load on the entries of a system, or on a model
-// engine directly, and measures what callers get.
+// Package load is a load generator: it sends requests to the entries of a
+// system, or directly to a model engine, and measures outcomes and latencies.
 //
-// The load is open loop: when each request should start is settled beforehand,
-// by a seeded Poisson process per part, and does not depend on how fast earlier
-// ones were answered. All latencies count from that intended start. A closed
-// loop would ask less of a slow system and so hide how slow it is (coordinated
-// omission); here a request that starts late because all callers are busy has
-// waited in the system's name.
+// The load is open loop: a seeded Poisson process per part fixes the intended
+// start of each request in advance, independently of how fast earlier requests
+// are answered. All latencies are measured from the intended start, so the time
+// that a request waits for a free caller is included. A closed loop would send
+// fewer requests to a slow system and underestimate its latency (coordinated
+// omission).
 //
-// A caller of this package does what the system asks of its callers: it keeps
-// the list of entries for as long as it is valid, goes on to the next one when no
-// connection is made, follows a temporary redirect, and takes a broken stream up
-// again with Last-Event-ID where its events had ids. It never sends a refused
-// request again.
+// Callers follow the client protocol: they cache the list of entries for its
+// TTL, try the next entry if no connection can be made, follow temporary
+// redirects, and resume a broken stream with Last-Event-ID if its events have
+// IDs. They never retry a refused request.
 package load
--- a/load/entries.go
+++ b/load/entries.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	maxListBytes = 1 << 20
+	maxListBytes = 1 << 20 // of the response body
 	fetchTimeout = 2 * time.Second
-	minListTTL   = 100 * time.Millisecond // so that a list of validity 0 is not asked for per request
+	minListTTL   = 100 * time.Millisecond // avoids one fetch per request if a list has a TTL of 0
 )
 
 var errEmptyList = errors.New("the list of entries is empty")
 
-// entryChoice keeps the answer to "which entry to use" for as long as it is
-// valid, as a caller does.
+// entryCache fetches the list of entries and caches it for its TTL. Concurrent
+// callers share one fetch.
 type entryCache struct {
 	client   *http.Client
 	dialect  Dialect
 	seedURLs []string // base URLs
 
 	mu         sync.Mutex
-	urls       []string // base URLs, best first, or in any order where callers spread
-	demoted    int      // of those, the last ones, which could not be reached
-	shuffle    bool
+	urls       []string // base URLs; in order of preference unless shuffle is set
+	demoted    int      // number of URLs at the end of urls to which a request failed
+	shuffle    bool     // callers try the entries in random order
 	validUntil time.Time
-	fetchDone  chan struct{} // closed when the running question is answered; nil: none runs
-	fetchErr   error
+	fetchDone  chan struct{} // closed when the running fetch has ended; nil: no fetch is running
+	fetchErr   error         // of the last fetch
 }
 
 func newEntryCache(client *http.Client, dialect Dialect, seedURLs []string) *entryCache {
 	return &entryCache{client: client, dialect: dialect, seedURLs: seedURLs}
 }
 
-// get returns the base URLs of the entries to try, best first.
+// get returns the base URLs of the entries in the order in which to try them. It
+// fetches the list, or waits for a running fetch, if the cached list has expired.
 func (e *entryCache) get(ctx context.Context) ([]string, error) {
 	for {
 		urls, fetchDone, mustFetch := e.current()
@@ -50,7 +51,7 @@
 			return urls, nil
 		}
 		if mustFetch {
-			list, err := e.fetch(context.WithoutCancel(ctx)) // others wait for the answer too
+			list, err := e.fetch(context.WithoutCancel(ctx)) // other callers wait for the result too
 			e.store(list, err)
 			if err != nil {
 				return nil, err
@@ -68,8 +69,8 @@
 	}
 }
 
-// current returns the valid list, or the question that runs, and whether it is
-// for the caller to ask it.
+// current returns the cached list if it is valid. Otherwise it returns the channel
+// that is closed when the running fetch ends, and whether the caller must do this fetch.
 func (e *entryCache) current() (urls []string, fetchDone chan struct{}, mustFetch bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,7 +84,8 @@
 	return nil, e.fetchDone, false
 }
 
-// order returns the entries in the order in which one caller tries them. e.mu is held.
+// tryOrder returns the entries in the order in which one caller tries them: shuffled
+// if callers are to spread, with demoted entries last. e.mu must be held.
 func (e *entryCache) tryOrder() []string {
 	if !e.shuffle {
 		return e.urls
@@ -94,6 +96,7 @@
 	return urls
 }
 
+// store stores the result of a fetch and wakes the callers that wait for it.
 func (e *entryCache) store(list EntryList, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,8 +119,8 @@
 	return e.fetchErr
 }
 
-// demote puts an entry that failed behind the others for as long as the list
-// is valid, so that not every request pays for it once more.
+// demote moves a failed entry to the end of the list until the list is fetched again,
+// so that later requests try the other entries first.
 func (e *entryCache) demote(url string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -126,19 +129,20 @@
 		return
 	}
 	e.demoted++
-	others := slices.Concat(e.urls[:i], e.urls[i+1:]) // a new list: callers hold the old one
+	others := slices.Concat(e.urls[:i], e.urls[i+1:]) // a new slice: callers may still iterate over the old one
 	e.urls = append(others, url)
 }
 
-// expire makes the next request ask again, because every entry of the list failed.
+// expire invalidates the cached list, so that the next request fetches it again.
+// It is called when every entry of the list has failed.
 func (e *entryCache) expire() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.validUntil = time.Time{}
 }
 
-// ask asks the entries known so far, where they can be asked, and the seeds, one
-// after the other.
+// fetch returns the list from the first source that answers: the cached entries, if
+// the dialect's entries serve the list, then the seed URLs.
 func (e *entryCache) fetch(ctx context.Context) (EntryList, error) {
 	sources := e.seedURLs
 	if e.dialect.EntriesServeList() {
--- a/load/run.go
+++ b/load/run.go
@@ -10,10 +10,11 @@
 	"github.com/gravitational/trace"
 )
 
-// Run puts the configured load on the system and returns what callers got. It
-// takes at most Duration and Drain together; requests that have not started by
-// then count as unstarted, and those still running as broken. When ctx ends
-// earlier, the same holds from that moment on, and the result is still whole.
+// Run sends the configured load and returns the measurements. It returns after
+// Duration plus Drain at the latest, or when ctx is done. Requests that have not
+// started by then count as Unstarted and those still running as Broken, so that
+// the result covers every scheduled request. The error is not nil only if cfg is
+// invalid.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	cfg = cfg.withDefaults()
 	if err := cfg.Validate(); err != nil {
@@ -28,12 +29,12 @@
 	return r.result(started, time.Since(started)), nil
 }
 
-// runner is one run.
+// runner holds the state of one run.
 type runner struct {
 	cfg         Config
 	caller      *caller
 	schedule    []arrival
-	nextArrival atomic.Int64 // index in schedule
+	nextArrival atomic.Int64 // index into schedule
 	tallies     []*tally     // by part
 }
 
@@ -55,9 +56,9 @@
 	return r
 }
 
-// run lets MaxInFlight callers work through the schedule. Each takes the next
-// arrival and waits for its time; when all are busy, arrivals become late, and
-// their lag is part of their latency.
+// run starts up to MaxInFlight callers and waits until the schedule is done. Each
+// caller takes the next arrival and sleeps until its intended start. If all callers
+// are busy, requests start late; this lag is part of their latency.
 func (r *runner) run(ctx context.Context, started time.Time) {
 	var callers sync.WaitGroup
 	for range min(r.cfg.MaxInFlight, len(r.schedule)) {
@@ -82,7 +83,7 @@
 	}
 }
 
-// sleepUntil reports whether the time came before ctx ended.
+// sleepUntil sleeps until the given time. It returns false if ctx is done first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	if ctx.Err() != nil {
 		return false
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// arrival is one request of the schedule.
+// arrival is one scheduled request.
 type arrival struct {
-	at    time.Duration // intended start, from the start of the run
-	part  int
-	index int // within the part
+	at    time.Duration // intended start, since the start of the run
+	part  int           // index into Config.Parts
+	index int           // of the request within its part
 }
 
-// newSchedule returns the arrivals of a run by intended start. It is a pure
-// function of the configuration: the same seed gives the same schedule.
+// newSchedule returns the arrivals of a run, sorted by intended start. The same
+// configuration and seed give the same schedule.
 func newSchedule(cfg Config) []arrival {
 	totalWeight := 0.0
 	for _, p := range cfg.Parts {
@@ -29,8 +29,9 @@
 	return schedule
 }
 
-// partSchedule draws a Poisson process whose rate steps with the surges, by
-// thinning one of the highest rate (Lewis and Shedler 1979).
+// partSchedule samples a Poisson process whose rate changes with the surges: it
+// thins a process of the highest rate (Lewis and Shedler 1979). The rate is in
+// requests per second without surges.
 func partSchedule(cfg Config, part int, rate float64) []arrival {
 	rng := rand.New(rand.NewPCG(cfg.Seed, uint64(part)))
 	maxFactor := maxSurgeFactor(cfg, cfg.Parts[part].Name)
@@ -50,7 +51,7 @@
 	}
 }
 
-// factorAt returns the product of the surges in force at a time.
+// surgeFactor returns the product of the factors of a part's surges that are active at a time.
 func surgeFactor(cfg Config, part string, at time.Duration) float64 {
 	factor := 1.0
 	for _, s := range cfg.Surges {
@@ -61,6 +62,7 @@
 	return factor
 }
 
+// maxSurgeFactor returns the highest surge factor of a part during the run.
 func maxSurgeFactor(cfg Config, part string) float64 {
 	maxFactor := surgeFactor(cfg, part, 0)
 	for _, s := range cfg.Surges {
