--- a/load/caller.go
+++ b/load/caller.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	deadlineGrace = 2 * time.Second // how long past its deadline a caller still listens
-	maxRedirects  = 4
-	maxReconnects = 3 // of one stream
+	deadlineGrace = 2 * time.Second // how long a caller waits for the answer after the deadline
+	maxRedirects  = 4               // requests sent to follow redirects, including the first one
+	maxReconnects = 3               // of one stream
 	maxEventBytes = 64 << 10
 )
 
@@ -27,38 +27,40 @@
 	errTooManyRedirects = errors.New("too many redirects")
 )
 
-// Outcome is how a request ended at the caller.
+// Outcome is the result of a request as the caller sees it.
 type Outcome string
 
-// The outcomes. The first three are the system's own word.
+// The outcomes. The system reports NotRun and Unknown, and the caller determines the
+// others.
 const (
 	Answered  Outcome = "answered"
 	NotRun    Outcome = "not_run"
 	Unknown   Outcome = "unknown"
-	Failed    Outcome = "failed"    // an error status without an outcome
-	Broken    Outcome = "broken"    // no answer, a cut one, or none in time
-	Wrong     Outcome = "wrong"     // answered, but not with the expected answer
-	Unstarted Outcome = "unstarted" // still waiting for a free caller at the run's end
+	Failed    Outcome = "failed"    // an error status without a reported outcome
+	Broken    Outcome = "broken"    // no answer, a truncated answer, or a timeout
+	Wrong     Outcome = "wrong"     // complete, but not the expected answer
+	Unstarted Outcome = "unstarted" // not sent before the end of the run
 )
 
-// report is what one request met. Times count from its intended start.
+// callResult holds the measurements of one request. Durations are measured from its
+// intended start, except for tokenGaps.
 type callResult struct {
 	outcome    Outcome
-	startLag   time.Duration // of the real start
-	firstToken time.Duration // to the first token, or to a plain answer's head; 0: none
-	latency    time.Duration
-	tokenGaps  []time.Duration // between tokens
+	startLag   time.Duration   // until the request was sent
+	firstToken time.Duration   // until the first token, or the header of a plain answer; 0: none
+	latency    time.Duration   // until the request ended
+	tokenGaps  []time.Duration // between consecutive tokens
 	tokens     int
-	redials    int // entries that could not be reached before one could
+	redials    int // entries to which no connection could be made
 	err        error
 
-	reconnects int // streams that broke and were taken up again
+	reconnects int // times that the broken stream was resumed
 }
 
-// caller makes requests. It is safe for concurrent use.
+// caller sends requests. It is safe for concurrent use.
 type caller struct {
 	cfg     Config
-	runID   string // makes idempotency keys unique over runs
+	runID   string // makes idempotency keys unique across runs
 	client  *http.Client
 	entries *entryCache
 }
@@ -74,7 +76,8 @@
 	}
 }
 
-// call makes one request whose start was intended at the given time.
+// call sends one request and measures it. A broken stream is resumed up to
+// maxReconnects times if its events have IDs.
 func (c *caller) call(ctx context.Context, a arrival, intendedStart time.Time) callResult {
 	part := c.cfg.Parts[a.part]
 	r := callResult{startLag: time.Since(intendedStart)}
@@ -93,7 +96,7 @@
 	return r
 }
 
-// attempt sends the request, or takes its stream up again, and reads the answer.
+// attempt sends the request, or resumes its stream, and reads the answer.
 func (c *caller) attempt(ctx context.Context, p Part, a arrival, intendedStart time.Time, state *streamState, r *callResult) (Outcome, error) {
 	resp, err := c.send(ctx, p, a, state, r)
 	if err != nil {
@@ -106,8 +109,8 @@
 	return c.readAnswer(resp, p, a, intendedStart, state, r)
 }
 
-// send tries the entries in their order until one can be reached. Nothing is
-// sent twice: it goes on only while no connection was made.
+// send sends the request to the first entry that can be reached. It tries the next
+// entry only if no connection was made, so no request is sent twice.
 func (c *caller) send(ctx context.Context, p Part, a arrival, state *streamState, r *callResult) (*http.Response, error) {
 	if p.Direct != "" {
 		return c.sendTo(ctx, "http://"+p.Direct, p, a, state)
@@ -134,8 +137,8 @@
 	return nil, err
 }
 
-// sendTo sends the request to the entry or engine at base, and on to where a
-// temporary redirect points: an entry that drains sends its callers away so.
+// sendTo sends the request to the entry or engine at base and follows temporary
+// redirects (307), with which a draining entry sends callers to another one.
 func (c *caller) sendTo(ctx context.Context, base string, p Part, a arrival, state *streamState) (*http.Response, error) {
 	var location *url.URL
 	for range maxRedirects {
@@ -163,7 +166,7 @@
 	return nil, errTooManyRedirects
 }
 
-// take reads the answer and says how the request ended.
+// readAnswer reads the answer and returns the outcome of the request.
 func (c *caller) readAnswer(resp *http.Response, p Part, a arrival, intendedStart time.Time, state *streamState, r *callResult) (Outcome, error) {
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxEventBytes))
--- a/load/dialect.go
+++ b/load/dialect.go
@@ -10,56 +10,58 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// Dialect is how callers ask for entries, put requests to them and read what comes
-// back. It holds names and formats; what is sent when, and what counts as what, is
-// decided here.
+// Dialect is the protocol between callers and a system: it encodes requests and
+// decodes lists of entries, refusals and stream events. It only defines names and
+// formats; this package decides when requests are sent and how they are counted.
 type Dialect interface {
-	// ListPath is the path, with its query, at which an address is asked which entries
-	// to use.
+	// ListPath returns the path and query from which the list of entries is fetched.
 	ListPath() string
+	// ReadList decodes the response body of ListPath.
 	ReadList(body []byte) (EntryList, error)
-	// EntriesServeList reports whether entries can be asked too, and not only the addresses
-	// that callers are given.
+	// EntriesServeList reports whether entries serve the list too. If not, it is fetched
+	// from Config.Entries only.
 	EntriesServeList() bool
-	// NewRequest returns a request to the entry or engine at base, a URL without path.
+	// NewRequest returns a request to the entry or engine at base, a URL without a path.
 	NewRequest(ctx context.Context, base string, p Part, call Call) (*http.Request, error)
-	// Refusal says how a request ended whose answer is no success.
+	// Refusal returns the outcome of a request that was answered with the given status,
+	// which is not a success.
 	Refusal(status int, h http.Header) Outcome
-	// ReadEvent reads one event of a stream.
+	// ReadEvent decodes one event of a stream.
 	ReadEvent(event native.Event) (Chunk, error)
-	// NeedsEndMark reports whether a stream is whole only with a last event that says so,
-	// and not once its body has come to its end.
+	// NeedsEndMark reports whether a stream is complete only after an event with
+	// Chunk.End. If not, it is complete when its body ends.
 	NeedsEndMark() bool
 }
 
-// EntryList is the answer to which entries to use.
+// EntryList is the list of entries that callers use.
 type EntryList struct {
-	Addresses []string // host:port
-	TTL       time.Duration
-	// Spread says that callers take any of them at random, and not the first that
-	// they can reach.
+	Addresses []string      // host:port
+	TTL       time.Duration // how long callers may cache the list
+	// Shuffle makes callers try the entries in random order instead of in that of
+	// Addresses.
 	Shuffle bool
 }
 
-// Call is what tells one request of a part from the others.
+// Call identifies one request of a part.
 type Call struct {
-	RunID string // of the run
-	Index int    // of the request in the run
-	// RequestID and LastID are set where a stream is taken up again: the id that the
-	// first answer named, and that of the last event that came.
+	RunID string // unique per run
+	Index int    // of the request within its part
+	// RequestID and LastEventID are used to resume a stream: the request ID from the
+	// first answer, and the ID of the last event received. LastEventID is empty if
+	// the call does not resume a stream.
 	RequestID, LastEventID string
 }
 
-// Chunk is what one event of a stream brings.
+// Chunk is the content of one stream event.
 type Chunk struct {
 	Tokens  []string
-	End     bool    // the stream is whole
-	Failure Outcome // the stream ends without being whole; empty: it does not
+	End     bool    // the stream is complete
+	Failure Outcome // outcome of a stream that ends with an error; empty: no error
 }
 
-// NewRequest returns a request with a body. It hides the body's type from net/http,
-// which would otherwise repeat a request on its own when a connection breaks: a run
-// is to count what breaks.
+// NewRequest returns a request with a body. It hides the type of the body from
+// net/http, which would otherwise retry the request when a connection breaks, and
+// the failure would not be measured.
 func NewRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
--- a/load/native.go
+++ b/load/native.go
@@ -12,7 +12,7 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// Names of the product's own protocol towards callers.
+// Names of the native client protocol.
 const (
 	headerDeadline       = "Savoryreel-Deadline-Ms"
 	headerOutcome        = "Savoryreel-Outcome"
@@ -24,7 +24,7 @@
 	eventError           = "error"
 )
 
-// Native is the product's own protocol.
+// Native is the native client protocol of Savoryreel.
 type Native struct{}
 
 // ListPath implements Dialect.
@@ -100,7 +100,8 @@
 	})
 }
 
-// messages returns the prompt of a part's request with an index.
+// promptMessages returns the prompt of a part's request. The prefix repeats every
+// p.Prefixes requests; the user message is different for each index.
 func promptMessages(p Part, index int) []native.Message {
 	var list []native.Message
 	if p.PrefixBytes > 0 {
@@ -113,7 +114,7 @@
 	return append(list, native.Message{Role: "user", Content: text})
 }
 
-// Filler returns n bytes of text that begins differently for each index.
+// Filler returns n bytes of text that starts with the index.
 func Filler(index, n int) string {
 	unit := "station " + strconv.Itoa(index) + " "
 	return strings.Repeat(unit, n/len(unit)+1)[:n]
@@ -124,8 +125,8 @@
 	return statedOutcome(Outcome(h.Get(headerOutcome)), Failed)
 }
 
-// statedOutcome returns the system's own word, or other where there is none.
-// An error that calls itself answered is a plain service's own error status.
+// statedOutcome returns the outcome that the system reported, or fallback if it
+// reported none. An error status reported as answered is the service's own error.
 func statedOutcome(stated, fallback Outcome) Outcome {
 	switch stated {
 	case Answered, NotRun, Unknown:
@@ -156,7 +157,8 @@
 	return out, nil
 }
 
-// errorOutcome reads the outcome of a problem that ends a stream.
+// errorOutcome returns the outcome in the error event that ends a stream, or Unknown
+// if there is none.
 func errorOutcome(data []byte) Outcome {
 	var problem struct {
 		Outcome Outcome `json:"outcome"`
--- a/load/report.go
+++ b/load/report.go
@@ -14,7 +14,7 @@
 //go:embed report.html.tmpl
 var reportTemplate string
 
-// Size of a plot in its own units, and of its frame.
+// Size and margins of a plot in SVG user units.
 const (
 	plotWidth   = 640.0
 	plotHeight  = 240.0
@@ -25,7 +25,7 @@
 	plotTicks   = 5
 )
 
-// plot is a line plot, drawn by the template as inline SVG.
+// plot is a line plot that the template renders as inline SVG.
 type plot struct {
 	Title  string
 	XLabel string
@@ -40,7 +40,8 @@
 	Base   float64
 }
 
-// line is one series: its points in the plot's units, as SVG wants them.
+// line is a series scaled to SVG user units. Points has the format of the points
+// attribute of an SVG polyline.
 type line struct {
 	Name   string
 	Colour string
@@ -48,12 +49,13 @@
 	LabelX float64
 }
 
+// tick is an axis label and its position in SVG user units.
 type tick struct {
 	At    float64
 	Label string
 }
 
-// series is a line before it is scaled.
+// series is a line in data units.
 type series struct {
 	name   string
 	colour string
@@ -66,8 +68,8 @@
 	Plots  []plot
 }
 
-// WriteHTML writes the result as one HTML page with inline plots. The page
-// loads nothing from elsewhere.
+// WriteHTML writes the result as a self-contained HTML page with inline plots. The
+// page loads no external resources.
 func (r *Result) WriteHTML(w io.Writer) error {
 	tmpl, err := template.New("report").Funcs(template.FuncMap{"ms": formatMS}).Parse(reportTemplate)
 	if err != nil {
@@ -119,8 +121,8 @@
 	return newPlot("First token by second of intended start", "s", "ms", []series{p50, p95})
 }
 
-// curvePlot draws latency against percentile on an axis of nines, so that the
-// tail has as much room as the rest.
+// curvePlot plots latency by percentile on a logarithmic axis (see nines), so that the
+// tail is legible.
 func (r *Result) curvePlot() plot {
 	newSeries := func(name, colour string, d Distribution) series {
 		s := series{name: name, colour: colour}
@@ -191,7 +193,8 @@
 	return strings.TrimSpace(b.String())
 }
 
-// extent returns the highest values; at least 1, so that nothing divides by 0.
+// maxValues returns the highest x and y of all series. Both are at least 1, because the
+// scaling divides by them.
 func maxValues(all []series) (x, y float64) {
 	x, y = 1, 1
 	for _, s := range all {
--- a/load/result.go
+++ b/load/result.go
@@ -12,7 +12,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Outcomes counts requests by how they ended.
+// Outcomes counts requests by outcome.
 type Outcomes struct {
 	Answered  int `json:"answered"`
 	NotRun    int `json:"notRun"`
@@ -57,20 +57,20 @@
 	return o.Answered + o.NotRun + o.Unknown + o.Failed + o.Broken + o.Wrong + o.Unstarted
 }
 
-// Result is what a run measured. Every scheduled request is in it once. All
-// latencies count from the intended start and are in milliseconds.
+// Result holds the measurements of a run. Every scheduled request is counted once.
+// Latencies are measured from the intended start, in milliseconds.
 type Result struct {
 	Started  time.Time    `json:"started"`
-	Seconds  float64      `json:"seconds"` // of the schedule
+	Seconds  float64      `json:"seconds"` // length of the schedule
 	Elapsed  float64      `json:"elapsed"` // seconds until the last request ended
 	Seed     uint64       `json:"seed,string"`
-	Rate     float64      `json:"rate"` // requests a second as configured, outside surges
+	Rate     float64      `json:"rate"` // configured requests per second, without surges
 	Total    PartResult   `json:"total"`
 	Parts    []PartResult `json:"parts"`
 	Timeline []Second     `json:"timeline"`
 }
 
-// PartResult is what one part of the mix met.
+// PartResult holds the measurements of one part of the mix.
 type PartResult struct {
 	Name         string       `json:"name"`
 	Service      string       `json:"service,omitempty"`
@@ -80,17 +80,17 @@
 	OnTarget     int          `json:"onTarget"` // answered, with the first token within the part's target
 	Tokens       int          `json:"tokens"`
 	TokensPerSec float64      `json:"tokensPerSecond"` // over the elapsed time
-	Redials      int          `json:"redials"`         // entries that could not be reached
-	Reconnects   int          `json:"reconnects"`      // streams that broke and were taken up again by Last-Event-ID
+	Redials      int          `json:"redials"`         // entries to which no connection could be made
+	Reconnects   int          `json:"reconnects"`      // times that a broken stream was resumed with Last-Event-ID
 	Errors       []string     `json:"errors,omitempty"`
-	FirstToken   Distribution `json:"firstToken"`    // of every request that had one
-	Between      Distribution `json:"betweenTokens"` // of every pair of tokens
-	Whole        Distribution `json:"whole"`         // of answered requests
-	Refusal      Distribution `json:"refusal"`       // of requests not run, to their refusal
-	StartLag     Distribution `json:"startLag"`      // between intended and real start
+	FirstToken   Distribution `json:"firstToken"`    // of requests that received a token, or the header of a plain answer
+	Between      Distribution `json:"betweenTokens"` // between consecutive tokens
+	Whole        Distribution `json:"whole"`         // until the end of answered requests
+	Refusal      Distribution `json:"refusal"`       // until the end of requests that were not run
+	StartLag     Distribution `json:"startLag"`      // between intended and actual start
 }
 
-// Distribution sums up latencies in milliseconds.
+// Distribution summarises latencies in milliseconds.
 type Distribution struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -103,33 +103,33 @@
 	Curve []Point `json:"curve,omitempty"`
 }
 
-// Point says that Percent of the values are at most Value (milliseconds).
+// Point is a point of a percentile curve: Percent of the latencies are at most Value
+// milliseconds.
 type Point struct {
 	Percent float64 `json:"percent"`
 	Value   float64 `json:"value"`
 }
 
-// Second is what became of the requests that should have started within one
-// second of the run.
+// Second summarises the requests whose intended start is in one second of the run.
 type Second struct {
 	Second   int      `json:"second"`
 	Outcomes Outcomes `json:"outcomes"`
-	P50      float64  `json:"firstTokenP50"` // milliseconds; 0: no request had a token
+	P50      float64  `json:"firstTokenP50"` // milliseconds; 0: no request received a token
 	P95      float64  `json:"firstTokenP95"`
 }
 
-// Overhead compares the first token of two parts of one run.
+// Overhead compares the first-token latencies of two parts of one run.
 type Overhead struct {
 	P50      float64 `json:"p50"` // ratio
 	P99      float64 `json:"p99"` // ratio
 	AddedP50 float64 `json:"addedP50Ms"`
 	AddedP99 float64 `json:"addedP99Ms"`
-	Through  int64   `json:"through"` // first tokens compared
+	Through  int64   `json:"through"` // number of first tokens
 	Direct   int64   `json:"direct"`
 }
 
-// Overhead returns what the way of the part through adds to the first token of
-// the part direct, as ratios and milliseconds.
+// Overhead returns by how much the first-token latency of the part named through
+// exceeds that of the part named direct, as ratios and in milliseconds.
 func (r *Result) Overhead(through, direct string) (Overhead, error) {
 	a, err := r.part(through)
 	if err != nil {
@@ -205,8 +205,8 @@
 	return seconds
 }
 
-// quantile returns the smallest value that at least the share q of the sorted
-// values does not exceed.
+// quantile returns the q-quantile (0 to 1) of the sorted values in milliseconds, or 0 if
+// there are none.
 func quantile(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -219,7 +219,7 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-// curvePercents are the points of a distribution's curve, closer towards the tail.
+// curvePercents are the percentiles of a distribution's curve, denser towards the tail.
 var curvePercents = [...]float64{0, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 99.95, 99.99, 100}
 
 func newDistribution(h *hdrhistogram.Histogram) Distribution {
--- a/load/stream.go
+++ b/load/stream.go
@@ -10,16 +10,16 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// streamState is what a caller knows of a stream that it may have to take up
-// again, as the HTML standard has it for server-sent events.
+// streamState is the state of a stream across reconnects. A broken stream is resumed
+// as the HTML standard defines for server-sent events.
 type streamState struct {
 	text        strings.Builder
-	lastEventID string // of the last event; empty: the stream cannot be taken up again
-	requestID   string // as the first answer named it
-	lastToken   time.Duration
+	lastEventID string        // empty: the stream cannot be resumed
+	requestID   string        // from the first answer
+	lastToken   time.Duration // arrival of the last token, since the intended start
 }
 
-// takeStream reads a streamed answer to its end.
+// readStream reads a streamed answer to its end and returns its outcome.
 func readStream(d Dialect, body io.Reader, intendedStart time.Time, state *streamState, r *callResult) (Outcome, error) {
 	events := native.NewEventReader(body, maxEventBytes)
 	for {
@@ -48,7 +48,7 @@
 	}
 }
 
-// add takes the tokens of one event in, which came at the time now.
+// add adds the tokens of an event that arrived at now, since the intended start.
 func (s *streamState) add(chunk Chunk, now time.Duration, r *callResult) {
 	for _, token := range chunk.Tokens {
 		s.text.WriteString(token)
@@ -57,6 +57,7 @@
 	}
 }
 
+// addToken records the arrival of a token; lastToken is the arrival of the one before.
 func (r *callResult) addToken(now, lastToken time.Duration) {
 	r.tokens++
 	if r.tokens == 1 {
--- a/load/tally.go
+++ b/load/tally.go
@@ -7,26 +7,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The histograms hold microseconds from 1 µs to 10 min with three digits.
+// Range and precision of the histograms; their values are in microseconds.
 const (
 	histMinMicroseconds   = 1
 	histMaxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
 	histSignificantDigits = 3
 )
 
-// keptErrors bounds the examples of errors in a result.
+// maxErrors bounds the sample of error texts in a result.
 const maxErrors = 5
 
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(histMinMicroseconds, histMaxMicroseconds, histSignificantDigits)
 }
 
+// record adds a duration to a histogram; out-of-range values count as the nearest bound.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	us := max(histMinMicroseconds, min(d.Microseconds(), histMaxMicroseconds))
-	_ = h.RecordValue(us) // within the bounds, so it cannot fail
+	_ = h.RecordValue(us) // fails only for values outside the range
 }
 
-// tally collects the reports of one part under its own lock.
+// tally accumulates the results of one part. It is safe for concurrent use, except for
+// the methods result, merge and timeline.
 type tally struct {
 	mu         sync.Mutex
 	part       Part
@@ -42,14 +44,13 @@
 	whole      *hdrhistogram.Histogram
 	startLag   *hdrhistogram.Histogram
 	refusal    *hdrhistogram.Histogram
-	seconds    []second
+	seconds    []second // by second of the intended start
 }
 
-// second is what became of the requests that should have started within one
-// second of the run.
+// second accumulates the requests whose intended start is in one second of the run.
 type second struct {
 	outcomes    Outcomes
-	firstTokens []time.Duration
+	firstTokens []time.Duration // unsorted
 }
 
 func newTally(p Part, duration time.Duration) *tally {
@@ -64,7 +65,7 @@
 	}
 }
 
-// add takes the report of a request that should have started at a time.
+// add adds the result of a request whose intended start, since the start of the run, is at.
 func (t *tally) add(at time.Duration, r callResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// merge adds other, which nothing writes to any more.
+// merge adds the results of other, to which no more results may be added meanwhile.
 func (t *tally) merge(other *tally) {
 	t.count += other.count
 	t.outcomes.merge(other.outcomes)
