--- a/load/caller.go
+++ b/load/caller.go
@@ -30,8 +30,8 @@
 // Outcome is the result of a request as the caller sees it.
 type Outcome string
 
-// The outcomes. The system reports NotRun and Unknown, and the caller determines the
-// others.
+// The outcomes. The system may report the first three with an error; the caller
+// determines the others, and counts a complete answer as Answered.
 const (
 	Answered  Outcome = "answered"
 	NotRun    Outcome = "not_run"
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -28,7 +28,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// entry answers as an entry does, with a handler for what callers send.
+// startEntry starts an entry that handles requests with calls. The list of entries that
+// it serves begins with one that cannot be reached.
 func startEntry(t *testing.T, calls http.Handler) *httptest.Server {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -56,6 +57,8 @@
 	}
 }
 
+// Guards against complete answers with the wrong text being counted as answered, and
+// against a schedule that differs between runs with the same seed.
 func TestRunChecksAnswersAndMeasuresOverhead(t *testing.T) {
 	_, engine := startEngine(t, fake.EngineConfig{Slots: 64})
 	entry := startEntry(t, engine)
@@ -71,7 +74,7 @@
 	require.Equal(t, result.Total.Requests, result.Total.Outcomes.Answered, "%v", result.Total.Errors)
 	require.Equal(t, 4*result.Total.Requests, result.Total.Tokens)
 	require.EqualValues(t, 3*result.Total.Requests, result.Total.Between.Count)
-	require.Positive(t, result.Total.Redials, "the list's first entry cannot be reached")
+	require.Positive(t, result.Total.Redials, "the first entry of the list cannot be reached")
 	require.Zero(t, result.Parts[1].Redials)
 	overhead, err := result.Overhead("through", "direct")
 	require.NoError(t, err)
@@ -79,7 +82,7 @@
 
 	repeated, err := load.Run(context.Background(), cfg)
 	require.NoError(t, err)
-	require.Equal(t, result.Total.Requests, repeated.Total.Requests, "one seed, one schedule")
+	require.Equal(t, result.Total.Requests, repeated.Total.Requests, "the same seed must give the same schedule")
 
 	cfg.Expect = func(string, []native.Message, int) []string { return []string{"other"} }
 	wrong, err := load.Run(context.Background(), cfg)
@@ -87,10 +90,8 @@
 	require.Equal(t, wrong.Total.Requests, wrong.Total.Outcomes.Wrong)
 }
 
-// A system answers one request at a time and each takes long. A closed loop
-// would send the next one only then, and report every answer as quick. Here
-// each request's wait for a free caller counts. Giving runner.work's call the
-// present time in place of the intended one breaks this test.
+// Guards against coordinated omission: if latency were measured from the actual start,
+// a slow system that delays later requests would appear fast.
 func TestRunMeasuresLatencyFromIntendedStart(t *testing.T) {
 	const answer = 20 * time.Millisecond
 	_, engine := startEngine(t, fake.EngineConfig{FirstToken: answer})
@@ -103,16 +104,16 @@
 	})
 	require.NoError(t, err)
 	n := result.Total.Requests
-	require.Greater(t, n, 20, "the seed's schedule must exceed what the system can do")
+	require.Greater(t, n, 20, "the schedule must exceed the capacity of the system")
 	require.Equal(t, n, result.Total.Outcomes.Answered)
-	// All n run one after the other and the last was meant to start by 400 ms.
-	// The bound holds on any machine: a timer may fire late and never early.
+	// The n requests run one after the other, and the intended start of the last one is
+	// before 400 ms. Timers never fire early, so the bound holds on any machine.
 	minLatency := time.Duration(n)*answer - 400*time.Millisecond
 	require.GreaterOrEqual(t, result.Total.FirstToken.Max, 0.99*float64(minLatency.Milliseconds()))
 }
 
-// The system stops answering. A run must end all the same, and a request that
-// never started must not vanish from the figures.
+// Guards against a run that never ends because the system hangs, and against requests
+// that never started being missing from the result.
 func TestRunEndsAndCountsUnstartedWhenServerHangs(t *testing.T) {
 	e, engine := startEngine(t, fake.EngineConfig{})
 	e.SetFaults(fake.Faults{Freeze: true})
@@ -126,9 +127,11 @@
 	o := result.Total.Outcomes
 	require.Greater(t, result.Total.Requests, 2)
 	require.Equal(t, load.Outcomes{Broken: o.Broken, Unstarted: result.Total.Requests - o.Broken}, o)
-	require.LessOrEqual(t, o.Broken, 2, "more requests ran than there are callers")
+	require.LessOrEqual(t, o.Broken, 2, "more requests were running than there are callers")
 }
 
+// Guards against reported outcomes of plain calls being miscounted, and against missing
+// or repeated idempotency keys.
 func TestRunCountsOutcomesOfPlainCalls(t *testing.T) {
 	var calls atomic.Int64
 	keys := make(chan string, 1000)
@@ -164,13 +167,13 @@
 	seen := make(map[string]bool)
 	for key := range keys {
 		require.NotEmpty(t, key)
-		require.False(t, seen[key], "key %s twice", key)
+		require.False(t, seen[key], "key %s was sent twice", key)
 		seen[key] = true
 	}
 }
 
-// An entry drains and sends its callers to another one. The key must go along,
-// or the other entry would turn the caller away as unknown.
+// Guards against losing the bearer token when a draining entry redirects a request: the
+// other entry would refuse it as unauthorized.
 func TestRunKeepsKeyOnRedirect(t *testing.T) {
 	_, engine := startEngine(t, fake.EngineConfig{})
 	other := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -193,10 +196,10 @@
 	require.Equal(t, result.Total.Requests, result.Total.Outcomes.Answered, "%v", result.Total.Errors)
 }
 
-// An entry dies in the middle of a stream, and another one goes on with it. The
-// caller reads one whole answer, whose gap is in the figures.
+// Guards against counting a stream as broken when it breaks after some tokens but can
+// be resumed with Last-Event-ID, and against losing or repeating tokens.
 func TestRunResumesBrokenStream(t *testing.T) {
-	const sentTokens = 2 // tokens before the entry dies
+	const sentTokens = 2 // before the stream breaks
 	entry := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req native.ChatRequest
 		_ = json.NewDecoder(r.Body).Decode(&req)
@@ -227,6 +230,8 @@
 	require.Equal(t, result.Total.Requests, result.Total.Reconnects)
 }
 
+// Guards against bearer tokens in the reports, unescaped names in the HTML report, and
+// external resources that it would load.
 func TestReportHasNoKeysOrExternalResources(t *testing.T) {
 	_, engine := startEngine(t, fake.EngineConfig{})
 	entry := startEntry(t, engine)
@@ -251,6 +256,7 @@
 	}
 }
 
+// Guards against Validate returning only the first of several errors.
 func TestValidateReturnsAllErrors(t *testing.T) {
 	err := load.Config{
 		Rate:   -1,
--- a/wallclock/wallclock.go
+++ b/wallclock/wallclock.go
@@ -1,15 +1,15 @@
-// Package wallclock tells the time of day on an instance whose own clock may be
-// wrong: by the median of its own and those of other instances, and steadily.
+// Package wallclock estimates the time of day on an instance whose own clock may be
+// wrong, as the median of its clock and those of other instances.
 //
-// Usage is counted in windows of the time of day. An instance whose clock jumps
-// by seconds would otherwise count requests in windows in which they did not
-// begin, and customers would be billed for what they did not do. Clocks that
-// jump are mostly few at a time, so the median stays right.
+// Usage is counted in windows of the time of day. An instance whose clock jumps by
+// seconds would otherwise count requests in windows in which they did not start, and
+// customers would be billed for them in the wrong window. Usually few clocks jump at
+// a time, so the median stays correct.
 //
-// Two things move the median itself: many clocks that jump together and back
-// again, and a process that stood still and then reads answers as if they had just
-// come. Both pass, so a median that has moved is believed only once it has stayed
-// there; until then time goes on by the steady clock.
+// The median itself can move temporarily: if most clocks jump together and back, or if
+// a paused process reads delayed messages as if they had just arrived. A step of the
+// median is therefore accepted only after it has lasted for a while; until then the
+// time advances with the monotonic clock.
 package wallclock
 
 import (
@@ -18,63 +18,64 @@
 	"time"
 )
 
-// maxAge is how long another instance's reading counts: long enough to outlast
-// a lost connection, short enough to forget an instance that is gone.
+// readingTTL is how long the reading of another instance's clock is used. It is longer
+// than an interrupted connection usually lasts.
 const readingTTL = 30 * time.Second
 
 const (
-	// follows is how far the median may move and be followed at once: readings
-	// scatter by the links' delays, some tens of milliseconds.
+	// stepThreshold is the largest change of the median that is accepted at once. It
+	// exceeds the network delays, by which readings vary.
 	stepThreshold = 100 * time.Millisecond
-	// believeAfter is how long the median has to stay away from the time that was
-	// agreed on until it is believed. Clocks that were set wrong by mistake are
-	// set right within seconds.
+	// stepDelay is how long the median must differ from the estimate by more than
+	// stepThreshold before it is accepted.
 	stepDelay = 30 * time.Second
 )
 
-// Clock is safe for concurrent use.
+// Clock estimates the time of day. It is safe for concurrent use.
 type Clock struct {
 	wall      func() time.Time     // this instance's time of day
-	monotonic func() time.Duration // time since any fixed point, which no change of the clock moves
+	monotonic func() time.Duration // time since a fixed point; unaffected by changes of the time of day
 
 	mu       sync.Mutex
-	readings map[string]reading
+	readings map[string]reading // by instance
 	estimate estimate
 }
 
-// agreement is the time that was agreed on last.
+// estimate is the current estimate of the time of day.
 type estimate struct {
-	offset    time.Duration // of the time of day from the steady time
-	maxClocks int           // the most clocks that it was ever the median of; 0: there is none yet
-	lastNear  time.Duration // steady time at which the median was last near it
+	offset    time.Duration // time of day minus monotonic time
+	maxClocks int           // the most clocks of which it has been the median; 0: no estimate yet
+	lastNear  time.Duration // monotonic time at which the median was last within stepThreshold
 }
 
-// reading is another instance's clock.
+// reading is a reading of another instance's clock.
 type reading struct {
-	offset   time.Duration // of its time of day from the steady time here
-	received time.Duration // steady time
+	offset   time.Duration // its time of day minus the local monotonic time
+	received time.Duration // monotonic time
 }
 
-// New returns a clock over an instance's time of day and its steady time.
+// New returns a Clock over this instance's time of day and its monotonic time, the time
+// since any fixed point.
 func New(wall func() time.Time, monotonic func() time.Duration) *Clock {
 	return &Clock{wall: wall, monotonic: monotonic, readings: make(map[string]reading)}
 }
 
-// offset is constant for a clock that runs well.
+// offset returns the time of day minus the monotonic time. It is constant for a clock
+// that keeps time.
 func offset(wall time.Time, monotonic time.Duration) time.Duration {
 	return time.Duration(wall.UnixNano()) - monotonic
 }
 
-// Observe notes what another instance's clock has just shown.
+// Observe records the time of day that another instance has just sent.
 func (c *Clock) Observe(instance string, wall time.Time) {
 	monotonic := c.monotonic()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readings[instance] = reading{offset: offset(wall, monotonic), received: monotonic}
-	c.update(monotonic) // also where nobody asks for the time: a jump has to be seen when it comes
+	c.update(monotonic) // even if Now is not called: lastNear must be current when the clocks jump
 }
 
-// Now returns the time of day that most clocks agree on.
+// Now returns the estimated time of day.
 func (c *Clock) Now() time.Time {
 	monotonic := c.monotonic()
 	c.mu.Lock()
@@ -83,9 +84,9 @@
 	return time.Unix(0, int64(monotonic+c.estimate.offset))
 }
 
-// agree takes the median for the time of day, unless it has jumped. The median of
-// more clocks than ever before is taken at once: a process that starts knows only
-// its own.
+// update sets the estimate to the median, unless the median has stepped for less than
+// stepDelay. A median of more clocks than ever before is accepted at once, because a
+// process that has just started has only its own clock. c.mu must be held.
 func (c *Clock) update(monotonic time.Duration) {
 	median, clocks := c.median(monotonic)
 	a := &c.estimate
@@ -97,7 +98,8 @@
 	a.maxClocks = max(a.maxClocks, clocks)
 }
 
-// median returns the median offset of all clocks that are known, and their number.
+// median returns the median offset of this instance's clock and all current readings,
+// and their number. It deletes expired readings. c.mu must be held.
 func (c *Clock) median(monotonic time.Duration) (time.Duration, int) {
 	offsets := []time.Duration{offset(c.wall(), monotonic)}
 	for name, r := range c.readings {
--- a/wallclock/wallclock_test.go
+++ b/wallclock/wallclock_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// instance is one whose clock can be set.
+// testInstance is an instance whose clock and monotonic time can be set.
 type testInstance struct {
-	startTime time.Time // the true time of day at steady time 0
+	startTime time.Time // true time of day at monotonic time 0
 	jump      time.Duration
 	elapsed   time.Duration
 }
@@ -25,10 +25,8 @@
 	require.WithinDuration(t, i.trueTime(), c.Now(), 3*time.Millisecond)
 }
 
-// An instance's clock jumps ahead by two seconds and back again. A customer would
-// see requests counted in a window in which it sent none.
-//
-// It breaks if Now returns the instance's own time of day.
+// Guards against Now following a jump of this instance's clock: requests would be
+// counted in the wrong window.
 func TestJumpOfOwnClockIsIgnored(t *testing.T) {
 	i := newTestInstance()
 	c := New(i.wall, i.monotonic)
@@ -40,8 +38,7 @@
 	i.requireCorrect(t, c)
 }
 
-// One of three other clocks is wrong by five seconds. The median of them and the
-// own one is right.
+// Guards against one wrong clock of another instance changing the time of day.
 func TestOneWrongClockIsIgnored(t *testing.T) {
 	i := newTestInstance()
 	c := New(i.wall, i.monotonic)
@@ -52,7 +49,7 @@
 	i.requireCorrect(t, c)
 }
 
-// An instance that was observed long ago no longer counts.
+// Guards against using readings of instances that no longer send any.
 func TestOldReadingsExpire(t *testing.T) {
 	i := newTestInstance()
 	c := New(i.wall, i.monotonic)
@@ -62,8 +59,8 @@
 	i.requireCorrect(t, c)
 }
 
-// watch observes three other instances each second for a while, with what their
-// clocks show beside the truth, and requires the right time all along.
+// observeFor observes other instances, whose clocks have the given errors, once per
+// second and requires the correct time after each second.
 func (i *testInstance) observeFor(t *testing.T, c *Clock, seconds int, clockErrors ...time.Duration) {
 	t.Helper()
 	for range seconds {
@@ -75,11 +72,9 @@
 	}
 }
 
-// Most clocks of a site jump back by four seconds and some seconds later forward
-// again, as when a time server fails for a moment. Requests would be billed in the
-// window before the one in which they began.
-//
-// It breaks if the median is believed at once.
+// Guards against following the median at once when most clocks jump and return within
+// seconds, as when a time server fails briefly: requests would be billed in the wrong
+// window.
 func TestTemporaryJumpOfMostClocksIsIgnored(t *testing.T) {
 	i := newTestInstance()
 	c := New(i.wall, i.monotonic)
@@ -90,10 +85,8 @@
 	i.observeFor(t, c, 1, 0, 0, 0)
 }
 
-// A process stands still for three seconds and then reads the answers that came
-// meanwhile. All other clocks seem to be three seconds behind until the next ones.
-//
-// It breaks if the median is believed at once.
+// Guards against following the median at once after a paused process reads delayed
+// messages: all other clocks then seem to be behind until the next messages.
 func TestReadingsDelayedByPauseAreIgnored(t *testing.T) {
 	i := newTestInstance()
 	c := New(i.wall, i.monotonic)
@@ -106,10 +99,8 @@
 	i.observeFor(t, c, 5, 0, 0, 0)
 }
 
-// A process starts on an instance whose clock is wrong, and hears the others a
-// moment later.
-//
-// It breaks if what it agreed on with itself has to be outlasted.
+// Guards against a wrong clock at the start being used for stepDelay, although readings
+// of other instances arrive soon after.
 func TestWrongClockAtStartIsCorrectedAtOnce(t *testing.T) {
 	i := newTestInstance()
 	i.jump = 4 * time.Second
@@ -118,10 +109,8 @@
 	i.observeFor(t, c, 2, 0, 0, 0)
 }
 
-// The others agree on another time for good: what this instance agreed on at its
-// start was wrong.
-//
-// It breaks if an agreement is never given up.
+// Guards against a wrong estimate that is never corrected although the median differs
+// from it for longer than stepDelay.
 func TestLastingStepOfMostClocksIsFollowed(t *testing.T) {
 	i := newTestInstance()
 	c := New(i.wall, i.monotonic)
@@ -139,9 +128,8 @@
 	i.requireCorrect(t, c)
 }
 
-// Nobody sends anything for a minute; then most clocks jump, and a request comes.
-//
-// It breaks if the median is compared only when somebody asks for the time.
+// Guards against accepting a jump at once because Now has not been called for longer
+// than stepDelay: Observe must update the estimate too.
 func TestJumpIsIgnoredAfterMinuteWithoutCallsToNow(t *testing.T) {
 	i := newTestInstance()
 	c := New(i.wall, i.monotonic)
