--- a/load/config.go
+++ b/load/config.go
@@ -130,13 +130,13 @@
 		add(names[s.Part], "surge: there is no part %q", s.Part)
 		add(s.Factor >= 0 && s.From >= 0 && s.For >= 0, "surge of %q: must not be negative", s.Part)
 	}
-	add(c.maxRequests() <= maxScheduled, "the run would have more than %d requests", maxScheduled)
+	add(c.estimatedRequests() <= maxScheduled, "the run would have more than %d requests", maxScheduled)
 	return errors.Join(errs...)
 }
 
 // maxRequests returns an upper estimate of the expected number of requests: it applies
 // each surge to the rate of all parts.
-func (c Config) maxRequests() float64 {
+func (c Config) estimatedRequests() float64 {
 	n := c.Rate * c.Duration.Seconds()
 	for _, s := range c.Surges {
 		n += c.Rate * s.Factor * s.For.Seconds()
--- a/wallclock/wallclock.go
+++ b/wallclock/wallclock.go
@@ -89,13 +89,13 @@
 // process that has just started has only its own clock. c.mu must be held.
 func (c *Clock) update(monotonic time.Duration) {
 	median, clocks := c.median(monotonic)
-	a := &c.estimate
-	near := (median - a.offset).Abs() <= stepThreshold
-	if !near && clocks <= a.maxClocks && monotonic-a.lastNear < stepDelay {
+	e := &c.estimate
+	near := (median - e.offset).Abs() <= stepThreshold
+	if !near && clocks <= e.maxClocks && monotonic-e.lastNear < stepDelay {
 		return
 	}
-	a.offset, a.lastNear = median, monotonic
-	a.maxClocks = max(a.maxClocks, clocks)
+	e.offset, e.lastNear = median, monotonic
+	e.maxClocks = max(e.maxClocks, clocks)
 }
 
 // median returns the median offset of this instance's clock and all current readings,
