--- a/load/config.go
+++ b/load/config.go
@@ -134,8 +134,8 @@
 	return errors.Join(errs...)
 }
 
-// maxRequests returns an upper estimate of the expected number of requests: it applies
-// each surge to the rate of all parts.
+// estimatedRequests returns a rough number of requests of the run. It applies each surge
+// to the rate of all parts and adds up overlapping surges instead of multiplying them.
 func (c Config) estimatedRequests() float64 {
 	n := c.Rate * c.Duration.Seconds()
 	for _, s := range c.Surges {
--- a/load/entries.go
+++ b/load/entries.go
@@ -84,8 +84,8 @@
 	return nil, e.fetchDone, false
 }
 
-// tryOrder returns the entries in the order in which one caller tries them: shuffled
-// if callers are to spread, with demoted entries last. e.mu must be held.
+// tryOrder returns the entries in the order in which one caller tries them. If shuffle
+// is set, it shuffles all but the demoted entries, which stay last. e.mu must be held.
 func (e *entryCache) tryOrder() []string {
 	if !e.shuffle {
 		return e.urls
