--- a/load/caller.go
+++ b/load/caller.go
@@ -15,52 +15,54 @@
 )
 
 const (
-	deadlineGrace = 2 * time.Second // how long past its deadline a caller still listens
-	maxRedirects  = 4
-	maxReconnects = 3 // of one stream
-	maxEvent      = 64 << 10
+	deadlineGrace = 2 * time.Second // how long a caller waits for the answer after the deadline
+	maxRedirects  = 4               // requests sent to follow redirects, including the first one
+	maxReconnects = 3               // of one stream
+	maxEventBytes = 64 << 10
 )
 
 var (
-	errWrongAnswer = errors.New("the answer is not the one expected")
-	errCutStream   = errors.New("the stream ended without its end mark")
-	errRedirects   = errors.New("too many redirects")
+	errWrongAnswer      = errors.New("the answer is not the one expected")
+	errTruncated        = errors.New("the stream ended without its end mark")
+	errTooManyRedirects = errors.New("too many redirects")
 )
 
-// Outcome is how a request ended at the caller.
+// Outcome is the result of a request as the caller sees it.
 type Outcome string
 
-// The outcomes. The first three are the system's own word.
+// The outcomes. The system may report the first three with an error; the caller
+// determines the others, and counts a complete answer as Answered.
 const (
 	Answered  Outcome = "answered"
 	NotRun    Outcome = "not_run"
 	Unknown   Outcome = "unknown"
-	Failed    Outcome = "failed"    // an error status without an outcome
-	Broken    Outcome = "broken"    // no answer, a cut one, or none in time
-	Wrong     Outcome = "wrong"     // answered, but not with the expected answer
-	Unstarted Outcome = "unstarted" // still waiting for a free caller at the run's end
+	Failed    Outcome = "failed"    // an error status without a reported outcome
+	Broken    Outcome = "broken"    // no answer, a truncated answer, or a timeout
+	Wrong     Outcome = "wrong"     // complete, but not the expected answer
+	Unstarted Outcome = "unstarted" // not sent before the end of the run
 )
 
-// report is what one request met. Times count from its intended start.
-type report struct {
-	outcome Outcome
-	lag     time.Duration // of the real start
-	first   time.Duration // to the first token, or to a plain answer's head; 0: none
-	end     time.Duration
-	gaps    []time.Duration // between tokens
-	tokens  int
-	redials int // entries that could not be reached before one could
-	err     error
-
-	reconnects int // streams that broke and were taken up again
+// callResult holds the measurements of one request. Durations are measured from its
+// intended start, except for tokenGaps.
+type callResult struct {
+	outcome    Outcome
+	startLag   time.Duration   // until the request was sent
+	firstToken time.Duration   // until the first token, or the header of a plain answer; 0: none
+	latency    time.Duration   // until the request ended
+	tokenGaps  []time.Duration // between consecutive tokens
+	tokens     int
+	redials    int // entries to which no connection could be made
+	err        error
+
+	reconnects int // times that the broken stream was resumed
 }
 
-// caller makes requests. It is safe for concurrent use.
+// caller sends requests. It is safe for concurrent use.
 type caller struct {
-	cfg    Config
-	runID  string // makes idempotency keys unique over runs
-	client *http.Client
-	choice *entryChoice
+	cfg     Config
+	runID   string // makes idempotency keys unique across runs
+	client  *http.Client
+	entries *entryCache
 }
 
 func newClient(maxInFlight int) *http.Client {
@@ -74,27 +76,28 @@
 	}
 }
 
-// call makes one request whose start was intended at the given time.
-func (c *caller) call(ctx context.Context, a arrival, intended time.Time) report {
+// call sends one request and measures it. A broken stream is resumed up to
+// maxReconnects times if its events have IDs.
+func (c *caller) call(ctx context.Context, a arrival, intendedStart time.Time) callResult {
 	part := c.cfg.Parts[a.part]
-	r := report{lag: time.Since(intended)}
+	r := callResult{startLag: time.Since(intendedStart)}
 	ctx, cancel := context.WithTimeout(ctx, part.timeout())
 	defer cancel()
 	var state streamState
 	for {
-		r.outcome, r.err = c.attempt(ctx, part, a, intended, &state, &r)
+		r.outcome, r.err = c.attempt(ctx, part, a, intendedStart, &state, &r)
 		broken := r.outcome == Broken && ctx.Err() == nil
-		if !broken || state.lastID == "" || r.reconnects == maxReconnects {
+		if !broken || state.lastEventID == "" || r.reconnects == maxReconnects {
 			break
 		}
 		r.reconnects++
 	}
-	r.end = time.Since(intended)
+	r.latency = time.Since(intendedStart)
 	return r
 }
 
-// attempt sends the request, or takes its stream up again, and reads the answer.
-func (c *caller) attempt(ctx context.Context, p Part, a arrival, intended time.Time, state *streamState, r *report) (Outcome, error) {
+// attempt sends the request, or resumes its stream, and reads the answer.
+func (c *caller) attempt(ctx context.Context, p Part, a arrival, intendedStart time.Time, state *streamState, r *callResult) (Outcome, error) {
 	resp, err := c.send(ctx, p, a, state, r)
 	if err != nil {
 		return Broken, err
@@ -103,16 +106,16 @@
 	if state.requestID == "" {
 		state.requestID = resp.Header.Get(native.HeaderRequestID)
 	}
-	return c.take(resp, p, a, intended, state, r)
+	return c.readAnswer(resp, p, a, intendedStart, state, r)
 }
 
-// send tries the entries in their order until one can be reached. Nothing is
-// sent twice: it goes on only while no connection was made.
-func (c *caller) send(ctx context.Context, p Part, a arrival, state *streamState, r *report) (*http.Response, error) {
+// send sends the request to the first entry that can be reached. It tries the next
+// entry only if no connection was made, so no request is sent twice.
+func (c *caller) send(ctx context.Context, p Part, a arrival, state *streamState, r *callResult) (*http.Response, error) {
 	if p.Direct != "" {
 		return c.sendTo(ctx, "http://"+p.Direct, p, a, state)
 	}
-	urls, err := c.choice.get(ctx)
+	urls, err := c.entries.get(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -124,23 +127,23 @@
 		if err == nil {
 			return resp, nil
 		}
-		c.choice.demote(url)
+		c.entries.demote(url)
 		if connected || ctx.Err() != nil {
 			return nil, err
 		}
 		r.redials++
 	}
-	c.choice.expire()
+	c.entries.expire()
 	return nil, err
 }
 
-// sendTo sends the request to the entry or engine at base, and on to where a
-// temporary redirect points: an entry that drains sends its callers away so.
+// sendTo sends the request to the entry or engine at base and follows temporary
+// redirects (307), with which a draining entry sends callers to another one.
 func (c *caller) sendTo(ctx context.Context, base string, p Part, a arrival, state *streamState) (*http.Response, error) {
 	var location *url.URL
 	for range maxRedirects {
 		req, err := c.cfg.Dialect.NewRequest(ctx, base, p,
-			Call{RunID: c.runID, Index: a.index, RequestID: state.requestID, LastID: state.lastID})
+			Call{RunID: c.runID, Index: a.index, RequestID: state.requestID, LastEventID: state.lastEventID})
 		if err != nil {
 			return nil, err
 		}
@@ -160,31 +163,31 @@
 			return nil, err
 		}
 	}
-	return nil, errRedirects
+	return nil, errTooManyRedirects
 }
 
-// take reads the answer and says how the request ended.
-func (c *caller) take(resp *http.Response, p Part, a arrival, intended time.Time, state *streamState, r *report) (Outcome, error) {
+// readAnswer reads the answer and returns the outcome of the request.
+func (c *caller) readAnswer(resp *http.Response, p Part, a arrival, intendedStart time.Time, state *streamState, r *callResult) (Outcome, error) {
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxEvent))
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxEventBytes))
 		return c.cfg.Dialect.Refusal(resp.StatusCode, resp.Header), fmt.Errorf("status %d", resp.StatusCode)
 	}
 	if p.Kind == Plain {
-		return takePlain(resp, intended, r)
+		return readPlain(resp, intendedStart, r)
 	}
-	outcome, err := takeStream(c.cfg.Dialect, resp.Body, intended, state, r)
+	outcome, err := readStream(c.cfg.Dialect, resp.Body, intendedStart, state, r)
 	if outcome != Answered || c.cfg.Expect == nil {
 		return outcome, err
 	}
-	want := c.cfg.Expect(p.Model, messages(p, a.index), p.MaxTokens)
+	want := c.cfg.Expect(p.Model, promptMessages(p, a.index), p.MaxTokens)
 	if state.text.String() != strings.Join(want, "") {
 		return Wrong, errWrongAnswer
 	}
 	return Answered, nil
 }
 
-func takePlain(resp *http.Response, intended time.Time, r *report) (Outcome, error) {
-	r.first = time.Since(intended)
+func readPlain(resp *http.Response, intendedStart time.Time, r *callResult) (Outcome, error) {
+	r.firstToken = time.Since(intendedStart)
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return Broken, err
 	}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -28,7 +28,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// entry answers as an entry does, with a handler for what callers send.
+// startEntry starts an entry that handles requests with calls. The list of entries that
+// it serves begins with one that cannot be reached.
 func startEntry(t *testing.T, calls http.Handler) *httptest.Server {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -56,7 +57,9 @@
 	}
 }
 
-func TestRunChecksAnswersAndComparesWithTheEngine(t *testing.T) {
+// Guards against complete answers with the wrong text being counted as answered, and
+// against a schedule that differs between runs with the same seed.
+func TestRunChecksAnswersAndMeasuresOverhead(t *testing.T) {
 	_, engine := startEngine(t, fake.EngineConfig{Slots: 64})
 	entry := startEntry(t, engine)
 	direct := chatPart("direct")
@@ -71,15 +74,15 @@
 	require.Equal(t, result.Total.Requests, result.Total.Outcomes.Answered, "%v", result.Total.Errors)
 	require.Equal(t, 4*result.Total.Requests, result.Total.Tokens)
 	require.EqualValues(t, 3*result.Total.Requests, result.Total.Between.Count)
-	require.Positive(t, result.Total.Redials, "the list's first entry cannot be reached")
+	require.Positive(t, result.Total.Redials, "the first entry of the list cannot be reached")
 	require.Zero(t, result.Parts[1].Redials)
 	overhead, err := result.Overhead("through", "direct")
 	require.NoError(t, err)
 	t.Logf("through the same server: %+v", overhead)
 
-	again, err := load.Run(context.Background(), cfg)
+	repeated, err := load.Run(context.Background(), cfg)
 	require.NoError(t, err)
-	require.Equal(t, result.Total.Requests, again.Total.Requests, "one seed, one schedule")
+	require.Equal(t, result.Total.Requests, repeated.Total.Requests, "the same seed must give the same schedule")
 
 	cfg.Expect = func(string, []native.Message, int) []string { return []string{"other"} }
 	wrong, err := load.Run(context.Background(), cfg)
@@ -87,11 +90,9 @@
 	require.Equal(t, wrong.Total.Requests, wrong.Total.Outcomes.Wrong)
 }
 
-// A system answers one request at a time and each takes long. A closed loop
-// would send the next one only then, and report every answer as quick. Here
-// each request's wait for a free caller counts. Giving runner.work's call the
-// present time in place of the intended one breaks this test.
-func TestRunCountsLateStartsAgainstTheSystem(t *testing.T) {
+// Guards against coordinated omission: if latency were measured from the actual start,
+// a slow system that delays later requests would appear fast.
+func TestRunMeasuresLatencyFromIntendedStart(t *testing.T) {
 	const answer = 20 * time.Millisecond
 	_, engine := startEngine(t, fake.EngineConfig{FirstToken: answer})
 	entry := startEntry(t, engine)
@@ -103,17 +104,17 @@
 	})
 	require.NoError(t, err)
 	n := result.Total.Requests
-	require.Greater(t, n, 20, "the seed's schedule must exceed what the system can do")
+	require.Greater(t, n, 20, "the schedule must exceed the capacity of the system")
 	require.Equal(t, n, result.Total.Outcomes.Answered)
-	// All n run one after the other and the last was meant to start by 400 ms.
-	// The bound holds on any machine: a timer may fire late and never early.
-	least := time.Duration(n)*answer - 400*time.Millisecond
-	require.GreaterOrEqual(t, result.Total.FirstToken.Max, 0.99*float64(least.Milliseconds()))
+	// The n requests run one after the other, and the intended start of the last one is
+	// before 400 ms. Timers never fire early, so the bound holds on any machine.
+	minLatency := time.Duration(n)*answer - 400*time.Millisecond
+	require.GreaterOrEqual(t, result.Total.FirstToken.Max, 0.99*float64(minLatency.Milliseconds()))
 }
 
-// The system stops answering. A run must end all the same, and a request that
-// never started must not vanish from the figures.
-func TestRunEndsWhenTheSystemIsFrozen(t *testing.T) {
+// Guards against a run that never ends because the system hangs, and against requests
+// that never started being missing from the result.
+func TestRunEndsAndCountsUnstartedWhenServerHangs(t *testing.T) {
 	e, engine := startEngine(t, fake.EngineConfig{})
 	e.SetFaults(fake.Faults{Freeze: true})
 	entry := startEntry(t, engine)
@@ -126,9 +127,11 @@
 	o := result.Total.Outcomes
 	require.Greater(t, result.Total.Requests, 2)
 	require.Equal(t, load.Outcomes{Broken: o.Broken, Unstarted: result.Total.Requests - o.Broken}, o)
-	require.LessOrEqual(t, o.Broken, 2, "more requests ran than there are callers")
+	require.LessOrEqual(t, o.Broken, 2, "more requests were running than there are callers")
 }
 
+// Guards against reported outcomes of plain calls being miscounted, and against missing
+// or repeated idempotency keys.
 func TestRunCountsOutcomesOfPlainCalls(t *testing.T) {
 	var calls atomic.Int64
 	keys := make(chan string, 1000)
@@ -164,14 +167,14 @@
 	seen := make(map[string]bool)
 	for key := range keys {
 		require.NotEmpty(t, key)
-		require.False(t, seen[key], "key %s twice", key)
+		require.False(t, seen[key], "key %s was sent twice", key)
 		seen[key] = true
 	}
 }
 
-// An entry drains and sends its callers to another one. The key must go along,
-// or the other entry would turn the caller away as unknown.
-func TestRunFollowsARedirectWithItsKey(t *testing.T) {
+// Guards against losing the bearer token when a draining entry redirects a request: the
+// other entry would refuse it as unauthorized.
+func TestRunKeepsKeyOnRedirect(t *testing.T) {
 	_, engine := startEngine(t, fake.EngineConfig{})
 	other := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Authorization") != "Bearer "+testKey {
@@ -180,12 +183,12 @@
 		}
 		engine.ServeHTTP(w, r)
 	}))
-	leaving := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	draining := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Location", other.URL+r.URL.Path)
 		w.WriteHeader(http.StatusTemporaryRedirect)
 	}))
 	result, err := load.Run(context.Background(), load.Config{
-		Entries: []string{leaving.URL}, Rate: 100, Duration: 100 * time.Millisecond, Seed: 5,
+		Entries: []string{draining.URL}, Rate: 100, Duration: 100 * time.Millisecond, Seed: 5,
 		Parts: []load.Part{chatPart("moved")}, Expect: fake.Answer,
 	})
 	require.NoError(t, err)
@@ -193,18 +196,18 @@
 	require.Equal(t, result.Total.Requests, result.Total.Outcomes.Answered, "%v", result.Total.Errors)
 }
 
-// An entry dies in the middle of a stream, and another one goes on with it. The
-// caller reads one whole answer, whose gap is in the figures.
-func TestRunTakesUpABrokenStream(t *testing.T) {
-	const cut = 2 // tokens before the entry dies
+// Guards against counting a stream as broken when it breaks after some tokens but can
+// be resumed with Last-Event-ID, and against losing or repeating tokens.
+func TestRunResumesBrokenStream(t *testing.T) {
+	const sentTokens = 2 // before the stream breaks
 	entry := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req native.ChatRequest
 		_ = json.NewDecoder(r.Body).Decode(&req)
 		answer := fake.Answer(testModel, req.Messages, req.MaxTokens)
-		from, to := 0, cut
+		from, to := 0, sentTokens
 		if id := r.Header.Get("Last-Event-ID"); id != "" {
-			from, to = cut, len(answer)
-			if id != fmt.Sprint(cut-1) || r.Header.Get("X-Request-Id") != "req-1" {
+			from, to = sentTokens, len(answer)
+			if id != fmt.Sprint(sentTokens-1) || r.Header.Get("X-Request-Id") != "req-1" {
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
@@ -227,7 +230,9 @@
 	require.Equal(t, result.Total.Requests, result.Total.Reconnects)
 }
 
-func TestResultIsWrittenWithoutKeysAndOutsideResources(t *testing.T) {
+// Guards against bearer tokens in the reports, unescaped names in the HTML report, and
+// external resources that it would load.
+func TestReportHasNoKeysOrExternalResources(t *testing.T) {
 	_, engine := startEngine(t, fake.EngineConfig{})
 	entry := startEntry(t, engine)
 	result, err := load.Run(context.Background(), load.Config{
@@ -238,9 +243,9 @@
 	var asJSON, asHTML bytes.Buffer
 	require.NoError(t, result.WriteJSON(&asJSON))
 	require.NoError(t, result.WriteHTML(&asHTML))
-	var back load.Result
-	require.NoError(t, json.Unmarshal(asJSON.Bytes(), &back))
-	require.Equal(t, *result, back)
+	var decoded load.Result
+	require.NoError(t, json.Unmarshal(asJSON.Bytes(), &decoded))
+	require.Equal(t, *result, decoded)
 	page := asHTML.String()
 	require.Equal(t, 3, strings.Count(page, "<svg"))
 	require.NotContains(t, page, "a <b>")
@@ -251,7 +256,8 @@
 	}
 }
 
-func TestConfigNamesAllItsFaults(t *testing.T) {
+// Guards against Validate returning only the first of several errors.
+func TestValidateReturnsAllErrors(t *testing.T) {
 	err := load.Config{
 		Rate:   -1,
 		Parts:  []load.Part{{Name: "a", Weight: 1, Kind: "x", Service: "s"}, {Name: "a"}},
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -7,51 +7,52 @@
 	"time"
 )
 
-// arrival is one request of the schedule.
+// arrival is one scheduled request.
 type arrival struct {
-	at    time.Duration // intended start, from the start of the run
-	part  int
-	index int // within the part
+	at    time.Duration // intended start, since the start of the run
+	part  int           // index into Config.Parts
+	index int           // of the request within its part
 }
 
-// newSchedule returns the arrivals of a run by intended start. It is a pure
-// function of the configuration: the same seed gives the same schedule.
+// newSchedule returns the arrivals of a run, sorted by intended start. The same
+// configuration and seed give the same schedule.
 func newSchedule(cfg Config) []arrival {
-	total := 0.0
+	totalWeight := 0.0
 	for _, p := range cfg.Parts {
-		total += p.Weight
+		totalWeight += p.Weight
 	}
 	var schedule []arrival
 	for i, p := range cfg.Parts {
-		schedule = append(schedule, partSchedule(cfg, i, cfg.Rate*p.Weight/total)...)
+		schedule = append(schedule, partSchedule(cfg, i, cfg.Rate*p.Weight/totalWeight)...)
 	}
 	slices.SortStableFunc(schedule, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	return schedule
 }
 
-// partSchedule draws a Poisson process whose rate steps with the surges, by
-// thinning one of the highest rate (Lewis and Shedler 1979).
+// partSchedule samples a Poisson process whose rate changes with the surges: it
+// thins a process of the highest rate (Lewis and Shedler 1979). The rate is in
+// requests per second without surges.
 func partSchedule(cfg Config, part int, rate float64) []arrival {
 	rng := rand.New(rand.NewPCG(cfg.Seed, uint64(part)))
-	peak := peakFactor(cfg, cfg.Parts[part].Name)
-	if peak == 0 {
+	maxFactor := maxSurgeFactor(cfg, cfg.Parts[part].Name)
+	if maxFactor == 0 {
 		return nil
 	}
 	var arrivals []arrival
 	at := time.Duration(0)
 	for {
-		at += time.Duration(rng.ExpFloat64() / (rate * peak) * float64(time.Second))
+		at += time.Duration(rng.ExpFloat64() / (rate * maxFactor) * float64(time.Second))
 		if at >= cfg.Duration {
 			return arrivals
 		}
-		if rng.Float64()*peak < factorAt(cfg, cfg.Parts[part].Name, at) {
+		if rng.Float64()*maxFactor < surgeFactor(cfg, cfg.Parts[part].Name, at) {
 			arrivals = append(arrivals, arrival{at: at, part: part, index: len(arrivals)})
 		}
 	}
 }
 
-// factorAt returns the product of the surges in force at a time.
-func factorAt(cfg Config, part string, at time.Duration) float64 {
+// surgeFactor returns the product of the factors of a part's surges that are active at a time.
+func surgeFactor(cfg Config, part string, at time.Duration) float64 {
 	factor := 1.0
 	for _, s := range cfg.Surges {
 		if s.Part == part && at >= s.From && at < s.From+s.For {
@@ -61,10 +62,11 @@
 	return factor
 }
 
-func peakFactor(cfg Config, part string) float64 {
-	peak := factorAt(cfg, part, 0)
+// maxSurgeFactor returns the highest surge factor of a part during the run.
+func maxSurgeFactor(cfg Config, part string) float64 {
+	maxFactor := surgeFactor(cfg, part, 0)
 	for _, s := range cfg.Surges {
-		peak = max(peak, factorAt(cfg, part, s.From), factorAt(cfg, part, s.From+s.For))
+		maxFactor = max(maxFactor, surgeFactor(cfg, part, s.From), surgeFactor(cfg, part, s.From+s.For))
 	}
-	return peak
+	return maxFactor
 }
--- a/load/tally.go
+++ b/load/tally.go
@@ -7,26 +7,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The histograms hold microseconds from 1 µs to 10 min with three digits.
+// Range and precision of the histograms; their values are in microseconds.
 const (
-	histMin    = 1
-	histMax    = int64(10 * time.Minute / time.Microsecond)
-	histDigits = 3
+	histMinMicroseconds   = 1
+	histMaxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
+	histSignificantDigits = 3
 )
 
-// keptErrors bounds the examples of errors in a result.
-const keptErrors = 5
+// maxErrors bounds the sample of error texts in a result.
+const maxErrors = 5
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(histMin, histMax, histDigits)
+	return hdrhistogram.New(histMinMicroseconds, histMaxMicroseconds, histSignificantDigits)
 }
 
+// record adds a duration to a histogram; out-of-range values count as the nearest bound.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	us := max(histMin, min(d.Microseconds(), histMax))
-	_ = h.RecordValue(us) // within the bounds, so it cannot fail
+	us := max(histMinMicroseconds, min(d.Microseconds(), histMaxMicroseconds))
+	_ = h.RecordValue(us) // fails only for values outside the range
 }
 
-// tally collects the reports of one part under its own lock.
+// tally accumulates the results of one part. It is safe for concurrent use, except for
+// the methods result, merge and timeline.
 type tally struct {
 	mu         sync.Mutex
 	part       Part
@@ -37,35 +39,34 @@
 	redials    int
 	reconnects int
 	errors     []string
-	first      *hdrhistogram.Histogram
+	firstToken *hdrhistogram.Histogram
 	between    *hdrhistogram.Histogram
 	whole      *hdrhistogram.Histogram
-	lag        *hdrhistogram.Histogram
+	startLag   *hdrhistogram.Histogram
 	refusal    *hdrhistogram.Histogram
-	seconds    []second
+	seconds    []second // by second of the intended start
 }
 
-// second is what became of the requests that should have started within one
-// second of the run.
+// second accumulates the requests whose intended start is in one second of the run.
 type second struct {
-	outcomes Outcomes
-	firsts   []time.Duration
+	outcomes    Outcomes
+	firstTokens []time.Duration // unsorted
 }
 
 func newTally(p Part, duration time.Duration) *tally {
 	return &tally{
-		part:    p,
-		first:   newHistogram(),
-		between: newHistogram(),
-		whole:   newHistogram(),
-		lag:     newHistogram(),
-		refusal: newHistogram(),
-		seconds: make([]second, int((duration+time.Second-1)/time.Second)),
+		part:       p,
+		firstToken: newHistogram(),
+		between:    newHistogram(),
+		whole:      newHistogram(),
+		startLag:   newHistogram(),
+		refusal:    newHistogram(),
+		seconds:    make([]second, int((duration+time.Second-1)/time.Second)),
 	}
 }
 
-// add takes the report of a request that should have started at a time.
-func (t *tally) add(at time.Duration, r report) {
+// add adds the result of a request whose intended start, since the start of the run, is at.
+func (t *tally) add(at time.Duration, r callResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.count++
@@ -75,36 +76,36 @@
 	t.tokens += r.tokens
 	t.redials += r.redials
 	t.reconnects += r.reconnects
-	if r.err != nil && len(t.errors) < keptErrors {
+	if r.err != nil && len(t.errors) < maxErrors {
 		t.errors = append(t.errors, string(r.outcome)+": "+r.err.Error())
 	}
 	if r.outcome == Unstarted {
 		return
 	}
-	record(t.lag, r.lag)
-	t.addTimes(r, s)
+	record(t.startLag, r.startLag)
+	t.addLatencies(r, s)
 }
 
-func (t *tally) addTimes(r report, s *second) {
-	for _, gap := range r.gaps {
+func (t *tally) addLatencies(r callResult, s *second) {
+	for _, gap := range r.tokenGaps {
 		record(t.between, gap)
 	}
-	if r.first > 0 {
-		record(t.first, r.first)
-		s.firsts = append(s.firsts, r.first)
+	if r.firstToken > 0 {
+		record(t.firstToken, r.firstToken)
+		s.firstTokens = append(s.firstTokens, r.firstToken)
 	}
 	switch r.outcome {
 	case Answered:
-		record(t.whole, r.end)
-		if t.part.FirstTokenTarget == 0 || r.first <= t.part.FirstTokenTarget {
+		record(t.whole, r.latency)
+		if t.part.FirstTokenTarget == 0 || r.firstToken <= t.part.FirstTokenTarget {
 			t.onTarget++
 		}
 	case NotRun:
-		record(t.refusal, r.end)
+		record(t.refusal, r.latency)
 	}
 }
 
-// merge adds other, which nothing writes to any more.
+// merge adds the results of other, to which no more results may be added meanwhile.
 func (t *tally) merge(other *tally) {
 	t.count += other.count
 	t.outcomes.merge(other.outcomes)
@@ -112,13 +113,13 @@
 	t.tokens += other.tokens
 	t.redials += other.redials
 	t.reconnects += other.reconnects
-	t.first.Merge(other.first)
+	t.firstToken.Merge(other.firstToken)
 	t.between.Merge(other.between)
 	t.whole.Merge(other.whole)
-	t.lag.Merge(other.lag)
+	t.startLag.Merge(other.startLag)
 	t.refusal.Merge(other.refusal)
 	for i := range other.seconds {
 		t.seconds[i].outcomes.merge(other.seconds[i].outcomes)
-		t.seconds[i].firsts = append(t.seconds[i].firsts, other.seconds[i].firsts...)
+		t.seconds[i].firstTokens = append(t.seconds[i].firstTokens, other.seconds[i].firstTokens...)
 	}
 }
