--- a/e2e/fault_test.go
+++ b/e2e/fault_test.go
@@ -15,23 +15,23 @@
 )
 
 // changeBound is within what time an accepted change is in force everywhere.
-const changeBound = 6 * time.Second
+const maxPropagationDelay = 6 * time.Second
 
 // A zone is reclaimed whole: its entry and two of its three model servers get
 // notice in the same moment, with answers running on all of them. Each caller
 // gets the whole of its own answer.
 func TestReclaimOfAZone(t *testing.T) {
-	s, entries, servers := smallSite(t, 3, "--notice", "6s")
-	errs := s.streams(t.Context(), 1, 9, 900, func() {
+	s, entries, servers := newSmallSite(t, 3, "--notice", "6s")
+	errs := s.streamAll(t.Context(), 1, 9, 900, func() {
 		s.waitForTokens(3, 60)
 		servers[0].signal(t, syscall.SIGTERM)
 		servers[1].signal(t, syscall.SIGTERM)
-		s.leaveEntry(1, 6*time.Second)
+		s.reclaimEntry(1, 6*time.Second)
 	})
-	requireNone(t, errs)
+	requireNoErrors(t, errs)
 	select {
 	case <-entries[0].done:
-	case <-time.After(bound):
+	case <-time.After(waitTimeout):
 		t.Fatal("the entry has not ended")
 	}
 }
@@ -39,14 +39,14 @@
 // A model server dies without a word while a reclaim of another is under way,
 // and the requests that were moved to it have to move again.
 func TestDeathDuringAReclaim(t *testing.T) {
-	s, _, servers := smallSite(t, 3, "--notice", "3s")
-	errs := s.streams(t.Context(), 2, 9, 600, func() {
+	s, _, servers := newSmallSite(t, 3, "--notice", "3s")
+	errs := s.streamAll(t.Context(), 2, 9, 600, func() {
 		s.waitForTokens(3, 60)
 		servers[0].signal(t, syscall.SIGTERM)
 		<-servers[0].done
 		servers[1].kill(t)
 	})
-	requireNone(t, errs)
+	requireNoErrors(t, errs)
 }
 
 // An entry freezes for a while, as when its instance is moved to another host.
@@ -54,20 +54,20 @@
 // serve that workspace by what it knew, not even for a moment, nor take all
 // others for dead.
 func TestFrozenEntry(t *testing.T) {
-	s, entries, _ := smallSite(t, 1)
+	s, entries, _ := newSmallSite(t, 1)
 	body, _ := chatBody("anything", 1, false)
 	entries[0].freeze(t)
-	c := testCatalogue()
+	c := newTestCatalogue()
 	c.Workspaces = c.Workspaces[1:]
 	s.apply(c)
-	inForce := time.After(changeBound)
+	propagated := time.After(maxPropagationDelay)
 	var wg sync.WaitGroup
 	replies := make([]reply, 5)
 	errs := make([]error, len(replies))
 	for k := range replies { // the kernel takes their connections while the entry is frozen
 		wg.Go(func() { replies[k], errs[k] = s.call(t.Context(), 1, "POST", "/v1/chat/completions", body, nil) })
 	}
-	s.within(bound, "the change is in force at the other entry", func() error {
+	s.eventuallyWithin(waitTimeout, "the change is in force at the other entry", func() error {
 		r, err := s.call(t.Context(), 2, "POST", "/v1/chat/completions", body, nil)
 		if err == nil && r.status != http.StatusUnauthorized {
 			err = fmt.Errorf("status %d", r.status)
@@ -81,7 +81,7 @@
 		}
 		return err
 	})
-	<-inForce
+	<-propagated
 	entries[0].signal(t, syscall.SIGCONT)
 	wg.Wait()
 	for k, r := range replies {
@@ -89,8 +89,8 @@
 		require.NotEqual(t, http.StatusOK, r.status, r.body)
 		require.Equal(t, "not_run", r.header.Get("Savoryreel-Outcome"))
 	}
-	s.knowsEntries(1, 2)
-	s.knowsEntries(2, 2)
+	s.waitForEntries(1, 2)
+	s.waitForEntries(2, 2)
 }
 
 // The control leader freezes. The others elect a new one and a change is
@@ -99,26 +99,26 @@
 func TestFrozenLeader(t *testing.T) {
 	s := newSite(t)
 	replicas := s.startControl(3)
-	first := s.apply(testCatalogue())
-	leader := s.leader()
+	first := s.apply(newTestCatalogue())
+	leader := s.leaderIndex()
 	replicas[leader].freeze(t)
-	c := testCatalogue()
+	c := newTestCatalogue()
 	c.Workspaces = c.Workspaces[1:]
 	second := s.apply(c)
 	require.Greater(t, second, first)
 	replicas[leader].signal(t, syscall.SIGCONT)
-	old := s.operatorAt(leader)
+	oldLeader := s.operatorAt(leader)
 	s.eventually("the old leader answers", func() error {
-		v, err := old.Catalogue(t.Context())
+		v, err := oldLeader.Catalogue(t.Context())
 		if err == nil {
 			require.Equal(t, second, v.Version)
 			require.Len(t, v.Catalogue.Workspaces, 1)
 		}
 		return err
 	})
-	doc, err := contract.Format(testCatalogue())
+	doc, err := contract.Format(newTestCatalogue())
 	require.NoError(t, err)
-	_, err = old.Apply(t.Context(), doc, first)
+	_, err = oldLeader.Apply(t.Context(), doc, first)
 	require.ErrorContains(t, err, "conflict")
 }
 
@@ -128,19 +128,19 @@
 func TestReplicaFarBehind(t *testing.T) {
 	s := newSite(t)
 	replicas := s.startControl(3)
-	s.apply(testCatalogue())
+	s.apply(newTestCatalogue())
 	replicas[2].kill(t)
 	for k := range 300 {
 		stop := contract.Stop{ID: fmt.Sprint("stop-", k), Scope: contract.StopZone, Name: "z9"}
 		_, err := s.operator().PlanStop(t.Context(), stop)
 		require.NoError(t, err)
 	}
-	list := make([]string, 3)
-	for i := range list {
-		list[i] = fmt.Sprintf("%d=%s", i+1, s.control[i])
+	members := make([]string, 3)
+	for i := range members {
+		members[i] = fmt.Sprintf("%d=%s", i+1, s.controlLinkAddrs[i])
 	}
-	s.startReplica(3, list)
-	began := time.Now()
+	s.startReplica(3, members)
+	started := time.Now()
 	s.eventually("the replica has caught up", func() error {
 		r := s.operator().Replicas(t.Context())[2]
 		if r.CatalogueVersion < 301 {
@@ -148,7 +148,7 @@
 		}
 		return nil
 	})
-	t.Logf("caught up with 300 changes after %s", time.Since(began).Round(time.Millisecond))
+	t.Logf("caught up with 300 changes after %s", time.Since(started).Round(time.Millisecond))
 	replicas[0].kill(t)
 	var stops []contract.Stop
 	s.eventually("the stops are all there", func() error {
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -32,7 +32,7 @@
 		_ = c.Run(ctx, l) // ends with the test
 	}()
 	s.t.Cleanup(func() { cancel(); <-done })
-	s.controlArgs = []string{
+	s.extraControlArgs = []string{
 		"--cloud", s.addr(7400), "--cloud-zones", "z1=r1/dc1,z2=r1/dc2", "--cloud-classes", "g1=400",
 		"--entries", s.addr(entryPort(1) + 1),
 	}
@@ -41,13 +41,13 @@
 
 // leaveOrders returns the fencing numbers of engine i's orders to leave.
 func (s *site) leaveOrders(i int) []fleet.Fence {
-	var out []fleet.Fence
+	var fences []fleet.Fence
 	for _, o := range s.engineStats(i).Orders {
 		if o.Kind == native.OrderLeave {
-			out = append(out, fleet.Fence(o.Fence))
+			fences = append(fences, fleet.Fence(o.Fence))
 		}
 	}
-	return out
+	return fences
 }
 
 // The cloud takes back a zone while the control leader stands still, frozen in
@@ -62,14 +62,14 @@
 	defer api.Close()
 	replicas := s.startControl(3)
 	s.startEntry(1, "z1")
-	s.apply(testCatalogue())
+	s.apply(newTestCatalogue())
 	for i, z := range []string{"z1", "z2"} {
 		started, err := api.Start(t.Context(), native.StartRequest{ClientToken: fmt.Sprint("other/", i), Zone: z, Class: "g1", Kind: native.Reclaimable})
 		require.NoError(t, err)
 		s.startEngine(i+1, z, "--id", started.ID)
 	}
-	s.knowsServers(1, 2)
-	leaves := func(i, n int) {
+	s.waitForServers(1, 2)
+	waitForLeaveOrders := func(i, n int) {
 		s.eventually(fmt.Sprintf("engine %d is ordered to leave", i), func() error {
 			if got := s.leaveOrders(i); len(got) < n {
 				return fmt.Errorf("orders %v", got)
@@ -78,16 +78,16 @@
 		})
 	}
 	cloud.Wave("z1", time.Minute)
-	leaves(1, 1)
-	old := s.leads()
-	frozen := replicas[old[0]-'1']
+	waitForLeaveOrders(1, 1)
+	oldLeader := s.leaderID()
+	frozen := replicas[oldLeader[0]-'1']
 	frozen.freeze(t)
 	cloud.Wave("z2", time.Minute)
-	leaves(2, 1)
+	waitForLeaveOrders(2, 1)
 	frozen.signal(t, syscall.SIGCONT)
 	s.eventually("the old leader follows", func() error {
 		for _, r := range s.operator().Replicas(t.Context()) {
-			if r.ID == old && r.Role != "leader" && r.Leader != "0" {
+			if r.ID == oldLeader && r.Role != "leader" && r.Leader != "0" {
 				return nil
 			}
 		}
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -19,7 +19,7 @@
 // sends a little. The quiet one gets its answers; the other's surplus is refused
 // at once, as not run and with when to come back. First-token times are printed.
 func TestQuietWorkspaceUnderASurge(t *testing.T) {
-	s, _, _ := smallSite(t, 2, "--slots", "8", "--prefill-rate", "0")
+	s, _, _ := newSmallSite(t, 2, "--slots", "8", "--prefill-rate", "0")
 	cfg := load.Config{
 		Entries: []string{"http://" + s.addr(entryPort(1)), "http://" + s.addr(entryPort(2))},
 		Rate:    110, Duration: 8 * time.Second, Seed: 1, MaxInFlight: 2000, Expect: fake.Answer,
@@ -44,8 +44,8 @@
 // of two entries in the same moment. Together no more than four run, whichever
 // entry they come through; the others are refused at once with Retry-After.
 func TestLimitHoldsOverEntries(t *testing.T) {
-	s, _, _ := smallSite(t, 1, "--slots", "64")
-	c := testCatalogue()
+	s, _, _ := newSmallSite(t, 1, "--slots", "64")
+	c := newTestCatalogue()
 	c.Workspaces[0].Limits.Concurrency = 4
 	version := s.apply(c)
 	body, _ := chatBody("limited", 100, false)
@@ -68,13 +68,13 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	most := make(chan int, 1)
+	peakRunning := make(chan int, 1)
 	go func() {
 		peak := 0
 		for ctx.Err() == nil {
 			peak = max(peak, s.engineStats(1).Running)
 		}
-		most <- peak
+		peakRunning <- peak
 	}()
 	var wg sync.WaitGroup
 	replies := make([]reply, 24)
@@ -93,7 +93,7 @@
 		require.Equal(t, "not_run", r.header.Get("Savoryreel-Outcome"))
 		require.NotEmpty(t, r.header.Get("Retry-After"))
 	}
-	peak := <-most
+	peak := <-peakRunning
 	t.Logf("%d of %d answered, at most %d at a time", answered, len(replies), peak)
 	require.LessOrEqual(t, peak, 4)
 	require.Positive(t, answered)
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -15,19 +15,19 @@
 )
 
 // credit sends a statement credit, which may run once, to entry i.
-func (s *site) credit(ctx context.Context, i int, key string) (reply, error) {
+func (s *site) sendCredit(ctx context.Context, i int, key string) (reply, error) {
 	return s.call(ctx, i, "POST", "/svc/echo/credit", "1 EUR", map[string]string{"Idempotency-Key": key})
 }
 
 // A caller loses patience and sends its credit to both entries at the same
 // time, several times over. It runs once, and each arrival gets the one answer.
 func TestOnceUnderResendsToBothEntries(t *testing.T) {
-	s := onceSite(t, 400*time.Millisecond)
+	s := newOnceSite(t, 400*time.Millisecond)
 	var wg sync.WaitGroup
 	bodies := make([]string, 8)
 	for k := range bodies {
 		wg.Go(func() {
-			r, err := s.credit(t.Context(), 1+k%2, "credit-7")
+			r, err := s.sendCredit(t.Context(), 1+k%2, "credit-7")
 			if err != nil || r.status != http.StatusOK {
 				bodies[k] = fmt.Sprint(err, r.status, r.body)
 				return
@@ -46,12 +46,12 @@
 // answer is kept, so the caller that sends it again gets the answer and not
 // "unknown". Without callContext this test fails.
 func TestOnceWhenTheCallerLeaves(t *testing.T) {
-	s := onceSite(t, 700*time.Millisecond)
+	s := newOnceSite(t, 700*time.Millisecond)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	_, err := s.credit(ctx, 1, "credit-8")
+	_, err := s.sendCredit(ctx, 1, "credit-8")
 	require.Error(t, err)
-	r, err := s.credit(t.Context(), 2, "credit-8")
+	r, err := s.sendCredit(t.Context(), 2, "credit-8")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, r.status, r.body)
 	require.Equal(t, 1, s.plainStats(1).Executions["credit-8"])
@@ -61,12 +61,12 @@
 // sends it again to the other entry, which cannot know whether it ran. It must
 // say so, at once and each time, and never run it a second time.
 func TestOnceAfterTheEntryDied(t *testing.T) {
-	s, entries, _ := smallSite(t, 1)
+	s, entries, _ := newSmallSite(t, 1)
 	s.setFaults(7301, fake.Faults{Freeze: true})
-	ctx, cancel := context.WithTimeout(t.Context(), bound)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	wg.Go(func() { _, _ = s.credit(ctx, 1, "credit-9") })
+	wg.Go(func() { _, _ = s.sendCredit(ctx, 1, "credit-9") })
 	s.eventually("the credit is recorded", func() error {
 		for _, r := range s.operator().Replicas(t.Context()) {
 			if r.LedgerRecords > 2 { // two were left by the checks of readiness
@@ -79,7 +79,7 @@
 	s.setFaults(7301, fake.Faults{})
 	wg.Wait()
 	for range 2 {
-		r, err := s.credit(t.Context(), 2, "credit-9")
+		r, err := s.sendCredit(t.Context(), 2, "credit-9")
 		require.NoError(t, err)
 		require.Equal(t, "unknown", r.header.Get("Savoryreel-Outcome"), r.body)
 		require.Contains(t, r.body, "outcome_unknown")
@@ -90,17 +90,17 @@
 // The plain service dies after it has read a credit. Nobody can tell whether
 // the credit was made, so the answer is "unknown" and no other server is asked.
 func TestOnceWhenTheServerDies(t *testing.T) {
-	s, _, _ := smallSite(t, 1)
+	s, _, _ := newSmallSite(t, 1)
 	s.startPlain(2, "z2")
-	s.knowsServers(1, 3)
+	s.waitForServers(1, 3)
 	s.setFaults(7301, fake.Faults{CrashOn: "EUR"})
 	s.setFaults(7302, fake.Faults{CrashOn: "EUR"})
-	r, err := s.credit(t.Context(), 1, "credit-3")
+	r, err := s.sendCredit(t.Context(), 1, "credit-3")
 	require.NoError(t, err)
 	require.Equal(t, "unknown", r.header.Get("Savoryreel-Outcome"), r.body)
-	again, err := s.credit(t.Context(), 2, "credit-3")
+	second, err := s.sendCredit(t.Context(), 2, "credit-3")
 	require.NoError(t, err)
-	require.Equal(t, "unknown", again.header.Get("Savoryreel-Outcome"), again.body)
+	require.Equal(t, "unknown", second.header.Get("Savoryreel-Outcome"), second.body)
 	alive := 0
 	for _, port := range []int{7301, 7302} {
 		if resp, err := http.Get("http://" + s.addr(port) + "/healthz"); err == nil {
@@ -119,12 +119,12 @@
 	replicas := s.startControl(3)
 	s.startEntry(1, "z1")
 	s.startPlain(1, "z1")
-	s.apply(testCatalogue())
-	s.ready(1, "/svc/echo/ready", "x")
+	s.apply(newTestCatalogue())
+	s.waitUntilServing(1, "/svc/echo/ready", "x")
 	for _, r := range replicas[1:] {
 		r.freeze(t)
 	}
-	r, err := s.credit(t.Context(), 1, "credit-5")
+	r, err := s.sendCredit(t.Context(), 1, "credit-5")
 	require.NoError(t, err)
 	require.Equal(t, "not_run", r.header.Get("Savoryreel-Outcome"), r.body)
 	require.NotEmpty(t, r.header.Get("Retry-After"))
@@ -133,7 +133,7 @@
 		r.signal(t, syscall.SIGCONT)
 	}
 	s.eventually("the credit is taken", func() error {
-		r, err := s.credit(t.Context(), 1, "credit-5")
+		r, err := s.sendCredit(t.Context(), 1, "credit-5")
 		if err == nil && r.status != http.StatusOK {
 			err = fmt.Errorf("status %d: %s", r.status, r.body)
 		}
@@ -149,27 +149,27 @@
 	replicas := s.startControl(3)
 	s.startEntry(1, "z1")
 	s.startPlain(1, "z1")
-	s.apply(testCatalogue())
-	s.ready(1, "/svc/echo/ready", "x")
-	leader := s.leader()
+	s.apply(newTestCatalogue())
+	s.waitUntilServing(1, "/svc/echo/ready", "x")
+	leader := s.leaderIndex()
 	var wg sync.WaitGroup
 	replies := make([]reply, 60)
 	errs := make([]error, len(replies))
 	for k := range replies {
 		wg.Go(func() {
 			<-time.After(time.Duration(k) * 10 * time.Millisecond)
-			replies[k], errs[k] = s.credit(t.Context(), 1, fmt.Sprint("k", k))
+			replies[k], errs[k] = s.sendCredit(t.Context(), 1, fmt.Sprint("k", k))
 		})
 	}
 	replicas[leader].kill(t)
 	wg.Wait()
-	ran := s.plainStats(1).Executions
+	executions := s.plainStats(1).Executions
 	for k, r := range replies {
 		require.NoError(t, errs[k])
 		key := fmt.Sprint("k", k)
-		require.LessOrEqual(t, ran[key], 1)
+		require.LessOrEqual(t, executions[key], 1)
 		if r.header.Get("Savoryreel-Outcome") == "not_run" {
-			require.Zero(t, ran[key], r.body)
+			require.Zero(t, executions[key], r.body)
 		}
 		require.Equal(t, http.StatusOK, r.status, r.body)
 	}
--- a/e2e/operate_test.go
+++ b/e2e/operate_test.go
@@ -22,56 +22,56 @@
 // who come in the meantime are served, the entry is no longer named, and it
 // stays stopped until the stop is cancelled.
 func TestPlannedStopOfAnEntry(t *testing.T) {
-	s, _, _ := smallSite(t, 2)
+	s, _, _ := newSmallSite(t, 2)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var wg sync.WaitGroup
 	var answered atomic.Int32
-	var broken atomic.Pointer[string]
+	var failure atomic.Pointer[string]
 	for k := range 4 {
-		wg.Go(func() { s.callAsListed(ctx, k, &answered, &broken) })
+		wg.Go(func() { s.callListedEntries(ctx, k, &answered, &failure) })
 	}
 	_, err := s.operator().PlanStop(t.Context(), contract.Stop{ID: "stop-entry", Scope: contract.StopInstance, Name: "entry-1"})
 	require.NoError(t, err)
-	s.knowsEntries(2, 1)
+	s.waitForEntries(2, 1)
 	s.eventually("the entry is closed", func() error {
 		if !strings.Contains(s.status(1), `"phase":"closed"`) {
 			return fmt.Errorf("not closed")
 		}
 		return nil
 	})
-	have := answered.Load()
+	answeredBefore := answered.Load()
 	s.eventually("callers go on", func() error {
-		if answered.Load() < have+20 {
+		if answered.Load() < answeredBefore+20 {
 			return fmt.Errorf("%d answers", answered.Load())
 		}
 		return nil
 	})
 	stop()
 	wg.Wait()
-	if p := broken.Load(); p != nil {
+	if p := failure.Load(); p != nil {
 		t.Fatal(*p)
 	}
 	_, err = s.operator().CancelStop(t.Context(), "stop-entry")
 	require.NoError(t, err)
-	s.knowsEntries(2, 2)
+	s.waitForEntries(2, 2)
 }
 
 // callAsListed calls as a client does: it asks which entry to use, keeps the
 // answer as long as it is valid, and calls the first one.
-func (s *site) callAsListed(ctx context.Context, k int, answered *atomic.Int32, broken *atomic.Pointer[string]) {
+func (s *site) callListedEntries(ctx context.Context, k int, answered *atomic.Int32, failure *atomic.Pointer[string]) {
 	target := 1 + k%2
-	var until time.Time
+	var listExpires time.Time
 	body, _ := chatBody("short", 2, false)
 	for ctx.Err() == nil {
-		if time.Now().After(until) {
+		if time.Now().After(listExpires) {
 			r, err := s.call(ctx, 2, "GET", "/v1/entries", "", nil)
 			if err == nil && strings.Contains(r.body, `"entry-1"`) && k%2 == 0 {
 				target = 1
 			} else {
 				target = 2
 			}
-			until = time.Now().Add(time.Second)
+			listExpires = time.Now().Add(time.Second)
 		}
 		r, err := s.call(ctx, target, "POST", "/v1/chat/completions", body, nil)
 		switch {
@@ -79,7 +79,7 @@
 			return
 		case err != nil || r.status != http.StatusOK:
 			text := fmt.Sprintf("entry %d: %v, status %d: %s", target, err, r.status, r.body)
-			broken.CompareAndSwap(nil, &text)
+			failure.CompareAndSwap(nil, &text)
 		default:
 			answered.Add(1)
 		}
@@ -90,11 +90,11 @@
 // gets no new work a few seconds later, and serves again once the stop is
 // cancelled.
 func TestPlannedStopOfABackendServer(t *testing.T) {
-	s, _, _ := smallSite(t, 2)
+	s, _, _ := newSmallSite(t, 2)
 	_, err := s.operator().PlanStop(t.Context(), contract.Stop{ID: "stop-engine", Scope: contract.StopInstance, Name: "engine-1"})
 	require.NoError(t, err)
 	body, _ := chatBody("anything", 1, false)
-	quiet := func() error {
+	checkNoRequests := func() error {
 		before := len(s.engineStats(1).Runs)
 		for range 10 {
 			if r, err := s.call(t.Context(), 1, "POST", "/v1/chat/completions", body, nil); err != nil || r.status != http.StatusOK {
@@ -106,12 +106,12 @@
 		}
 		return nil
 	}
-	s.within(3*time.Second, "the stopped server gets no work", quiet)
-	require.NoError(t, quiet())
+	s.eventuallyWithin(3*time.Second, "the stopped server gets no work", checkNoRequests)
+	require.NoError(t, checkNoRequests())
 	_, err = s.operator().CancelStop(t.Context(), "stop-engine")
 	require.NoError(t, err)
 	s.eventually("the server works again", func() error {
-		if quiet() == nil {
+		if checkNoRequests() == nil {
 			return fmt.Errorf("no request reached it")
 		}
 		return nil
@@ -121,13 +121,13 @@
 // An operator takes a workspace's key away. Within six seconds no entry lets
 // its requests in, and none does afterwards, whatever restarts.
 func TestKeyTakenAwayIsInForceEverywhere(t *testing.T) {
-	s, entries, _ := smallSite(t, 1)
-	c := testCatalogue()
+	s, entries, _ := newSmallSite(t, 1)
+	c := newTestCatalogue()
 	c.Workspaces = c.Workspaces[1:]
 	s.apply(c)
 	accepted := time.Now()
 	body, _ := chatBody("anything", 1, false)
-	refused := func(i int) error {
+	checkRefused := func(i int) error {
 		r, err := s.call(t.Context(), i, "POST", "/v1/chat/completions", body, nil)
 		if err == nil && r.status == http.StatusOK {
 			err = fmt.Errorf("entry %d still serves", i)
@@ -135,7 +135,7 @@
 		return err
 	}
 	for i := 1; i <= 2; i++ {
-		s.within(6*time.Second, "the change is in force", func() error { return refused(i) })
+		s.eventuallyWithin(6*time.Second, "the change is in force", func() error { return checkRefused(i) })
 	}
 	t.Logf("in force at both entries after %s", time.Since(accepted).Round(time.Millisecond))
 	entries[0].kill(t)
@@ -157,13 +157,13 @@
 	replicas := s.startControl(1)
 	s.startEntry(1, "z1")
 	s.startEngine(1, "z1", "--token-time", "10ms")
-	s.apply(testCatalogue())
+	s.apply(newTestCatalogue())
 	body, _ := chatBody("ready?", 1, false)
-	s.ready(1, "/v1/chat/completions", body)
-	errs := s.streams(t.Context(), 1, 2, 900, func() {
+	s.waitUntilServing(1, "/v1/chat/completions", body)
+	errs := s.streamAll(t.Context(), 1, 2, 900, func() {
 		s.waitForTokens(1, 10)
 		replicas[0].freeze(t)
-		s.within(8*time.Second, "new requests are refused", func() error {
+		s.eventuallyWithin(8*time.Second, "new requests are refused", func() error {
 			r, err := s.call(t.Context(), 1, "POST", "/v1/chat/completions", body, nil)
 			if err == nil && !strings.Contains(r.body, "catalogue_unconfirmed") {
 				err = fmt.Errorf("status %d: %s", r.status, r.body)
@@ -175,9 +175,9 @@
 			return err
 		})
 	})
-	requireNone(t, errs)
+	requireNoErrors(t, errs)
 	replicas[0].signal(t, syscall.SIGCONT)
-	s.ready(1, "/v1/chat/completions", body)
+	s.waitUntilServing(1, "/v1/chat/completions", body)
 }
 
 // Something between an entry and control loses track of their connection: it
@@ -186,20 +186,20 @@
 func TestSilentLinkToControl(t *testing.T) {
 	s := newSite(t)
 	s.startControl(1)
-	r, err := relay.New(s.control[0])
+	r, err := relay.New(s.controlLinkAddrs[0])
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
-	s.control = []string{r.Addr()}
+	s.controlLinkAddrs = []string{r.Addr()}
 	s.startEntry(1, "z1")
 	s.startEngine(1, "z1")
-	s.apply(testCatalogue())
+	s.apply(newTestCatalogue())
 	body, _ := chatBody("ready?", 1, false)
-	s.ready(1, "/v1/chat/completions", body)
+	s.waitUntilServing(1, "/v1/chat/completions", body)
 	r.Silence()
-	c := testCatalogue()
+	c := newTestCatalogue()
 	c.Workspaces = c.Workspaces[1:]
 	s.apply(c)
-	s.within(6*time.Second, "the change is in force", func() error {
+	s.eventuallyWithin(6*time.Second, "the change is in force", func() error {
 		r, err := s.call(t.Context(), 1, "POST", "/v1/chat/completions", body, nil)
 		if err == nil && r.status == http.StatusOK {
 			err = fmt.Errorf("still served")
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -26,21 +26,21 @@
 }
 
 // streamed is a streamed answer as its caller collected it, over reconnects.
-type streamed struct {
-	tokens []string
-	done   bool
-	moved  string // where the answer goes on
-	events int
-	status int
-	id     string
-	last   string // id of the last event
-	other  string // an event of another kind
+type streamedAnswer struct {
+	tokens      []string
+	done        bool
+	movedTo     string // where the answer goes on
+	events      int
+	status      int
+	requestID   string
+	lastEventID string // id of the last event
+	otherEvent  string // an event of another kind
 }
 
 // read collects events until the stream ends or stop returns true.
-func (c *streamed) read(resp *http.Response, stop func() bool) error {
+func (c *streamedAnswer) read(resp *http.Response, stop func() bool) error {
 	defer resp.Body.Close()
-	c.status, c.id = resp.StatusCode, resp.Header.Get("X-Request-Id")
+	c.status, c.requestID = resp.StatusCode, resp.Header.Get("X-Request-Id")
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 1<<20)
 	kind := ""
@@ -48,13 +48,13 @@
 		line := lines.Text()
 		switch {
 		case strings.HasPrefix(line, "id: "):
-			c.last = line[4:]
+			c.lastEventID = line[4:]
 		case strings.HasPrefix(line, "event: "):
 			kind = line[7:]
 		case line == "data: [DONE]":
 			c.done = true
 		case strings.HasPrefix(line, "data: "):
-			if err := c.data(kind, line[6:]); err != nil {
+			if err := c.addEvent(kind, line[6:]); err != nil {
 				return err
 			}
 			kind = ""
@@ -66,44 +66,44 @@
 	return lines.Err()
 }
 
-func (c *streamed) data(kind, data string) error {
+func (c *streamedAnswer) addEvent(kind, addEvent string) error {
 	c.events++
 	switch kind {
 	case "":
 		var chunk native.ChatChunk
-		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-			return fmt.Errorf("chunk %q: %w", data, err)
+		if err := json.Unmarshal([]byte(addEvent), &chunk); err != nil {
+			return fmt.Errorf("chunk %q: %w", addEvent, err)
 		}
 		if text := chunk.Choices[0].Delta.Content; text != "" {
 			c.tokens = append(c.tokens, text)
 		}
 	case "moved":
 		var m struct{ Location string }
-		if err := json.Unmarshal([]byte(data), &m); err != nil {
+		if err := json.Unmarshal([]byte(addEvent), &m); err != nil {
 			return err
 		}
-		c.moved = m.Location
+		c.movedTo = m.Location
 	default:
-		c.other = kind + ": " + data
+		c.otherEvent = kind + ": " + addEvent
 	}
 	return nil
 }
 
 // stream sends a streamed chat request to entry i and follows it to its end,
 // to other entries where it is told so.
-func (s *site) stream(ctx context.Context, i int, body string) (*streamed, error) {
-	c := &streamed{}
+func (s *site) stream(ctx context.Context, i int, body string) (*streamedAnswer, error) {
+	c := &streamedAnswer{}
 	url := "http://" + s.addr(entryPort(i)) + "/v1/chat/completions"
 	for method := http.MethodPost; ; method = http.MethodGet {
-		c.moved = ""
+		c.movedTo = ""
 		req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 		if err != nil {
 			return c, err
 		}
 		req.Header.Set("Authorization", "Bearer "+workspaceKey)
 		req.Header.Set("Savoryreel-Deadline-Ms", "60000")
-		if c.last != "" {
-			req.Header.Set("Last-Event-ID", c.last)
+		if c.lastEventID != "" {
+			req.Header.Set("Last-Event-ID", c.lastEventID)
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
@@ -112,10 +112,10 @@
 		if err := c.read(resp, func() bool { return false }); err != nil {
 			return c, err
 		}
-		if c.moved == "" {
+		if c.movedTo == "" {
 			return c, nil
 		}
-		url, body = c.moved, ""
+		url, body = c.movedTo, ""
 	}
 }
 
@@ -129,11 +129,11 @@
 	s.startEngine(1, "z1")
 	s.startEngine(2, "z2")
 	s.startPlain(1, "z1")
-	s.apply(testCatalogue())
+	s.apply(newTestCatalogue())
 	body, want := chatBody("Good morning", 12, false)
 	for i := 1; i <= 2; i++ {
-		s.ready(i, "/v1/chat/completions", body)
-		s.ready(i, "/svc/echo/ready", "x")
+		s.waitUntilServing(i, "/v1/chat/completions", body)
+		s.waitUntilServing(i, "/svc/echo/ready", "x")
 	}
 	t.Run("entries", func(t *testing.T) {
 		s.eventually("both entries are listed", func() error {
@@ -175,9 +175,9 @@
 		first, err := s.call(t.Context(), 1, "POST", "/svc/echo/credit", "1 EUR", h)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, first.status, first.body)
-		again, err := s.call(t.Context(), 2, "POST", "/svc/echo/credit", "1 EUR", h)
+		second, err := s.call(t.Context(), 2, "POST", "/svc/echo/credit", "1 EUR", h)
 		require.NoError(t, err)
-		require.Equal(t, first.body, again.body)
+		require.Equal(t, first.body, second.body)
 		require.Equal(t, 1, s.plainStats(1).Executions["credit-1"])
 	})
 	t.Run("refusals", func(t *testing.T) { s.checkRefusals(t, body) })
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -33,7 +33,7 @@
 // stand-ins for all else.
 type platformSite struct {
 	*site
-	net      string // of the processes' addresses
+	subnet   string // of the processes' addresses
 	controls []*process
 	entries  []*process
 	cloud    *standin.Cloud
@@ -45,7 +45,7 @@
 	parts := strings.Split(p.ip, ".")
 	// The last part of the site's address is its own in this run; in the third part it
 	// leaves the last one to the site's processes.
-	p.net = fmt.Sprintf("127.%s.%s", parts[1], parts[3])
+	p.subnet = fmt.Sprintf("127.%s.%s", parts[1], parts[3])
 	cloud, err := standin.StartCloud()
 	require.NoError(t, err)
 	p.cloud = cloud
@@ -62,9 +62,9 @@
 		t.Cleanup(s.Close)
 		p.servers = append(p.servers, s)
 	}
-	p.replace(0, standin.Catalogue{Revision: 1, Service: "web", Keys: []string{platformKey}})
+	p.replaceCatalogue(0, standin.Catalogue{Revision: 1, Service: "web", Keys: []string{platformKey}})
 	for i := range entries {
-		p.eventually(func() bool { return standin.Ready(p.ctx(), p.at(entryHost(i), standin.ReadinessPort)) }, "entry is ready")
+		p.eventually(func() bool { return standin.Ready(p.ctx(), p.addrOf(entryOctet(i), standin.ReadinessPort)) }, "entry is ready")
 		p.eventually(func() bool {
 			a, err := standin.Call(p.ctx(), p.entryAddr(i), platformKey, "/get/x", "")
 			return err == nil && a.Status == 200
@@ -75,47 +75,47 @@
 
 func (p *platformSite) ctx() context.Context { return p.t.Context() }
 
-func controlHost(i int) int { return 1 + i }
-func entryHost(i int) int   { return 101 + i }
+func controlOctet(i int) int { return 1 + i }
+func entryOctet(i int) int   { return 101 + i }
 
-func (p *platformSite) host(n int) string { return fmt.Sprintf("%s.%d", p.net, n) }
+func (p *platformSite) host(n int) string { return fmt.Sprintf("%s.%d", p.subnet, n) }
 
-func (p *platformSite) at(host, port int) string { return fmt.Sprintf("%s:%d", p.host(host), port) }
+func (p *platformSite) addrOf(host, port int) string { return fmt.Sprintf("%s:%d", p.host(host), port) }
 
-func (p *platformSite) entryAddr(i int) string { return p.at(entryHost(i), standin.CallerPort) }
+func (p *platformSite) entryAddr(i int) string { return p.addrOf(entryOctet(i), standin.CallerPort) }
 
 func (p *platformSite) controlAddrs() []string {
 	var out []string
 	for i := range 3 {
-		out = append(out, p.at(controlHost(i), standin.ControlPort))
+		out = append(out, p.addrOf(controlOctet(i), standin.ControlPort))
 	}
 	return out
 }
 
-func (p *platformSite) eventually(ok func() bool, what string) {
+func (p *platformSite) eventually(condition func() bool, what string) {
 	p.t.Helper()
-	require.Eventually(p.t, ok, bound, 20*time.Millisecond, what)
+	require.Eventually(p.t, condition, waitTimeout, 20*time.Millisecond, what)
 }
 
 // startPlatform starts a process with a settings file of the platform.
 func (p *platformSite) startPlatform(role string, s standin.Settings) *process {
 	s.Seeds, s.Zone, s.Cloud, s.PortBase = p.controlAddrs(), "z1", p.cloud.Address(), platformPort
-	file := filepath.Join(p.folder, "settings-"+s.IP)
+	file := filepath.Join(p.dir, "settings-"+s.IP)
 	require.NoError(p.t, os.WriteFile(file, []byte(s.File()), 0o600))
 	return p.start(role+"-"+s.IP, "platform", role, "--settings-file", file)
 }
 
-func (p *platformSite) startPlatformControl(i int, first bool) *process {
-	ip := p.host(controlHost(i))
-	return p.startPlatform("control", standin.Settings{IP: ip, FirstStart: first, DataDir: filepath.Join(p.folder, ip)})
+func (p *platformSite) startPlatformControl(i int, firstStart bool) *process {
+	ip := p.host(controlOctet(i))
+	return p.startPlatform("control", standin.Settings{IP: ip, FirstStart: firstStart, DataDir: filepath.Join(p.dir, ip)})
 }
 
 func (p *platformSite) startPlatformEntry(i int) *process {
-	return p.startPlatform("entry", standin.Settings{IP: p.host(entryHost(i))})
+	return p.startPlatform("entry", standin.Settings{IP: p.host(entryOctet(i))})
 }
 
 // replace puts a catalogue in force through control replica i.
-func (p *platformSite) replace(i int, c standin.Catalogue) {
+func (p *platformSite) replaceCatalogue(i int, c standin.Catalogue) {
 	p.t.Helper()
 	p.eventually(func() bool { return standin.ReplaceCatalogue(p.ctx(), p.controlAddrs()[i], c) == nil }, "catalogue is acknowledged")
 }
@@ -133,7 +133,7 @@
 func TestPlatformWholePath(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 2)
 	p.eventually(func() bool {
-		list, err := standin.Entries(p.ctx(), p.at(controlHost(1), standin.DirectoryPort))
+		list, err := standin.Entries(p.ctx(), p.addrOf(controlOctet(1), standin.DirectoryPort))
 		return err == nil && len(list) == 2
 	}, "both entries are named")
 	for i := range 10 {
@@ -169,7 +169,7 @@
 			p.controls[0] = p.startPlatformControl(0, false)
 		}
 		extra := fmt.Sprintf("/extra-%d/", revision)
-		p.replace(1, standin.Catalogue{Revision: revision, Service: "web", Keys: []string{platformKey}, ExtraPrefix: extra})
+		p.replaceCatalogue(1, standin.Catalogue{Revision: revision, Service: "web", Keys: []string{platformKey}, ExtraPrefix: extra})
 		acknowledged := time.Now()
 		for i := range 2 {
 			p.eventually(func() bool {
@@ -200,14 +200,14 @@
 	}, "the request runs")
 	p.entries[0].signal(t, syscall.SIGTERM)
 	p.eventually(func() bool {
-		list, err := standin.Entries(p.ctx(), p.at(controlHost(0), standin.DirectoryPort))
+		list, err := standin.Entries(p.ctx(), p.addrOf(controlOctet(0), standin.DirectoryPort))
 		return err == nil && slices.Equal(list, []string{p.entryAddr(1)})
 	}, "the entry is named no more")
 	a := <-done
 	require.True(t, a.Complete && a.Status == 200, "%+v", a)
 	select {
 	case <-p.entries[0].done:
-		require.NoError(t, p.entries[0].err)
+		require.NoError(t, p.entries[0].exitErr)
 	case <-time.After(4 * time.Second):
 		t.Fatal("the entry has not ended within its grace")
 	}
@@ -247,10 +247,10 @@
 		window := time.Now().Unix() // windows are a second long
 		p.eventually(func() bool { return time.Now().Unix() > window }, "the next window")
 	}
-	began := int64(len(p.runs()))
+	requests := int64(len(p.runs()))
 	p.eventually(func() bool {
 		total, _ := p.cloud.Total("w1")
-		return total == began
+		return total == requests
 	}, "all usage is reported")
 	_, faults := p.cloud.Total("w1")
 	require.Empty(t, faults)
@@ -269,7 +269,7 @@
 	}()
 	r, err := load.Run(t.Context(), load.Config{
 		Dialect: platform.LoadDialect{Host: standin.Host},
-		Entries: []string{"http://" + p.at(controlHost(0), standin.DirectoryPort), "http://" + p.at(controlHost(1), standin.DirectoryPort)},
+		Entries: []string{"http://" + p.addrOf(controlOctet(0), standin.DirectoryPort), "http://" + p.addrOf(controlOctet(1), standin.DirectoryPort)},
 		Rate:    40, Duration: 3 * time.Second, Seed: 1,
 		Parts: []load.Part{{
 			Name: "chat", Weight: 1, Kind: load.Chat, Service: standin.Host, Path: "/chat/stream/100/", Key: platformKey, Deadline: 5 * time.Second,
@@ -299,20 +299,20 @@
 	start := time.Now()
 	_, err = c.Write([]byte("POST /get/x HTTP/1.1\r\nHost: "))
 	require.NoError(t, err)
-	require.NoError(t, c.SetReadDeadline(start.Add(bound)))
+	require.NoError(t, c.SetReadDeadline(start.Add(waitTimeout)))
 	_, err = io.Copy(io.Discard, c)
 	require.NoError(t, err, "the entry closes it")
 	require.Greater(t, time.Since(start), 2500*time.Millisecond)
 	require.Less(t, time.Since(start), 10*time.Second)
 
-	ran := len(p.runs())
+	runsBefore := len(p.runs())
 	a, err := standin.Call(p.ctx(), p.entryAddr(0), platformKey, "/get/"+strings.Repeat("x", 17_000), "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, a.Status)
 	a, err = standin.Call(p.ctx(), p.entryAddr(0), platformKey, "/get/x", strings.Repeat("x", 1<<20+1))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestEntityTooLarge, a.Status)
-	require.Len(t, p.runs(), ran)
+	require.Len(t, p.runs(), runsBefore)
 }
 
 // linkTraffic is what a process has sent and received on links since its start.
@@ -345,16 +345,16 @@
 // often as elsewhere, and each announcement goes to all control replicas.
 func TestPlatformTrafficBetweenProcesses(t *testing.T) {
 	const (
-		maxMessages = 150       // a second and process, twice what was measured
-		maxBytes    = 20 * 1024 // a second and process, twice what was measured
+		maxMessagesPerSecond = 150       // a second and process, twice what was measured
+		maxBytesPerSecond    = 20 * 1024 // a second and process, twice what was measured
 	)
 	p := newPlatformSite(t, 3, 2, 2)
-	nodes := map[string]string{
-		"control": p.host(controlHost(0)) + ":" + strconv.Itoa(platformPort+1),
-		"entry":   p.host(entryHost(0)) + ":" + strconv.Itoa(platformPort+2),
+	opsAddrs := map[string]string{
+		"control": p.host(controlOctet(0)) + ":" + strconv.Itoa(platformPort+1),
+		"entry":   p.host(entryOctet(0)) + ":" + strconv.Itoa(platformPort+2),
 	}
 	start, before := time.Now(), make(map[string]linkTraffic)
-	for role, addr := range nodes {
+	for role, addr := range opsAddrs {
 		before[role] = p.linkTraffic(addr)
 	}
 	p.eventually(func() bool {
@@ -363,12 +363,12 @@
 		require.Equal(t, 200, a.Status)
 		return time.Since(start) > 5*time.Second
 	}, "five seconds")
-	for role, addr := range nodes {
+	for role, addr := range opsAddrs {
 		now, seconds := p.linkTraffic(addr), time.Since(start).Seconds()
 		messages, bytes := (now.messages-before[role].messages)/seconds, (now.bytes-before[role].bytes)/seconds
 		t.Logf("%s: %.0f messages, %.0f bytes a second, sent and received", role, messages, bytes)
-		require.Less(t, messages, float64(maxMessages), role)
-		require.Less(t, bytes, float64(maxBytes), role)
+		require.Less(t, messages, float64(maxMessagesPerSecond), role)
+		require.Less(t, bytes, float64(maxBytesPerSecond), role)
 	}
 }
 
--- a/e2e/reclaim_test.go
+++ b/e2e/reclaim_test.go
@@ -17,45 +17,45 @@
 
 // smallSite starts two control-backed entries in two zones and n engines that
 // take a while for each answer, and waits until both entries serve.
-func smallSite(t *testing.T, engines int, settings ...string) (s *site, entries, servers []*process) {
+func newSmallSite(t *testing.T, engines int, engineArgs ...string) (s *site, entries, servers []*process) {
 	s = newSite(t)
 	s.startControl(1)
 	for i := 1; i <= 2; i++ {
 		entries = append(entries, s.startEntry(i, fmt.Sprint("z", i)))
 	}
 	for i := 1; i <= engines; i++ {
-		servers = append(servers, s.startEngine(i, fmt.Sprint("z", i), append([]string{"--token-time", "10ms"}, settings...)...))
+		servers = append(servers, s.startEngine(i, fmt.Sprint("z", i), append([]string{"--token-time", "10ms"}, engineArgs...)...))
 	}
 	s.startPlain(1, "z1")
-	s.apply(testCatalogue())
+	s.apply(newTestCatalogue())
 	body, _ := chatBody("ready?", 1, false)
 	for i := 1; i <= 2; i++ {
-		s.ready(i, "/v1/chat/completions", body)
-		s.ready(i, "/svc/echo/ready", "x")
-		s.knowsServers(i, engines+1)
-		s.knowsEntries(i, 2)
+		s.waitUntilServing(i, "/v1/chat/completions", body)
+		s.waitUntilServing(i, "/svc/echo/ready", "x")
+		s.waitForServers(i, engines+1)
+		s.waitForEntries(i, 2)
 	}
 	return s, entries, servers
 }
 
 // knowsServers waits until entry i knows n serving backend servers.
-func (s *site) knowsServers(i, n int) {
+func (s *site) waitForServers(i, n int) {
 	s.t.Helper()
 	s.eventually(fmt.Sprintf("entry %d knows %d servers", i, n), func() error {
-		if have := strings.Count(s.status(i), `"machineClass"`); have != n {
-			return fmt.Errorf("%d servers", have)
+		if count := strings.Count(s.status(i), `"machineClass"`); count != n {
+			return fmt.Errorf("%d servers", count)
 		}
 		return nil
 	})
 }
 
 // knowsEntries waits until entry i names n entries to callers.
-func (s *site) knowsEntries(i, n int) {
+func (s *site) waitForEntries(i, n int) {
 	s.t.Helper()
 	s.eventually(fmt.Sprintf("entry %d names %d entries", i, n), func() error {
 		r, err := s.call(s.t.Context(), i, "GET", "/v1/entries", "", nil)
-		if have := strings.Count(r.body, `"address"`); err == nil && have != n {
-			err = fmt.Errorf("%d entries", have)
+		if count := strings.Count(r.body, `"address"`); err == nil && count != n {
+			err = fmt.Errorf("%d entries", count)
 		}
 		return err
 	})
@@ -77,12 +77,12 @@
 
 // streams runs n streamed chats at entry i and gives each answer's error, if
 // its content is not exactly right.
-func (s *site) streams(ctx context.Context, i, n, tokens int, during func()) []error {
-	return s.streamsOf(ctx, i, n, tokens, "question", during)
+func (s *site) streamAll(ctx context.Context, i, n, tokens int, during func()) []error {
+	return s.streamPrompts(ctx, i, n, tokens, "question", during)
 }
 
 // streamsOf is streams with a text that begins each prompt.
-func (s *site) streamsOf(ctx context.Context, i, n, tokens int, prompt string, during func()) []error {
+func (s *site) streamPrompts(ctx context.Context, i, n, tokens int, prompt string, during func()) []error {
 	errs := make([]error, n)
 	var started, done sync.WaitGroup
 	started.Add(n)
@@ -95,7 +95,7 @@
 			case err != nil:
 				errs[k] = err
 			case !c.done:
-				errs[k] = fmt.Errorf("request %d: not done after %d tokens: %s", k, len(c.tokens), c.other)
+				errs[k] = fmt.Errorf("request %d: not done after %d tokens: %s", k, len(c.tokens), c.otherEvent)
 			case strings.Join(c.tokens, "") != strings.Join(want, ""):
 				errs[k] = fmt.Errorf("request %d: got %q want %q", k, c.tokens, want)
 			}
@@ -107,7 +107,7 @@
 	return errs
 }
 
-func requireNone(t *testing.T, errs []error) {
+func requireNoErrors(t *testing.T, errs []error) {
 	t.Helper()
 	for _, err := range errs {
 		require.NoError(t, err)
@@ -118,23 +118,23 @@
 // answers that take longer. Each caller sees one unbroken answer: no token is
 // missing, none comes twice, none is another request's.
 func TestReclaimOfABackendServer(t *testing.T) {
-	s, _, servers := smallSite(t, 2)
-	errs := s.streams(t.Context(), 1, 8, 500, func() {
+	s, _, servers := newSmallSite(t, 2)
+	errs := s.streamAll(t.Context(), 1, 8, 500, func() {
 		s.waitForTokens(2, 40)
 		servers[0].signal(t, syscall.SIGTERM)
 	})
-	requireNone(t, errs)
+	requireNoErrors(t, errs)
 }
 
 // A backend server dies without a word while it streams. The callers' answers
 // go on elsewhere after the tokens that they have.
 func TestDeathOfABackendServer(t *testing.T) {
-	s, _, servers := smallSite(t, 2)
-	errs := s.streams(t.Context(), 1, 8, 300, func() {
+	s, _, servers := newSmallSite(t, 2)
+	errs := s.streamAll(t.Context(), 1, 8, 300, func() {
 		s.waitForTokens(2, 40)
 		servers[0].kill(t)
 	})
-	requireNone(t, errs)
+	requireNoErrors(t, errs)
 }
 
 // waitForTokens waits until the site's engines that answer have generated n
@@ -142,12 +142,12 @@
 func (s *site) waitForTokens(engines, n int) {
 	s.t.Helper()
 	s.eventually("the engines generate", func() error {
-		have := 0
+		total := 0
 		for i := 1; i <= engines; i++ {
-			have += s.engineStats(i).Tokens
+			total += s.engineStats(i).Tokens
 		}
-		if have < n {
-			return fmt.Errorf("%d tokens", have)
+		if total < n {
+			return fmt.Errorf("%d tokens", total)
 		}
 		return nil
 	})
@@ -157,10 +157,10 @@
 // open and bring nothing, while new ones work. Without a bound the callers
 // would wait until their deadlines.
 func TestSilentStream(t *testing.T) {
-	s, _, _ := smallSite(t, 2)
+	s, _, _ := newSmallSite(t, 2)
 	s.setFaults(7201, fake.Faults{StallAfterTokens: 5})
-	errs := s.streams(t.Context(), 1, 4, 40, func() {})
-	requireNone(t, errs)
+	errs := s.streamAll(t.Context(), 1, 4, 40, func() {})
+	requireNoErrors(t, errs)
 }
 
 // An entry's instance is reclaimed with four seconds of notice, and taken away
@@ -170,18 +170,18 @@
 // Without handOverAll in leave, or without the pause in handOver, this fails.
 func TestReclaimOfAnEntry(t *testing.T) {
 	const notice = 4 * time.Second
-	s, entries, _ := smallSite(t, 2, "--token-time", "1ms")
-	errs := s.streams(t.Context(), 1, 8, 6000, func() {
+	s, entries, _ := newSmallSite(t, 2, "--token-time", "1ms")
+	errs := s.streamAll(t.Context(), 1, 8, 6000, func() {
 		s.waitForTokens(2, 40)
-		s.leaveEntry(1, notice)
+		s.reclaimEntry(1, notice)
 		<-time.After(notice)
 		entries[0].kill(t)
 	})
-	requireNone(t, errs)
+	requireNoErrors(t, errs)
 }
 
 // leaveEntry gives entry i's instance a reclaim notice.
-func (s *site) leaveEntry(i int, notice time.Duration) {
+func (s *site) reclaimEntry(i int, notice time.Duration) {
 	s.t.Helper()
 	resp, err := http.Post("http://"+s.addr(entryPort(i)+2)+"/v1/leave?notice="+notice.String(), "", nil)
 	require.NoError(s.t, err)
@@ -192,14 +192,14 @@
 // An entry is reclaimed while a caller waits for a whole answer, of which no
 // byte has gone out. Its client follows the redirect and gets the answer.
 func TestReclaimOfAnEntryBeforeTheFirstByte(t *testing.T) {
-	s, _, _ := smallSite(t, 2)
+	s, _, _ := newSmallSite(t, 2)
 	body, want := chatBody("a long briefing", 600, false)
 	var got reply
 	var err error
 	var done sync.WaitGroup
 	done.Go(func() { got, err = s.call(t.Context(), 1, "POST", "/v1/chat/completions", body, nil) })
 	s.waitForTokens(2, 10)
-	s.leaveEntry(1, 4*time.Second)
+	s.reclaimEntry(1, 4*time.Second)
 	done.Wait()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, got.status, got.body)
@@ -229,15 +229,15 @@
 // and none of their tokens is prefilled again.
 // Without the call of carry in attempt this test fails.
 func TestReclaimCarriesTheCache(t *testing.T) {
-	s, _, servers := smallSite(t, 1, "--notice", "10s")
+	s, _, servers := newSmallSite(t, 1, "--notice", "10s")
 	briefing := strings.Repeat("station history ", 1500)
-	errs := s.streamsOf(t.Context(), 1, 4, 1500, briefing, func() {
+	errs := s.streamPrompts(t.Context(), 1, 4, 1500, briefing, func() {
 		s.waitForTokens(1, 100)
 		s.startEngine(2, "z2", "--token-time", "10ms")
-		s.knowsServers(1, 3)
+		s.waitForServers(1, 3)
 		servers[0].signal(t, syscall.SIGTERM)
 	})
-	requireNone(t, errs)
+	requireNoErrors(t, errs)
 	t.Logf("tokens carried %d, recomputed %d", s.counter(1, "savoryreel_tokens_carried_total"), s.counter(1, "savoryreel_tokens_recomputed_total"))
 	require.Positive(t, s.counter(1, "savoryreel_tokens_carried_total"))
 	require.Zero(t, s.counter(1, "savoryreel_tokens_recomputed_total"))
--- a/e2e/replica_test.go
+++ b/e2e/replica_test.go
@@ -15,23 +15,23 @@
 )
 
 // operate runs an operator's command of the binary and returns what it printed.
-func (s *site) operate(args ...string) (string, error) {
-	args = append(args, "--control-operators", strings.Join(s.operators, ","))
-	cmd := exec.CommandContext(s.t.Context(), binary, args...)
+func (s *site) runOperator(args ...string) (string, error) {
+	args = append(args, "--control-operators", strings.Join(s.operatorAddrs, ","))
+	cmd := exec.CommandContext(s.t.Context(), binaryPath, args...)
 	cmd.Env = append(os.Environ(), "SAVORYREEL_OPERATOR_KEY="+operatorKey)
 	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
 
-func (s *site) mustOperate(args ...string) string {
+func (s *site) mustRunOperator(args ...string) string {
 	s.t.Helper()
-	out, err := s.operate(args...)
+	out, err := s.runOperator(args...)
 	require.NoError(s.t, err, "%v: %s", args, out)
 	return out
 }
 
 // leads returns the number of the replica that leads.
-func (s *site) leads() string {
+func (s *site) leaderID() string {
 	s.t.Helper()
 	var leader string
 	s.eventually("a replica leads", func() error {
@@ -47,9 +47,9 @@
 }
 
 // rename gives the brokers a new key, and waits until entry 1 has it in force.
-func (s *site) rename(key string) uint64 {
+func (s *site) changeKey(key string) uint64 {
 	s.t.Helper()
-	c := testCatalogue()
+	c := newTestCatalogue()
 	c.Workspaces[0].Keys = []contract.KeyHash{contract.HashKey(key)}
 	version := s.apply(c)
 	body, _ := chatBody("anything", 1, false)
@@ -78,43 +78,43 @@
 	replicas := s.startControl(3)
 	s.startEntry(1, "z1")
 	s.startEngine(1, "z1")
-	first := s.rename("key-1")
+	first := s.changeKey("key-1")
 
 	replicas[2].kill(t)
-	require.NoError(t, os.RemoveAll(filepath.Join(s.folder, "control-3")))
+	require.NoError(t, os.RemoveAll(filepath.Join(s.dir, "control-3")))
 	founders := []string{"1=" + s.addr(7110), "2=" + s.addr(7120), "3=" + s.addr(7130)}
 	fourth := s.startReplica(4, founders)
-	s.operators = append(s.operators[:2:2], s.addr(7141))
-	s.mustOperate("replica", "add", "4", s.addr(7140))
-	s.mustOperate("replica", "promote", "4", "--wait", "20s")
-	require.Contains(t, s.mustOperate("replica", "remove", "3"), "voters [1 2 4]")
-	out, err := s.operate("replica", "add", "3", s.addr(7130))
+	s.operatorAddrs = append(s.operatorAddrs[:2:2], s.addr(7141))
+	s.mustRunOperator("replica", "add", "4", s.addr(7140))
+	s.mustRunOperator("replica", "promote", "4", "--wait", "20s")
+	require.Contains(t, s.mustRunOperator("replica", "remove", "3"), "voters [1 2 4]")
+	out, err := s.runOperator("replica", "add", "3", s.addr(7130))
 	require.Error(t, err)
 	require.Contains(t, out, "never used twice")
-	s.mustOperate("replica", "add", "5", s.addr(7150))
-	out, err = s.operate("replica", "promote", "5")
+	s.mustRunOperator("replica", "add", "5", s.addr(7150))
+	out, err = s.runOperator("replica", "promote", "5")
 	require.Error(t, err, "replica 5 does not run")
 	require.Contains(t, out, "replica_not_caught_up")
-	s.mustOperate("replica", "remove", "5")
-	out, err = s.operate("replica", "add", "5", s.addr(7150))
+	s.mustRunOperator("replica", "remove", "5")
+	out, err = s.runOperator("replica", "add", "5", s.addr(7150))
 	require.Error(t, err)
 	require.Contains(t, out, "never used twice")
-	require.Equal(t, first+1, s.rename("key-2"))
+	require.Equal(t, first+1, s.changeKey("key-2"))
 
 	survivor := 1
-	if s.leads() == "1" {
+	if s.leaderID() == "1" {
 		survivor = 2
 	}
 	replicas[2-survivor].kill(t)
-	require.Equal(t, first+2, s.rename("key-3"))
-	out, err = s.operate("replica", "remove", "4")
+	require.Equal(t, first+2, s.changeKey("key-3"))
+	out, err = s.runOperator("replica", "remove", "4")
 	require.Error(t, err, "of the two left, one is dead")
 	require.Contains(t, out, "add and promote a replica first")
 	fourth.kill(t)
 	replicas[survivor-1].kill(t)
 	s.startReplica(survivor, founders)
 	s.startReplica(4, founders)
-	require.Equal(t, first+3, s.rename("key-4"))
+	require.Equal(t, first+3, s.changeKey("key-4"))
 	history, err := s.operator().History(t.Context(), 10)
 	require.NoError(t, err)
 	for i, e := range history {
@@ -130,9 +130,9 @@
 func TestLeaderIsRemoved(t *testing.T) {
 	s := newSite(t)
 	s.startControl(3)
-	first := s.apply(testCatalogue())
-	leader := s.leads()
-	require.NotContains(t, s.mustOperate("replica", "remove", leader), leader)
-	require.NotEqual(t, leader, s.leads())
-	require.Equal(t, first+1, s.apply(testCatalogue()))
+	first := s.apply(newTestCatalogue())
+	leader := s.leaderID()
+	require.NotContains(t, s.mustRunOperator("replica", "remove", leader), leader)
+	require.NotEqual(t, leader, s.leaderID())
+	require.Equal(t, first+1, s.apply(newTestCatalogue()))
 }
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -35,33 +35,33 @@
 
 // bound is how long a test waits for a condition. It only ends tests that have
 // failed; no test passes by waiting so long.
-const bound = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-var binary string
+var binaryPath string
 
 func TestMain(m *testing.M) {
-	folder, err := os.MkdirTemp("", "savoryreel-e2e-")
+	dir, err := os.MkdirTemp("", "savoryreel-e2e-")
 	if err != nil {
 		panic(err)
 	}
-	binary = filepath.Join(folder, "savoryreel")
-	build := exec.Command("go", append(append([]string{"build"}, buildFlags...), "-o", binary, "../cmd/savoryreel")...)
+	binaryPath = filepath.Join(dir, "savoryreel")
+	build := exec.Command("go", append(append([]string{"build"}, buildFlags...), "-o", binaryPath, "../cmd/savoryreel")...)
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
 		panic(err)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(folder)
+	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
 // process is one running process of a site.
 type process struct {
-	name string
-	cmd  *exec.Cmd
-	log  *lockedBuffer
-	done chan struct{} // closed when it has ended
-	err  error
+	name    string
+	cmd     *exec.Cmd
+	log     *lockedBuffer
+	done    chan struct{} // closed when it has ended
+	exitErr error
 }
 
 type lockedBuffer struct {
@@ -94,14 +94,14 @@
 	t.Helper()
 	p.signal(t, syscall.SIGSTOP)
 	stat := fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid)
-	for end := time.Now().Add(bound); ; {
+	for deadline := time.Now().Add(waitTimeout); ; {
 		text, err := os.ReadFile(stat)
 		require.NoError(t, err)
 		_, state, found := strings.Cut(string(text), ") ")
 		if found && strings.HasPrefix(state, "T") {
 			return
 		}
-		require.True(t, time.Now().Before(end), "the process has not stopped: %s", text)
+		require.True(t, time.Now().Before(deadline), "the process has not stopped: %s", text)
 		<-time.After(time.Millisecond)
 	}
 }
@@ -115,32 +115,32 @@
 
 // site is a set of processes on loopback addresses of its own.
 type site struct {
-	t         *testing.T
-	ip        string // of this site; all processes share it
-	control   []string
-	operators []string
-	processes []*process
-	folder    string
+	t                *testing.T
+	ip               string // of this site; all processes share it
+	controlLinkAddrs []string
+	operatorAddrs    []string
+	processes        []*process
+	dir              string
 
-	controlArgs []string // more settings of the control replicas
+	extraControlArgs []string // more settings of the control replicas
 }
 
-var sites atomic.Int32
+var siteCount atomic.Int32
 
 // turn bounds the sites that run at once. Their processes mostly wait; more of
 // them would make the machine the slowest part of each test.
-var turn = make(chan struct{}, 4)
+var siteSlots = make(chan struct{}, 4)
 
 // newSite returns a site without processes, on an address that no other site of
 // this run uses.
 func newSite(t *testing.T) *site {
 	t.Parallel()
-	turn <- struct{}{}
-	t.Cleanup(func() { <-turn })
-	n := sites.Add(1)
+	siteSlots <- struct{}{}
+	t.Cleanup(func() { <-siteSlots })
+	n := siteCount.Add(1)
 	pid := os.Getpid()
 	return &site{
-		t: t, folder: t.TempDir(),
+		t: t, dir: t.TempDir(),
 		ip: fmt.Sprintf("127.%d.%d.%d", 1+pid%250, 1+(pid/250)%250, n),
 	}
 }
@@ -149,13 +149,13 @@
 func (s *site) start(name string, args ...string) *process {
 	s.t.Helper()
 	p := &process{name: name, log: &lockedBuffer{}, done: make(chan struct{})}
-	p.cmd = exec.Command(binary, args...)
+	p.cmd = exec.Command(binaryPath, args...)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	p.cmd.Env = append(os.Environ(), "SAVORYREEL_CLUSTER_KEY="+clusterKey, "SAVORYREEL_OPERATOR_KEY="+operatorKey,
 		"SAVORYREEL_ANNOUNCE_KEY="+announceKey)
 	require.NoError(s.t, p.cmd.Start())
 	go func() {
-		p.err = p.cmd.Wait()
+		p.exitErr = p.cmd.Wait()
 		close(p.done)
 	}()
 	s.processes = append(s.processes, p)
@@ -167,7 +167,7 @@
 			s.t.Errorf("data race in %s", name)
 		}
 		if s.t.Failed() {
-			s.t.Logf("log of %s:\n%s", name, tail(p.log.String(), logTail))
+			s.t.Logf("log of %s:\n%s", name, tail(p.log.String(), maxLogTailBytes))
 		}
 	})
 	return p
@@ -185,79 +185,79 @@
 
 // startControl starts n control replicas.
 func (s *site) startControl(n int) []*process {
-	var list []string
+	var members []string
 	for i := 1; i <= n; i++ {
-		list = append(list, fmt.Sprintf("%d=%s", i, s.addr(7100+10*i)))
-		s.control = append(s.control, s.addr(7100+10*i))
-		s.operators = append(s.operators, s.addr(7101+10*i))
+		members = append(members, fmt.Sprintf("%d=%s", i, s.addr(7100+10*i)))
+		s.controlLinkAddrs = append(s.controlLinkAddrs, s.addr(7100+10*i))
+		s.operatorAddrs = append(s.operatorAddrs, s.addr(7101+10*i))
 	}
 	var out []*process
 	for i := 1; i <= n; i++ {
-		out = append(out, s.startReplica(i, list))
+		out = append(out, s.startReplica(i, members))
 	}
 	return out
 }
 
 // startReplica starts, or starts again, control replica i.
-func (s *site) startReplica(i int, list []string) *process {
+func (s *site) startReplica(i int, members []string) *process {
 	args := []string{
 		"control", "--id", fmt.Sprint(i),
-		"--data", filepath.Join(s.folder, fmt.Sprintf("control-%d", i)),
+		"--data", filepath.Join(s.dir, fmt.Sprintf("control-%d", i)),
 		"--link-listen", s.addr(7100 + 10*i), "--operator-listen", s.addr(7101 + 10*i), "--ops-listen", s.addr(7102 + 10*i),
-		"--replicas", strings.Join(list, ","),
+		"--replicas", strings.Join(members, ","),
 	}
-	return s.start(fmt.Sprintf("control-%d", i), append(args, s.controlArgs...)...)
+	return s.start(fmt.Sprintf("control-%d", i), append(args, s.extraControlArgs...)...)
 }
 
 // entryPort is the caller port of entry i.
 func entryPort(i int) int { return 7000 + 10*i }
 
 // startEntry starts entry i in a zone.
-func (s *site) startEntry(i int, zone string, more ...string) *process {
+func (s *site) startEntry(i int, zone string, extraArgs ...string) *process {
 	args := []string{
 		"entry", "--id", fmt.Sprintf("entry-%d", i), "--zone", zone,
 		"--listen", s.addr(entryPort(i)), "--link-listen", s.addr(entryPort(i) + 1), "--ops-listen", s.addr(entryPort(i) + 2),
-		"--control", strings.Join(s.control, ","), "--entries", s.addr(entryPort(1) + 1),
+		"--control", strings.Join(s.controlLinkAddrs, ","), "--entries", s.addr(entryPort(1) + 1),
 		"--list-validity", "1s", "--drain-timeout", "18s",
 	}
-	return s.start(fmt.Sprintf("entry-%d", i), append(args, more...)...)
+	return s.start(fmt.Sprintf("entry-%d", i), append(args, extraArgs...)...)
 }
 
 // startEngine starts stand-in model engine i, announcing to entries 1 and 2.
-func (s *site) startEngine(i int, zone string, more ...string) *process {
+func (s *site) startEngine(i int, zone string, extraArgs ...string) *process {
 	args := []string{
 		"standin", "engine", "--id", fmt.Sprintf("engine-%d", i), "--zone", zone, "--listen", s.addr(7200 + i),
 		"--announce-to", s.addr(entryPort(1)) + "," + s.addr(entryPort(2)),
 	}
-	return s.start(fmt.Sprintf("engine-%d", i), append(args, more...)...)
+	return s.start(fmt.Sprintf("engine-%d", i), append(args, extraArgs...)...)
 }
 
 // startPlain starts stand-in plain service i.
-func (s *site) startPlain(i int, zone string, more ...string) *process {
+func (s *site) startPlain(i int, zone string, extraArgs ...string) *process {
 	args := []string{
 		"standin", "plain", "--id", fmt.Sprintf("plain-%d", i), "--zone", zone,
 		"--listen", s.addr(7300 + i), "--announce-to", s.addr(entryPort(1)) + "," + s.addr(entryPort(2)),
 	}
-	return s.start(fmt.Sprintf("plain-%d", i), append(args, more...)...)
+	return s.start(fmt.Sprintf("plain-%d", i), append(args, extraArgs...)...)
 }
 
 // onceSite is a site with two entries and a plain service whose calls take a
 // while.
-func onceSite(t *testing.T, work time.Duration) *site {
+func newOnceSite(t *testing.T, duration time.Duration) *site {
 	s := newSite(t)
 	s.startControl(1)
 	s.startEntry(1, "z1")
 	s.startEntry(2, "z2")
-	s.startPlain(1, "z1", "--work", work.String())
-	s.apply(testCatalogue())
+	s.startPlain(1, "z1", "--work", duration.String())
+	s.apply(newTestCatalogue())
 	for i := 1; i <= 2; i++ {
-		s.ready(i, "/svc/echo/ready", "x")
+		s.waitUntilServing(i, "/svc/echo/ready", "x")
 	}
 	return s
 }
 
 // testCatalogue has two workspaces, a model service and a plain one.
-func testCatalogue() contract.Catalogue {
+func newTestCatalogue() contract.Catalogue {
 	return contract.Catalogue{
 		Workspaces: []contract.Workspace{
 			{Name: "brokers", Owner: "ana", Class: contract.ClassInteractive, Weight: 1, Keys: []contract.KeyHash{contract.HashKey(workspaceKey)}},
@@ -270,15 +270,15 @@
 	}
 }
 
-func (s *site) operator() *operator.Client { return operator.New(s.operators, operatorKey) }
+func (s *site) operator() *operator.Client { return operator.New(s.operatorAddrs, operatorKey) }
 
 // operatorAt is a client of one control replica, counted from 0.
 func (s *site) operatorAt(i int) *operator.Client {
-	return operator.New(s.operators[i:i+1], operatorKey)
+	return operator.New(s.operatorAddrs[i:i+1], operatorKey)
 }
 
 // leader waits for a control leader and returns its place, counted from 0.
-func (s *site) leader() int {
+func (s *site) leaderIndex() int {
 	s.t.Helper()
 	leader := -1
 	s.eventually("there is a leader", func() error {
@@ -312,21 +312,21 @@
 }
 
 // eventually waits until check returns nil.
-func (s *site) eventually(what string, check func() error) {
+func (s *site) eventually(condition string, check func() error) {
 	s.t.Helper()
-	s.within(bound, what, check)
+	s.eventuallyWithin(waitTimeout, condition, check)
 }
 
-func (s *site) within(limit time.Duration, what string, check func() error) {
+func (s *site) eventuallyWithin(timeout time.Duration, condition string, check func() error) {
 	s.t.Helper()
-	end := time.Now().Add(limit)
+	deadline := time.Now().Add(timeout)
 	for {
 		err := check()
 		if err == nil {
 			return
 		}
-		if time.Now().After(end) {
-			require.NoError(s.t, err, what)
+		if time.Now().After(deadline) {
+			require.NoError(s.t, err, condition)
 		}
 		<-time.After(20 * time.Millisecond)
 	}
@@ -360,7 +360,7 @@
 }
 
 // ready waits until entry i answers a request of a path with 200.
-func (s *site) ready(i int, path, body string) {
+func (s *site) waitUntilServing(i int, path, body string) {
 	s.t.Helper()
 	s.eventually(fmt.Sprintf("entry %d serves %s", i, path), func() error {
 		r, err := s.call(s.t.Context(), i, "POST", path, body, map[string]string{"Idempotency-Key": fmt.Sprint("ready-", i, time.Now().UnixNano())})
@@ -413,4 +413,4 @@
 }
 
 // logTail is how much of each process's log a failed test shows, in bytes.
-const logTail = 200_000
+const maxLogTailBytes = 200_000
