--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,4 +1,4 @@
-// Package e2e holds tests that start the real binary as separate processes on
-// loopback addresses and look at the system from outside, as callers, operators
-// and backend servers do. It has no code but tests.
+// Package e2e contains end-to-end tests only. They start the built binary as
+// separate processes on loopback addresses and act as callers, operators and
+// backend servers.
 package e2e
--- a/e2e/fault_test.go
+++ b/e2e/fault_test.go
@@ -17,9 +17,8 @@
 // changeBound is within what time an accepted change is in force everywhere.
 const maxPropagationDelay = 6 * time.Second
 
-// A zone is reclaimed whole: its entry and two of its three model servers get
-// notice in the same moment, with answers running on all of them. Each caller
-// gets the whole of its own answer.
+// Guards against truncated or mixed-up answers when an entry and two of three
+// model servers get a reclaim notice at the same time while all are streaming.
 func TestReclaimOfAZone(t *testing.T) {
 	s, entries, servers := newSmallSite(t, 3, "--notice", "6s")
 	errs := s.streamAll(t.Context(), 1, 9, 900, func() {
@@ -36,8 +35,8 @@
 	}
 }
 
-// A model server dies without a word while a reclaim of another is under way,
-// and the requests that were moved to it have to move again.
+// Guards against lost answers when a model server crashes after it took over
+// requests from a reclaimed one, so that they have to move a second time.
 func TestDeathDuringAReclaim(t *testing.T) {
 	s, _, servers := newSmallSite(t, 3, "--notice", "3s")
 	errs := s.streamAll(t.Context(), 2, 9, 600, func() {
@@ -49,10 +48,9 @@
 	requireNoErrors(t, errs)
 }
 
-// An entry freezes for a while, as when its instance is moved to another host.
-// Meanwhile an operator takes a workspace away. When it wakes up it must not
-// serve that workspace by what it knew, not even for a moment, nor take all
-// others for dead.
+// Guards against an entry that serves from a stale catalogue after its process was
+// frozen, as in a live migration: a workspace removed meanwhile must be refused
+// from the first request on, and the entry must still list the other entry.
 func TestFrozenEntry(t *testing.T) {
 	s, entries, _ := newSmallSite(t, 1)
 	body, _ := chatBody("anything", 1, false)
@@ -64,7 +62,7 @@
 	var wg sync.WaitGroup
 	replies := make([]reply, 5)
 	errs := make([]error, len(replies))
-	for k := range replies { // the kernel takes their connections while the entry is frozen
+	for k := range replies { // the kernel accepts the connections while the entry is frozen
 		wg.Go(func() { replies[k], errs[k] = s.call(t.Context(), 1, "POST", "/v1/chat/completions", body, nil) })
 	}
 	s.eventuallyWithin(waitTimeout, "the change is in force at the other entry", func() error {
@@ -74,10 +72,10 @@
 		}
 		return err
 	})
-	s.eventually("the other entry takes the frozen one for gone", func() error {
+	s.eventually("the other entry no longer lists the frozen one", func() error {
 		r, err := s.call(t.Context(), 2, "GET", "/v1/entries", "", nil)
 		if err == nil && strings.Contains(r.body, `"entry-1"`) {
-			err = fmt.Errorf("still named")
+			err = fmt.Errorf("still listed")
 		}
 		return err
 	})
@@ -93,9 +91,9 @@
 	s.waitForEntries(2, 2)
 }
 
-// The control leader freezes. The others elect a new one and a change is
-// accepted. When the old leader wakes up, it must neither show the old
-// catalogue as the one in force nor accept a change against it.
+// Guards against a stale control leader: after a freeze during which a new leader
+// was elected and a change accepted, the old one must neither return the old
+// catalogue as current nor accept a change based on it.
 func TestFrozenLeader(t *testing.T) {
 	s := newSite(t)
 	replicas := s.startControl(3)
@@ -122,9 +120,8 @@
 	require.ErrorContains(t, err, "conflict")
 }
 
-// A control replica is down while hundreds of changes pass, comes back, and one
-// of the others dies right after. The catalogue is still the last one accepted,
-// and further changes are taken.
+// Guards against lost changes when a control replica restarts hundreds of changes
+// behind and another one crashes as soon as the first has caught up.
 func TestReplicaFarBehind(t *testing.T) {
 	s := newSite(t)
 	replicas := s.startControl(3)
@@ -151,7 +148,7 @@
 	t.Logf("caught up with 300 changes after %s", time.Since(started).Round(time.Millisecond))
 	replicas[0].kill(t)
 	var stops []contract.Stop
-	s.eventually("the stops are all there", func() error {
+	s.eventually("the stops can be listed", func() error {
 		var err error
 		stops, err = s.operator().Stops(t.Context())
 		return err
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -15,7 +15,8 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// startCloud serves a stand-in cloud API for the site until the test ends.
+// startCloud serves a stand-in cloud API until the test ends and configures the site's
+// control replicas to use it. It must be called before startControl.
 func (s *site) startCloud() *fake.Cloud {
 	s.t.Helper()
 	var prices []native.Price
@@ -39,7 +40,7 @@
 	return c
 }
 
-// leaveOrders returns the fencing numbers of engine i's orders to leave.
+// leaveOrders returns the fencing tokens of the leave orders that engine i received.
 func (s *site) leaveOrders(i int) []fleet.Fence {
 	var fences []fleet.Fence
 	for _, o := range s.engineStats(i).Orders {
@@ -50,11 +51,10 @@
 	return fences
 }
 
-// The cloud takes back a zone while the control leader stands still, frozen in
-// the middle of its work. The next leader orders the server to leave, so that
-// its callers' answers go on elsewhere. When the old leader wakes up it finds the
-// same notice; the server, which ignores numbers, must not follow an order of it
-// after that.
+// Guards against orders from a replaced control leader: it is frozen, the cloud
+// reclaims a zone, and the new leader orders the server to leave. The resumed leader
+// sees the same notice but must send no order; the stand-in server does not check
+// fencing tokens, so it would record one.
 func TestFrozenLeaderGivesNoOrder(t *testing.T) {
 	s := newSite(t)
 	cloud := s.startCloud()
@@ -85,13 +85,13 @@
 	cloud.Wave("z2", time.Minute)
 	waitForLeaveOrders(2, 1)
 	frozen.signal(t, syscall.SIGCONT)
-	s.eventually("the old leader follows", func() error {
+	s.eventually("the old leader is a follower", func() error {
 		for _, r := range s.operator().Replicas(t.Context()) {
 			if r.ID == oldLeader && r.Role != "leader" && r.Leader != "0" {
 				return nil
 			}
 		}
-		return fmt.Errorf("not yet")
+		return fmt.Errorf("not a follower yet")
 	})
 	first, second := s.leaveOrders(1), s.leaveOrders(2)
 	require.Greater(t, second[0].Term(), first[0].Term())
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -15,9 +15,9 @@
 	"savoryreel.example/savoryreel/load"
 )
 
-// One workspace sends twenty times as much as the servers can take while another
-// sends a little. The quiet one gets its answers; the other's surplus is refused
-// at once, as not run and with when to come back. First-token times are printed.
+// Guards against one workspace starving another: while one sends far more than the
+// servers can process, the other's requests are all answered and the surplus of
+// the first is refused as not run. Logs the first-token times.
 func TestQuietWorkspaceUnderASurge(t *testing.T) {
 	s, _, _ := newSmallSite(t, 2, "--slots", "8", "--prefill-rate", "0")
 	cfg := load.Config{
@@ -40,9 +40,9 @@
 	require.Less(t, 10*surge.Outcomes.Unknown, surge.Outcomes.Answered, "requests cut off by their deadlines")
 }
 
-// A workspace may have four requests at a time. Its callers send twelve to each
-// of two entries in the same moment. Together no more than four run, whichever
-// entry they come through; the others are refused at once with Retry-After.
+// Guards against a concurrency limit that applies per entry instead of to the
+// workspace: of 24 requests sent at once over two entries, at most four may run
+// at the same time; the others are refused with Retry-After.
 func TestLimitHoldsOverEntries(t *testing.T) {
 	s, _, _ := newSmallSite(t, 1, "--slots", "64")
 	c := newTestCatalogue()
@@ -57,7 +57,7 @@
 			return nil
 		})
 	}
-	s.eventually("both entries have their part of the limit", func() error {
+	s.eventually("both entries have their share of the limit", func() error {
 		for i := 1; i <= 2; i++ {
 			short, _ := chatBody("short", 1, false)
 			if r, err := s.call(t.Context(), i, "POST", "/v1/chat/completions", short, nil); err != nil || r.status != http.StatusOK {
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -19,8 +19,8 @@
 	return s.call(ctx, i, "POST", "/svc/echo/credit", "1 EUR", map[string]string{"Idempotency-Key": key})
 }
 
-// A caller loses patience and sends its credit to both entries at the same
-// time, several times over. It runs once, and each arrival gets the one answer.
+// Guards against double execution when a caller sends the same credit to both
+// entries several times at once: it runs once and all get the same answer.
 func TestOnceUnderResendsToBothEntries(t *testing.T) {
 	s := newOnceSite(t, 400*time.Millisecond)
 	var wg sync.WaitGroup
@@ -42,9 +42,9 @@
 	require.Equal(t, 1, s.plainStats(1).Executions["credit-7"])
 }
 
-// A caller's connection breaks while its credit runs. The credit runs on and its
-// answer is kept, so the caller that sends it again gets the answer and not
-// "unknown". Without callContext this test fails.
+// Guards against an "unknown" outcome after a caller's connection broke while its
+// credit ran: the credit completes, its answer is stored, and a resend gets it.
+// Fails without callContext in entry.
 func TestOnceWhenTheCallerLeaves(t *testing.T) {
 	s := newOnceSite(t, 700*time.Millisecond)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
@@ -57,9 +57,9 @@
 	require.Equal(t, 1, s.plainStats(1).Executions["credit-8"])
 }
 
-// The entry that runs a credit is killed before the answer is out. The caller
-// sends it again to the other entry, which cannot know whether it ran. It must
-// say so, at once and each time, and never run it a second time.
+// Guards against double execution after the entry that runs a credit was killed:
+// the other entry can't determine whether it ran, so each resend must get the
+// outcome "unknown" and the credit must not run again.
 func TestOnceAfterTheEntryDied(t *testing.T) {
 	s, entries, _ := newSmallSite(t, 1)
 	s.setFaults(7301, fake.Faults{Freeze: true})
@@ -69,7 +69,7 @@
 	wg.Go(func() { _, _ = s.sendCredit(ctx, 1, "credit-9") })
 	s.eventually("the credit is recorded", func() error {
 		for _, r := range s.operator().Replicas(t.Context()) {
-			if r.LedgerRecords > 2 { // two were left by the checks of readiness
+			if r.LedgerRecords > 2 { // waitUntilServing wrote two
 				return nil
 			}
 		}
@@ -87,8 +87,8 @@
 	require.LessOrEqual(t, s.plainStats(1).Executions["credit-9"], 1)
 }
 
-// The plain service dies after it has read a credit. Nobody can tell whether
-// the credit was made, so the answer is "unknown" and no other server is asked.
+// Guards against a retry of a credit on another server after its server crashed
+// having read it: the outcome is "unknown", and the second server gets nothing.
 func TestOnceWhenTheServerDies(t *testing.T) {
 	s, _, _ := newSmallSite(t, 1)
 	s.startPlain(2, "z2")
@@ -111,9 +111,9 @@
 	require.Equal(t, 1, alive, "the credit reached two servers")
 }
 
-// All control replicas but one are frozen, so no record can be committed. A
-// credit must be refused as not run, with when to come back, and must not run.
-// Once the replicas run again, the same credit is taken.
+// Guards against a credit that runs without a committed record: without a majority
+// of control replicas it is refused as not run, with Retry-After. Once the
+// replicas run again, the same credit is executed.
 func TestOnceWithoutAMajority(t *testing.T) {
 	s := newSite(t)
 	replicas := s.startControl(3)
@@ -132,7 +132,7 @@
 	for _, r := range replicas[1:] {
 		r.signal(t, syscall.SIGCONT)
 	}
-	s.eventually("the credit is taken", func() error {
+	s.eventually("the credit is executed", func() error {
 		r, err := s.sendCredit(t.Context(), 1, "credit-5")
 		if err == nil && r.status != http.StatusOK {
 			err = fmt.Errorf("status %d: %s", r.status, r.body)
@@ -142,8 +142,9 @@
 	require.Equal(t, 1, s.plainStats(1).Executions["credit-5"])
 }
 
-// The control leader is killed while credits are being recorded. Credits whose
-// record was lost on the way are proposed again; each runs once.
+// Guards against lost or doubly executed credits when the control leader is killed
+// while they are being recorded: lost records are proposed again, and each credit
+// is answered and runs at most once.
 func TestOnceWhileTheLeaderDies(t *testing.T) {
 	s := newSite(t)
 	replicas := s.startControl(3)
