--- a/e2e/fault_test.go
+++ b/e2e/fault_test.go
@@ -14,7 +14,7 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// changeBound is within what time an accepted change is in force everywhere.
+// maxPropagationDelay is the time within which every entry applies an accepted change.
 const maxPropagationDelay = 6 * time.Second
 
 // Guards against truncated or mixed-up answers when an entry and two of three
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -14,7 +14,7 @@
 	"savoryreel.example/savoryreel/internal/fake"
 )
 
-// credit sends a statement credit, which may run once, to entry i.
+// sendCredit sends entry i a request that may run at most once per idempotency key.
 func (s *site) sendCredit(ctx context.Context, i int, key string) (reply, error) {
 	return s.call(ctx, i, "POST", "/svc/echo/credit", "1 EUR", map[string]string{"Idempotency-Key": key})
 }
--- a/e2e/operate_test.go
+++ b/e2e/operate_test.go
@@ -17,10 +17,9 @@
 	"savoryreel.example/savoryreel/internal/relay"
 )
 
-// An operator plans a stop of the zone of an entry, while callers hold older
-// answers to which entry to use and keep calling it. None is cut off: those
-// who come in the meantime are served, the entry is no longer named, and it
-// stays stopped until the stop is cancelled.
+// Guards against failed requests during a planned stop of an entry: callers that
+// still use an older list of entries are served until it expires, the entry is no
+// longer listed, and it is listed again only after the stop is cancelled.
 func TestPlannedStopOfAnEntry(t *testing.T) {
 	s, _, _ := newSmallSite(t, 2)
 	ctx, stop := context.WithCancel(t.Context())
@@ -41,7 +40,7 @@
 		return nil
 	})
 	answeredBefore := answered.Load()
-	s.eventually("callers go on", func() error {
+	s.eventually("callers are still answered", func() error {
 		if answered.Load() < answeredBefore+20 {
 			return fmt.Errorf("%d answers", answered.Load())
 		}
@@ -57,8 +56,9 @@
 	s.waitForEntries(2, 2)
 }
 
-// callAsListed calls as a client does: it asks which entry to use, keeps the
-// answer as long as it is valid, and calls the first one.
+// callListedEntries sends requests until ctx ends, as a client with number k does: it
+// fetches the list of entries when the last one has expired (after 1 s) and calls a
+// listed one. It counts answers and stores the first failure.
 func (s *site) callListedEntries(ctx context.Context, k int, answered *atomic.Int32, failure *atomic.Pointer[string]) {
 	target := 1 + k%2
 	var listExpires time.Time
@@ -86,9 +86,9 @@
 	}
 }
 
-// An operator stops a backend server that says of itself that it serves. It
-// gets no new work a few seconds later, and serves again once the stop is
-// cancelled.
+// Guards against a planned stop that a backend server's own "serving" state
+// overrides: within three seconds it receives no new requests, and it receives some
+// again once the stop is cancelled.
 func TestPlannedStopOfABackendServer(t *testing.T) {
 	s, _, _ := newSmallSite(t, 2)
 	_, err := s.operator().PlanStop(t.Context(), contract.Stop{ID: "stop-engine", Scope: contract.StopInstance, Name: "engine-1"})
@@ -106,11 +106,11 @@
 		}
 		return nil
 	}
-	s.eventuallyWithin(3*time.Second, "the stopped server gets no work", checkNoRequests)
+	s.eventuallyWithin(3*time.Second, "the stopped server receives no requests", checkNoRequests)
 	require.NoError(t, checkNoRequests())
 	_, err = s.operator().CancelStop(t.Context(), "stop-engine")
 	require.NoError(t, err)
-	s.eventually("the server works again", func() error {
+	s.eventually("the server receives requests again", func() error {
 		if checkNoRequests() == nil {
 			return fmt.Errorf("no request reached it")
 		}
@@ -118,8 +118,8 @@
 	})
 }
 
-// An operator takes a workspace's key away. Within six seconds no entry lets
-// its requests in, and none does afterwards, whatever restarts.
+// Guards against a revoked key that is still accepted: within six seconds of the
+// change no entry admits requests with it, nor does an entry that restarts.
 func TestKeyTakenAwayIsInForceEverywhere(t *testing.T) {
 	s, entries, _ := newSmallSite(t, 1)
 	c := newTestCatalogue()
@@ -140,7 +140,7 @@
 	t.Logf("in force at both entries after %s", time.Since(accepted).Round(time.Millisecond))
 	entries[0].kill(t)
 	s.startEntry(1, "z1")
-	s.eventually("the entry is back and refuses", func() error {
+	s.eventually("the restarted entry refuses the key", func() error {
 		r, err := s.call(t.Context(), 1, "POST", "/v1/chat/completions", body, nil)
 		if err == nil && r.status != http.StatusUnauthorized {
 			err = fmt.Errorf("status %d", r.status)
@@ -149,9 +149,9 @@
 	})
 }
 
-// All control replicas are frozen: no entry can tell whether its catalogue is
-// current. After four seconds new requests are refused as not run, with when to
-// come back; requests that were let in before are answered.
+// Guards against serving from a catalogue that can't be confirmed: while control is
+// frozen, new requests are refused as not run with Retry-After, and requests
+// admitted before are answered in full.
 func TestEntryWithoutControl(t *testing.T) {
 	s := newSite(t)
 	replicas := s.startControl(1)
@@ -180,9 +180,9 @@
 	s.waitUntilServing(1, "/v1/chat/completions", body)
 }
 
-// Something between an entry and control loses track of their connection: it
-// stays open and brings nothing, while new connections work. The entry must
-// notice, connect anew, and have the next change in force within six seconds.
+// Guards against an entry that waits forever on a half-open connection to control, as
+// after a middlebox lost its state: the entry must reconnect and apply the next
+// change within six seconds.
 func TestSilentLinkToControl(t *testing.T) {
 	s := newSite(t)
 	s.startControl(1)
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -15,7 +15,7 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// chatBody is a chat request and the tokens of its right answer.
+// chatBody returns the body of a chat request and the tokens of the expected answer.
 func chatBody(prompt string, tokens int, stream bool) (body string, want []string) {
 	messages := []native.Message{{Role: "user", Content: prompt}}
 	enc, err := json.Marshal(native.ChatRequest{Model: "chat", Messages: messages, MaxTokens: tokens, Stream: stream})
@@ -25,16 +25,16 @@
 	return string(enc), fake.Answer("demo", messages, tokens)
 }
 
-// streamed is a streamed answer as its caller collected it, over reconnects.
+// streamedAnswer is a streamed answer as a caller collects it across reconnects.
 type streamedAnswer struct {
 	tokens      []string
 	done        bool
-	movedTo     string // where the answer goes on
+	movedTo     string // URL at which the answer continues; empty: not moved
 	events      int
 	status      int
 	requestID   string
 	lastEventID string // id of the last event
-	otherEvent  string // an event of another kind
+	otherEvent  string // kind and data of the last event of an unknown kind
 }
 
 // read collects events until the stream ends or stop returns true.
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// stream sends a streamed chat request to entry i and follows it to its end,
-// to other entries where it is told so.
+// stream sends a streamed chat request to entry i and reads the answer to its end,
+// reconnecting to another entry after each "moved" event.
 func (s *site) stream(ctx context.Context, i int, body string) (*streamedAnswer, error) {
 	c := &streamedAnswer{}
 	url := "http://" + s.addr(entryPort(i)) + "/v1/chat/completions"
@@ -119,8 +119,8 @@
 	}
 }
 
-// A newcomer starts two entries, three control replicas, two model engines and
-// a plain service, and calls them in every way there is.
+// Guards against a break anywhere between caller and backend server: whole, streamed,
+// plain and idempotent calls and refusals, over two entries and three control replicas.
 func TestWholePath(t *testing.T) {
 	s := newSite(t)
 	s.startControl(3)
@@ -183,7 +183,7 @@
 	t.Run("refusals", func(t *testing.T) { s.checkRefusals(t, body) })
 }
 
-// checkRefusals sends bad input and looks for the clear error that it owes.
+// checkRefusals sends invalid requests and checks the status, code and outcome of each refusal.
 func (s *site) checkRefusals(t *testing.T, chat string) {
 	cases := []struct {
 		name, method, path, body string
--- a/e2e/quarantine_test.go
+++ b/e2e/quarantine_test.go
@@ -14,11 +14,11 @@
 	"savoryreel.example/savoryreel/internal/fake"
 )
 
-// One request stops each model server that runs it, and its caller sends it
-// again and again, also through the other entry, while others use the same
-// servers. At most two servers are lost, the others' answers are whole, and
-// from then on each resend gets its final answer at once. What had run is not
-// said to be "not run". Without mayHaveRun in run that fails.
+// Guards against a request that crashes every model server it reaches when its callers
+// resend it through both entries: at most two servers crash, other requests get
+// complete answers, and later resends are refused as quarantined. A request
+// that has run must not be reported as "not run".
+// Fails without withUnknownOutcome in entry's runner.run.
 func TestRequestThatCrashesServers(t *testing.T) {
 	const engines = 5
 	s, _, _ := newSmallSite(t, engines)
@@ -58,7 +58,7 @@
 	}
 	t.Logf("outcomes of the request: %v; %d of %d servers live", outcomes, alive, engines)
 	require.GreaterOrEqual(t, alive, engines-2)
-	require.Positive(t, unknown, "those that stopped servers are said not to have run")
+	require.Positive(t, unknown, "requests that crashed servers are reported as not run")
 	for i := 1; i <= 2; i++ {
 		started := time.Now()
 		r, err := s.call(t.Context(), i, "POST", "/v1/chat/completions", poison, nil)
@@ -68,9 +68,9 @@
 	}
 }
 
-// codeOf is the code of a problem document, empty for another answer.
+// problemCode returns the code of a problem document, or "" for any other answer.
 func problemCode(r reply) string {
 	var p struct{ Code string }
-	_ = json.Unmarshal([]byte(r.body), &p) // another answer has no code
+	_ = json.Unmarshal([]byte(r.body), &p) // any other answer has no code
 	return p.Code
 }
--- a/e2e/race_off_test.go
+++ b/e2e/race_off_test.go
@@ -2,5 +2,5 @@
 
 package e2e
 
-// buildFlags builds the binary as users do.
+// buildFlags is empty: the binary is built as for users.
 var buildFlags []string
--- a/e2e/race_on_test.go
+++ b/e2e/race_on_test.go
@@ -2,5 +2,5 @@
 
 package e2e
 
-// buildFlags builds the binary with the race detector when the tests have it.
+// buildFlags enables the race detector in the binary, as in the tests themselves.
 var buildFlags = []string{"-race"}
--- a/e2e/reclaim_test.go
+++ b/e2e/reclaim_test.go
@@ -15,8 +15,9 @@
 	"savoryreel.example/savoryreel/internal/fake"
 )
 
-// smallSite starts two control-backed entries in two zones and n engines that
-// take a while for each answer, and waits until both entries serve.
+// newSmallSite starts one control replica, two entries in two zones, the given number
+// of engines that generate a token every 10 ms, and a plain service. It returns once
+// both entries serve and list all servers and each other.
 func newSmallSite(t *testing.T, engines int, engineArgs ...string) (s *site, entries, servers []*process) {
 	s = newSite(t)
 	s.startControl(1)
@@ -38,10 +39,10 @@
 	return s, entries, servers
 }
 
-// knowsServers waits until entry i knows n serving backend servers.
+// waitForServers waits until entry i's status shows n backend servers.
 func (s *site) waitForServers(i, n int) {
 	s.t.Helper()
-	s.eventually(fmt.Sprintf("entry %d knows %d servers", i, n), func() error {
+	s.eventually(fmt.Sprintf("entry %d has %d servers", i, n), func() error {
 		if count := strings.Count(s.status(i), `"machineClass"`); count != n {
 			return fmt.Errorf("%d servers", count)
 		}
@@ -49,10 +50,10 @@
 	})
 }
 
-// knowsEntries waits until entry i names n entries to callers.
+// waitForEntries waits until entry i lists n entries to callers.
 func (s *site) waitForEntries(i, n int) {
 	s.t.Helper()
-	s.eventually(fmt.Sprintf("entry %d names %d entries", i, n), func() error {
+	s.eventually(fmt.Sprintf("entry %d lists %d entries", i, n), func() error {
 		r, err := s.call(s.t.Context(), i, "GET", "/v1/entries", "", nil)
 		if count := strings.Count(r.body, `"address"`); err == nil && count != n {
 			err = fmt.Errorf("%d entries", count)
@@ -61,7 +62,7 @@
 	})
 }
 
-// status is entry i's own view, as JSON text; empty while it does not answer.
+// status returns entry i's status document (JSON), or "" if the entry does not answer.
 func (s *site) status(i int) string {
 	req, err := http.NewRequestWithContext(s.t.Context(), "GET", "http://"+s.addr(entryPort(i)+2)+"/v1/status", nil)
 	require.NoError(s.t, err)
@@ -75,13 +76,13 @@
 	return b.String()
 }
 
-// streams runs n streamed chats at entry i and gives each answer's error, if
-// its content is not exactly right.
+// streamAll runs n streamed chat requests at entry i, calls during once all are about to
+// be sent, and returns an error for each answer that is not exactly the expected one.
 func (s *site) streamAll(ctx context.Context, i, n, tokens int, during func()) []error {
 	return s.streamPrompts(ctx, i, n, tokens, "question", during)
 }
 
-// streamsOf is streams with a text that begins each prompt.
+// streamPrompts is like streamAll, with prompts that begin with the given text.
 func (s *site) streamPrompts(ctx context.Context, i, n, tokens int, prompt string, during func()) []error {
 	errs := make([]error, n)
 	var started, done sync.WaitGroup
@@ -114,9 +115,8 @@
 	}
 }
 
-// A backend server is reclaimed with three seconds of notice while it streams
-// answers that take longer. Each caller sees one unbroken answer: no token is
-// missing, none comes twice, none is another request's.
+// Guards against missing, repeated or mixed-up tokens when a backend server is
+// reclaimed with a notice shorter than the answers it is streaming.
 func TestReclaimOfABackendServer(t *testing.T) {
 	s, _, servers := newSmallSite(t, 2)
 	errs := s.streamAll(t.Context(), 1, 8, 500, func() {
@@ -126,8 +126,8 @@
 	requireNoErrors(t, errs)
 }
 
-// A backend server dies without a word while it streams. The callers' answers
-// go on elsewhere after the tokens that they have.
+// Guards against broken streams when a backend server crashes: the answers continue
+// on another server after the tokens already received.
 func TestDeathOfABackendServer(t *testing.T) {
 	s, _, servers := newSmallSite(t, 2)
 	errs := s.streamAll(t.Context(), 1, 8, 300, func() {
@@ -137,8 +137,8 @@
 	requireNoErrors(t, errs)
 }
 
-// waitForTokens waits until the site's engines that answer have generated n
-// tokens since the first of these waits.
+// waitForTokens waits until engines 1 to engines have generated at least n tokens in
+// total since their start.
 func (s *site) waitForTokens(engines, n int) {
 	s.t.Helper()
 	s.eventually("the engines generate", func() error {
@@ -153,9 +153,8 @@
 	})
 }
 
-// Something between entry and server loses track of open connections: they stay
-// open and bring nothing, while new ones work. Without a bound the callers
-// would wait until their deadlines.
+// Guards against streams that hang until the callers' deadlines when a server's open
+// connections deliver nothing more while new ones work.
 func TestSilentStream(t *testing.T) {
 	s, _, _ := newSmallSite(t, 2)
 	s.setFaults(7201, fake.Faults{StallAfterTokens: 5})
@@ -163,11 +162,10 @@
 	requireNoErrors(t, errs)
 }
 
-// An entry's instance is reclaimed with four seconds of notice, and taken away
-// when they are over, while it streams answers that take longer. The callers are
-// told where their answers go on, come back with the last event they have, and
-// get the rest: no token is missing and none comes twice.
-// Without handOverAll in leave, or without the pause in handOver, this fails.
+// Guards against missing or repeated tokens when an entry is reclaimed with a notice
+// shorter than the answers it is streaming: callers are sent to another entry and
+// resume after their last event.
+// Fails without handOverAll in Entry.leave, or without the pause in Entry.handOver.
 func TestReclaimOfAnEntry(t *testing.T) {
 	const notice = 4 * time.Second
 	s, entries, _ := newSmallSite(t, 2, "--token-time", "1ms")
@@ -180,7 +178,7 @@
 	requireNoErrors(t, errs)
 }
 
-// leaveEntry gives entry i's instance a reclaim notice.
+// reclaimEntry sends entry i a reclaim notice.
 func (s *site) reclaimEntry(i int, notice time.Duration) {
 	s.t.Helper()
 	resp, err := http.Post("http://"+s.addr(entryPort(i)+2)+"/v1/leave?notice="+notice.String(), "", nil)
@@ -189,8 +187,8 @@
 	require.Equal(s.t, http.StatusAccepted, resp.StatusCode)
 }
 
-// An entry is reclaimed while a caller waits for a whole answer, of which no
-// byte has gone out. Its client follows the redirect and gets the answer.
+// Guards against a lost answer when an entry is reclaimed before it has sent the first
+// byte of an unstreamed answer: the client follows a redirect and gets it.
 func TestReclaimOfAnEntryBeforeTheFirstByte(t *testing.T) {
 	s, _, _ := newSmallSite(t, 2)
 	body, want := chatBody("a long briefing", 600, false)
@@ -207,8 +205,7 @@
 	require.Contains(t, got.body, strings.Join(want, ""))
 }
 
-// carried and recomputed sum up the tokens that answers took along, or had
-// prefilled again, at entry i.
+// counter returns the value of a counter without labels at entry i, 0 if it is absent.
 func (s *site) counter(i int, name string) int {
 	s.t.Helper()
 	resp, err := http.Get("http://" + s.addr(entryPort(i)+2) + "/metrics")
@@ -224,10 +221,9 @@
 	return n
 }
 
-// A backend server with long prompts is reclaimed with ten seconds of notice,
-// time enough to take the KV caches along. The answers go on elsewhere unbroken
-// and none of their tokens is prefilled again.
-// Without the call of carry in attempt this test fails.
+// Guards against prefilling tokens again when a backend server is reclaimed with
+// enough notice to transfer its KV caches to another server.
+// Fails without the call of transferKV in runner.attempt.
 func TestReclaimCarriesTheCache(t *testing.T) {
 	s, _, servers := newSmallSite(t, 1, "--notice", "10s")
 	briefing := strings.Repeat("station history ", 1500)
