--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -41,7 +41,7 @@
 }
 
 // leaveOrders returns the fencing tokens of the leave orders that engine i received.
-func (s *site) leaveOrders(i int) []fleet.Fence {
+func (s *site) leaveOrderFences(i int) []fleet.Fence {
 	var fences []fleet.Fence
 	for _, o := range s.engineStats(i).Orders {
 		if o.Kind == native.OrderLeave {
@@ -71,7 +71,7 @@
 	s.waitForServers(1, 2)
 	waitForLeaveOrders := func(i, n int) {
 		s.eventually(fmt.Sprintf("engine %d is ordered to leave", i), func() error {
-			if got := s.leaveOrders(i); len(got) < n {
+			if got := s.leaveOrderFences(i); len(got) < n {
 				return fmt.Errorf("orders %v", got)
 			}
 			return nil
@@ -93,7 +93,7 @@
 		}
 		return fmt.Errorf("not a follower yet")
 	})
-	first, second := s.leaveOrders(1), s.leaveOrders(2)
+	first, second := s.leaveOrderFences(1), s.leaveOrderFences(2)
 	require.Greater(t, second[0].Term(), first[0].Term())
 	for _, f := range second {
 		require.Equal(t, second[0].Term(), f.Term(), "%v", second)
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -92,9 +92,9 @@
 	return out
 }
 
-func (p *platformSite) eventually(condition func() bool, what string) {
+func (p *platformSite) eventually(check func() bool, condition string) {
 	p.t.Helper()
-	require.Eventually(p.t, condition, waitTimeout, 20*time.Millisecond, what)
+	require.Eventually(p.t, check, waitTimeout, 20*time.Millisecond, condition)
 }
 
 // startPlatform starts a process with a settings file of the platform.
