--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -40,7 +40,7 @@
 	return c
 }
 
-// leaveOrders returns the fencing tokens of the leave orders that engine i received.
+// leaveOrderFences returns the fencing tokens of the leave orders that engine i followed.
 func (s *site) leaveOrderFences(i int) []fleet.Fence {
 	var fences []fleet.Fence
 	for _, o := range s.engineStats(i).Orders {
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -24,16 +24,16 @@
 
 const (
 	platformKey = "key-1"
-	// platformPort is the first of the ports between processes. Every process has an
-	// address of its own, so all use the same.
+	// platformPort is the first port for traffic between processes. Each process has its
+	// own IP address, so all of them use the same ports.
 	platformPort = 7600
 )
 
-// platformSite runs the programs as they run on the users' platform, with
-// stand-ins for all else.
+// platformSite runs the control replicas and entries with the settings of the users'
+// platform, and stand-ins for the cloud, the backend servers and the callers.
 type platformSite struct {
 	*site
-	subnet   string // of the processes' addresses
+	subnet   string // first three octets of the processes' addresses
 	controls []*process
 	entries  []*process
 	cloud    *standin.Cloud
@@ -43,8 +43,8 @@
 func newPlatformSite(t *testing.T, controls, entries, servers int) *platformSite {
 	p := &platformSite{site: newSite(t)}
 	parts := strings.Split(p.ip, ".")
-	// The last part of the site's address is its own in this run; in the third part it
-	// leaves the last one to the site's processes.
+	// The last octet of a site's address is unique in this run. Used as the third octet, it
+	// leaves the last one for the site's processes.
 	p.subnet = fmt.Sprintf("127.%s.%s", parts[1], parts[3])
 	cloud, err := standin.StartCloud()
 	require.NoError(t, err)
@@ -97,7 +97,7 @@
 	require.Eventually(p.t, check, waitTimeout, 20*time.Millisecond, condition)
 }
 
-// startPlatform starts a process with a settings file of the platform.
+// startPlatform starts a process of a role with a settings file in the platform's format.
 func (p *platformSite) startPlatform(role string, s standin.Settings) *process {
 	s.Seeds, s.Zone, s.Cloud, s.PortBase = p.controlAddrs(), "z1", p.cloud.Address(), platformPort
 	file := filepath.Join(p.dir, "settings-"+s.IP)
@@ -114,7 +114,8 @@
 	return p.startPlatform("entry", standin.Settings{IP: p.host(entryOctet(i))})
 }
 
-// replace puts a catalogue in force through control replica i.
+// replaceCatalogue replaces the catalogue through control replica i and waits until the
+// replica acknowledges it.
 func (p *platformSite) replaceCatalogue(i int, c standin.Catalogue) {
 	p.t.Helper()
 	p.eventually(func() bool { return standin.ReplaceCatalogue(p.ctx(), p.controlAddrs()[i], c) == nil }, "catalogue is acknowledged")
@@ -127,15 +128,15 @@
 	return runs
 }
 
-// The whole path as separate processes on the users' platform: callers ask where to
-// connect, and are answered whole, streams too; servers see the workspace and never
-// the key; unknown keys and paths are told apart.
+// Guards against a break anywhere between caller and backend server on the users'
+// platform: the list of entries, whole and streamed answers, 401 for an unknown key, 404
+// for an unknown path. Servers must receive the workspace's name and never the key.
 func TestPlatformWholePath(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 2)
 	p.eventually(func() bool {
 		list, err := standin.Entries(p.ctx(), p.addrOf(controlOctet(1), standin.DirectoryPort))
 		return err == nil && len(list) == 2
-	}, "both entries are named")
+	}, "both entries are listed")
 	for i := range 10 {
 		body := fmt.Sprintf("body %d", i)
 		a, err := standin.Call(p.ctx(), p.entryAddr(i%2), platformKey, "/web/x", body)
@@ -157,8 +158,9 @@
 	}
 }
 
-// The control replica that leads is killed while changes are made. Each change that
-// was acknowledged is in force at every entry soon after, and is read back.
+// Guards against lost or late changes when a control replica crashes and restarts:
+// every entry applies each acknowledged change within two seconds, and a control
+// replica returns the last revision.
 func TestPlatformChangesWhileALeaderIsKilled(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 1)
 	for revision := uint64(2); revision <= 6; revision++ {
@@ -177,17 +179,17 @@
 				return err == nil && a.Status == 200
 			}, "the new route is served")
 		}
-		require.Less(t, time.Since(acknowledged), 2*time.Second, "in force everywhere")
+		require.Less(t, time.Since(acknowledged), 2*time.Second, "applied by every entry")
 	}
 	p.eventually(func() bool {
 		revision, err := standin.Revision(p.ctx(), p.controlAddrs()[2])
 		return err == nil && revision == 6
-	}, "the newest change is read back")
+	}, "the last revision is returned")
 }
 
-// An entry is told to stop while it works on a request that takes a while. The
-// request is answered, the entry is named no more, and the process ends well within
-// its grace.
+// Guards against a request cut off when an entry gets SIGTERM: the running request is
+// answered, the entry is no longer listed, and the process ends within its grace
+// period.
 func TestPlatformEntryStops(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 1)
 	done := make(chan standin.Answer, 1)
@@ -202,19 +204,19 @@
 	p.eventually(func() bool {
 		list, err := standin.Entries(p.ctx(), p.addrOf(controlOctet(0), standin.DirectoryPort))
 		return err == nil && slices.Equal(list, []string{p.entryAddr(1)})
-	}, "the entry is named no more")
+	}, "the entry is no longer listed")
 	a := <-done
 	require.True(t, a.Complete && a.Status == 200, "%+v", a)
 	select {
 	case <-p.entries[0].done:
 		require.NoError(t, p.entries[0].exitErr)
 	case <-time.After(4 * time.Second):
-		t.Fatal("the entry has not ended within its grace")
+		t.Fatal("the entry has not ended within its grace period")
 	}
 }
 
-// A backend server says that it leaves. It gets no new request from any entry soon
-// after, whichever control replica heard it.
+// Guards against requests to a draining backend server: one second after the drain was
+// acknowledged, no entry sends it any more, and no caller sees an error.
 func TestPlatformServerLeaves(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 2)
 	require.NoError(t, p.servers[0].Drain(p.ctx()))
@@ -231,8 +233,8 @@
 	}
 }
 
-// Usage of each window is reported once, over a change of the replica that reports
-// it, and all of it is there.
+// Guards against usage that is reported twice or lost when a control replica crashes:
+// the reported total equals the requests that servers ran.
 func TestPlatformUsage(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 1)
 	for round := range 4 {
@@ -256,15 +258,14 @@
 	require.Empty(t, faults)
 }
 
-// A load run, whose callers look the entries up and keep the answer, and an entry that
-// is killed in the middle of it. Streams that break off are taken up again at the
-// other entry; all that have begun are answered whole.
+// Guards against broken or repeated streams when an entry crashes under load: callers
+// resume their streams at the other entry and receive each token once.
 func TestPlatformLoad(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 2)
 	killed := make(chan struct{})
 	go func() {
 		defer close(killed)
-		p.eventually(func() bool { return len(p.runs()) > 20 }, "the load is on")
+		p.eventually(func() bool { return len(p.runs()) > 20 }, "the load has started")
 		p.entries[0].kill(t)
 	}()
 	r, err := load.Run(t.Context(), load.Config{
@@ -279,18 +280,18 @@
 	require.NoError(t, err)
 	<-killed
 	chat := r.Parts[0]
-	t.Logf("%d requests, %+v, %d taken up again, first token p50 %.0f p95 %.0f ms", chat.Requests, chat.Outcomes, chat.Reconnects, chat.FirstToken.P50, chat.FirstToken.P95)
-	// A request whose first event had not come when the entry was killed cannot be taken
-	// up: its caller has nothing but a reset, and may not send it again.
+	t.Logf("%d requests, %+v, %d reconnects, first token p50 %.0f p95 %.0f ms", chat.Requests, chat.Outcomes, chat.Reconnects, chat.FirstToken.P50, chat.FirstToken.P95)
+	// A request that was killed before its first event can't be resumed: its caller sees
+	// only a connection reset and must not resend it.
 	require.LessOrEqual(t, chat.Outcomes.Broken, 3, "%v", chat.Errors)
 	require.Equal(t, chat.Requests, chat.Outcomes.Answered+chat.Outcomes.Broken, "%v", chat.Errors)
 	require.Equal(t, 100*chat.Outcomes.Answered, chat.Tokens, "each token once, and none of the broken ones")
 	require.Positive(t, chat.Reconnects)
 }
 
-// A caller opens a connection and sends half a head, and nothing more. Enough of them
-// would use up the entry's descriptors. The catalogue's limit for a head (3 s here)
-// ends them; a request that is too large is turned away with the reason.
+// Guards against callers that exhaust an entry's file descriptors or memory: a
+// connection with an incomplete header is closed after the catalogue's header timeout
+// (3 s here), and too large a header or body is refused with 431 or 413.
 func TestPlatformLimitsOnCallers(t *testing.T) {
 	p := newPlatformSite(t, 3, 1, 1)
 	c, err := net.Dial("tcp", p.entryAddr(0))
@@ -315,7 +316,7 @@
 	require.Len(t, p.runs(), runsBefore)
 }
 
-// linkTraffic is what a process has sent and received on links since its start.
+// linkTraffic counts what a process has sent and received on links since its start.
 type linkTraffic struct{ messages, bytes float64 }
 
 func (p *platformSite) linkTraffic(addr string) (sum linkTraffic) {
@@ -339,14 +340,13 @@
 	return sum
 }
 
-// What the processes tell each other costs processor time and network on every
-// instance, whether callers come or not: a few messages a second for each pair of
-// them. The servers here announce themselves five times a second, some six times as
-// often as elsewhere, and each announcement goes to all control replicas.
+// Guards against link traffic between idle processes that costs CPU and network on every
+// instance. The stand-in servers announce themselves to all control replicas five times
+// a second, about six times as often as real ones.
 func TestPlatformTrafficBetweenProcesses(t *testing.T) {
 	const (
-		maxMessagesPerSecond = 150       // a second and process, twice what was measured
-		maxBytesPerSecond    = 20 * 1024 // a second and process, twice what was measured
+		maxMessagesPerSecond = 150       // per process
+		maxBytesPerSecond    = 20 * 1024 // per process
 	)
 	p := newPlatformSite(t, 3, 2, 2)
 	opsAddrs := map[string]string{
@@ -372,14 +372,15 @@
 	}
 }
 
-// The settings file changes, and SIGHUP comes. The processes go on.
+// Guards against SIGHUP ending a process: control replicas and entries must read their
+// settings again and keep serving.
 func TestPlatformHangup(t *testing.T) {
 	p := newPlatformSite(t, 3, 1, 1)
 	for _, proc := range append(p.controls, p.entries...) {
 		proc.signal(t, syscall.SIGHUP)
 	}
 	for _, proc := range append(p.controls, p.entries...) {
-		p.eventually(func() bool { return strings.Contains(proc.log.String(), "settings read again") }, "it says so")
+		p.eventually(func() bool { return strings.Contains(proc.log.String(), "settings read again") }, "the log has the event")
 	}
 	a, err := standin.Call(p.ctx(), p.entryAddr(0), platformKey, "/get/x", "")
 	require.NoError(t, err)
--- a/e2e/replica_test.go
+++ b/e2e/replica_test.go
@@ -14,7 +14,7 @@
 	"savoryreel.example/savoryreel/contract"
 )
 
-// operate runs an operator's command of the binary and returns what it printed.
+// runOperator runs an operator command of the binary and returns its combined output.
 func (s *site) runOperator(args ...string) (string, error) {
 	args = append(args, "--control-operators", strings.Join(s.operatorAddrs, ","))
 	cmd := exec.CommandContext(s.t.Context(), binaryPath, args...)
@@ -30,11 +30,11 @@
 	return out
 }
 
-// leads returns the number of the replica that leads.
+// leaderID waits for a control leader and returns its replica id.
 func (s *site) leaderID() string {
 	s.t.Helper()
 	var leader string
-	s.eventually("a replica leads", func() error {
+	s.eventually("there is a leader", func() error {
 		for _, r := range s.operator().Replicas(s.t.Context()) {
 			if r.Role == "leader" {
 				leader = r.ID
@@ -46,14 +46,15 @@
 	return leader
 }
 
-// rename gives the brokers a new key, and waits until entry 1 has it in force.
+// changeKey applies the test catalogue with a new key for the brokers, waits until entry 1
+// accepts it and returns the catalogue's version.
 func (s *site) changeKey(key string) uint64 {
 	s.t.Helper()
 	c := newTestCatalogue()
 	c.Workspaces[0].Keys = []contract.KeyHash{contract.HashKey(key)}
 	version := s.apply(c)
 	body, _ := chatBody("anything", 1, false)
-	s.eventually("the new key is in force", func() error {
+	s.eventually("the new key is accepted", func() error {
 		r, err := s.call(s.t.Context(), 1, "POST", "/v1/chat/completions", body, map[string]string{"Authorization": "Bearer " + key})
 		if err == nil && r.status != http.StatusOK {
 			err = fmt.Errorf("status %d: %s", r.status, r.body)
@@ -63,16 +64,15 @@
 	return version
 }
 
-// A control replica loses its disk, and an operator puts another in its place.
-// Just after the repair a second replica is lost for good, and
-// later the rest restarts at the same time. Changes of the catalogue go on,
-// none is taken back, and the entry, whose settings name the founding replicas
-// only, has them in force. A learner that has not caught up is not promoted: as
-// a voter it would keep every change waiting. A lost id is not used again: the
-// replica would have forgotten whom it voted for.
+// Guards against lost or blocked catalogue changes when a control replica that lost its
+// disk is replaced, a second one is lost for good and the others restart together. The
+// entry, whose settings name only the initial replicas, must apply every change.
+// A learner that has not caught up must not be promoted, since as a voter it would delay
+// every commit. The id of a removed replica must not be reused, since the new replica
+// would not have the old one's votes.
 //
-// It breaks without caughtUp in replica.changed, without checkMajority, without the case
-// of replicaTable.apply that refuses an id, and without the adopt in Client.Confirm.
+// Fails without checkCaughtUp in replica, without checkMajority, without the case of
+// replicaTable.apply that refuses an id, and without setReplicas in Client.Confirm.
 func TestReplicaThatLostItsDiskIsReplaced(t *testing.T) {
 	s := newSite(t)
 	replicas := s.startControl(3)
@@ -108,7 +108,7 @@
 	replicas[2-survivor].kill(t)
 	require.Equal(t, first+2, s.changeKey("key-3"))
 	out, err = s.runOperator("replica", "remove", "4")
-	require.Error(t, err, "of the two left, one is dead")
+	require.Error(t, err, "one of the two other voters is unreachable")
 	require.Contains(t, out, "add and promote a replica first")
 	fourth.kill(t)
 	replicas[survivor-1].kill(t)
@@ -122,11 +122,10 @@
 	}
 }
 
-// An operator takes the instance of the control leader away. The leader hands
-// over and is removed, in one command, and changes go on with the other two.
+// Guards against a control leader that can't be removed: one command transfers the
+// leadership and removes it, and the other two accept changes.
 //
-// It breaks without stepDown in removeReplica: the log refuses the leader's
-// removal for good.
+// Fails without stepDown in removeReplica: the log refuses to remove the leader.
 func TestLeaderIsRemoved(t *testing.T) {
 	s := newSite(t)
 	s.startControl(3)
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -33,8 +33,7 @@
 	clusterKey   = "cluster-key"
 )
 
-// bound is how long a test waits for a condition. It only ends tests that have
-// failed; no test passes by waiting so long.
+// waitTimeout bounds the wait for a condition. Reaching it fails the test.
 const waitTimeout = 30 * time.Second
 
 var binaryPath string
@@ -55,12 +54,12 @@
 	os.Exit(code)
 }
 
-// process is one running process of a site.
+// process is a started process of a site.
 type process struct {
 	name    string
 	cmd     *exec.Cmd
 	log     *lockedBuffer
-	done    chan struct{} // closed when it has ended
+	done    chan struct{} // closed when the process has ended; exitErr is set before
 	exitErr error
 }
 
@@ -81,15 +80,14 @@
 	return b.buf.String()
 }
 
-// signal sends a signal to the process.
 func (p *process) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	require.NoError(t, p.cmd.Process.Signal(s))
 }
 
-// freeze stops the process and returns once it has stopped. The signal alone
-// takes its time: a leader that runs on for some milliseconds still gives the
-// order that the test wants its successor to give.
+// freeze sends SIGSTOP and returns once the process has stopped. The signal takes effect
+// with a delay, in which a leader could still send an order that a test expects from
+// its successor.
 func (p *process) freeze(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGSTOP)
@@ -106,33 +104,33 @@
 	}
 }
 
-// kill ends the process without a word and waits for its end.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill(t *testing.T) {
 	t.Helper()
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// site is a set of processes on loopback addresses of its own.
+// site is a set of processes of one test, on its own loopback address.
 type site struct {
 	t                *testing.T
-	ip               string // of this site; all processes share it
+	ip               string // shared by all processes of the site
 	controlLinkAddrs []string
 	operatorAddrs    []string
 	processes        []*process
 	dir              string
 
-	extraControlArgs []string // more settings of the control replicas
+	extraControlArgs []string // further arguments of the control replicas
 }
 
 var siteCount atomic.Int32
 
-// turn bounds the sites that run at once. Their processes mostly wait; more of
-// them would make the machine the slowest part of each test.
+// siteSlots bounds the number of sites that run at the same time, so that CPU time does
+// not dominate the tests' waits.
 var siteSlots = make(chan struct{}, 4)
 
-// newSite returns a site without processes, on an address that no other site of
-// this run uses.
+// newSite returns a site without processes, on an address that no other site of this
+// run uses. It makes the test parallel and waits for a slot.
 func newSite(t *testing.T) *site {
 	t.Parallel()
 	siteSlots <- struct{}{}
@@ -145,7 +143,8 @@
 	}
 }
 
-// start runs the binary with a subcommand and settings.
+// start runs the binary with the given arguments until the test ends. The test fails if
+// the process reports a data race; if the test fails, the end of the log is shown.
 func (s *site) start(name string, args ...string) *process {
 	s.t.Helper()
 	p := &process{name: name, log: &lockedBuffer{}, done: make(chan struct{})}
@@ -180,10 +179,10 @@
 	return "..." + s[len(s)-n:]
 }
 
-// addr is an address of this site.
+// addr returns the site's address with a port.
 func (s *site) addr(port int) string { return fmt.Sprintf("%s:%d", s.ip, port) }
 
-// startControl starts n control replicas.
+// startControl starts n control replicas and records their addresses for later processes.
 func (s *site) startControl(n int) []*process {
 	var members []string
 	for i := 1; i <= n; i++ {
@@ -198,7 +197,8 @@
 	return out
 }
 
-// startReplica starts, or starts again, control replica i.
+// startReplica starts or restarts control replica i, counted from 1, with the initial
+// members "id=address".
 func (s *site) startReplica(i int, members []string) *process {
 	args := []string{
 		"control", "--id", fmt.Sprint(i),
@@ -209,7 +209,7 @@
 	return s.start(fmt.Sprintf("control-%d", i), append(args, s.extraControlArgs...)...)
 }
 
-// entryPort is the caller port of entry i.
+// entryPort returns the caller port of entry i. Its link and ops ports follow.
 func entryPort(i int) int { return 7000 + 10*i }
 
 // startEntry starts entry i in a zone.
@@ -223,7 +223,7 @@
 	return s.start(fmt.Sprintf("entry-%d", i), append(args, extraArgs...)...)
 }
 
-// startEngine starts stand-in model engine i, announcing to entries 1 and 2.
+// startEngine starts stand-in model engine i, which announces itself to entries 1 and 2.
 func (s *site) startEngine(i int, zone string, extraArgs ...string) *process {
 	args := []string{
 		"standin", "engine", "--id", fmt.Sprintf("engine-%d", i), "--zone", zone, "--listen", s.addr(7200 + i),
@@ -232,7 +232,7 @@
 	return s.start(fmt.Sprintf("engine-%d", i), append(args, extraArgs...)...)
 }
 
-// startPlain starts stand-in plain service i.
+// startPlain starts stand-in plain service i, which announces itself to entries 1 and 2.
 func (s *site) startPlain(i int, zone string, extraArgs ...string) *process {
 	args := []string{
 		"standin", "plain", "--id", fmt.Sprintf("plain-%d", i), "--zone", zone,
@@ -241,8 +241,8 @@
 	return s.start(fmt.Sprintf("plain-%d", i), append(args, extraArgs...)...)
 }
 
-// onceSite is a site with two entries and a plain service whose calls take a
-// while.
+// newOnceSite starts a control replica, two entries and a plain service whose calls take
+// the given duration.
 func newOnceSite(t *testing.T, duration time.Duration) *site {
 	s := newSite(t)
 	s.startControl(1)
@@ -256,7 +256,7 @@
 	return s
 }
 
-// testCatalogue has two workspaces, a model service and a plain one.
+// newTestCatalogue returns a catalogue with two workspaces, a model service and a plain one.
 func newTestCatalogue() contract.Catalogue {
 	return contract.Catalogue{
 		Workspaces: []contract.Workspace{
@@ -272,12 +272,12 @@
 
 func (s *site) operator() *operator.Client { return operator.New(s.operatorAddrs, operatorKey) }
 
-// operatorAt is a client of one control replica, counted from 0.
+// operatorAt returns a client of one control replica, counted from 0.
 func (s *site) operatorAt(i int) *operator.Client {
 	return operator.New(s.operatorAddrs[i:i+1], operatorKey)
 }
 
-// leader waits for a control leader and returns its place, counted from 0.
+// leaderIndex waits for a control leader and returns its index, counted from 0.
 func (s *site) leaderIndex() int {
 	s.t.Helper()
 	leader := -1
@@ -293,7 +293,8 @@
 	return leader
 }
 
-// apply puts a catalogue in force, waiting for a leader if there is none yet.
+// apply replaces the catalogue, waiting for a leader if necessary, and returns the new
+// version.
 func (s *site) apply(c contract.Catalogue) uint64 {
 	s.t.Helper()
 	doc, err := contract.Format(c)
@@ -311,12 +312,13 @@
 	return version
 }
 
-// eventually waits until check returns nil.
+// eventually waits until check returns nil and fails the test after waitTimeout.
 func (s *site) eventually(condition string, check func() error) {
 	s.t.Helper()
 	s.eventuallyWithin(waitTimeout, condition, check)
 }
 
+// eventuallyWithin is like eventually with another timeout.
 func (s *site) eventuallyWithin(timeout time.Duration, condition string, check func() error) {
 	s.t.Helper()
 	deadline := time.Now().Add(timeout)
@@ -332,7 +334,7 @@
 	}
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status  int
 	header  http.Header
@@ -340,7 +342,8 @@
 	body    string
 }
 
-// call sends one request to entry i and reads the whole answer.
+// call sends one request to entry i and reads the whole response. The given headers
+// override the default Authorization.
 func (s *site) call(ctx context.Context, i int, method, path, body string, header map[string]string) (reply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.addr(entryPort(i))+path, strings.NewReader(body))
 	if err != nil {
@@ -359,7 +362,8 @@
 	return reply{status: resp.StatusCode, header: resp.Header, trailer: resp.Trailer, body: string(b)}, err
 }
 
-// ready waits until entry i answers a request of a path with 200.
+// waitUntilServing waits until entry i answers a POST to path with 200, with a new
+// idempotency key for each try.
 func (s *site) waitUntilServing(i int, path, body string) {
 	s.t.Helper()
 	s.eventually(fmt.Sprintf("entry %d serves %s", i, path), func() error {
@@ -371,7 +375,7 @@
 	})
 }
 
-// plainStats asks plain service i what it ran.
+// plainStats returns the counts of plain service i.
 func (s *site) plainStats(i int) fake.PlainStats {
 	s.t.Helper()
 	var v fake.PlainStats
@@ -379,7 +383,7 @@
 	return v
 }
 
-// engineStats asks engine i what it ran.
+// engineStats returns the counts of engine i.
 func (s *site) engineStats(i int) fake.EngineStats {
 	s.t.Helper()
 	var v fake.EngineStats
@@ -395,7 +399,7 @@
 	require.NoError(s.t, json.NewDecoder(resp.Body).Decode(into))
 }
 
-// setFaults sets the faults of the stand-in at a port.
+// setFaults replaces the injected faults of the stand-in server at a port.
 func (s *site) setFaults(port int, f fake.Faults) {
 	s.t.Helper()
 	body, err := json.Marshal(f)
@@ -406,11 +410,11 @@
 	require.Less(s.t, resp.StatusCode, 300)
 }
 
-// readAll reads a whole body, or what came of it.
+// readAll returns the body, cut short at a read error.
 func readAll(resp *http.Response) string {
-	b, _ := io.ReadAll(resp.Body) // a part is shown in the failing test's message
+	b, _ := io.ReadAll(resp.Body) // a partial body still helps in a failure message
 	return string(b)
 }
 
-// logTail is how much of each process's log a failed test shows, in bytes.
+// maxLogTailBytes bounds what a failed test shows of each process's log.
 const maxLogTailBytes = 200_000
