--- a/e2e/fault_test.go
+++ b/e2e/fault_test.go
@@ -65,7 +65,7 @@
 	for k := range replies { // the kernel accepts the connections while the entry is frozen
 		wg.Go(func() { replies[k], errs[k] = s.call(t.Context(), 1, "POST", "/v1/chat/completions", body, nil) })
 	}
-	s.eventuallyWithin(waitTimeout, "the change is in force at the other entry", func() error {
+	s.eventuallyWithin(waitTimeout, "the other entry applies the change", func() error {
 		r, err := s.call(t.Context(), 2, "POST", "/v1/chat/completions", body, nil)
 		if err == nil && r.status != http.StatusUnauthorized {
 			err = fmt.Errorf("status %d", r.status)
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -50,7 +50,7 @@
 	version := s.apply(c)
 	body, _ := chatBody("limited", 100, false)
 	for i := 1; i <= 2; i++ {
-		s.eventually("the limit is in force", func() error {
+		s.eventually("the entry applies the limit", func() error {
 			if !strings.Contains(s.status(i), fmt.Sprintf(`"catalogueVersion":%d,`, version)) {
 				return fmt.Errorf("entry %d has another version", i)
 			}
--- a/e2e/operate_test.go
+++ b/e2e/operate_test.go
@@ -135,9 +135,9 @@
 		return err
 	}
 	for i := 1; i <= 2; i++ {
-		s.eventuallyWithin(6*time.Second, "the change is in force", func() error { return checkRefused(i) })
+		s.eventuallyWithin(6*time.Second, "the entry applies the change", func() error { return checkRefused(i) })
 	}
-	t.Logf("in force at both entries after %s", time.Since(accepted).Round(time.Millisecond))
+	t.Logf("applied by both entries after %s", time.Since(accepted).Round(time.Millisecond))
 	entries[0].kill(t)
 	s.startEntry(1, "z1")
 	s.eventually("the restarted entry refuses the key", func() error {
@@ -199,7 +199,7 @@
 	c := newTestCatalogue()
 	c.Workspaces = c.Workspaces[1:]
 	s.apply(c)
-	s.eventuallyWithin(6*time.Second, "the change is in force", func() error {
+	s.eventuallyWithin(6*time.Second, "the entry applies the change", func() error {
 		r, err := s.call(t.Context(), 1, "POST", "/v1/chat/completions", body, nil)
 		if err == nil && r.status == http.StatusOK {
 			err = fmt.Errorf("still served")
