--- a/e2e/operate_test.go
+++ b/e2e/operate_test.go
@@ -19,7 +19,7 @@
 
 // Guards against failed requests during a planned stop of an entry: callers that
 // still use an older list of entries are served until it expires, the entry is no
-// longer listed, and it is listed again only after the stop is cancelled.
+// longer listed, and it is listed again after the stop is cancelled.
 func TestPlannedStopOfAnEntry(t *testing.T) {
 	s, _, _ := newSmallSite(t, 2)
 	ctx, stop := context.WithCancel(t.Context())
@@ -56,9 +56,10 @@
 	s.waitForEntries(2, 2)
 }
 
-// callListedEntries sends requests until ctx ends, as a client with number k does: it
-// fetches the list of entries when the last one has expired (after 1 s) and calls a
-// listed one. It counts answers and stores the first failure.
+// callListedEntries sends requests as client number k until ctx ends. It fetches the
+// list of entries each time the last one has expired (after 1 s); an even client then
+// calls entry 1 while that is listed, all others entry 2. It counts the answers and
+// stores the first failure.
 func (s *site) callListedEntries(ctx context.Context, k int, answered *atomic.Int32, failure *atomic.Pointer[string]) {
 	target := 1 + k%2
 	var listExpires time.Time
