--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -15,7 +15,8 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// startCloud serves a stand-in cloud API for the site until the test ends.
+// startCloud serves a stand-in cloud API until the test ends and configures the site's
+// control replicas to use it. It must be called before startControl.
 func (s *site) startCloud() *fake.Cloud {
 	s.t.Helper()
 	var prices []native.Price
@@ -32,29 +33,28 @@
 		_ = c.Run(ctx, l) // ends with the test
 	}()
 	s.t.Cleanup(func() { cancel(); <-done })
-	s.controlArgs = []string{
+	s.extraControlArgs = []string{
 		"--cloud", s.addr(7400), "--cloud-zones", "z1=r1/dc1,z2=r1/dc2", "--cloud-classes", "g1=400",
 		"--entries", s.addr(entryPort(1) + 1),
 	}
 	return c
 }
 
-// leaveOrders returns the fencing numbers of engine i's orders to leave.
-func (s *site) leaveOrders(i int) []fleet.Fence {
-	var out []fleet.Fence
+// leaveOrderFences returns the fencing tokens of the leave orders that engine i followed.
+func (s *site) leaveOrderFences(i int) []fleet.Fence {
+	var fences []fleet.Fence
 	for _, o := range s.engineStats(i).Orders {
 		if o.Kind == native.OrderLeave {
-			out = append(out, fleet.Fence(o.Fence))
+			fences = append(fences, fleet.Fence(o.Fence))
 		}
 	}
-	return out
+	return fences
 }
 
-// The cloud takes back a zone while the control leader stands still, frozen in
-// the middle of its work. The next leader orders the server to leave, so that
-// its callers' answers go on elsewhere. When the old leader wakes up it finds the
-// same notice; the server, which ignores numbers, must not follow an order of it
-// after that.
+// Guards against orders from a replaced control leader: it is frozen, the cloud
+// reclaims a zone, and the new leader orders the server to leave. The resumed leader
+// sees the same notice but must send no order; the stand-in server does not check
+// fencing tokens, so it would record one.
 func TestFrozenLeaderGivesNoOrder(t *testing.T) {
 	s := newSite(t)
 	cloud := s.startCloud()
@@ -62,38 +62,38 @@
 	defer api.Close()
 	replicas := s.startControl(3)
 	s.startEntry(1, "z1")
-	s.apply(testCatalogue())
+	s.apply(newTestCatalogue())
 	for i, z := range []string{"z1", "z2"} {
 		started, err := api.Start(t.Context(), native.StartRequest{ClientToken: fmt.Sprint("other/", i), Zone: z, Class: "g1", Kind: native.Reclaimable})
 		require.NoError(t, err)
 		s.startEngine(i+1, z, "--id", started.ID)
 	}
-	s.knowsServers(1, 2)
-	leaves := func(i, n int) {
+	s.waitForServers(1, 2)
+	waitForLeaveOrders := func(i, n int) {
 		s.eventually(fmt.Sprintf("engine %d is ordered to leave", i), func() error {
-			if got := s.leaveOrders(i); len(got) < n {
+			if got := s.leaveOrderFences(i); len(got) < n {
 				return fmt.Errorf("orders %v", got)
 			}
 			return nil
 		})
 	}
 	cloud.Wave("z1", time.Minute)
-	leaves(1, 1)
-	old := s.leads()
-	frozen := replicas[old[0]-'1']
+	waitForLeaveOrders(1, 1)
+	oldLeader := s.leaderID()
+	frozen := replicas[oldLeader[0]-'1']
 	frozen.freeze(t)
 	cloud.Wave("z2", time.Minute)
-	leaves(2, 1)
+	waitForLeaveOrders(2, 1)
 	frozen.signal(t, syscall.SIGCONT)
-	s.eventually("the old leader follows", func() error {
+	s.eventually("the old leader is a follower", func() error {
 		for _, r := range s.operator().Replicas(t.Context()) {
-			if r.ID == old && r.Role != "leader" && r.Leader != "0" {
+			if r.ID == oldLeader && r.Role != "leader" && r.Leader != "0" {
 				return nil
 			}
 		}
-		return fmt.Errorf("not yet")
+		return fmt.Errorf("not a follower yet")
 	})
-	first, second := s.leaveOrders(1), s.leaveOrders(2)
+	first, second := s.leaveOrderFences(1), s.leaveOrderFences(2)
 	require.Greater(t, second[0].Term(), first[0].Term())
 	for _, f := range second {
 		require.Equal(t, second[0].Term(), f.Term(), "%v", second)
--- a/e2e/load_test.go
+++ b/e2e/load_test.go
@@ -15,11 +15,11 @@
 	"savoryreel.example/savoryreel/load"
 )
 
-// One workspace sends twenty times as much as the servers can take while another
-// sends a little. The quiet one gets its answers; the other's surplus is refused
-// at once, as not run and with when to come back. First-token times are printed.
+// Guards against one workspace starving another: while one sends far more than the
+// servers can process, the other's requests are all answered and the surplus of
+// the first is refused as not run. Logs the first-token times.
 func TestQuietWorkspaceUnderASurge(t *testing.T) {
-	s, _, _ := smallSite(t, 2, "--slots", "8", "--prefill-rate", "0")
+	s, _, _ := newSmallSite(t, 2, "--slots", "8", "--prefill-rate", "0")
 	cfg := load.Config{
 		Entries: []string{"http://" + s.addr(entryPort(1)), "http://" + s.addr(entryPort(2))},
 		Rate:    110, Duration: 8 * time.Second, Seed: 1, MaxInFlight: 2000, Expect: fake.Answer,
@@ -40,24 +40,24 @@
 	require.Less(t, 10*surge.Outcomes.Unknown, surge.Outcomes.Answered, "requests cut off by their deadlines")
 }
 
-// A workspace may have four requests at a time. Its callers send twelve to each
-// of two entries in the same moment. Together no more than four run, whichever
-// entry they come through; the others are refused at once with Retry-After.
+// Guards against a concurrency limit that applies per entry instead of to the
+// workspace: of 24 requests sent at once over two entries, at most four may run
+// at the same time; the others are refused with Retry-After.
 func TestLimitHoldsOverEntries(t *testing.T) {
-	s, _, _ := smallSite(t, 1, "--slots", "64")
-	c := testCatalogue()
+	s, _, _ := newSmallSite(t, 1, "--slots", "64")
+	c := newTestCatalogue()
 	c.Workspaces[0].Limits.Concurrency = 4
 	version := s.apply(c)
 	body, _ := chatBody("limited", 100, false)
 	for i := 1; i <= 2; i++ {
-		s.eventually("the limit is in force", func() error {
+		s.eventually("the entry applies the limit", func() error {
 			if !strings.Contains(s.status(i), fmt.Sprintf(`"catalogueVersion":%d,`, version)) {
 				return fmt.Errorf("entry %d has another version", i)
 			}
 			return nil
 		})
 	}
-	s.eventually("both entries have their part of the limit", func() error {
+	s.eventually("both entries have their share of the limit", func() error {
 		for i := 1; i <= 2; i++ {
 			short, _ := chatBody("short", 1, false)
 			if r, err := s.call(t.Context(), i, "POST", "/v1/chat/completions", short, nil); err != nil || r.status != http.StatusOK {
@@ -68,13 +68,13 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	most := make(chan int, 1)
+	peakRunning := make(chan int, 1)
 	go func() {
 		peak := 0
 		for ctx.Err() == nil {
 			peak = max(peak, s.engineStats(1).Running)
 		}
-		most <- peak
+		peakRunning <- peak
 	}()
 	var wg sync.WaitGroup
 	replies := make([]reply, 24)
@@ -93,7 +93,7 @@
 		require.Equal(t, "not_run", r.header.Get("Savoryreel-Outcome"))
 		require.NotEmpty(t, r.header.Get("Retry-After"))
 	}
-	peak := <-most
+	peak := <-peakRunning
 	t.Logf("%d of %d answered, at most %d at a time", answered, len(replies), peak)
 	require.LessOrEqual(t, peak, 4)
 	require.Positive(t, answered)
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -24,16 +24,16 @@
 
 const (
 	platformKey = "key-1"
-	// platformPort is the first of the ports between processes. Every process has an
-	// address of its own, so all use the same.
+	// platformPort is the first port for traffic between processes. Each process has its
+	// own IP address, so all of them use the same ports.
 	platformPort = 7600
 )
 
-// platformSite runs the programs as they run on the users' platform, with
-// stand-ins for all else.
+// platformSite runs the control replicas and entries with the settings of the users'
+// platform, and stand-ins for the cloud, the backend servers and the callers.
 type platformSite struct {
 	*site
-	net      string // of the processes' addresses
+	subnet   string // first three octets of the processes' addresses
 	controls []*process
 	entries  []*process
 	cloud    *standin.Cloud
@@ -43,9 +43,9 @@
 func newPlatformSite(t *testing.T, controls, entries, servers int) *platformSite {
 	p := &platformSite{site: newSite(t)}
 	parts := strings.Split(p.ip, ".")
-	// The last part of the site's address is its own in this run; in the third part it
-	// leaves the last one to the site's processes.
-	p.net = fmt.Sprintf("127.%s.%s", parts[1], parts[3])
+	// The last octet of a site's address is unique in this run. Used as the third octet, it
+	// leaves the last one for the site's processes.
+	p.subnet = fmt.Sprintf("127.%s.%s", parts[1], parts[3])
 	cloud, err := standin.StartCloud()
 	require.NoError(t, err)
 	p.cloud = cloud
@@ -62,9 +62,9 @@
 		t.Cleanup(s.Close)
 		p.servers = append(p.servers, s)
 	}
-	p.replace(0, standin.Catalogue{Revision: 1, Service: "web", Keys: []string{platformKey}})
+	p.replaceCatalogue(0, standin.Catalogue{Revision: 1, Service: "web", Keys: []string{platformKey}})
 	for i := range entries {
-		p.eventually(func() bool { return standin.Ready(p.ctx(), p.at(entryHost(i), standin.ReadinessPort)) }, "entry is ready")
+		p.eventually(func() bool { return standin.Ready(p.ctx(), p.addrOf(entryOctet(i), standin.ReadinessPort)) }, "entry is ready")
 		p.eventually(func() bool {
 			a, err := standin.Call(p.ctx(), p.entryAddr(i), platformKey, "/get/x", "")
 			return err == nil && a.Status == 200
@@ -75,47 +75,48 @@
 
 func (p *platformSite) ctx() context.Context { return p.t.Context() }
 
-func controlHost(i int) int { return 1 + i }
-func entryHost(i int) int   { return 101 + i }
+func controlOctet(i int) int { return 1 + i }
+func entryOctet(i int) int   { return 101 + i }
 
-func (p *platformSite) host(n int) string { return fmt.Sprintf("%s.%d", p.net, n) }
+func (p *platformSite) host(n int) string { return fmt.Sprintf("%s.%d", p.subnet, n) }
 
-func (p *platformSite) at(host, port int) string { return fmt.Sprintf("%s:%d", p.host(host), port) }
+func (p *platformSite) addrOf(host, port int) string { return fmt.Sprintf("%s:%d", p.host(host), port) }
 
-func (p *platformSite) entryAddr(i int) string { return p.at(entryHost(i), standin.CallerPort) }
+func (p *platformSite) entryAddr(i int) string { return p.addrOf(entryOctet(i), standin.CallerPort) }
 
 func (p *platformSite) controlAddrs() []string {
 	var out []string
 	for i := range 3 {
-		out = append(out, p.at(controlHost(i), standin.ControlPort))
+		out = append(out, p.addrOf(controlOctet(i), standin.ControlPort))
 	}
 	return out
 }
 
-func (p *platformSite) eventually(ok func() bool, what string) {
+func (p *platformSite) eventually(check func() bool, condition string) {
 	p.t.Helper()
-	require.Eventually(p.t, ok, bound, 20*time.Millisecond, what)
+	require.Eventually(p.t, check, waitTimeout, 20*time.Millisecond, condition)
 }
 
-// startPlatform starts a process with a settings file of the platform.
+// startPlatform starts a process of a role with a settings file in the platform's format.
 func (p *platformSite) startPlatform(role string, s standin.Settings) *process {
 	s.Seeds, s.Zone, s.Cloud, s.PortBase = p.controlAddrs(), "z1", p.cloud.Address(), platformPort
-	file := filepath.Join(p.folder, "settings-"+s.IP)
+	file := filepath.Join(p.dir, "settings-"+s.IP)
 	require.NoError(p.t, os.WriteFile(file, []byte(s.File()), 0o600))
 	return p.start(role+"-"+s.IP, "platform", role, "--settings-file", file)
 }
 
-func (p *platformSite) startPlatformControl(i int, first bool) *process {
-	ip := p.host(controlHost(i))
-	return p.startPlatform("control", standin.Settings{IP: ip, FirstStart: first, DataDir: filepath.Join(p.folder, ip)})
+func (p *platformSite) startPlatformControl(i int, firstStart bool) *process {
+	ip := p.host(controlOctet(i))
+	return p.startPlatform("control", standin.Settings{IP: ip, FirstStart: firstStart, DataDir: filepath.Join(p.dir, ip)})
 }
 
 func (p *platformSite) startPlatformEntry(i int) *process {
-	return p.startPlatform("entry", standin.Settings{IP: p.host(entryHost(i))})
+	return p.startPlatform("entry", standin.Settings{IP: p.host(entryOctet(i))})
 }
 
-// replace puts a catalogue in force through control replica i.
-func (p *platformSite) replace(i int, c standin.Catalogue) {
+// replaceCatalogue replaces the catalogue through control replica i and waits until the
+// replica acknowledges it.
+func (p *platformSite) replaceCatalogue(i int, c standin.Catalogue) {
 	p.t.Helper()
 	p.eventually(func() bool { return standin.ReplaceCatalogue(p.ctx(), p.controlAddrs()[i], c) == nil }, "catalogue is acknowledged")
 }
@@ -127,15 +128,15 @@
 	return runs
 }
 
-// The whole path as separate processes on the users' platform: callers ask where to
-// connect, and are answered whole, streams too; servers see the workspace and never
-// the key; unknown keys and paths are told apart.
+// Guards against a break anywhere between caller and backend server on the users'
+// platform: the list of entries, whole and streamed answers, 401 for an unknown key, 404
+// for an unknown path. Servers must receive the workspace's name and never the key.
 func TestPlatformWholePath(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 2)
 	p.eventually(func() bool {
-		list, err := standin.Entries(p.ctx(), p.at(controlHost(1), standin.DirectoryPort))
+		list, err := standin.Entries(p.ctx(), p.addrOf(controlOctet(1), standin.DirectoryPort))
 		return err == nil && len(list) == 2
-	}, "both entries are named")
+	}, "both entries are listed")
 	for i := range 10 {
 		body := fmt.Sprintf("body %d", i)
 		a, err := standin.Call(p.ctx(), p.entryAddr(i%2), platformKey, "/web/x", body)
@@ -157,8 +158,9 @@
 	}
 }
 
-// The control replica that leads is killed while changes are made. Each change that
-// was acknowledged is in force at every entry soon after, and is read back.
+// Guards against lost or late changes when a control replica crashes and restarts:
+// every entry applies each acknowledged change within two seconds, and a control
+// replica returns the last revision.
 func TestPlatformChangesWhileALeaderIsKilled(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 1)
 	for revision := uint64(2); revision <= 6; revision++ {
@@ -169,7 +171,7 @@
 			p.controls[0] = p.startPlatformControl(0, false)
 		}
 		extra := fmt.Sprintf("/extra-%d/", revision)
-		p.replace(1, standin.Catalogue{Revision: revision, Service: "web", Keys: []string{platformKey}, ExtraPrefix: extra})
+		p.replaceCatalogue(1, standin.Catalogue{Revision: revision, Service: "web", Keys: []string{platformKey}, ExtraPrefix: extra})
 		acknowledged := time.Now()
 		for i := range 2 {
 			p.eventually(func() bool {
@@ -177,17 +179,17 @@
 				return err == nil && a.Status == 200
 			}, "the new route is served")
 		}
-		require.Less(t, time.Since(acknowledged), 2*time.Second, "in force everywhere")
+		require.Less(t, time.Since(acknowledged), 2*time.Second, "applied by every entry")
 	}
 	p.eventually(func() bool {
 		revision, err := standin.Revision(p.ctx(), p.controlAddrs()[2])
 		return err == nil && revision == 6
-	}, "the newest change is read back")
+	}, "the last revision is returned")
 }
 
-// An entry is told to stop while it works on a request that takes a while. The
-// request is answered, the entry is named no more, and the process ends well within
-// its grace.
+// Guards against a request cut off when an entry gets SIGTERM: the running request is
+// answered, the entry is no longer listed, and the process ends within its grace
+// period.
 func TestPlatformEntryStops(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 1)
 	done := make(chan standin.Answer, 1)
@@ -200,21 +202,21 @@
 	}, "the request runs")
 	p.entries[0].signal(t, syscall.SIGTERM)
 	p.eventually(func() bool {
-		list, err := standin.Entries(p.ctx(), p.at(controlHost(0), standin.DirectoryPort))
+		list, err := standin.Entries(p.ctx(), p.addrOf(controlOctet(0), standin.DirectoryPort))
 		return err == nil && slices.Equal(list, []string{p.entryAddr(1)})
-	}, "the entry is named no more")
+	}, "the entry is no longer listed")
 	a := <-done
 	require.True(t, a.Complete && a.Status == 200, "%+v", a)
 	select {
 	case <-p.entries[0].done:
-		require.NoError(t, p.entries[0].err)
+		require.NoError(t, p.entries[0].exitErr)
 	case <-time.After(4 * time.Second):
-		t.Fatal("the entry has not ended within its grace")
+		t.Fatal("the entry has not ended within its grace period")
 	}
 }
 
-// A backend server says that it leaves. It gets no new request from any entry soon
-// after, whichever control replica heard it.
+// Guards against requests to a draining backend server: one second after the drain was
+// acknowledged, no entry sends it any more, and no caller sees an error.
 func TestPlatformServerLeaves(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 2)
 	require.NoError(t, p.servers[0].Drain(p.ctx()))
@@ -231,8 +233,8 @@
 	}
 }
 
-// Usage of each window is reported once, over a change of the replica that reports
-// it, and all of it is there.
+// Guards against usage that is reported twice or lost when a control replica crashes:
+// the reported total equals the requests that servers ran.
 func TestPlatformUsage(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 1)
 	for round := range 4 {
@@ -247,29 +249,28 @@
 		window := time.Now().Unix() // windows are a second long
 		p.eventually(func() bool { return time.Now().Unix() > window }, "the next window")
 	}
-	began := int64(len(p.runs()))
+	requests := int64(len(p.runs()))
 	p.eventually(func() bool {
 		total, _ := p.cloud.Total("w1")
-		return total == began
+		return total == requests
 	}, "all usage is reported")
 	_, faults := p.cloud.Total("w1")
 	require.Empty(t, faults)
 }
 
-// A load run, whose callers look the entries up and keep the answer, and an entry that
-// is killed in the middle of it. Streams that break off are taken up again at the
-// other entry; all that have begun are answered whole.
+// Guards against broken or repeated streams when an entry crashes under load: callers
+// resume their streams at the other entry and receive each token once.
 func TestPlatformLoad(t *testing.T) {
 	p := newPlatformSite(t, 3, 2, 2)
 	killed := make(chan struct{})
 	go func() {
 		defer close(killed)
-		p.eventually(func() bool { return len(p.runs()) > 20 }, "the load is on")
+		p.eventually(func() bool { return len(p.runs()) > 20 }, "the load has started")
 		p.entries[0].kill(t)
 	}()
 	r, err := load.Run(t.Context(), load.Config{
 		Dialect: platform.LoadDialect{Host: standin.Host},
-		Entries: []string{"http://" + p.at(controlHost(0), standin.DirectoryPort), "http://" + p.at(controlHost(1), standin.DirectoryPort)},
+		Entries: []string{"http://" + p.addrOf(controlOctet(0), standin.DirectoryPort), "http://" + p.addrOf(controlOctet(1), standin.DirectoryPort)},
 		Rate:    40, Duration: 3 * time.Second, Seed: 1,
 		Parts: []load.Part{{
 			Name: "chat", Weight: 1, Kind: load.Chat, Service: standin.Host, Path: "/chat/stream/100/", Key: platformKey, Deadline: 5 * time.Second,
@@ -279,18 +280,18 @@
 	require.NoError(t, err)
 	<-killed
 	chat := r.Parts[0]
-	t.Logf("%d requests, %+v, %d taken up again, first token p50 %.0f p95 %.0f ms", chat.Requests, chat.Outcomes, chat.Reconnects, chat.FirstToken.P50, chat.FirstToken.P95)
-	// A request whose first event had not come when the entry was killed cannot be taken
-	// up: its caller has nothing but a reset, and may not send it again.
+	t.Logf("%d requests, %+v, %d reconnects, first token p50 %.0f p95 %.0f ms", chat.Requests, chat.Outcomes, chat.Reconnects, chat.FirstToken.P50, chat.FirstToken.P95)
+	// A request that was killed before its first event can't be resumed: its caller sees
+	// only a connection reset and must not resend it.
 	require.LessOrEqual(t, chat.Outcomes.Broken, 3, "%v", chat.Errors)
 	require.Equal(t, chat.Requests, chat.Outcomes.Answered+chat.Outcomes.Broken, "%v", chat.Errors)
 	require.Equal(t, 100*chat.Outcomes.Answered, chat.Tokens, "each token once, and none of the broken ones")
 	require.Positive(t, chat.Reconnects)
 }
 
-// A caller opens a connection and sends half a head, and nothing more. Enough of them
-// would use up the entry's descriptors. The catalogue's limit for a head (3 s here)
-// ends them; a request that is too large is turned away with the reason.
+// Guards against callers that exhaust an entry's file descriptors or memory: a
+// connection with an incomplete header is closed after the catalogue's header timeout
+// (3 s here), and too large a header or body is refused with 431 or 413.
 func TestPlatformLimitsOnCallers(t *testing.T) {
 	p := newPlatformSite(t, 3, 1, 1)
 	c, err := net.Dial("tcp", p.entryAddr(0))
@@ -299,23 +300,23 @@
 	start := time.Now()
 	_, err = c.Write([]byte("POST /get/x HTTP/1.1\r\nHost: "))
 	require.NoError(t, err)
-	require.NoError(t, c.SetReadDeadline(start.Add(bound)))
+	require.NoError(t, c.SetReadDeadline(start.Add(waitTimeout)))
 	_, err = io.Copy(io.Discard, c)
 	require.NoError(t, err, "the entry closes it")
 	require.Greater(t, time.Since(start), 2500*time.Millisecond)
 	require.Less(t, time.Since(start), 10*time.Second)
 
-	ran := len(p.runs())
+	runsBefore := len(p.runs())
 	a, err := standin.Call(p.ctx(), p.entryAddr(0), platformKey, "/get/"+strings.Repeat("x", 17_000), "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, a.Status)
 	a, err = standin.Call(p.ctx(), p.entryAddr(0), platformKey, "/get/x", strings.Repeat("x", 1<<20+1))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestEntityTooLarge, a.Status)
-	require.Len(t, p.runs(), ran)
+	require.Len(t, p.runs(), runsBefore)
 }
 
-// linkTraffic is what a process has sent and received on links since its start.
+// linkTraffic counts what a process has sent and received on links since its start.
 type linkTraffic struct{ messages, bytes float64 }
 
 func (p *platformSite) linkTraffic(addr string) (sum linkTraffic) {
@@ -339,22 +340,21 @@
 	return sum
 }
 
-// What the processes tell each other costs processor time and network on every
-// instance, whether callers come or not: a few messages a second for each pair of
-// them. The servers here announce themselves five times a second, some six times as
-// often as elsewhere, and each announcement goes to all control replicas.
+// Guards against link traffic between idle processes that costs CPU and network on every
+// instance. The stand-in servers announce themselves to all control replicas five times
+// a second, about six times as often as real ones.
 func TestPlatformTrafficBetweenProcesses(t *testing.T) {
 	const (
-		maxMessages = 150       // a second and process, twice what was measured
-		maxBytes    = 20 * 1024 // a second and process, twice what was measured
+		maxMessagesPerSecond = 150       // per process
+		maxBytesPerSecond    = 20 * 1024 // per process
 	)
 	p := newPlatformSite(t, 3, 2, 2)
-	nodes := map[string]string{
-		"control": p.host(controlHost(0)) + ":" + strconv.Itoa(platformPort+1),
-		"entry":   p.host(entryHost(0)) + ":" + strconv.Itoa(platformPort+2),
+	opsAddrs := map[string]string{
+		"control": p.host(controlOctet(0)) + ":" + strconv.Itoa(platformPort+1),
+		"entry":   p.host(entryOctet(0)) + ":" + strconv.Itoa(platformPort+2),
 	}
 	start, before := time.Now(), make(map[string]linkTraffic)
-	for role, addr := range nodes {
+	for role, addr := range opsAddrs {
 		before[role] = p.linkTraffic(addr)
 	}
 	p.eventually(func() bool {
@@ -363,23 +363,24 @@
 		require.Equal(t, 200, a.Status)
 		return time.Since(start) > 5*time.Second
 	}, "five seconds")
-	for role, addr := range nodes {
+	for role, addr := range opsAddrs {
 		now, seconds := p.linkTraffic(addr), time.Since(start).Seconds()
 		messages, bytes := (now.messages-before[role].messages)/seconds, (now.bytes-before[role].bytes)/seconds
 		t.Logf("%s: %.0f messages, %.0f bytes a second, sent and received", role, messages, bytes)
-		require.Less(t, messages, float64(maxMessages), role)
-		require.Less(t, bytes, float64(maxBytes), role)
+		require.Less(t, messages, float64(maxMessagesPerSecond), role)
+		require.Less(t, bytes, float64(maxBytesPerSecond), role)
 	}
 }
 
-// The settings file changes, and SIGHUP comes. The processes go on.
+// Guards against SIGHUP ending a process: control replicas and entries must read their
+// settings again and keep serving.
 func TestPlatformHangup(t *testing.T) {
 	p := newPlatformSite(t, 3, 1, 1)
 	for _, proc := range append(p.controls, p.entries...) {
 		proc.signal(t, syscall.SIGHUP)
 	}
 	for _, proc := range append(p.controls, p.entries...) {
-		p.eventually(func() bool { return strings.Contains(proc.log.String(), "settings read again") }, "it says so")
+		p.eventually(func() bool { return strings.Contains(proc.log.String(), "settings read again") }, "the log has the event")
 	}
 	a, err := standin.Call(p.ctx(), p.entryAddr(0), platformKey, "/get/x", "")
 	require.NoError(t, err)
