--- a/coordinator/coordinator.go
+++ b/coordinator/coordinator.go
@@ -102,7 +102,7 @@
 		self:        cfg.Node.ControlLink(cfg.Node.IP),
 		incarnation: uint64(deps.Now().UnixNano()),
 		directory: directory.NewStore(directory.Config{
-			OverdueAfter: overdueAfter(cfg.Node.AnnounceEvery), EntryExpiry: entryExpiry, ForgetAfter: directory.DefaultForgetAfter,
+			OverdueAfter: overdueAfter(cfg.Node.AnnounceInterval), EntryExpiry: entryExpiry, ForgetAfter: directory.DefaultForgetAfter,
 			AddressHold: time.Duration(addressHoldFraction * float64(cfg.Node.Bounds.AddressReuse)),
 		}),
 		catalogue: newLatestCatalogue(), usage: newUsageTable(cfg.Node.Bounds.UsageWindows()), loads: newLoadTable(), work: newWorkTable(), clock: wallclock.System(),
@@ -125,12 +125,12 @@
 	if bounds := cfg.Node.Bounds; cfg.Node.Cloud.Usage {
 		c.tasks.usage = &usageReports{
 			log: c.log, clock: c.clock, now: c.now, usage: c.usage, liveEntries: func() []directory.Entry { return c.directory.LiveEntries(c.now()) },
-			startedAt: c.now(), window: bounds.UsageWindow, dueAfter: bounds.UsageLate, retention: bounds.UsageKept(), report: c.tasks.reportUsage,
+			startedAt: c.now(), window: bounds.UsageWindow, dueAfter: bounds.UsageLate, retention: bounds.UsageRetention(), report: c.tasks.reportUsage,
 		}
 	}
 	if cfg.Node.Cloud.Scaling {
 		c.tasks.fleet = &fleet{
-			log: c.log, now: c.now, servers: c.directory.Servers, announceEvery: cfg.Node.AnnounceEvery, routeTable: c.routeTable.Load,
+			log: c.log, now: c.now, servers: c.directory.Servers, announceEvery: cfg.Node.AnnounceInterval, routeTable: c.routeTable.Load,
 			sendOrder: c.tasks.orderServers, running: c.loads.running, work: c.work,
 			discoveries: make(map[string]*discovery), demands: make(map[string]*demand),
 		}
--- a/coordinator/group_test.go
+++ b/coordinator/group_test.go
@@ -71,7 +71,7 @@
 func (c *cluster) start(ip string, firstStart bool) *testReplica {
 	node := site.Node{
 		Name: ip, IP: ip, Zone: "z", Region: "r", FirstPort: c.port, LastPort: c.port + 9, Seeds: c.seeds, FirstStart: firstStart,
-		DataDir: c.dir(ip), AnnounceEvery: time.Second,
+		DataDir: c.dir(ip), AnnounceInterval: time.Second,
 		Bounds: site.Bounds{
 			Drain: time.Second, StopGrace: time.Second, ConfigApply: time.Second, UsageWindow: time.Second, RetryWindow: time.Second, QuotaWindow: time.Second,
 		},
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -25,10 +25,10 @@
 // Limits of every HTTP listener. A client that sends its head byte by byte, or
 // none at all, would otherwise hold a connection for good.
 const (
-	headTimeout   = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeaderSize = 64 << 10
-	closeTimeout  = 2 * time.Second
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
+	closeTimeout   = 2 * time.Second
 )
 
 // Serve adds an HTTP server on l to the group. When the group ends, it stops
@@ -37,9 +37,9 @@
 func Serve(g *run.Group, l net.Listener, h http.Handler, grace time.Duration, log *slog.Logger) {
 	srv := &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headTimeout,
+		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeaderSize,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	g.Add(func() error {
@@ -71,13 +71,13 @@
 
 // Every calls fn once a period until ctx ends, and returns ctx's error.
 func Every(ctx context.Context, period time.Duration, fn func()) error {
-	tick := time.NewTicker(period)
-	defer tick.Stop()
+	ticker := time.NewTicker(period)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		fn()
 	}
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -28,7 +28,7 @@
 // more, and then a signal comes. The process reads it again each time and goes on.
 //
 // It breaks if the first look is taken for what the process started with.
-func TestFileIsReadAgain(t *testing.T) {
+func TestWatchFileReportsChangesAndSignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	require.NoError(t, os.WriteFile(path, []byte("2"), 0o600)) // it was "1" when the process read it
 	ctx, cancel := context.WithCancel(t.Context())
@@ -49,7 +49,7 @@
 // the requests that it serves.
 //
 // It breaks without the Notify of SIGHUP in Signals: the test's process ends.
-func TestHangupDoesNotEndADaemon(t *testing.T) {
+func TestHangupDoesNotEndDaemon(t *testing.T) {
 	var g run.Group
 	Signals(&g, func(context.Context) {}, slog.New(slog.DiscardHandler))
 	stop := make(chan struct{})
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -27,7 +27,7 @@
 	require.Len(t, listed, len(All()), "docs/EVENTS.md lists events that the code does not have")
 }
 
-func TestNumbersAreUnique(t *testing.T) {
+func TestEventNumbersAreUnique(t *testing.T) {
 	seen := map[Kind]bool{}
 	for _, d := range All() {
 		require.False(t, seen[d.Kind], strconv.Itoa(int(d.Kind)))
--- a/event/trace.go
+++ b/event/trace.go
@@ -19,28 +19,28 @@
 }
 
 // maxLine bounds one log line.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Trace returns the lines of one log that concern a request. Lines that are no JSON
 // are passed over: a log may hold other output too.
 func Trace(source string, r io.Reader, request string) ([]Line, error) {
 	var out []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
-		at := strings.IndexByte(text, '{')
-		if at < 0 {
+		jsonStart := strings.IndexByte(text, '{')
+		if jsonStart < 0 {
 			continue
 		}
 		var line struct {
 			Time    time.Time `json:"time"`
 			Request string    `json:"request"`
 		}
-		if json.Unmarshal([]byte(text[at:]), &line) != nil || line.Request != request {
+		if json.Unmarshal([]byte(text[jsonStart:]), &line) != nil || line.Request != request {
 			continue
 		}
-		out = append(out, Line{Source: source, Time: line.Time, Text: text[at:]})
+		out = append(out, Line{Source: source, Time: line.Time, Text: text[jsonStart:]})
 	}
 	return out, trace.Wrap(scanner.Err(), "step=read log %s", source)
 }
--- a/event/trace_test.go
+++ b/event/trace_test.go
@@ -12,7 +12,7 @@
 )
 
 // A user complains of one request, which two processes have handled.
-func TestTraceOfARequest(t *testing.T) {
+func TestTraceMergesLogsOfOneRequest(t *testing.T) {
 	first := `{"time":"2026-01-01T00:00:02Z","msg":"request ended","request":"a"}
 not JSON
 {"time":"2026-01-01T00:00:00Z","msg":"route chosen","request":"a"}
@@ -33,7 +33,7 @@
 
 // Load rises tenfold. The lines of ordinary success stay bounded, and what is left
 // out is told.
-func TestSampler(t *testing.T) {
+func TestSamplerBoundsLinesPerSecond(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(0, 0)
 	s := NewSampler(slog.New(slog.NewTextHandler(&out, nil)), func() time.Time { return now }, 10)
--- a/event/writer.go
+++ b/event/writer.go
@@ -11,7 +11,7 @@
 const (
 	// queuedLines bounds the lines that wait for the reader of the log: a second of
 	// a busy process's.
-	queuedLines = 4096
+	maxQueuedLines = 4096
 	// flushTimeout bounds how long the end of a process waits for its last lines.
 	flushTimeout = 200 * time.Millisecond
 )
@@ -20,16 +20,16 @@
 // stalls would otherwise hold up every request at its next line. When the queue is
 // full, lines are dropped; their number is written as soon as there is room again.
 type Writer struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	done    chan struct{}
-	once    sync.Once
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Int64
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 // NewWriter returns a Writer to out. Close it to write what waits.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -62,7 +62,7 @@
 
 // Close writes what waits, as far as the reader takes it within flushTimeout.
 func (w *Writer) Close() {
-	w.once.Do(func() {
+	w.closeOnce.Do(func() {
 		deadline := time.After(flushTimeout)
 		select {
 		case w.lines <- nil:
--- a/event/writer_test.go
+++ b/event/writer_test.go
@@ -15,11 +15,11 @@
 // counted, and the count is written when the reader goes on.
 //
 // It breaks if Write waits for the reader.
-func TestStalledLogReader(t *testing.T) {
+func TestStalledLogReaderDoesNotBlockWrites(t *testing.T) {
 	reader, pipe := io.Pipe()
 	w := NewWriter(pipe)
 	start := time.Now()
-	const lines = 3 * queuedLines
+	const lines = 3 * maxQueuedLines
 	for i := range lines {
 		_, err := fmt.Fprintf(w, "line %d\n", i)
 		require.NoError(t, err)
@@ -39,7 +39,7 @@
 	require.Less(t, strings.Count(text, "line "), lines)
 }
 
-func TestLinesAreWrittenAtTheEnd(t *testing.T) {
+func TestCloseWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	_, _ = w.Write([]byte("a\n"))
--- a/explain/account.go
+++ b/explain/account.go
@@ -15,28 +15,28 @@
 
 // Bounds of what is read and kept.
 const (
-	maxLine = 1 << 20 // bytes
+	maxLineBytes = 1 << 20 // bytes
 	// maxOpen bounds the requests whose end has not been read yet. Where a process is
 	// killed their ends never come.
-	maxOpen = 200_000
+	maxPending = 200_000
 	// Histograms hold microseconds up to a minute.
-	longest   = int64(time.Minute / time.Microsecond)
-	precision = 2 // significant figures
+	maxMicroseconds    = int64(time.Minute / time.Microsecond)
+	significantFigures = 2 // significant figures
 )
 
 // Account adds up what logs tell. It is not safe for concurrent use.
 type Account struct {
-	open map[string]*line // the last choice of requests that have not ended
+	pending map[string]*line // the last choice of requests that have not ended
 
 	Requests int // that ended
 	Skipped  int // lines that could not be read, or are of no known kind
 	LeftOut  int // lines that processes left out for their number
 	Torn     int // lines longer than any that a process writes
 
-	By     map[Dimension]map[string]Tally
-	first  time.Time
-	ages   *hdrhistogram.Histogram // of the word that decided
-	engine *hdrhistogram.Histogram // from the arrival to the first byte
+	By             map[Dimension]map[string]Tally
+	firstEnd       time.Time
+	loadAges       *hdrhistogram.Histogram // of the word that decided
+	firstByteTimes *hdrhistogram.Histogram // from the arrival to the first byte
 }
 
 // Dimension is what requests are grouped by.
@@ -70,8 +70,8 @@
 // NewAccount returns an empty account.
 func NewAccount() *Account {
 	return &Account{
-		open: make(map[string]*line), By: make(map[Dimension]map[string]Tally),
-		ages: hdrhistogram.New(1, longest, precision), engine: hdrhistogram.New(1, longest, precision),
+		pending: make(map[string]*line), By: make(map[Dimension]map[string]Tally),
+		loadAges: hdrhistogram.New(1, maxMicroseconds, significantFigures), firstByteTimes: hdrhistogram.New(1, maxMicroseconds, significantFigures),
 	}
 }
 
@@ -81,10 +81,10 @@
 	for {
 		text, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			text, err = a.long(in, text)
+			text, err = a.readLongLine(in, text)
 		}
 		if len(bytes.TrimSpace(text)) > 0 {
-			a.add(text)
+			a.addLine(text)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -97,17 +97,17 @@
 
 // long reads the rest of a line that is longer than the buffer. One beyond maxLine is
 // passed over: a torn log may join many.
-func (a *Account) long(in *bufio.Reader, begin []byte) ([]byte, error) {
-	text := bytes.Clone(begin)
+func (a *Account) readLongLine(in *bufio.Reader, prefix []byte) ([]byte, error) {
+	text := bytes.Clone(prefix)
 	for {
 		more, err := in.ReadSlice('\n')
-		if len(text) <= maxLine {
+		if len(text) <= maxLineBytes {
 			text = append(text, more...)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if len(text) > maxLine {
+		if len(text) > maxLineBytes {
 			a.Torn++
 			text = nil
 		}
@@ -115,7 +115,7 @@
 	}
 }
 
-func (a *Account) add(text []byte) {
+func (a *Account) addLine(text []byte) {
 	l, ok := parse(text)
 	if !ok {
 		a.Skipped++
@@ -123,44 +123,44 @@
 	}
 	switch l.Event {
 	case event.RouteChosen:
-		if len(a.open) < maxOpen {
-			a.open[l.Request] = &l
+		if len(a.pending) < maxPending {
+			a.pending[l.Request] = &l
 		}
 	case event.RequestEnded, event.RequestRefused:
-		a.end(&l)
-	case ordinary:
+		a.recordEnd(&l)
+	case linesSampled:
 		a.LeftOut += l.Lines
 	}
 }
 
-func (a *Account) end(l *line) {
-	chosen := a.open[l.Request]
-	delete(a.open, l.Request)
-	if !decided(l) {
+func (a *Account) recordEnd(l *line) {
+	chosen := a.pending[l.Request]
+	delete(a.pending, l.Request)
+	if !owedAnswer(l) {
 		return
 	}
 	if chosen == nil {
 		chosen = &line{}
 	} else {
-		_ = a.ages.RecordValue(min(chosen.LoadAge.Microseconds(), longest)) // within bounds
+		_ = a.loadAges.RecordValue(min(chosen.LoadAge.Microseconds(), maxMicroseconds)) // within bounds
 	}
 	if l.FirstByte > 0 {
-		_ = a.engine.RecordValue(min(l.FirstByte.Microseconds(), longest))
+		_ = a.firstByteTimes.RecordValue(min(l.FirstByte.Microseconds(), maxMicroseconds))
 	}
-	if a.first.IsZero() {
-		a.first = l.Time
+	if a.firstEnd.IsZero() {
+		a.firstEnd = l.Time
 	}
 	a.Requests++
 	reason := reasonOf(l, chosen)
 	a.count(All, "", reason)
-	a.count(Second, secondOf(l.Time.Add(-l.Took).Sub(a.first)), reason)
+	a.count(Second, secondKey(l.Time.Add(-l.Took).Sub(a.firstEnd)), reason)
 	a.count(Route, l.Route, reason)
 	a.count(Workspace, l.Workspace, reason)
 	if l.Server != "" {
 		a.count(Server, l.Server, reason)
 	}
 	if chosen.Prompt > 0 {
-		a.count(Size, sizeOf(chosen.Prompt), reason)
+		a.count(Size, sizeClass(chosen.Prompt), reason)
 	}
 }
 
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -38,7 +38,7 @@
 }
 
 // Each request is counted with one reason, whatever it was that went wrong.
-func TestReasons(t *testing.T) {
+func TestEachRequestHasOneReason(t *testing.T) {
 	late := map[string]any{"firstByte": 200e6}
 	for want, log := range map[Reason]string{
 		InTime:       ended("a", nil),
@@ -50,7 +50,7 @@
 		LeftStarted:  ended("a", map[string]any{"outcome": "caller_left"}),
 		CutOff:       ended("a", map[string]any{"outcome": "broke_off"}),
 		ServerFailed: ended("a", map[string]any{"status": 500}),
-		LateReturned: ended("a", map[string]any{"firstByte": 200e6, "cameBack": true}),
+		LateRetried:  ended("a", map[string]any{"firstByte": 200e6, "cameBack": true}),
 		LateRepeated: ended("a", map[string]any{"firstByte": 200e6, "sends": 2}),
 		LateBehind:   chosen("a", 1000, 0, 9000) + ended("a", late),
 		LatePrompt:   chosen("a", 9000, 0, 0) + ended("a", late),
@@ -62,7 +62,7 @@
 }
 
 // Callers with unknown keys, and paths without a route, lose no service.
-func TestNotOwed(t *testing.T) {
+func TestUnknownKeysAndRoutesAreNotCounted(t *testing.T) {
 	a := read(t, ended("a", map[string]any{"outcome": "unknown_key"})+ended("b", map[string]any{"outcome": "no_route"}))
 	require.Zero(t, a.Requests)
 }
@@ -70,10 +70,10 @@
 // A log was torn when its machine died, has lines of another version and of other
 // programs, and one line without an end. What can be read of it counts, and what can't is
 // told.
-func TestTornLog(t *testing.T) {
+func TestTornLogCountsUnreadableLines(t *testing.T) {
 	torn := ended("x", nil)[:40]
 	a := read(t, "   3.2 entry-1 "+ended("a", nil)+"no JSON\n"+torn+"\n\n"+`{"time":"later","event":"odd"}`+"\n"+
-		`{"event":1008,"lines":12}`+"\n"+`{"event":5301}`+"\n"+strings.Repeat("x", 2*maxLine)+"\n"+strings.TrimSpace(ended("b", nil)))
+		`{"event":1008,"lines":12}`+"\n"+`{"event":5301}`+"\n"+strings.Repeat("x", 2*maxLineBytes)+"\n"+strings.TrimSpace(ended("b", nil)))
 	require.Equal(t, 2, a.Requests)
 	require.Equal(t, 3, a.Skipped)
 	require.Equal(t, 1, a.Torn)
@@ -81,7 +81,7 @@
 }
 
 // The disk fails while a log is read. That is said, with the log's name.
-func TestLogThatCannotBeRead(t *testing.T) {
+func TestReadErrorNamesLog(t *testing.T) {
 	broken := errors.New("disk")
 	err := NewAccount().Read("entry-1.log", io.MultiReader(strings.NewReader(ended("a", nil)), iotest.ErrReader(broken)))
 	require.ErrorIs(t, err, broken)
@@ -90,15 +90,15 @@
 
 // Requests whose ends never come, as of processes that were killed, don't fill the
 // memory.
-func TestRequestsWithoutEnd(t *testing.T) {
+func TestPendingRequestsAreBounded(t *testing.T) {
 	a := NewAccount()
-	for i := range maxOpen + 1000 {
-		a.add([]byte(fmt.Sprintf(`{"event":2101,"request":"%d"}`, i)))
+	for i := range maxPending + 1000 {
+		a.addLine([]byte(fmt.Sprintf(`{"event":2101,"request":"%d"}`, i)))
 	}
-	require.LessOrEqual(t, len(a.open), maxOpen)
+	require.LessOrEqual(t, len(a.pending), maxPending)
 }
 
-func TestTableAndJSON(t *testing.T) {
+func TestWriteTableAndJSON(t *testing.T) {
 	a := read(t, chosen("a", 1000, 0, 9000)+ended("a", map[string]any{"firstByte": 200e6})+ended("b", nil)+
 		ended("c", map[string]any{"event": 2002, "outcome": "over_limit", "server": "", "sends": 0, "workspace": "busy"}))
 	var table, report bytes.Buffer
--- a/explain/line.go
+++ b/explain/line.go
@@ -33,23 +33,23 @@
 	Objective time.Duration `json:"objective"`
 	Outcome   string        `json:"outcome"`
 	Status    int           `json:"status"`
-	CameBack  bool          `json:"cameBack"` // the objective had passed since the caller's first try
+	Retried   bool          `json:"cameBack"` // the objective had passed since the caller's first try
 
 	Lines int `json:"lines"` // of one that says how many were left out
 }
 
 // ordinary is how lines that were left out for their number are told of.
-const ordinary = event.LinesSampled
+const linesSampled = event.LinesSampled
 
 // parse reads a line. Text before the JSON, as a name put there by whoever gathered
 // the logs, is passed over.
 func parse(text []byte) (line, bool) {
-	at := bytes.IndexByte(text, '{')
-	if at < 0 {
+	jsonStart := bytes.IndexByte(text, '{')
+	if jsonStart < 0 {
 		return line{}, false
 	}
 	var l line
-	if json.Unmarshal(text[at:], &l) != nil || l.Event == 0 {
+	if json.Unmarshal(text[jsonStart:], &l) != nil || l.Event == 0 {
 		return line{}, false
 	}
 	return l, true
--- a/explain/reason.go
+++ b/explain/reason.go
@@ -19,7 +19,7 @@
 	LeftStarted  Reason = "time over after it had begun"
 	CutOff       Reason = "cut off by its server"
 	ServerFailed Reason = "server's own failure"
-	LateReturned Reason = "late: came back after a refusal"
+	LateRetried  Reason = "late: came back after a refusal"
 	LateRepeated Reason = "late: repeated after a failure"
 	LateBehind   Reason = "late: behind prompts that were known of"
 	LateUnknown  Reason = "late: behind work that was not known of"
@@ -28,14 +28,14 @@
 
 // readsPerSecond is the rate at which prompt tokens are taken to be read where the log
 // does not tell: of today's engines the slower one.
-const readsPerSecond = 36_000
+const prefillTokensPerSecond = 36_000
 
 // reasonOf says why a request that has ended was or was not answered in time. chosen is
 // its last choice, and may be empty where that line was left out.
 func reasonOf(end *line, chosen *line) Reason {
 	switch end.Outcome {
 	case "answered":
-		return answered(end, chosen)
+		return reasonOfAnswered(end, chosen)
 	case "over_limit":
 		return OverLimit
 	case "no_server":
@@ -54,29 +54,29 @@
 	}
 }
 
-func answered(end *line, chosen *line) Reason {
+func reasonOfAnswered(end *line, chosen *line) Reason {
 	switch {
 	case end.Status >= http.StatusInternalServerError:
 		return ServerFailed
-	case end.CameBack:
-		return LateReturned
+	case end.Retried:
+		return LateRetried
 	case end.Objective <= 0 || end.FirstByte <= end.Objective:
 		return InTime
 	case end.Sends > 1:
 		return LateRepeated
-	case readTime(chosen.Prompt-chosen.Cached) > end.Objective:
+	case prefillTime(chosen.Prompt-chosen.Cached) > end.Objective:
 		return LatePrompt
-	case readTime(chosen.Ahead+chosen.Prompt-chosen.Cached) > end.Objective:
+	case prefillTime(chosen.Ahead+chosen.Prompt-chosen.Cached) > end.Objective:
 		return LateBehind
 	default:
 		return LateUnknown
 	}
 }
 
-func readTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / readsPerSecond * float64(time.Second))
+func prefillTime(tokens int) time.Duration {
+	return time.Duration(float64(tokens) / prefillTokensPerSecond * float64(time.Second))
 }
 
 // decided reports whether the request was one that the system had to answer: callers
 // with unknown keys and routes are not owed one.
-func decided(end *line) bool { return end.Outcome != "unknown_key" && end.Outcome != "no_route" }
+func owedAnswer(end *line) bool { return end.Outcome != "unknown_key" && end.Outcome != "no_route" }
--- a/explain/table.go
+++ b/explain/table.go
@@ -15,13 +15,13 @@
 )
 
 // mostRows bounds the rows of a dimension with many keys: those that lose most.
-const mostRows = 12
+const maxRows = 12
 
 // secondOf names a second, so that names sort by time.
-func secondOf(since time.Duration) string { return fmt.Sprintf("%4d", int(since.Seconds())) }
+func secondKey(since time.Duration) string { return fmt.Sprintf("%4d", int(since.Seconds())) }
 
 // sizeOf names the class of a prompt by its length: powers of two.
-func sizeOf(tokens int) string {
+func sizeClass(tokens int) string {
 	class := 1
 	for class < tokens {
 		class *= 2
@@ -34,9 +34,9 @@
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(out, "%d requests ended; lines: %d left out by processes, %d passed over, %d torn\n", a.Requests, a.LeftOut, a.Skipped, a.Torn)
 	fmt.Fprintf(out, "first byte: p50 %s, p95 %s, p99 %s; word on load that decided: p50 %s, p95 %s old\n\n",
-		quantile(a.engine, 50), quantile(a.engine, 95), quantile(a.engine, 99), quantile(a.ages, 50), quantile(a.ages, 95))
+		quantile(a.firstByteTimes, 50), quantile(a.firstByteTimes, 95), quantile(a.firstByteTimes, 99), quantile(a.loadAges, 50), quantile(a.loadAges, 95))
 	total := a.By[All][""]
-	for _, reason := range byCount(total) {
+	for _, reason := range reasonsByCount(total) {
 		fmt.Fprintf(out, "%s\t%d\t%.1f%%\n", reason, total[reason], 100*float64(total[reason])/float64(max(a.Requests, 1)))
 	}
 	for _, d := range []Dimension{Second, Route, Workspace, Size, Server} {
@@ -50,10 +50,10 @@
 	fmt.Fprintf(out, "\n%s\trequests\tlost\tmostly\n", d)
 	for _, key := range a.rows(d) {
 		t := groups[key]
-		fmt.Fprintf(out, "%s\t%d\t%d\t%s\n", key, t.Total(), t.Lost(), mostly(t))
+		fmt.Fprintf(out, "%s\t%d\t%d\t%s\n", key, t.Total(), t.Lost(), topReasons(t))
 	}
-	if d != Second && len(groups) > mostRows {
-		fmt.Fprintf(out, "(%d more)\n", len(groups)-mostRows)
+	if d != Second && len(groups) > maxRows {
+		fmt.Fprintf(out, "(%d more)\n", len(groups)-maxRows)
 	}
 }
 
@@ -66,13 +66,13 @@
 		return keys
 	}
 	slices.SortStableFunc(keys, func(x, y string) int { return cmp.Compare(groups[y].Lost(), groups[x].Lost()) })
-	return keys[:min(len(keys), mostRows)]
+	return keys[:min(len(keys), maxRows)]
 }
 
 // mostly names the reasons that lose most.
-func mostly(t Tally) string {
+func topReasons(t Tally) string {
 	var parts []string
-	for _, reason := range byCount(t) {
+	for _, reason := range reasonsByCount(t) {
 		if reason != InTime && len(parts) < 3 {
 			parts = append(parts, fmt.Sprintf("%d %s", t[reason], reason))
 		}
@@ -80,7 +80,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func byCount(t Tally) []Reason {
+func reasonsByCount(t Tally) []Reason {
 	reasons := slices.Sorted(maps.Keys(t))
 	slices.SortStableFunc(reasons, func(x, y Reason) int { return cmp.Compare(t[y], t[x]) })
 	return reasons
@@ -106,8 +106,8 @@
 func (a *Account) WriteJSON(w io.Writer) error {
 	seconds := make(map[string]float64)
 	for _, q := range []float64{50, 95, 99} {
-		seconds[fmt.Sprintf("firstByteP%.0f", q)] = quantile(a.engine, q).Seconds()
-		seconds[fmt.Sprintf("loadAgeP%.0f", q)] = quantile(a.ages, q).Seconds()
+		seconds[fmt.Sprintf("firstByteP%.0f", q)] = quantile(a.firstByteTimes, q).Seconds()
+		seconds[fmt.Sprintf("loadAgeP%.0f", q)] = quantile(a.loadAges, q).Seconds()
 	}
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
--- a/gateway/bookkeeper.go
+++ b/gateway/bookkeeper.go
@@ -269,7 +269,7 @@
 	x := newPeerExchange(booking.Reporter{Name: g.cfg.Node.Name, Incarnation: g.incarnation}, g.now)
 	x.liveEntries = func() []directory.Entry { return g.peers.entries(g.now()) }
 	x.knownEntries = func() []directory.Entry { return g.directory.Entries(g.now()) }
-	x.datagramAddress = g.cfg.Node.EntryBooks
+	x.datagramAddress = g.cfg.Node.EntryExchange
 	x.prefillRate = g.prefillRateOf
 	g.datagrams = newDatagrams(g.cfg.ClusterKey, g.log, x.handle)
 	x.transport = g.datagrams
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -109,7 +109,7 @@
 	g.limits = newLimits(g.exchange, g.shares, b, g.log, g.now)
 	g.usage = newUsage(g.clock, b.UsageWindow, b.UsageWindows())
 	g.outcomes = outcomes{set: g.metrics}
-	g.sampler = event.NewSampler(g.log, g.now, event.DefaultOrdinary)
+	g.sampler = event.NewSampler(g.log, g.now, event.DefaultSampledPerSecond)
 	var err error
 	if g.retries, err = retry.New(retryConfig(b)); err != nil {
 		return nil, trace.Wrap(err, "step=set up retries")
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	if err := g.datagrams.open(ctx, g.cfg.Node.EntryBooks(g.cfg.Node.IP)); err != nil {
+	if err := g.datagrams.open(ctx, g.cfg.Node.EntryExchange(g.cfg.Node.IP)); err != nil {
 		return err
 	}
 	daemon.Actor(&group, g.follower.Run)
--- a/operator/client.go
+++ b/operator/client.go
@@ -28,7 +28,7 @@
 const attemptTimeout = 7 * time.Second
 
 // maxReply bounds an answer: a catalogue and its history fit many times.
-const maxReply = 64 << 20
+const maxReplyBytes = 64 << 20
 
 // Client calls control replicas. It is safe for concurrent use.
 type Client struct {
@@ -122,15 +122,15 @@
 	if err != nil {
 		return v, trace.Wrap(err)
 	}
-	err = c.eachUntil(func(addr string) error {
+	err = c.tryReplicas(func(addr string) error {
 		return c.call(ctx, addr, http.MethodPost, "/v1/replicas", nil, body, &v)
 	})
 	return v, err
 }
 
-func (c *Client) get(ctx context.Context, path string, into any) error {
-	return c.eachUntil(func(addr string) error {
-		return c.call(ctx, addr, http.MethodGet, path, nil, nil, into)
+func (c *Client) get(ctx context.Context, path string, dst any) error {
+	return c.tryReplicas(func(addr string) error {
+		return c.call(ctx, addr, http.MethodGet, path, nil, nil, dst)
 	})
 }
 
@@ -142,7 +142,7 @@
 	h.Set(api.HeaderChangeID, uuid.NewString())
 	h.Set(api.HeaderBase, strconv.FormatUint(base, 10))
 	h.Set(api.HeaderOperator, operatorName())
-	err := c.eachUntil(func(addr string) error {
+	err := c.tryReplicas(func(addr string) error {
 		return c.call(ctx, addr, method, path, h, body, &result)
 	})
 	return result, err
@@ -150,10 +150,10 @@
 
 // eachUntil tries the replicas in order until one answers for good: a refusal
 // is an answer, a replica out of reach or without a leader is not.
-func (c *Client) eachUntil(try func(addr string) error) error {
+func (c *Client) tryReplicas(attempt func(addr string) error) error {
 	var err error
 	for _, addr := range c.addresses {
-		err = try(addr)
+		err = attempt(addr)
 		var refused *RefusedError
 		if err == nil || errors.As(err, &refused) && refused.Status != http.StatusServiceUnavailable {
 			return err
@@ -162,7 +162,7 @@
 	return err
 }
 
-func (c *Client) call(ctx context.Context, addr, method, path string, h http.Header, body []byte, into any) error {
+func (c *Client) call(ctx context.Context, addr, method, path string, h http.Header, body []byte, dst any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return trace.Wrap(err, "step=build call peer=%s", addr)
@@ -176,14 +176,14 @@
 		return trace.Wrap(err, "step=call control peer=%s", addr)
 	}
 	defer resp.Body.Close()
-	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return trace.Wrap(err, "step=read answer peer=%s", addr)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return refusal(resp, reply)
 	}
-	return trace.Wrap(json.Unmarshal(reply, into), "step=decode answer peer=%s", addr)
+	return trace.Wrap(json.Unmarshal(reply, dst), "step=decode answer peer=%s", addr)
 }
 
 // refusal decodes either shape of a refusal: a problem document, or the result
--- a/operator/entry.go
+++ b/operator/entry.go
@@ -32,5 +32,5 @@
 		return v, err
 	}
 	defer resp.Body.Close()
-	return v, json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(&v)
+	return v, json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(&v)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -46,7 +46,7 @@
 	flags   *pflag.FlagSet
 	viper   *viper.Viper
 	secrets map[string]bool
-	loads   []func() *Fault
+	loaders []func() *Fault
 }
 
 // New returns a Set that declares its flags on flags.
@@ -59,39 +59,39 @@
 }
 
 // String declares a text setting that Load writes to into.
-func (s *Set) String(into *string, name, def, usage string, checks ...Check[string]) {
-	s.flags.String(name, def, usage+s.hint(name))
-	declare(s, into, name, s.viper.GetString, checks)
+func (s *Set) String(dst *string, name, def, usage string, checks ...Check[string]) {
+	s.flags.String(name, def, usage+s.variableHint(name))
+	declare(s, dst, name, s.viper.GetString, checks)
 }
 
 // Secret declares a text setting whose value Print leaves out.
-func (s *Set) Secret(into *string, name, usage string, checks ...Check[string]) {
+func (s *Set) Secret(dst *string, name, usage string, checks ...Check[string]) {
 	s.secrets[name] = true
-	s.String(into, name, "", usage, checks...)
+	s.String(dst, name, "", usage, checks...)
 }
 
 // Strings declares a comma-separated list.
-func (s *Set) Strings(into *[]string, name string, def []string, usage string, checks ...Check[[]string]) {
-	s.flags.StringSlice(name, def, usage+s.hint(name))
-	declare(s, into, name, s.list, checks)
+func (s *Set) Strings(dst *[]string, name string, def []string, usage string, checks ...Check[[]string]) {
+	s.flags.StringSlice(name, def, usage+s.variableHint(name))
+	declare(s, dst, name, s.list, checks)
 }
 
 // Int declares a whole number.
-func (s *Set) Int(into *int, name string, def int, usage string, checks ...Check[int]) {
-	s.flags.Int(name, def, usage+s.hint(name))
-	declare(s, into, name, s.viper.GetInt, checks)
+func (s *Set) Int(dst *int, name string, def int, usage string, checks ...Check[int]) {
+	s.flags.Int(name, def, usage+s.variableHint(name))
+	declare(s, dst, name, s.viper.GetInt, checks)
 }
 
 // Duration declares a length of time, such as 500ms.
-func (s *Set) Duration(into *time.Duration, name string, def time.Duration, usage string, checks ...Check[time.Duration]) {
-	s.flags.Duration(name, def, usage+s.hint(name))
-	declare(s, into, name, s.viper.GetDuration, checks)
+func (s *Set) Duration(dst *time.Duration, name string, def time.Duration, usage string, checks ...Check[time.Duration]) {
+	s.flags.Duration(name, def, usage+s.variableHint(name))
+	declare(s, dst, name, s.viper.GetDuration, checks)
 }
 
 // Bool declares a switch.
-func (s *Set) Bool(into *bool, name string, def bool, usage string) {
-	s.flags.Bool(name, def, usage+s.hint(name))
-	declare(s, into, name, s.viper.GetBool, nil)
+func (s *Set) Bool(dst *bool, name string, def bool, usage string) {
+	s.flags.Bool(name, def, usage+s.variableHint(name))
+	declare(s, dst, name, s.viper.GetBool, nil)
 }
 
 // Load reads and checks every setting. The error is an *InvalidError that
@@ -101,7 +101,7 @@
 		return trace.Wrap(err, "step=bind flags")
 	}
 	var faults []Fault
-	for _, load := range s.loads {
+	for _, load := range s.loaders {
 		if f := load(); f != nil {
 			faults = append(faults, *f)
 		}
@@ -122,7 +122,7 @@
 		if s.secrets[f.Name] && value != "" {
 			value = "(set)"
 		}
-		fmt.Fprintf(w, "%s=%s\n", variable(f.Name), value)
+		fmt.Fprintf(w, "%s=%s\n", variableName(f.Name), value)
 	})
 }
 
@@ -139,24 +139,24 @@
 	return out
 }
 
-func (s *Set) hint(name string) string { return " [" + variable(name) + "]" }
+func (s *Set) variableHint(name string) string { return " [" + variableName(name) + "]" }
 
-func variable(name string) string {
+func variableName(name string) string {
 	return EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
-func declare[T any](s *Set, into *T, name string, get func(string) T, checks []Check[T]) {
-	s.loads = append(s.loads, func() *Fault {
-		if err := s.wellFormed(name); err != nil {
-			return &Fault{Flag: name, Variable: variable(name), Reason: err.Error()}
+func declare[T any](s *Set, dst *T, name string, get func(string) T, checks []Check[T]) {
+	s.loaders = append(s.loaders, func() *Fault {
+		if err := s.checkSyntax(name); err != nil {
+			return &Fault{Flag: name, Variable: variableName(name), Reason: err.Error()}
 		}
 		value := get(name)
 		for _, check := range checks {
 			if err := check(value); err != nil {
-				return &Fault{Flag: name, Variable: variable(name), Reason: err.Error()}
+				return &Fault{Flag: name, Variable: variableName(name), Reason: err.Error()}
 			}
 		}
-		*into = value
+		*dst = value
 		return nil
 	})
 }
@@ -164,17 +164,17 @@
 // wellFormed parses a variable's text as the flag would. The library's own
 // conversion turns text that is not a number into zero, which would start a
 // process with a setting that nobody chose.
-func (s *Set) wellFormed(name string) error {
+func (s *Set) checkSyntax(name string) error {
 	f := s.flags.Lookup(name)
 	if f.Changed || f.Value.Type() == "stringSlice" {
 		return nil
 	}
-	old := f.Value.String()
+	previous := f.Value.String()
 	text := s.viper.GetString(name)
 	if err := f.Value.Set(text); err != nil {
 		return fmt.Errorf("%q is not a %s", text, f.Value.Type())
 	}
-	return f.Value.Set(old)
+	return f.Value.Set(previous)
 }
 
 // Required refuses an empty text.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -17,7 +17,7 @@
 	period time.Duration
 }
 
-func load(args ...string) (*Set, *testConfig, error) {
+func loadTestConfig(args ...string) (*Set, *testConfig, error) {
 	flags := pflag.NewFlagSet("test", pflag.ContinueOnError)
 	s, c := New(flags), &testConfig{}
 	s.String(&c.addr, "addr", "127.0.0.1:1", "address", HostPort)
@@ -31,12 +31,12 @@
 	return s, c, s.Load()
 }
 
-func TestFlagGoesBeforeVariableBeforeDefault(t *testing.T) {
+func TestFlagOverridesVariableOverridesDefault(t *testing.T) {
 	t.Setenv("SAVORYREEL_KEY", "k")
 	t.Setenv("SAVORYREEL_LIMIT", "7")
 	t.Setenv("SAVORYREEL_PERIOD", "2s")
 	t.Setenv("SAVORYREEL_PEERS", "127.0.0.1:2, 127.0.0.1:3")
-	_, c, err := load("--limit", "8")
+	_, c, err := loadTestConfig("--limit", "8")
 	require.NoError(t, err)
 	require.Equal(t, &testConfig{
 		addr: "127.0.0.1:1", key: "k", peers: []string{"127.0.0.1:2", "127.0.0.1:3"}, limit: 8, period: 2 * time.Second,
@@ -47,7 +47,7 @@
 // at a time, he would start it four times.
 func TestLoadReportsAllFaultsTogether(t *testing.T) {
 	t.Setenv("SAVORYREEL_LIMIT", "many")
-	_, _, err := load("--addr", "localhost", "--period", "1h")
+	_, _, err := loadTestConfig("--addr", "localhost", "--period", "1h")
 	var invalid *InvalidError
 	require.ErrorAs(t, err, &invalid)
 	require.Len(t, invalid.Faults, 4)
@@ -57,8 +57,8 @@
 	}
 }
 
-func TestPrintLeavesOutSecrets(t *testing.T) {
-	s, _, err := load("--key", "hush")
+func TestPrintOmitsSecrets(t *testing.T) {
+	s, _, err := loadTestConfig("--key", "hush")
 	require.NoError(t, err)
 	var out bytes.Buffer
 	s.Print(&out)
--- a/site/site.go
+++ b/site/site.go
@@ -45,7 +45,7 @@
 	Cloud     Cloud
 
 	// AnnounceEvery is how often backend servers announce themselves.
-	AnnounceEvery time.Duration
+	AnnounceInterval time.Duration
 }
 
 // Listen holds the addresses (host:port) on which the process serves the outside.
@@ -93,14 +93,14 @@
 
 // usageWorth is how long a window's usage is reported at all, in times until it is
 // due: whoever bills by it takes a report that is late by as much as it may take.
-const usageWorth = 2
+const usageRetentionFactor = 2
 
 // UsageKept is how long after its end a window is still reported.
-func (b *Bounds) UsageKept() time.Duration { return usageWorth * b.UsageLate }
+func (b *Bounds) UsageRetention() time.Duration { return usageRetentionFactor * b.UsageLate }
 
 // UsageWindows is how many windows there are at any time whose usage is still to be
 // told or reported: the open one, and those that ended within UsageKept.
-func (b *Bounds) UsageWindows() int64 { return int64(b.UsageKept()/b.UsageWindow) + 2 }
+func (b *Bounds) UsageWindows() int64 { return int64(b.UsageRetention()/b.UsageWindow) + 2 }
 
 // Cloud is the cloud API. An empty address means that there is none.
 type Cloud struct {
@@ -112,27 +112,27 @@
 
 // Ports that the processes use, as offsets from FirstPort.
 const (
-	controlLinkOffset = 0
-	controlOpsOffset  = 1
-	entryOpsOffset    = 2
-	entryBooksOffset  = 3
-	lastOffset        = entryBooksOffset
+	controlLinkOffset   = 0
+	controlOpsOffset    = 1
+	entryOpsOffset      = 2
+	entryExchangeOffset = 3
+	lastOffset          = entryExchangeOffset
 )
 
 // ControlLink is the address on which the control replica at ip takes links.
-func (n *Node) ControlLink(ip string) string { return n.internal(ip, controlLinkOffset) }
+func (n *Node) ControlLink(ip string) string { return n.internalAddress(ip, controlLinkOffset) }
 
 // ControlOps is the address of this control replica's metrics.
-func (n *Node) ControlOps() string { return n.internal(n.IP, controlOpsOffset) }
+func (n *Node) ControlOps() string { return n.internalAddress(n.IP, controlOpsOffset) }
 
 // EntryOps is the address of this entry's metrics.
-func (n *Node) EntryOps() string { return n.internal(n.IP, entryOpsOffset) }
+func (n *Node) EntryOps() string { return n.internalAddress(n.IP, entryOpsOffset) }
 
 // EntryBooks is the address, for datagrams, on which the entry at ip is asked and told
 // what runs at backend servers.
-func (n *Node) EntryBooks(ip string) string { return n.internal(ip, entryBooksOffset) }
+func (n *Node) EntryExchange(ip string) string { return n.internalAddress(ip, entryExchangeOffset) }
 
-func (n *Node) internal(ip string, offset int) string {
+func (n *Node) internalAddress(ip string, offset int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(n.FirstPort+offset))
 }
 
