--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon holds what the system's long-running processes have in common:
-// listeners, signals, and the operations listener with health, metrics and
-// profiles. Each is an actor of an oklog/run group.
+// Package daemon provides what the long-running processes have in common: listeners,
+// signal handling, and the operations handler with health, metrics and profiles.
+// Servers and signal handlers run as actors of an oklog/run group.
 package daemon
 
 import (
@@ -22,8 +22,8 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// Limits of every HTTP listener. A client that sends its head byte by byte, or
-// none at all, would otherwise hold a connection for good.
+// Limits of every HTTP server. Without them a client that sends its request header slowly,
+// or not at all, holds a connection without a time limit.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
@@ -31,9 +31,9 @@
 	closeTimeout   = 2 * time.Second
 )
 
-// Serve adds an HTTP server on l to the group. When the group ends, it stops
-// listening at once, lets answers in flight end for up to grace, then closes
-// their connections.
+// Serve adds an HTTP server on l to the group. When the group ends, the server closes its
+// listener at once, waits up to grace for running requests, and then closes the remaining
+// connections.
 func Serve(g *run.Group, l net.Listener, h http.Handler, grace time.Duration, log *slog.Logger) {
 	srv := &http.Server{
 		Handler:           h,
@@ -52,12 +52,13 @@
 		ctx, cancel := context.WithTimeout(context.Background(), grace)
 		defer cancel()
 		if err := srv.Shutdown(ctx); err != nil {
-			_ = srv.Close() // the grace is over; what is left is cut
+			_ = srv.Close() // closes the connections that are still open after grace
 		}
 	})
 }
 
-// Actor adds a function that runs until its context ends.
+// Actor adds fn to the group and cancels fn's context when the group ends. The error of
+// that cancellation does not become the group's error.
 func Actor(g *run.Group, fn func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error {
@@ -69,7 +70,8 @@
 	}, func(error) { cancel() })
 }
 
-// Every calls fn once a period until ctx ends, and returns ctx's error.
+// Every calls fn once per period, first after one period, until ctx ends. It returns the
+// error of ctx.
 func Every(ctx context.Context, period time.Duration, fn func()) error {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -83,11 +85,11 @@
 	}
 }
 
-// Signals adds an actor that ends the group at SIGTERM or SIGINT, once drain
-// has returned. A second signal ends the process at once.
+// Signals adds an actor that calls drain at SIGTERM or SIGINT and ends the group when
+// drain returns. A second signal ends the process at once with ExitSecondSignal.
 func Signals(g *run.Group, drain func(ctx context.Context), log *slog.Logger) {
-	// SIGHUP ends a process that doesn't ask for it. What is read again then is the
-	// matter of WatchFile; a daemon whose settings are flags has nothing to read.
+	// Catches SIGHUP, which by default ends the process. WatchFile has its own channel for
+	// it; a daemon that is configured by flags has nothing to reload.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	Actor(g, func(ctx context.Context) error {
 		signals := make(chan os.Signal, 2)
@@ -116,14 +118,14 @@
 // Exit codes of the daemons.
 const (
 	ExitOK           = 0
-	ExitFailed       = 1 // a component failed; the log says which
-	ExitUsage        = 2 // settings or arguments refused
-	ExitSecondSignal = 3 // a second signal cut the drain short
+	ExitFailed       = 1 // a component failed; the log names it
+	ExitUsage        = 2 // invalid settings or arguments
+	ExitSecondSignal = 3 // a second signal interrupted the drain
 )
 
 // Operations returns the handler of the operations listener: /healthz, /readyz,
-// /metrics and /debug/pprof. It belongs on an address that only operators
-// reach. ready returns why the process is not ready, or nil.
+// /metrics and /debug/pprof. Serve it only on an address that is restricted to operators.
+// ready returns nil if the process is ready, and otherwise an error with the reason.
 func Operations(set *metrics.Set, ready func() error) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", Health)
@@ -132,7 +134,7 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		_, _ = w.Write([]byte("ready\n")) // the prober is gone: nobody to tell
+		_, _ = w.Write([]byte("ready\n")) // an error means that the client has disconnected
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		set.WritePrometheus(w)
@@ -144,12 +146,12 @@
 	return mux
 }
 
-// Health answers that the process runs.
+// Health is the handler of /healthz. It always responds with status 200.
 func Health(w http.ResponseWriter, _ *http.Request) {
-	_, _ = w.Write([]byte("ok\n")) // the prober is gone: nobody to tell
+	_, _ = w.Write([]byte("ok\n")) // an error means that the client has disconnected
 }
 
-// Listen opens a TCP listener and logs its address.
+// Listen opens a TCP listener on address and logs its purpose and address.
 func Listen(ctx context.Context, log *slog.Logger, purpose, address string) (net.Listener, error) {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -159,5 +161,5 @@
 	return l, nil
 }
 
-// CloseGrace is how long answers of the operators' listeners may take to end.
+// CloseGrace is the grace for Serve on the operators' listeners.
 const CloseGrace = closeTimeout
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -12,15 +12,15 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// fileEvery is how often a settings file is looked at: it may change without a
-// signal, and what changes has seconds to take hold.
+// filePollInterval is the interval at which WatchFile reads the file. The file may change
+// without a signal, and a change has to be in force within seconds.
 const filePollInterval = time.Second
 
-// WatchFile calls onChange with a file's content at SIGHUP and whenever the
-// content is another than before, until ctx ends. have is the content that the
-// process has in force: a change between its start and the first look would
-// otherwise be taken for what it started with. Without WatchFile SIGHUP would end
-// the process.
+// WatchFile calls onChange with the content of the file at path when the content changes,
+// and at each SIGHUP even if it has not changed, until ctx ends. current is the content that
+// the process has already applied; WatchFile compares with it so that it also detects a
+// change before its own first read. A file that it cannot read is logged and read again
+// later.
 func WatchFile(ctx context.Context, log *slog.Logger, path string, current []byte, onChange func(content []byte)) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -24,13 +24,11 @@
 	}
 }
 
-// The settings file changes right after the process has started with it, changes once
-// more, and then a signal comes. The process reads it again each time and goes on.
-//
-// It breaks if the first look is taken for what the process started with.
+// Guards against a missed reload: of a change before WatchFile's first read, of a later
+// change, and of SIGHUP without a change. The process would go on with old settings.
 func TestWatchFileReportsChangesAndSignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
-	require.NoError(t, os.WriteFile(path, []byte("2"), 0o600)) // it was "1" when the process read it
+	require.NoError(t, os.WriteFile(path, []byte("2"), 0o600)) // the process has applied "1"
 	ctx, cancel := context.WithCancel(t.Context())
 	contents, done := make(chan string, 4), make(chan error, 1)
 	go func() {
@@ -45,10 +43,8 @@
 	require.ErrorIs(t, <-done, context.Canceled)
 }
 
-// An operator sends SIGHUP to a daemon that reads no file. It must not end with
-// the requests that it serves.
-//
-// It breaks without the Notify of SIGHUP in Signals: the test's process ends.
+// Guards against SIGHUP ending a daemon that watches no file, and with it the requests that
+// the daemon serves. Without the Notify of SIGHUP in Signals the test's process ends.
 func TestHangupDoesNotEndDaemon(t *testing.T) {
 	var g run.Group
 	Signals(&g, func(context.Context) {}, slog.New(slog.DiscardHandler))
--- a/daemon/wait.go
+++ b/daemon/wait.go
@@ -7,7 +7,7 @@
 	"github.com/oklog/run"
 )
 
-// Pause waits for d or the end of ctx.
+// Pause returns after d, or earlier if ctx ends.
 func Pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a process's settings from flags and SAVORYREEL_*
-// environment variables, a flag before a variable before the default, and
-// checks them all before anything starts.
+// Package settings reads the settings of a process from flags and SAVORYREEL_*
+// environment variables and validates them before the process starts. A flag
+// overrides a variable, and a variable overrides the default.
 package settings
 
 import (
@@ -16,20 +16,20 @@
 	"github.com/spf13/viper"
 )
 
-// EnvPrefix begins the name of every variable.
+// EnvPrefix is the prefix of every environment variable's name.
 const EnvPrefix = "SAVORYREEL"
 
-// Fault is one setting that was refused.
+// Fault describes one invalid setting.
 type Fault struct {
 	Flag, Variable, Reason string
 }
 
-// InvalidError lists every fault of a process's settings.
+// InvalidError lists all invalid settings of a process.
 type InvalidError struct {
 	Faults []Fault
 }
 
-// Error names flag, variable and reason, one fault a line.
+// Error returns one line per fault, with the flag, the variable and the reason.
 func (e *InvalidError) Error() string {
 	lines := []string{"settings refused:"}
 	for _, f := range e.Faults {
@@ -38,10 +38,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// Check refuses a value by returning why.
+// Check validates a value. It returns an error that gives the reason if the value is
+// invalid.
 type Check[T any] func(T) error
 
-// Set declares the settings of one process and reads them.
+// Set holds the declared settings of one process. Declare all of them, parse the
+// flags, then call Load.
 type Set struct {
 	flags   *pflag.FlagSet
 	viper   *viper.Viper
@@ -49,7 +51,7 @@
 	loaders []func() *Fault
 }
 
-// New returns a Set that declares its flags on flags.
+// New returns an empty Set that adds its flags to flags.
 func New(flags *pflag.FlagSet) *Set {
 	v := viper.New()
 	v.SetEnvPrefix(EnvPrefix)
@@ -58,44 +60,45 @@
 	return &Set{flags: flags, viper: v, secrets: map[string]bool{}}
 }
 
-// String declares a text setting that Load writes to into.
+// String declares a string setting that Load stores in dst.
 func (s *Set) String(dst *string, name, def, usage string, checks ...Check[string]) {
 	s.flags.String(name, def, usage+s.variableHint(name))
 	declare(s, dst, name, s.viper.GetString, checks)
 }
 
-// Secret declares a text setting whose value Print leaves out.
+// Secret declares a string setting whose value Print hides.
 func (s *Set) Secret(dst *string, name, usage string, checks ...Check[string]) {
 	s.secrets[name] = true
 	s.String(dst, name, "", usage, checks...)
 }
 
-// Strings declares a comma-separated list.
+// Strings declares a setting that is a comma-separated list.
 func (s *Set) Strings(dst *[]string, name string, def []string, usage string, checks ...Check[[]string]) {
 	s.flags.StringSlice(name, def, usage+s.variableHint(name))
 	declare(s, dst, name, s.list, checks)
 }
 
-// Int declares a whole number.
+// Int declares an integer setting.
 func (s *Set) Int(dst *int, name string, def int, usage string, checks ...Check[int]) {
 	s.flags.Int(name, def, usage+s.variableHint(name))
 	declare(s, dst, name, s.viper.GetInt, checks)
 }
 
-// Duration declares a length of time, such as 500ms.
+// Duration declares a setting in the format of time.ParseDuration, such as 500ms.
 func (s *Set) Duration(dst *time.Duration, name string, def time.Duration, usage string, checks ...Check[time.Duration]) {
 	s.flags.Duration(name, def, usage+s.variableHint(name))
 	declare(s, dst, name, s.viper.GetDuration, checks)
 }
 
-// Bool declares a switch.
+// Bool declares a boolean setting.
 func (s *Set) Bool(dst *bool, name string, def bool, usage string) {
 	s.flags.Bool(name, def, usage+s.variableHint(name))
 	declare(s, dst, name, s.viper.GetBool, nil)
 }
 
-// Load reads and checks every setting. The error is an *InvalidError that
-// lists all faults together, so that an operator mends them in one go.
+// Load reads and validates every setting, and stores the valid ones. If any is
+// invalid, it returns an *InvalidError that lists all of them, so that an operator
+// can correct them together.
 func (s *Set) Load() error {
 	if err := s.viper.BindPFlags(s.flags); err != nil {
 		return trace.Wrap(err, "step=bind flags")
@@ -112,7 +115,8 @@
 	return nil
 }
 
-// Print writes every setting in force as variable=value, secrets as "(set)".
+// Print writes the effective value of every setting as variable=value. It prints a
+// secret that is not empty as "(set)".
 func (s *Set) Print(w io.Writer) {
 	s.flags.VisitAll(func(f *pflag.Flag) {
 		value := s.viper.GetString(f.Name)
@@ -126,7 +130,8 @@
 	})
 }
 
-// list reads a list that came from a flag or, comma-separated, from a variable.
+// list returns the items of a list, trimmed and without empty ones. It splits each
+// item at commas because viper does not split the text of a variable there.
 func (s *Set) list(name string) []string {
 	var out []string
 	for _, item := range s.viper.GetStringSlice(name) {
@@ -139,12 +144,15 @@
 	return out
 }
 
+// variableHint returns the variable's name in brackets, for the usage text of a flag.
 func (s *Set) variableHint(name string) string { return " [" + variableName(name) + "]" }
 
+// variableName returns the name of the environment variable for a flag.
 func variableName(name string) string {
 	return EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
+// declare adds a loader that validates the setting and stores its value in dst.
 func declare[T any](s *Set, dst *T, name string, get func(string) T, checks []Check[T]) {
 	s.loaders = append(s.loaders, func() *Fault {
 		if err := s.checkSyntax(name); err != nil {
@@ -161,9 +169,9 @@
 	})
 }
 
-// wellFormed parses a variable's text as the flag would. The library's own
-// conversion turns text that is not a number into zero, which would start a
-// process with a setting that nobody chose.
+// checkSyntax returns an error if the text of a variable does not parse as the type of
+// its flag. Without this check viper converts text that is not a number to zero, and the
+// process starts with that value.
 func (s *Set) checkSyntax(name string) error {
 	f := s.flags.Lookup(name)
 	if f.Changed || f.Value.Type() == "stringSlice" {
@@ -177,7 +185,7 @@
 	return f.Value.Set(previous)
 }
 
-// Required refuses an empty text.
+// Required is a Check that rejects the empty string.
 func Required(v string) error {
 	if v == "" {
 		return fmt.Errorf("missing")
@@ -185,14 +193,14 @@
 	return nil
 }
 
-// HostPort refuses text that is not an IP number and a port.
+// HostPort is a Check that accepts only an IP address and a port, as in 127.0.0.1:7001.
 func HostPort(v string) error {
 	host, port, err := net.SplitHostPort(v)
 	if err != nil {
 		return fmt.Errorf("%q is not host:port", v)
 	}
 	if net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is not an IP number: instances talk by IP number", host)
+		return fmt.Errorf("%q is not an IP address; host names are not accepted", host)
 	}
 	if _, err := net.LookupPort("tcp", port); err != nil {
 		return fmt.Errorf("%q is not a port", port)
@@ -200,7 +208,7 @@
 	return nil
 }
 
-// HostPorts checks each item of a list with HostPort.
+// HostPorts is a Check that applies HostPort to each item of a list.
 func HostPorts(list []string) error {
 	for _, v := range list {
 		if err := HostPort(v); err != nil {
@@ -210,7 +218,7 @@
 	return nil
 }
 
-// Optional skips a check for the empty text.
+// Optional returns a Check that accepts the empty string and applies check to any other.
 func Optional(check Check[string]) Check[string] {
 	return func(v string) error {
 		if v == "" {
@@ -220,7 +228,7 @@
 	}
 }
 
-// Between refuses a value outside lo..hi.
+// Between returns a Check that accepts values from lo to hi, both included.
 func Between[T int | time.Duration](lo, hi T) Check[T] {
 	return func(v T) error {
 		if v < lo || v > hi {
@@ -230,7 +238,7 @@
 	}
 }
 
-// LogLevel refuses text that names no level of log/slog.
+// LogLevel is a Check that accepts only names of slog levels.
 func LogLevel(v string) error {
 	return new(slog.Level).UnmarshalText([]byte(v))
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -31,6 +31,8 @@
 	return s, c, s.Load()
 }
 
+// Guards against a wrong precedence of flag, variable and default, and against a list in
+// a variable that is not split at its commas.
 func TestFlagOverridesVariableOverridesDefault(t *testing.T) {
 	t.Setenv("SAVORYREEL_KEY", "k")
 	t.Setenv("SAVORYREEL_LIMIT", "7")
@@ -43,8 +45,8 @@
 	}, c)
 }
 
-// An operator starts an instance with three slips in its settings. Told of one
-// at a time, he would start it four times.
+// Guards against a Load that returns at the first invalid setting: an operator would have
+// to restart the process once for each of the four faults.
 func TestLoadReportsAllFaultsTogether(t *testing.T) {
 	t.Setenv("SAVORYREEL_LIMIT", "many")
 	_, _, err := loadTestConfig("--addr", "localhost", "--period", "1h")
@@ -57,6 +59,7 @@
 	}
 }
 
+// Guards against a secret's value in the output of Print.
 func TestPrintOmitsSecrets(t *testing.T) {
 	s, _, err := loadTestConfig("--key", "hush")
 	require.NoError(t, err)
--- a/site/site.go
+++ b/site/site.go
@@ -1,7 +1,6 @@
-// Package site holds what a process of the system is told of the place where it
-// runs: its own addresses and limits, where to find the others at first, and the
-// times within which promises to users have to be kept. Nothing in the code
-// names a figure of one site; what depends on the site comes from here.
+// Package site defines the configuration of a process that depends on the site where it
+// runs: its own addresses and resources, the seed addresses by which it finds the other
+// processes, and the time limits agreed with the site's users.
 package site
 
 import (
@@ -14,29 +13,29 @@
 	"github.com/gravitational/trace"
 )
 
-// Node is one process's place.
+// Node is the site configuration of one process.
 type Node struct {
 	Name   string
 	IP     string
 	Zone   string
 	Region string
 
-	// ZoneRegions names the region of each zone of the site.
+	// ZoneRegions maps each zone of the site to its region.
 	ZoneRegions map[string]string
 
-	// FirstPort and LastPort bound the ports that are free for traffic between the
-	// system's own processes, the same on all instances.
+	// FirstPort and LastPort are the bounds, both included, of the ports reserved for
+	// traffic between the system's processes. They are the same on all instances.
 	FirstPort int
 	LastPort  int
 
-	// Seeds are addresses (host:port) that serve operators, three at most. They
-	// are all that a process is told of the others, and may be out of date.
+	// Seeds are operator addresses (host:port) of control replicas, at most three. A
+	// process discovers all others through them. They may be out of date.
 	Seeds []string
 
-	// FirstStart is true only while the whole system starts for the first time.
+	// FirstStart is true only during the first start of the whole system.
 	FirstStart bool
 
-	DataDir string // empty: this instance has no disk
+	DataDir string // empty if the instance has no disk
 
 	Listen    Listen
 	Capacity  Capacity
@@ -44,12 +43,12 @@
 	Bounds    Bounds
 	Cloud     Cloud
 
-	// AnnounceEvery is how often backend servers announce themselves.
+	// AnnounceInterval is the interval at which each backend server announces itself.
 	AnnounceInterval time.Duration
 }
 
-// Listen holds the addresses (host:port) on which the process serves the outside.
-// An empty one is not served here.
+// Listen holds the addresses (host:port) on which the process accepts external
+// connections. The process opens no listener for an empty address.
 type Listen struct {
 	Callers   string
 	Readiness string
@@ -57,57 +56,58 @@
 	Directory string
 }
 
-// Capacity is what the instance offers this process.
+// Capacity holds the resources that the instance provides to this process.
 type Capacity struct {
-	CPUShare    float64 // part of a core
+	CPUShare    float64 // fraction of a core
 	MemoryBytes int64
 	Descriptors int
 }
 
-// Tolerance is what may be lost at a time with all promises kept.
+// Tolerance holds how many failures at the same time the system has to survive without
+// violating its guarantees.
 type Tolerance struct {
-	Instances int // of those that have a disk
+	Instances int // counts only instances with a disk
 	Zones     int
 	Regions   int
 }
 
-// Bounds are the times and amounts that the site's users hold the system to.
+// Bounds holds the time limits and tolerances agreed with the site's users.
 type Bounds struct {
-	Drain         time.Duration // from the acknowledgement of a leave to the last new run
+	Drain         time.Duration // from the acknowledgement of a leave until no new attempt starts there
 	StopGrace     time.Duration // from SIGTERM to SIGKILL
-	ConfigApply   time.Duration // from the acknowledgement of a change until it is in force everywhere
-	LeaseTime     time.Duration // two leaders that call the cloud are this far apart
-	AddressReuse  time.Duration // earliest use of a lost server's address by another one
-	DirectoryTTL  time.Duration // longest validity of a list of entries that callers honour
-	CatchUp       time.Duration // what an instance may take to be useful after its start
+	ConfigApply   time.Duration // from the acknowledgement of a change until it is in force on every instance
+	LeaseTime     time.Duration // minimum time between cloud calls of two successive leaders
+	AddressReuse  time.Duration // minimum time before another server may use an unreachable server's address
+	DirectoryTTL  time.Duration // longest validity of a list of entries that callers respect
+	CatchUp       time.Duration // from an instance's start until it is operational
 	UsageWindow   time.Duration
-	UsageLate     time.Duration // from the end of a window until its usage is due
+	UsageLate     time.Duration // from the end of a window until the deadline of its usage report
 	RetryWindow   time.Duration
-	RetryRatio    float64 // repeats for each request within RetryWindow
-	RetrySlack    float64 // repeats allowed besides
+	RetryRatio    float64 // retries per request within RetryWindow
+	RetrySlack    float64 // retries allowed in addition
 	QuotaWindow   time.Duration
-	QuotaOverrun  float64 // part of a workspace's limit that may be exceeded
-	QuotaSlack    float64 // amount that may be exceeded besides
-	FencesChecked bool    // the cloud refuses orders with an old fencing number
+	QuotaOverrun  float64 // fraction of a workspace's limit by which it may be exceeded
+	QuotaSlack    float64 // amount by which it may be exceeded in addition
+	FencesChecked bool    // the cloud rejects calls with an outdated fencing token
 }
 
-// usageWorth is how long a window's usage is reported at all, in times until it is
-// due: whoever bills by it takes a report that is late by as much as it may take.
+// usageRetentionFactor is the retention of a window's usage as a multiple of UsageLate.
+// A report is still accepted when it is late by another UsageLate.
 const usageRetentionFactor = 2
 
-// UsageKept is how long after its end a window is still reported.
+// UsageRetention returns how long after its end the usage of a window is still reported.
 func (b *Bounds) UsageRetention() time.Duration { return usageRetentionFactor * b.UsageLate }
 
-// UsageWindows is how many windows there are at any time whose usage is still to be
-// told or reported: the open one, and those that ended within UsageKept.
+// UsageWindows returns the largest number of windows whose usage is retained at the same
+// time: the open one and those that ended within UsageRetention.
 func (b *Bounds) UsageWindows() int64 { return int64(b.UsageRetention()/b.UsageWindow) + 2 }
 
-// Cloud is the cloud API. An empty address means that there is none.
+// Cloud configures the cloud API. Address is empty if the site has none.
 type Cloud struct {
 	Address   string
-	PerSecond float64 // calls accepted from all instances together
-	Usage     bool    // usage is to be reported
-	Scaling   bool    // backend servers are to be ordered
+	PerSecond float64 // rate limit for the calls of all instances together
+	Usage     bool    // whether to report usage
+	Scaling   bool    // whether to order backend servers
 }
 
 // Ports that the processes use, as offsets from FirstPort.
@@ -119,25 +119,25 @@
 	lastOffset          = entryExchangeOffset
 )
 
-// ControlLink is the address on which the control replica at ip takes links.
+// ControlLink returns the address on which the control replica at ip accepts links.
 func (n *Node) ControlLink(ip string) string { return n.internalAddress(ip, controlLinkOffset) }
 
-// ControlOps is the address of this control replica's metrics.
+// ControlOps returns the address of this control replica's metrics.
 func (n *Node) ControlOps() string { return n.internalAddress(n.IP, controlOpsOffset) }
 
-// EntryOps is the address of this entry's metrics.
+// EntryOps returns the address of this entry's metrics.
 func (n *Node) EntryOps() string { return n.internalAddress(n.IP, entryOpsOffset) }
 
-// EntryBooks is the address, for datagrams, on which the entry at ip is asked and told
-// what runs at backend servers.
+// EntryExchange returns the UDP address on which the entry at ip exchanges the load of
+// backend servers and the use of limits with other entries.
 func (n *Node) EntryExchange(ip string) string { return n.internalAddress(ip, entryExchangeOffset) }
 
 func (n *Node) internalAddress(ip string, offset int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(n.FirstPort+offset))
 }
 
-// SeedLinks returns the link addresses of the control replicas that the seeds
-// name. A seed that is no address is left out; Validate has refused it.
+// SeedLinks returns the link addresses of the control replicas in Seeds. It skips a seed
+// that is not host:port; Validate rejects such a seed.
 func (n *Node) SeedLinks() []string {
 	var links []string
 	for _, seed := range n.Seeds {
@@ -148,7 +148,7 @@
 	return links
 }
 
-// Validate reports the first field that makes no sense.
+// Validate returns an error for the first invalid field.
 func (n *Node) Validate() error {
 	if _, err := netip.ParseAddr(n.IP); err != nil {
 		return trace.BadParameter("own address %q: %v", n.IP, err)
@@ -157,10 +157,10 @@
 		return trace.BadParameter("zone is empty")
 	}
 	if n.FirstPort <= 0 || n.LastPort < n.FirstPort+lastOffset {
-		return trace.BadParameter("ports %d to %d: need %d in a row", n.FirstPort, n.LastPort, lastOffset+1)
+		return trace.BadParameter("ports %d to %d: want at least %d consecutive ports", n.FirstPort, n.LastPort, lastOffset+1)
 	}
 	if len(n.Seeds) == 0 {
-		return trace.BadParameter("no seeds")
+		return trace.BadParameter("list of seeds is empty")
 	}
 	for _, seed := range n.Seeds {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
