--- a/event/event.go
+++ b/event/event.go
@@ -1,6 +1,6 @@
-// Package event numbers the log lines of the system. Each kind of line has one
-// number, kept for good, so that an operator can search for it and find in
-// docs/EVENTS.md what it means and what to do.
+// Package event defines the numbered log events of the system, and writes, samples and
+// searches log lines. The number of an event never changes and is never reused, so that
+// operators can look it up in docs/EVENTS.md.
 package event
 
 import (
@@ -9,11 +9,12 @@
 	"strconv"
 )
 
-// Kind is the number of one kind of log line.
+// Kind is the number of an event.
 type Kind uint16
 
-// The kinds. 1xxx is the life of a process, 2xxx requests, 3xxx backend servers
-// and membership, 4xxx catalogue and planned stops, 5xxx control replicas.
+// The events. 1xxx: start, stop and settings of a process; 2xxx: requests; 3xxx: backend
+// servers, membership and limits; 4xxx: catalogue and planned stops; 5xxx: control replicas
+// and cloud.
 const (
 	ProcessStarted    Kind = 1001
 	ProcessStopping   Kind = 1002
@@ -78,13 +79,13 @@
 	StartRefused      Kind = 5202
 )
 
-// Description is a line of the catalogue of events.
+// Description describes one event.
 type Description struct {
 	Kind Kind
 	Name string // the log line's message
 }
 
-// catalogue lists every kind; docs/EVENTS.md repeats it with what to do.
+// catalogue lists every event. docs/EVENTS.md has one row for each of them.
 var catalogue = [...]Description{
 	{ProcessStarted, "process started"},
 	{ProcessStopping, "process stopping"},
@@ -149,10 +150,10 @@
 	{CloudCallFailed, "cloud call failed"},
 }
 
-// All returns the catalogue of events, by number.
+// All returns the descriptions of all events. The caller must not modify the slice.
 func All() []Description { return catalogue[:] }
 
-// String is the kind's message.
+// String returns the message of the event's log lines.
 func (k Kind) String() string {
 	for _, d := range catalogue {
 		if d.Kind == k {
@@ -162,7 +163,7 @@
 	return "event " + strconv.Itoa(int(k))
 }
 
-// Log writes one line of kind k with its number as attribute "event".
+// Log writes one log line of event k, with its number as attribute "event".
 func Log(ctx context.Context, l *slog.Logger, level slog.Level, k Kind, attrs ...slog.Attr) {
 	if !l.Enabled(ctx, level) {
 		return
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -12,8 +12,8 @@
 
 var eventRow = regexp.MustCompile(`(?m)^\| (\d{4}) \| ([^|]+) \|`)
 
-// The page and the code name the same events: an operator who searches the page
-// for a number from the log must find it, with the same name.
+// Guards against events that docs/EVENTS.md lacks, lists under another message, or lists
+// although the code has none: an operator would not find an event from the log there.
 func TestPageListsEveryEvent(t *testing.T) {
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	require.NoError(t, err)
@@ -27,6 +27,7 @@
 	require.Len(t, listed, len(All()), "docs/EVENTS.md lists events that the code does not have")
 }
 
+// Guards against two events with the same number.
 func TestEventNumbersAreUnique(t *testing.T) {
 	seen := map[Kind]bool{}
 	for _, d := range All() {
--- a/event/sampler.go
+++ b/event/sampler.go
@@ -7,14 +7,12 @@
 	"time"
 )
 
-// DefaultOrdinary is how many lines of ordinary success a process writes in a
-// second: some four times what an entry of today's sites answers, at about 20
-// microseconds a line a fifth of a percent of a core.
+// DefaultSampledPerSecond is the default bound of a Sampler, in lines per second.
 const DefaultSampledPerSecond = 100
 
-// Sampler bounds the lines that tell of ordinary success. Lines of refusals and
-// failures do not go through it. What it leaves out is counted in a line of its own,
-// once a second.
+// Sampler limits the rate of log lines about successful requests. Lines about refusals and
+// failures are written without it. It counts the lines that it omits, and reports the count
+// at most once per second as event LinesSampled. It is safe for concurrent use.
 type Sampler struct {
 	log          *slog.Logger
 	now          func() time.Time
@@ -26,12 +24,13 @@
 	omitted     int
 }
 
-// NewSampler returns a Sampler that lets most lines a second through.
+// NewSampler returns a Sampler that writes at most maxPerSecond lines per second to log.
 func NewSampler(log *slog.Logger, now func() time.Time, maxPerSecond int) *Sampler {
 	return &Sampler{log: log, now: now, maxPerSecond: maxPerSecond}
 }
 
-// Log writes a line of kind k at level info, if there is room for it.
+// Log writes a line of event k at level info, or counts it as omitted if the limit of this
+// second is reached.
 func (s *Sampler) Log(ctx context.Context, k Kind, attrs ...slog.Attr) {
 	ok, omitted := s.admit()
 	if omitted > 0 {
@@ -42,8 +41,8 @@
 	}
 }
 
-// admit counts a line; left is how many were left out in the second before, told
-// once.
+// admit counts a line and reports whether to write it. With the first line of a new second
+// it also returns how many lines were omitted in the previous one.
 func (s *Sampler) admit() (ok bool, omitted int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/event/trace.go
+++ b/event/trace.go
@@ -11,18 +11,19 @@
 	"github.com/gravitational/trace"
 )
 
-// Line is one line of a log that concerns a request.
+// Line is one log line about a request.
 type Line struct {
-	Source string // where it was read
+	Source string // name of the log
 	Time   time.Time
 	Text   string
 }
 
-// maxLine bounds one log line.
+// maxLineBytes is the longest log line that Trace reads. A longer one is an error.
 const maxLineBytes = 1 << 20
 
-// Trace returns the lines of one log that concern a request. Lines that are no JSON
-// are passed over: a log may hold other output too.
+// Trace reads the log r and returns its lines about the request with this id. It skips
+// lines without JSON, and in other lines the text before the first brace, because a log may
+// also contain other output. source names the log in the lines and in the error.
 func Trace(source string, r io.Reader, request string) ([]Line, error) {
 	var out []Line
 	scanner := bufio.NewScanner(r)
@@ -45,7 +46,7 @@
 	return out, trace.Wrap(scanner.Err(), "step=read log %s", source)
 }
 
-// SortLines orders lines of several logs by their time.
+// SortLines sorts lines by time. Lines of the same time keep their order.
 func SortLines(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
--- a/event/trace_test.go
+++ b/event/trace_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A user complains of one request, which two processes have handled.
+// Guards against lines of other requests in the result, against missed lines with a prefix
+// before the JSON, and against a wrong order of lines from two processes.
 func TestTraceMergesLogsOfOneRequest(t *testing.T) {
 	first := `{"time":"2026-01-01T00:00:02Z","msg":"request ended","request":"a"}
 not JSON
@@ -31,8 +32,8 @@
 	require.Contains(t, lines[2].Text, "request ended")
 }
 
-// Load rises tenfold. The lines of ordinary success stay bounded, and what is left
-// out is told.
+// Guards against an unbounded rate of log lines when the load rises, and against omitted
+// lines that are not counted.
 func TestSamplerBoundsLinesPerSecond(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(0, 0)
--- a/event/writer.go
+++ b/event/writer.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait for the reader of the log: a second of
-	// a busy process's.
+	// maxQueuedLines is the capacity of a Writer's queue: about one second of a busy
+	// process's log lines.
 	maxQueuedLines = 4096
-	// flushTimeout bounds how long the end of a process waits for its last lines.
+	// flushTimeout is the longest time that Close waits for the queue to be written.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// Writer writes log lines from a goroutine of its own. A reader of the log that
-// stalls would otherwise hold up every request at its next line. When the queue is
-// full, lines are dropped; their number is written as soon as there is room again.
+// Writer is an io.Writer that queues log lines and writes them from its own goroutine, so
+// that a blocked output does not block the requests that log. It drops lines while the queue
+// is full, and writes their number after the next line as event LinesDropped.
 type Writer struct {
 	out       io.Writer
 	lines     chan []byte
@@ -27,14 +27,16 @@
 	closeOnce sync.Once
 }
 
-// NewWriter returns a Writer to out. Close it to write what waits.
+// NewWriter returns a Writer to out and starts its goroutine. Close it to write the queued
+// lines.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues one line. It never blocks and never fails.
+// Write queues a copy of one line, or drops it if the queue is full. It never blocks and
+// always returns a nil error.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -44,7 +46,7 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines have been dropped and not been told of yet.
+// Dropped returns how many lines have been dropped and not reported in the log yet.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
 func (w *Writer) run() {
@@ -53,14 +55,15 @@
 		if line == nil {
 			return
 		}
-		_, _ = w.out.Write(line) // there is nobody to tell that the log is gone
+		_, _ = w.out.Write(line) // a failure of the log's output cannot be reported anywhere
 		if n := w.dropped.Swap(0); n > 0 {
 			_, _ = fmt.Fprintf(w.out, `{"level":"WARN","msg":%q,"event":%d,"lines":%d}`+"\n", LinesDropped, LinesDropped, n)
 		}
 	}
 }
 
-// Close writes what waits, as far as the reader takes it within flushTimeout.
+// Close writes the queued lines, and returns after flushTimeout even if some are left. Lines
+// written after Close are lost.
 func (w *Writer) Close() {
 	w.closeOnce.Do(func() {
 		deadline := time.After(flushTimeout)
--- a/event/writer_test.go
+++ b/event/writer_test.go
@@ -11,10 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The reader of a process's log stalls. Requests must go on: lines are dropped and
-// counted, and the count is written when the reader goes on.
-//
-// It breaks if Write waits for the reader.
+// Guards against a Write that blocks while the log's reader is stalled, which would block
+// requests, and against dropped lines that the log does not report afterwards.
 func TestStalledLogReaderDoesNotBlockWrites(t *testing.T) {
 	reader, pipe := io.Pipe()
 	w := NewWriter(pipe)
@@ -39,6 +37,7 @@
 	require.Less(t, strings.Count(text, "line "), lines)
 }
 
+// Guards against a process that ends without its last log lines.
 func TestCloseWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,5 +1,6 @@
-// Package operator is the operators' client: it reads and changes the catalogue
-// and the planned stops over a control replica's HTTP API.
+// Package operator is a client of the control replicas' HTTP API for operators. It reads and
+// changes the catalogue, the planned stops and the set of replicas, and reads the status of
+// replicas and entries.
 package operator
 
 import (
@@ -23,33 +24,34 @@
 	"savoryreel.example/savoryreel/request"
 )
 
-// attemptTimeout bounds one call of one replica; it is above the replica's own
-// bound, so that the replica's word on the outcome arrives.
+// attemptTimeout is the timeout of one call to one replica. It is longer than the replica's
+// own timeout, so that the replica can still report the outcome.
 const attemptTimeout = 7 * time.Second
 
-// maxReply bounds an answer: a catalogue and its history fit many times.
+// maxReplyBytes is the limit on the body of a response.
 const maxReplyBytes = 64 << 20
 
-// Client calls control replicas. It is safe for concurrent use.
+// Client calls the control replicas. It is safe for concurrent use.
 type Client struct {
 	addresses []string // of the replicas' operator APIs
 	key       string
 	http      *http.Client
 }
 
-// New returns a client of the replicas at these operator addresses.
+// New returns a Client of the replicas at these operator addresses (host:port). key is the
+// operators' bearer key.
 func New(addresses []string, key string) *Client {
 	return &Client{addresses: addresses, key: key, http: &http.Client{Timeout: attemptTimeout}}
 }
 
-// RefusedError is an operator's call that control refused.
+// RefusedError is returned for a call that a control replica has refused.
 type RefusedError struct {
 	Status  int
 	Problem request.Problem
-	Result  contract.Result // of a change; its Code is empty otherwise
+	Result  contract.Result // for a refused change; otherwise its Code is empty
 }
 
-// Error tells the reason and, for a conflict, which change won.
+// Error returns the reason and, for a conflict, the change that was applied instead.
 func (e *RefusedError) Error() string {
 	if e.Result.Code == "" {
 		return fmt.Sprintf("%s: %s", e.Problem.Code, e.Problem.Detail)
@@ -70,7 +72,7 @@
 	return v, c.get(ctx, "/v1/catalogue", &v)
 }
 
-// History returns the newest n changes, newest first.
+// History returns the latest n changes, latest first.
 func (c *Client) History(ctx context.Context, n int) ([]contract.Entry, error) {
 	var v []contract.Entry
 	return v, c.get(ctx, "/v1/history?n="+strconv.Itoa(n), &v)
@@ -82,13 +84,14 @@
 	return v, c.get(ctx, "/v1/stops", &v)
 }
 
-// Apply replaces the catalogue, made against version base. It is resent after a
-// lost answer under the same change id, so it takes hold at most once.
+// Apply replaces the catalogue by doc, which was made from version base. It sends the change
+// to the next replica when one fails, under the same change id, so that the change is applied
+// at most once.
 func (c *Client) Apply(ctx context.Context, doc []byte, base uint64) (contract.Result, error) {
 	return c.change(ctx, http.MethodPut, "/v1/catalogue", doc, base)
 }
 
-// PlanStop plans a stop.
+// PlanStop adds a planned stop. Like Apply, it is applied at most once.
 func (c *Client) PlanStop(ctx context.Context, s contract.Stop) (contract.Result, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -97,13 +100,13 @@
 	return c.change(ctx, http.MethodPost, "/v1/stops", body, 0)
 }
 
-// CancelStop cancels a planned stop.
+// CancelStop cancels the planned stop with this id.
 func (c *Client) CancelStop(ctx context.Context, id string) (contract.Result, error) {
 	return c.change(ctx, http.MethodDelete, "/v1/stops/"+url.PathEscape(id), nil, 0)
 }
 
-// Replicas asks each replica for its own state; one that does not answer is
-// shown with its error.
+// Replicas returns the status of each replica. The status of a replica that does not answer
+// has its address as ID, and Error set.
 func (c *Client) Replicas(ctx context.Context) []api.ReplicaStatus {
 	out := make([]api.ReplicaStatus, len(c.addresses))
 	for i, addr := range c.addresses {
@@ -114,8 +117,8 @@
 	return out
 }
 
-// ChangeReplicas changes the set of control replicas by one and returns the
-// leader's state. The same change may be made again after a lost answer.
+// ChangeReplicas adds, promotes or removes one control replica and returns the leader's
+// status. The call may be repeated if its outcome is unknown.
 func (c *Client) ChangeReplicas(ctx context.Context, ch api.ReplicaChange) (api.ReplicaStatus, error) {
 	var v api.ReplicaStatus
 	body, err := json.Marshal(ch)
@@ -134,8 +137,7 @@
 	})
 }
 
-// change sends one change under one id, to one replica after the other until
-// one answers.
+// change sends a change to the replicas with tryReplicas, under one change id.
 func (c *Client) change(ctx context.Context, method, path string, body []byte, base uint64) (contract.Result, error) {
 	var result contract.Result
 	h := http.Header{}
@@ -148,8 +150,9 @@
 	return result, err
 }
 
-// eachUntil tries the replicas in order until one answers for good: a refusal
-// is an answer, a replica out of reach or without a leader is not.
+// tryReplicas calls attempt for one replica after the other until one gives a final answer.
+// A refusal is final; a failed call and status 503 (no leader) are not. It returns the last
+// error.
 func (c *Client) tryReplicas(attempt func(addr string) error) error {
 	var err error
 	for _, addr := range c.addresses {
@@ -186,8 +189,8 @@
 	return trace.Wrap(json.Unmarshal(reply, dst), "step=decode answer peer=%s", addr)
 }
 
-// refusal decodes either shape of a refusal: a problem document, or the result
-// of a change.
+// refusal returns a *RefusedError from the body, which is either a problem document or the
+// result of a change.
 func refusal(resp *http.Response, body []byte) error {
 	e := &RefusedError{Status: resp.StatusCode}
 	var err error
@@ -202,7 +205,8 @@
 	return e
 }
 
-// operatorName is who made a change, for the history.
+// operatorName returns the name of the user who runs this process, for the history of
+// changes.
 func operatorName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
--- a/operator/entry.go
+++ b/operator/entry.go
@@ -9,8 +9,8 @@
 	"savoryreel.example/savoryreel/entry"
 )
 
-// EntryStatus asks an entry's operations listener for its state. An entry that
-// does not answer is shown with its error.
+// EntryStatus returns the status of the entry at an operations address (host:port). The
+// status of an entry that does not answer has the address as ID, and Error set.
 func EntryStatus(ctx context.Context, address string) entry.StatusView {
 	v, err := entryStatus(ctx, address)
 	if err != nil {
