--- a/explain/account.go
+++ b/explain/account.go
@@ -13,36 +13,36 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// Bounds of what is read and kept.
+// Limits on the input and the memory.
 const (
-	maxLineBytes = 1 << 20 // bytes
-	// maxOpen bounds the requests whose end has not been read yet. Where a process is
-	// killed their ends never come.
+	maxLineBytes = 1 << 20
+	// maxPending limits the requests whose end has not been read yet. The log of a process
+	// that was killed lacks the ends of its running requests.
 	maxPending = 200_000
-	// Histograms hold microseconds up to a minute.
+	// maxMicroseconds is the largest value of the histograms; larger ones count as this.
 	maxMicroseconds    = int64(time.Minute / time.Microsecond)
-	significantFigures = 2 // significant figures
+	significantFigures = 2 // of the histograms
 )
 
-// Account adds up what logs tell. It is not safe for concurrent use.
+// Account accumulates the statistics of logs. It is not safe for concurrent use.
 type Account struct {
-	pending map[string]*line // the last choice of requests that have not ended
+	pending map[string]*line // by request: its latest RouteChosen line
 
-	Requests int // that ended
-	Skipped  int // lines that could not be read, or are of no known kind
-	LeftOut  int // lines that processes left out for their number
-	Torn     int // lines longer than any that a process writes
+	Requests int // that ended and were owed an answer, see owedAnswer
+	Skipped  int // lines without JSON or without an event number
+	LeftOut  int // lines that processes omitted because of their rate, see event.Sampler
+	Torn     int // lines longer than maxLineBytes
 
 	By             map[Dimension]map[string]Tally
 	firstEnd       time.Time
-	loadAges       *hdrhistogram.Histogram // of the word that decided
-	firstByteTimes *hdrhistogram.Histogram // from the arrival to the first byte
+	loadAges       *hdrhistogram.Histogram // age of the load report on which the choice was based
+	firstByteTimes *hdrhistogram.Histogram // from the request's arrival to the first byte of the answer
 }
 
-// Dimension is what requests are grouped by.
+// Dimension is an attribute by which requests are grouped.
 type Dimension string
 
-// The dimensions.
+// The dimensions. All has a single group with the empty key.
 const (
 	All       Dimension = "all"
 	Second    Dimension = "second"
@@ -52,13 +52,13 @@
 	Size      Dimension = "prompt tokens"
 )
 
-// Tally counts requests by what became of them.
+// Tally counts requests by Reason.
 type Tally map[Reason]int
 
-// Lost is how many were not answered in time.
+// Lost returns the number of requests that were not answered in time.
 func (t Tally) Lost() int { return t.Total() - t[InTime] }
 
-// Total is how many there were.
+// Total returns the number of requests.
 func (t Tally) Total() int {
 	n := 0
 	for _, c := range t {
@@ -67,7 +67,7 @@
 	return n
 }
 
-// NewAccount returns an empty account.
+// NewAccount returns an empty Account.
 func NewAccount() *Account {
 	return &Account{
 		pending: make(map[string]*line), By: make(map[Dimension]map[string]Tally),
@@ -75,7 +75,8 @@
 	}
 }
 
-// Read adds a log. Errors are those of reading; what was read before one stays.
+// Read adds the log r. It returns the error of r, if any, with source as the log's name; the
+// lines before the error are counted.
 func (a *Account) Read(source string, r io.Reader) error {
 	in := bufio.NewReaderSize(r, 64<<10)
 	for {
@@ -95,8 +96,9 @@
 	}
 }
 
-// long reads the rest of a line that is longer than the buffer. One beyond maxLine is
-// passed over: a torn log may join many.
+// readLongLine reads the rest of a line that is longer than the reader's buffer and returns
+// the whole line. It skips a line longer than maxLineBytes and counts it as torn: in a
+// damaged log many lines may have been joined.
 func (a *Account) readLongLine(in *bufio.Reader, prefix []byte) ([]byte, error) {
 	text := bytes.Clone(prefix)
 	for {
@@ -115,6 +117,7 @@
 	}
 }
 
+// addLine counts one line of a log.
 func (a *Account) addLine(text []byte) {
 	l, ok := parse(text)
 	if !ok {
@@ -133,6 +136,7 @@
 	}
 }
 
+// recordEnd counts a request by its last line.
 func (a *Account) recordEnd(l *line) {
 	chosen := a.pending[l.Request]
 	delete(a.pending, l.Request)
@@ -142,7 +146,7 @@
 	if chosen == nil {
 		chosen = &line{}
 	} else {
-		_ = a.loadAges.RecordValue(min(chosen.LoadAge.Microseconds(), maxMicroseconds)) // within bounds
+		_ = a.loadAges.RecordValue(min(chosen.LoadAge.Microseconds(), maxMicroseconds)) // no error: the value is limited to maxMicroseconds
 	}
 	if l.FirstByte > 0 {
 		_ = a.firstByteTimes.RecordValue(min(l.FirstByte.Microseconds(), maxMicroseconds))
@@ -164,6 +168,7 @@
 	}
 }
 
+// count adds one request to the group key of dimension d.
 func (a *Account) count(d Dimension, key string, reason Reason) {
 	groups := a.By[d]
 	if groups == nil {
--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,8 +1,9 @@
-// Package explain reads the logs of entries and says where service was lost: how
-// many requests were answered in time, and for which reason the others were not, by
-// second, route, workspace, zone of the entry, server and size of prompt.
+// Package explain analyses the logs of entries. It counts how many requests were answered
+// within their objective, and classifies the others by the reason why they were not; in
+// total, and by second, route, workspace, backend server and size of the prompt.
 //
-// It reads line by line and keeps one record for each request that has not ended, so
-// that logs of any length can be read. Lines that are no JSON, or not of a kind that it
-// knows, are counted and passed over: a log may be torn, or hold other output too.
+// It reads line by line and holds one record per pending request, at most maxPending, so
+// that its memory does not grow with the length of the logs. It skips and counts lines
+// without JSON or without an event number, because a log may be damaged or contain other
+// output.
 package explain
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ended returns the line of a request that ended, as an entry writes it.
+// ended returns the RequestEnded line of an answered request, with some attributes replaced.
 func ended(id string, fields map[string]any) string {
 	all := map[string]any{
 		"time": "2026-08-10T08:47:21.02572484Z", "event": 2001, "request": id, "workspace": "w", "route": "r", "server": "s1",
@@ -26,6 +26,7 @@
 	return string(text) + "\n"
 }
 
+// chosen returns the RouteChosen line of a request.
 func chosen(id string, prompt, cached, ahead int) string {
 	return fmt.Sprintf(`{"time":"2026-08-10T08:47:21Z","event":2101,"request":%q,"server":"s1","prompt":%d,"cached":%d,"ahead":%d,"loadAge":1000000}`+"\n",
 		id, prompt, cached, ahead)
@@ -37,7 +38,7 @@
 	return a
 }
 
-// Each request is counted with one reason, whatever it was that went wrong.
+// Guards against a request that is counted with a wrong reason, or with several.
 func TestEachRequestHasOneReason(t *testing.T) {
 	late := map[string]any{"firstByte": 200e6}
 	for want, log := range map[Reason]string{
@@ -61,15 +62,15 @@
 	}
 }
 
-// Callers with unknown keys, and paths without a route, lose no service.
+// Guards against requests with an unknown key or without a route that count as lost.
 func TestUnknownKeysAndRoutesAreNotCounted(t *testing.T) {
 	a := read(t, ended("a", map[string]any{"outcome": "unknown_key"})+ended("b", map[string]any{"outcome": "no_route"}))
 	require.Zero(t, a.Requests)
 }
 
-// A log was torn when its machine died, has lines of another version and of other
-// programs, and one line without an end. What can be read of it counts, and what can't is
-// told.
+// Guards against a damaged log that stops the analysis: truncated lines, other output, an
+// unknown line format, an overlong line and a last line without a line end. Readable lines
+// count, and the others are reported as skipped or torn.
 func TestTornLogCountsUnreadableLines(t *testing.T) {
 	torn := ended("x", nil)[:40]
 	a := read(t, "   3.2 entry-1 "+ended("a", nil)+"no JSON\n"+torn+"\n\n"+`{"time":"later","event":"odd"}`+"\n"+
@@ -80,7 +81,7 @@
 	require.Equal(t, 12, a.LeftOut)
 }
 
-// The disk fails while a log is read. That is said, with the log's name.
+// Guards against a read error that is ignored, or reported without the log's name.
 func TestReadErrorNamesLog(t *testing.T) {
 	broken := errors.New("disk")
 	err := NewAccount().Read("entry-1.log", io.MultiReader(strings.NewReader(ended("a", nil)), iotest.ErrReader(broken)))
@@ -88,8 +89,8 @@
 	require.ErrorContains(t, err, "entry-1.log")
 }
 
-// Requests whose ends never come, as of processes that were killed, don't fill the
-// memory.
+// Guards against memory use without a bound when the logs lack the ends of requests, as
+// those of killed processes do.
 func TestPendingRequestsAreBounded(t *testing.T) {
 	a := NewAccount()
 	for i := range maxPending + 1000 {
@@ -98,6 +99,7 @@
 	require.LessOrEqual(t, len(a.pending), maxPending)
 }
 
+// Guards against wrong counts or reasons in the table, and a report that is not valid JSON.
 func TestWriteTableAndJSON(t *testing.T) {
 	a := read(t, chosen("a", 1000, 0, 9000)+ended("a", map[string]any{"firstByte": 200e6})+ended("b", nil)+
 		ended("c", map[string]any{"event": 2002, "outcome": "over_limit", "server": "", "sends": 0, "workspace": "busy"}))
--- a/explain/line.go
+++ b/explain/line.go
@@ -8,23 +8,23 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// line is what explain reads of a log line. Durations are nanoseconds, as slog
-// writes them.
+// line holds the attributes of a log line that explain uses. Durations are in nanoseconds,
+// as slog writes them.
 type line struct {
 	Time    time.Time  `json:"time"`
 	Event   event.Kind `json:"event"`
 	Request string     `json:"request"`
 
-	// Of a choice.
+	// Attributes of event RouteChosen.
 	Service string        `json:"service"`
 	Server  string        `json:"server"`
-	Cached  int           `json:"cached"` // tokens of the prompt
+	Cached  int           `json:"cached"` // prompt tokens that the server is expected to have cached
 	Prompt  int           `json:"prompt"` // tokens
-	Load    int           `json:"load"`   // requests taken to run at the server
-	Ahead   int           `json:"ahead"`  // prompt tokens taken to be read there first
+	Load    int           `json:"load"`   // estimated requests running at the server
+	Ahead   int           `json:"ahead"`  // estimated prompt tokens that the server prefills before this prompt
 	LoadAge time.Duration `json:"loadAge"`
 
-	// Of an end.
+	// Attributes of events RequestEnded and RequestRefused.
 	Workspace string        `json:"workspace"`
 	Route     string        `json:"route"`
 	Sends     int           `json:"sends"`
@@ -33,16 +33,16 @@
 	Objective time.Duration `json:"objective"`
 	Outcome   string        `json:"outcome"`
 	Status    int           `json:"status"`
-	Retried   bool          `json:"cameBack"` // the objective had passed since the caller's first try
+	Retried   bool          `json:"cameBack"` // the caller retried after its objective had passed since its first attempt
 
-	Lines int `json:"lines"` // of one that says how many were left out
+	Lines int `json:"lines"` // attribute of event LinesSampled: the number of omitted lines
 }
 
-// ordinary is how lines that were left out for their number are told of.
+// linesSampled is the event that reports omitted lines.
 const linesSampled = event.LinesSampled
 
-// parse reads a line. Text before the JSON, as a name put there by whoever gathered
-// the logs, is passed over.
+// parse decodes a line and reports whether it has JSON with an event number. It skips the
+// text before the first brace, such as the name of the process that a log collector adds.
 func parse(text []byte) (line, bool) {
 	jsonStart := bytes.IndexByte(text, '{')
 	if jsonStart < 0 {
--- a/explain/reason.go
+++ b/explain/reason.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Reason says what became of a request, as its caller sees it.
+// Reason classifies the outcome of a request from its caller's point of view.
 type Reason string
 
-// The reasons. All but InTime are service lost.
+// The reasons. Requests of all but InTime count as lost.
 const (
 	InTime       Reason = "in time"
 	OverLimit    Reason = "over its workspace's limit"
@@ -26,12 +26,12 @@
 	LatePrompt   Reason = "late: its own prompt takes longer than its objective"
 )
 
-// readsPerSecond is the rate at which prompt tokens are taken to be read where the log
-// does not tell: of today's engines the slower one.
+// prefillTokensPerSecond is the assumed rate at which a server prefills prompt tokens. The
+// logs do not have the actual rate.
 const prefillTokensPerSecond = 36_000
 
-// reasonOf says why a request that has ended was or was not answered in time. chosen is
-// its last choice, and may be empty where that line was left out.
+// reasonOf returns the reason for a request that ended with line end. chosen is its latest
+// RouteChosen line, or the zero line if the log has none.
 func reasonOf(end *line, chosen *line) Reason {
 	switch end.Outcome {
 	case "answered":
@@ -54,6 +54,7 @@
 	}
 }
 
+// reasonOfAnswered returns the reason for a request with outcome "answered".
 func reasonOfAnswered(end *line, chosen *line) Reason {
 	switch {
 	case end.Status >= http.StatusInternalServerError:
@@ -73,10 +74,11 @@
 	}
 }
 
+// prefillTime returns the estimated time to prefill this many prompt tokens.
 func prefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / prefillTokensPerSecond * float64(time.Second))
 }
 
-// decided reports whether the request was one that the system had to answer: callers
-// with unknown keys and routes are not owed one.
+// owedAnswer reports whether the request counts: requests with an unknown key or route are
+// not owed an answer.
 func owedAnswer(end *line) bool { return end.Outcome != "unknown_key" && end.Outcome != "no_route" }
--- a/explain/table.go
+++ b/explain/table.go
@@ -14,13 +14,14 @@
 	"github.com/gravitational/trace"
 )
 
-// mostRows bounds the rows of a dimension with many keys: those that lose most.
+// maxRows is the number of rows that the table shows of a dimension with many keys; they are
+// those with the most lost requests.
 const maxRows = 12
 
-// secondOf names a second, so that names sort by time.
+// secondKey returns the key of a second, padded so that keys sort by time.
 func secondKey(since time.Duration) string { return fmt.Sprintf("%4d", int(since.Seconds())) }
 
-// sizeOf names the class of a prompt by its length: powers of two.
+// sizeClass returns the key of a prompt's size class, whose upper bound is a power of two.
 func sizeClass(tokens int) string {
 	class := 1
 	for class < tokens {
@@ -29,7 +30,7 @@
 	return fmt.Sprintf("up to %6d", class)
 }
 
-// WriteTable writes the account for people to read.
+// WriteTable writes the account as text tables.
 func (a *Account) WriteTable(w io.Writer) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(out, "%d requests ended; lines: %d left out by processes, %d passed over, %d torn\n", a.Requests, a.LeftOut, a.Skipped, a.Torn)
@@ -45,6 +46,7 @@
 	return trace.Wrap(out.Flush(), "step=write table")
 }
 
+// writeDimension writes the table of one dimension.
 func (a *Account) writeDimension(out io.Writer, d Dimension) {
 	groups := a.By[d]
 	fmt.Fprintf(out, "\n%s\trequests\tlost\tmostly\n", d)
@@ -57,8 +59,9 @@
 	}
 }
 
-// rows returns a dimension's keys: seconds and sizes in their order, others by what
-// they lose.
+// rows returns the keys of a dimension's rows: all seconds and size classes in ascending
+// order; for other dimensions the maxRows keys with the most lost requests, in descending
+// order of these.
 func (a *Account) rows(d Dimension) []string {
 	groups := a.By[d]
 	keys := slices.Sorted(maps.Keys(groups))
@@ -69,7 +72,7 @@
 	return keys[:min(len(keys), maxRows)]
 }
 
-// mostly names the reasons that lose most.
+// topReasons lists the three most frequent reasons other than InTime, with their counts.
 func topReasons(t Tally) string {
 	var parts []string
 	for _, reason := range reasonsByCount(t) {
@@ -80,6 +83,7 @@
 	return strings.Join(parts, ", ")
 }
 
+// reasonsByCount returns the reasons in descending order of their counts.
 func reasonsByCount(t Tally) []Reason {
 	reasons := slices.Sorted(maps.Keys(t))
 	slices.SortStableFunc(reasons, func(x, y Reason) int { return cmp.Compare(t[y], t[x]) })
@@ -88,11 +92,12 @@
 
 type histogram interface{ ValueAtQuantile(q float64) int64 }
 
+// quantile returns a quantile (q from 0 to 100) of a histogram in microseconds.
 func quantile(h histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// report is the account as JSON.
+// report is the JSON form of an Account.
 type report struct {
 	Requests int                            `json:"requests"`
 	Skipped  int                            `json:"skippedLines"`
@@ -102,7 +107,7 @@
 	Seconds  map[string]float64             `json:"seconds"`
 }
 
-// WriteJSON writes the account for programs to read.
+// WriteJSON writes the account as JSON.
 func (a *Account) WriteJSON(w io.Writer) error {
 	seconds := make(map[string]float64)
 	for _, q := range []float64{50, 95, 99} {
