--- a/cmd/savoryreel/dev.go
+++ b/cmd/savoryreel/dev.go
@@ -32,7 +32,7 @@
 	devEngine       = "127.0.0.1:7201"
 	devPlain        = "127.0.0.1:7301"
 	devStartTimeout = 20 * time.Second
-	devStartPause   = 100 * time.Millisecond
+	devRetryDelay   = 100 * time.Millisecond
 )
 
 // devCatalogue is the catalogue built into dev.
@@ -60,29 +60,29 @@
 		if dialect == dialectPlatform {
 			run = runDevPlatform
 		}
-		return inFolder(ctx, func(ctx context.Context, folder string) error { return run(ctx, log, folder) })
+		return withTempDir(ctx, func(ctx context.Context, dir string) error { return run(ctx, log, dir) })
 	})
 }
 
 // inFolder runs a system with a folder that is removed at its end.
-func inFolder(ctx context.Context, start func(ctx context.Context, folder string) error) error {
+func withTempDir(ctx context.Context, start func(ctx context.Context, dir string) error) error {
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	folder, err := os.MkdirTemp("", "savoryreel-dev-")
+	dir, err := os.MkdirTemp("", "savoryreel-dev-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
-	return start(ctx, folder)
+	defer os.RemoveAll(dir)
+	return start(ctx, dir)
 }
 
 // runDev runs a system that speaks the product's own protocol.
-func runDev(ctx context.Context, log *slog.Logger, folder string) error {
+func runDev(ctx context.Context, log *slog.Logger, dir string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var g run.Group
-	if err := addDevDaemons(ctx, &g, log, folder); err != nil {
+	if err := addDevDaemons(ctx, &g, log, dir); err != nil {
 		return err
 	}
 	if err := addDevStandIns(ctx, &g, log); err != nil {
@@ -92,7 +92,7 @@
 		if err := applyDevCatalogue(c); err != nil {
 			return err
 		}
-		printDevTour()
+		printDevUsage()
 		<-c.Done()
 		return nil
 	})
@@ -100,10 +100,10 @@
 	return g.Run()
 }
 
-func addDevDaemons(ctx context.Context, g *run.Group, log *slog.Logger, folder string) error {
+func addDevDaemons(ctx context.Context, g *run.Group, log *slog.Logger, dir string) error {
 	c := control.Config{}
 	if err := devDefaults(c.Declare, map[string]string{
-		"cluster-key": devClusterKey, "operator-key": devOperatorKey, "data": filepath.Join(folder, "control-1"),
+		"cluster-key": devClusterKey, "operator-key": devOperatorKey, "data": filepath.Join(dir, "control-1"),
 	}); err != nil {
 		return err
 	}
@@ -117,21 +117,21 @@
 	}); err != nil {
 		return err
 	}
-	front, err := entry.New(e, entry.Deps{Log: log, Now: time.Now})
+	entryDaemon, err := entry.New(e, entry.Deps{Log: log, Now: time.Now})
 	if err != nil {
 		return err
 	}
 	daemon.Actor(g, replica.Run)
-	daemon.Actor(g, front.Run)
+	daemon.Actor(g, entryDaemon.Run)
 	return nil
 }
 
 // devDefaults loads a daemon's defaults with a few settings given.
-func devDefaults(declare func(*settings.Set), given map[string]string) error {
+func devDefaults(declare func(*settings.Set), overrides map[string]string) error {
 	flags := (&cobra.Command{}).Flags()
 	set := settings.New(flags)
 	declare(set)
-	for name, value := range given {
+	for name, value := range overrides {
 		if err := flags.Set(name, value); err != nil {
 			return err
 		}
@@ -167,14 +167,14 @@
 		return err
 	}
 	c := operator.New([]string{devOperators}, devOperatorKey)
-	return untilDone(ctx, func() error {
+	return retryUntilDone(ctx, func() error {
 		_, err := c.Apply(ctx, doc, 0)
 		return err
 	})
 }
 
 // untilDone repeats a step until it succeeds, and returns its last error when ctx ends.
-func untilDone(ctx context.Context, step func() error) error {
+func retryUntilDone(ctx context.Context, step func() error) error {
 	for {
 		err := step()
 		if err == nil {
@@ -183,12 +183,12 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(devStartPause):
+		case <-time.After(devRetryDelay):
 		}
 	}
 }
 
-func printDevTour() {
+func printDevUsage() {
 	fmt.Printf(`savoryreel dev is up. Try, in another terminal:
 
   curl -s http://%[1]s/v1/entries
--- a/cmd/savoryreel/devplatform.go
+++ b/cmd/savoryreel/devplatform.go
@@ -26,7 +26,7 @@
 const (
 	devIP = "127.0.0.1"
 	// devPort is the first of the ports between the processes.
-	devPort = 7600
+	devFirstPort = 7600
 	// devServers is how many stand-in backend servers there are.
 	devServers = 2
 )
@@ -35,9 +35,9 @@
 
 // runDevPlatform runs an entry and a control replica, as on the users' platform, with
 // stand-in backend servers.
-func runDevPlatform(ctx context.Context, log *slog.Logger, folder string) error {
+func runDevPlatform(ctx context.Context, log *slog.Logger, dir string) error {
 	var g run.Group
-	if err := addDevNodes(&g, log, folder); err != nil {
+	if err := addDevNodes(&g, log, dir); err != nil {
 		return err
 	}
 	for i := range devServers {
@@ -62,20 +62,20 @@
 }
 
 // addDevNodes adds the two processes' programs, each with a settings file.
-func addDevNodes(g *run.Group, log *slog.Logger, folder string) error {
+func addDevNodes(g *run.Group, log *slog.Logger, dir string) error {
 	nodes := []struct {
 		name    string
 		dataDir string
 		start   func(context.Context, *platformConfig, *slog.Logger) error
 	}{
-		{"control", filepath.Join(folder, "control"), runPlatformControl},
+		{"control", filepath.Join(dir, "control"), runPlatformControl},
 		{"entry", "", runPlatformEntry},
 	}
 	for _, n := range nodes {
 		s := standin.Settings{
-			IP: devIP, Zone: "z1", Seeds: []string{devAddress(standin.ControlPort)}, First: true, DataDir: n.dataDir, PortBase: devPort,
+			IP: devIP, Zone: "z1", Seeds: []string{devAddress(standin.ControlPort)}, First: true, DataDir: n.dataDir, PortBase: devFirstPort,
 		}
-		cfg := platformConfig{File: filepath.Join(folder, n.name+".settings"), ClusterKey: devClusterKey}
+		cfg := platformConfig{File: filepath.Join(dir, n.name+".settings"), ClusterKey: devClusterKey}
 		if err := os.WriteFile(cfg.File, []byte(s.File()), 0o600); err != nil {
 			return trace.ConvertSystemError(err)
 		}
@@ -89,11 +89,11 @@
 	ctx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
 	catalogue := standin.Catalogue{Revision: 1, Service: "web", Keys: []string{devWorkspaceKey}}
-	err := untilDone(ctx, func() error { return standin.Replace(ctx, devAddress(standin.ControlPort), catalogue) })
+	err := retryUntilDone(ctx, func() error { return standin.Replace(ctx, devAddress(standin.ControlPort), catalogue) })
 	if err != nil {
 		return trace.Wrap(err, "step=bring the catalogue")
 	}
-	err = untilDone(ctx, func() error {
+	err = retryUntilDone(ctx, func() error {
 		a, err := standin.Call(ctx, devAddress(standin.CallerPort), devWorkspaceKey, "/get/ready", "")
 		if err == nil && a.Status/100 != 2 {
 			err = trace.ConnectionProblem(nil, "status %d", a.Status)
--- a/cmd/savoryreel/load.go
+++ b/cmd/savoryreel/load.go
@@ -53,16 +53,16 @@
 }
 
 // directPart names the requests that go to an engine directly.
-const directPart = "direct"
+const directPartName = "direct"
 
-func oneOf(words ...string) settings.Check[string] {
+func oneOf(allowed ...string) settings.Check[string] {
 	return func(v string) error {
-		for _, w := range words {
+		for _, w := range allowed {
 			if v == w {
 				return nil
 			}
 		}
-		return fmt.Errorf("%q is not one of %v", v, words)
+		return fmt.Errorf("%q is not one of %v", v, allowed)
 	}
 }
 
@@ -79,9 +79,9 @@
 		cfg.Dialect = platform.LoadDialect{Host: c.service}
 	}
 	if c.direct != "" {
-		beside := part
-		beside.Name, beside.Direct, beside.Service = directPart, c.direct, c.model
-		cfg.Parts = append(cfg.Parts, beside)
+		directLoad := part
+		directLoad.Name, directLoad.Direct, directLoad.Service = directPartName, c.direct, c.model
+		cfg.Parts = append(cfg.Parts, directLoad)
 	}
 	for _, addr := range c.entries {
 		cfg.Entries = append(cfg.Entries, "http://"+addr)
@@ -116,7 +116,7 @@
 		writeTable(tw, &r.Parts[i])
 	}
 	if c.direct != "" {
-		o, err := r.Overhead(c.service, directPart)
+		o, err := r.Overhead(c.service, directPartName)
 		if err != nil {
 			return err
 		}
--- a/cmd/savoryreel/platform.go
+++ b/cmd/savoryreel/platform.go
@@ -66,12 +66,12 @@
 
 func readNode(cfg *platformConfig, log *slog.Logger) (*node, error) {
 	n := &node{log: log, path: cfg.File}
-	place, err := n.read()
+	siteNode, err := n.read()
 	if err != nil {
 		event.Log(context.Background(), log, slog.LevelError, event.SettingsRefused, slog.String("file", cfg.File), slog.String("error", err.Error()))
 		return nil, err
 	}
-	limitMemory(place.Capacity.MemoryBytes)
+	limitMemory(siteNode.Capacity.MemoryBytes)
 	return n, nil
 }
 
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "step=read settings")
 	}
-	place, unknown, err := platform.DecodeSettings(content)
+	siteNode, unknown, err := platform.DecodeSettings(content)
 	if err != nil {
 		return nil, err
 	}
@@ -88,8 +88,8 @@
 		event.Log(context.Background(), n.log, slog.LevelInfo, event.SettingsRead, slog.String("file", n.path), slog.Any("unknown", unknown))
 	}
 	n.content = content
-	n.current.Store(&place)
-	return &place, nil
+	n.current.Store(&siteNode)
+	return &siteNode, nil
 }
 
 // watch takes new settings until ctx ends.
@@ -99,11 +99,11 @@
 
 // memoryPart is the part of the allowed memory from which on the collector works
 // harder: a process that goes over the limit is killed.
-const memoryPart = 0.6
+const memoryLimitFraction = 0.6
 
 func limitMemory(bytes int64) {
 	if bytes > 0 {
-		debug.SetMemoryLimit(int64(float64(bytes) * memoryPart))
+		debug.SetMemoryLimit(int64(float64(bytes) * memoryLimitFraction))
 	}
 }
 
@@ -151,21 +151,21 @@
 	if err != nil {
 		return err
 	}
-	place := *n.current.Load()
+	siteNode := *n.current.Load()
 	deps := coordinator.Deps{Log: log, Now: time.Now, FS: storage.OS{}, Seeds: n.seeds, Decode: platform.DecodeCatalogue}
-	if place.Cloud.Address != "" {
-		deps.Cloud = platform.NewCloud(place.Cloud.Address)
+	if siteNode.Cloud.Address != "" {
+		deps.Cloud = platform.NewCloud(siteNode.Cloud.Address)
 	}
-	c, err := coordinator.New(coordinator.Config{Node: place, ClusterKey: cfg.ClusterKey}, deps)
+	c, err := coordinator.New(coordinator.Config{Node: siteNode, ClusterKey: cfg.ClusterKey}, deps)
 	if err != nil {
 		return err
 	}
 	return c.Run(ctx, func(group *run.Group) error {
 		daemon.Actor(group, n.watch)
-		if err := serve(ctx, group, log, "operators", place.Listen.Operators, platform.ControlHandler(c, log)); err != nil {
+		if err := serve(ctx, group, log, "operators", siteNode.Listen.Operators, platform.ControlHandler(c, log)); err != nil {
 			return err
 		}
-		return serve(ctx, group, log, "directory", place.Listen.Directory, platform.DirectoryHandler(c))
+		return serve(ctx, group, log, "directory", siteNode.Listen.Directory, platform.DirectoryHandler(c))
 	})
 }
 
--- a/cmd/savoryreel/replica.go
+++ b/cmd/savoryreel/replica.go
@@ -41,14 +41,14 @@
 			for {
 				err := o.changeReplicas(cmd, c, ch)
 				var refused *operator.RefusedError
-				behind := errors.As(err, &refused) && refused.Status == http.StatusConflict
-				if !behind || time.Now().After(end) {
+				notCaughtUp := errors.As(err, &refused) && refused.Status == http.StatusConflict
+				if !notCaughtUp || time.Now().After(end) {
 					return err
 				}
 				select {
 				case <-cmd.Context().Done():
 					return err
-				case <-time.After(promotePause):
+				case <-time.After(promoteRetryDelay):
 				}
 			}
 		})
@@ -57,7 +57,7 @@
 }
 
 // promotePause is the wait between two tries to promote a learner.
-const promotePause = 200 * time.Millisecond
+const promoteRetryDelay = 200 * time.Millisecond
 
 func replicaCommand(use, short string, args cobra.PositionalArgs, action api.ReplicaAction) *cobra.Command {
 	return operatorCommand(use, short, args, func(cmd *cobra.Command, o *operatorSettings, c *operator.Client, args []string) error {
