--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,6 +1,6 @@
-// Command capacity prints one table of package capacity: what the system's own
-// work costs on this machine, at several sizes, with the line through each
-// column. The sizes may be given in place of those of docs/CAPACITY.md.
+// Command capacity runs one measurement of package capacity and prints its table: the cost of
+// the system's own work on this machine at several sizes, with a linear fit for each column.
+// Arguments replace the default sizes, which are those of docs/CAPACITY.md.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"savoryreel.example/savoryreel/capacity"
 )
 
-// maxCores leaves the rest of a shared machine to others.
+// maxCores limits GOMAXPROCS, so that a measurement does not occupy a shared machine.
 const maxCores = 4
 
 func main() {
@@ -54,7 +54,7 @@
 	}
 }
 
-// printMachine tells what times were taken on, as far as it can be found out.
+// printMachine prints the platform, the cores and the load average before the measurement.
 func printMachine(cmd *cobra.Command) {
 	load := "unknown"
 	if b, err := os.ReadFile("/proc/loadavg"); err == nil {
--- a/cmd/savoryreel/dev.go
+++ b/cmd/savoryreel/dev.go
@@ -20,8 +20,8 @@
 	"savoryreel.example/savoryreel/settings"
 )
 
-// Keys and addresses of the dev command. They are no secrets: dev listens on
-// loopback addresses only.
+// Keys, addresses and start times of the dev command. The keys need not be secret, because
+// dev listens on loopback addresses only.
 const (
 	devWorkspaceKey = "dev-key"
 	devOperatorKey  = "dev-operator"
@@ -35,7 +35,7 @@
 	devRetryDelay   = 100 * time.Millisecond
 )
 
-// devCatalogue is the catalogue built into dev.
+// devCatalogue returns the catalogue that dev applies.
 func devCatalogue() contract.Catalogue {
 	return contract.Catalogue{
 		Workspaces: []contract.Workspace{{
@@ -64,7 +64,8 @@
 	})
 }
 
-// inFolder runs a system with a folder that is removed at its end.
+// withTempDir calls start with a temporary directory and removes it afterwards. A nil ctx
+// stands for the background context.
 func withTempDir(ctx context.Context, start func(ctx context.Context, dir string) error) error {
 	if ctx == nil {
 		ctx = context.Background()
@@ -77,7 +78,8 @@
 	return start(ctx, dir)
 }
 
-// runDev runs a system that speaks the product's own protocol.
+// runDev runs a system with the native dialect and its stand-in backend servers. It stores
+// data in dir.
 func runDev(ctx context.Context, log *slog.Logger, dir string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -100,6 +102,7 @@
 	return g.Run()
 }
 
+// addDevDaemons adds a control replica and an entry to the group.
 func addDevDaemons(ctx context.Context, g *run.Group, log *slog.Logger, dir string) error {
 	c := control.Config{}
 	if err := devDefaults(c.Declare, map[string]string{
@@ -126,7 +129,8 @@
 	return nil
 }
 
-// devDefaults loads a daemon's defaults with a few settings given.
+// devDefaults loads the settings that declare declares from these flag values, the
+// environment and the defaults.
 func devDefaults(declare func(*settings.Set), overrides map[string]string) error {
 	flags := (&cobra.Command{}).Flags()
 	set := settings.New(flags)
@@ -139,6 +143,7 @@
 	return set.Load()
 }
 
+// addDevStandIns adds a model engine and a plain web service to the group.
 func addDevStandIns(ctx context.Context, g *run.Group, log *slog.Logger) error {
 	announcing := fake.Announcing{Entries: []string{"http://" + devCallers}, Key: devAnnounceKey}
 	engine := fake.NewEngine(fake.EngineConfig{
@@ -158,7 +163,8 @@
 	return nil
 }
 
-// applyDevCatalogue waits for the control replica and applies the catalogue.
+// applyDevCatalogue applies devCatalogue, and retries until the control replica is ready or
+// devStartTimeout has passed.
 func applyDevCatalogue(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
@@ -173,7 +179,8 @@
 	})
 }
 
-// untilDone repeats a step until it succeeds, and returns its last error when ctx ends.
+// retryUntilDone calls step until it succeeds. If ctx ends before, it returns the last error
+// of step.
 func retryUntilDone(ctx context.Context, step func() error) error {
 	for {
 		err := step()
--- a/cmd/savoryreel/devplatform.go
+++ b/cmd/savoryreel/devplatform.go
@@ -16,7 +16,7 @@
 	"savoryreel.example/savoryreel/platform/standin"
 )
 
-// The protocols in which a system is spoken to.
+// The protocols between a system and its callers, operators and backend servers.
 const (
 	dialectNative   = "native"
 	dialectPlatform = "platform"
@@ -25,16 +25,16 @@
 
 const (
 	devIP = "127.0.0.1"
-	// devPort is the first of the ports between the processes.
+	// devFirstPort is the first port for traffic between the processes.
 	devFirstPort = 7600
-	// devServers is how many stand-in backend servers there are.
+	// devServers is the number of stand-in backend servers.
 	devServers = 2
 )
 
 func devAddress(port int) string { return net.JoinHostPort(devIP, strconv.Itoa(port)) }
 
-// runDevPlatform runs an entry and a control replica, as on the users' platform, with
-// stand-in backend servers.
+// runDevPlatform runs an entry and a control replica with the platform's dialect, and
+// stand-in backend servers. It stores settings files and data in dir.
 func runDevPlatform(ctx context.Context, log *slog.Logger, dir string) error {
 	var g run.Group
 	if err := addDevNodes(&g, log, dir); err != nil {
@@ -61,7 +61,8 @@
 	return g.Run()
 }
 
-// addDevNodes adds the two processes' programs, each with a settings file.
+// addDevNodes adds a control replica and an entry to the group, each with its own settings
+// file in dir.
 func addDevNodes(g *run.Group, log *slog.Logger, dir string) error {
 	nodes := []struct {
 		name    string
@@ -84,7 +85,8 @@
 	return nil
 }
 
-// startDevPlatform brings the catalogue and waits until a request is answered.
+// startDevPlatform sends the catalogue and waits until a request is answered. It fails after
+// devStartTimeout.
 func startDevPlatform(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
--- a/cmd/savoryreel/load.go
+++ b/cmd/savoryreel/load.go
@@ -52,9 +52,10 @@
 	s.String(&c.htmlFile, "html", "", "file for the report as HTML")
 }
 
-// directPart names the requests that go to an engine directly.
+// directPartName is the name of the load.Part whose requests go directly to an engine.
 const directPartName = "direct"
 
+// oneOf returns a Check that accepts only the allowed values.
 func oneOf(allowed ...string) settings.Check[string] {
 	return func(v string) error {
 		for _, w := range allowed {
@@ -66,6 +67,7 @@
 	}
 }
 
+// load returns the configuration of the run.
 func (c *loadConfig) load() load.Config {
 	part := load.Part{
 		Name: c.service, Weight: 1, Kind: load.Kind(c.kind), Service: c.service, Workspace: "load", Key: c.key,
@@ -109,6 +111,7 @@
 	return cmd
 }
 
+// writeResult writes the result as text to w, and as JSON and HTML to the files in c.
 func writeResult(w io.Writer, r *load.Result, c *loadConfig) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	for i := range r.Parts {
@@ -131,7 +134,7 @@
 	return writeFile(c.htmlFile, r.WriteHTML)
 }
 
-// writeTable prints what callers got, times in milliseconds.
+// writeTable writes the outcomes of a part's requests and their latencies in milliseconds.
 func writeTable(w io.Writer, t *load.PartResult) {
 	o := &t.Outcomes
 	fmt.Fprintf(w, "requests\t%d\nanswered\t%d\non target\t%d\nnot run\t%d\nunknown\t%d\nfailed\t%d\nbroken\t%d\nwrong\t%d\n",
@@ -144,7 +147,7 @@
 	}
 }
 
-// writeFile writes a file, unless its name is empty.
+// writeFile creates a file and calls write for its content. It does nothing if name is empty.
 func writeFile(name string, write func(io.Writer) error) error {
 	if name == "" {
 		return nil
@@ -154,7 +157,7 @@
 		return err
 	}
 	if err := write(f); err != nil {
-		_ = f.Close() // the error of the write counts
+		_ = f.Close() // returns the error of write instead
 		return err
 	}
 	return f.Close()
--- a/cmd/savoryreel/main.go
+++ b/cmd/savoryreel/main.go
@@ -1,5 +1,5 @@
-// Command savoryreel is the one binary of the system: each subcommand is a
-// daemon or a client over the packages of this module.
+// Command savoryreel is the single binary of the system. Each subcommand runs a daemon or a
+// client tool.
 package main
 
 import (
@@ -22,7 +22,8 @@
 	os.Exit(execute(os.Args[1:]))
 }
 
-// execute runs one command line and returns the process's exit code.
+// execute runs the command with these arguments and returns the process's exit code. It
+// prints errors to standard error.
 func execute(args []string) int {
 	defer logWriter.Close()
 	root := newRoot()
@@ -40,7 +41,7 @@
 	return daemon.ExitFailed
 }
 
-// usageError is a command line that makes no sense.
+// usageError is an error in the command line; the process exits with daemon.ExitUsage.
 type usageError struct{ err error }
 
 func (e *usageError) Error() string { return e.err.Error() }
@@ -58,8 +59,8 @@
 	return root
 }
 
-// daemonCommand builds a command whose settings come from declare, with
-// --print-settings, and that runs until it is told to stop.
+// daemonCommand returns a command that loads the settings declared by declare and then calls
+// start with a logger of level *level. Its flag --print-settings prints the settings instead.
 func daemonCommand(use, short string, declare func(*settings.Set), level *string, start func(ctx context.Context, log *slog.Logger) error) *cobra.Command {
 	var printOnly bool
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
@@ -80,19 +81,20 @@
 	return cmd
 }
 
-// logWriter takes the log lines of this process. They go to standard output, and
-// execute writes the last of them before the process ends.
+// logWriter writes the log lines of this process to standard output. execute closes it, so
+// that queued lines are written before the process ends.
 var logWriter = event.NewWriter(os.Stdout)
 
+// newLogger returns a logger in JSON with this minimum level.
 func newLogger(level string) *slog.Logger {
 	var l slog.Level
 	if l.UnmarshalText([]byte(level)) != nil {
-		l = slog.LevelInfo // before the settings are read there is no level
+		l = slog.LevelInfo // the level is empty if the settings could not be loaded
 	}
 	return slog.New(slog.NewJSONHandler(logWriter, &slog.HandlerOptions{Level: l}))
 }
 
-// clientContext ends at SIGINT or SIGTERM, for commands that are no daemons.
+// clientContext returns a context for a client command, cancelled at SIGINT or SIGTERM.
 func clientContext(cmd *cobra.Command) (context.Context, context.CancelFunc) {
 	ctx := cmd.Context()
 	if ctx == nil {
--- a/cmd/savoryreel/operate.go
+++ b/cmd/savoryreel/operate.go
@@ -16,7 +16,7 @@
 	"savoryreel.example/savoryreel/settings"
 )
 
-// operatorSettings are shared by all commands of operators.
+// operatorSettings holds the settings that all operator commands share.
 type operatorSettings struct {
 	set     *settings.Set
 	control []string
@@ -42,7 +42,7 @@
 	return operator.New(o.control, o.key), nil
 }
 
-// print writes v as JSON, or as the table that rows makes.
+// print writes v as JSON, or calls rows to write it as a table, depending on --output.
 func (o *operatorSettings) print(w io.Writer, v any, rows func(w io.Writer)) error {
 	if o.output == "json" {
 		enc := json.NewEncoder(w)
@@ -54,7 +54,8 @@
 	return tw.Flush()
 }
 
-// operatorCommand builds a command that calls control and prints what it says.
+// operatorCommand returns a command that calls run with a client of the control replicas. An
+// error of args is a usageError.
 func operatorCommand(use, short string, args cobra.PositionalArgs, run func(cmd *cobra.Command, o *operatorSettings, c *operator.Client, args []string) error) *cobra.Command {
 	cmd := &cobra.Command{Use: use, Short: short, Args: func(cmd *cobra.Command, a []string) error {
 		if err := args(cmd, a); err != nil {
@@ -116,7 +117,7 @@
 	})
 }
 
-// readDocument reads a file, or standard input for "-".
+// readDocument returns the content of a file, or of standard input if name is "-".
 func readDocument(cmd *cobra.Command, name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(io.LimitReader(cmd.InOrStdin(), contract.MaxDocumentBytes+1))
--- a/cmd/savoryreel/platform.go
+++ b/cmd/savoryreel/platform.go
@@ -23,15 +23,15 @@
 	"savoryreel.example/savoryreel/site"
 )
 
-// platformConfig is what the settings file of the platform doesn't hold.
+// platformConfig holds the settings that are not in the platform's settings file.
 type platformConfig struct {
 	File       string
 	ClusterKey string
 	LogLevel   string
 }
 
-// defaultClusterKey keeps processes of other programs out; on the platform the
-// ports between instances are reached by nobody else.
+// defaultClusterKey only prevents connections from unrelated programs by mistake. It need not
+// be secret, because on the platform only the system's own instances can reach these ports.
 const defaultClusterKey = "savoryreel"
 
 func (c *platformConfig) declare(s *settings.Set) {
@@ -56,14 +56,15 @@
 	})
 }
 
-// node holds the settings in force, which may change while the process runs.
+// node holds the effective settings, which may change while the process runs.
 type node struct {
 	log     *slog.Logger
 	path    string
-	content []byte // of the file, as the process started with it
+	content []byte // of the settings file at the start of the process
 	current atomic.Pointer[site.Node]
 }
 
+// readNode reads the settings file and applies its memory limit to the process.
 func readNode(cfg *platformConfig, log *slog.Logger) (*node, error) {
 	n := &node{log: log, path: cfg.File}
 	siteNode, err := n.read()
@@ -92,13 +93,13 @@
 	return &siteNode, nil
 }
 
-// watch takes new settings until ctx ends.
+// watch reloads the settings file when it changes, until ctx ends.
 func (n *node) watch(ctx context.Context) error {
 	return daemon.WatchFile(ctx, n.log, n.path, n.content, n.reload)
 }
 
-// memoryPart is the part of the allowed memory from which on the collector works
-// harder: a process that goes over the limit is killed.
+// memoryLimitFraction is the fraction of the process's memory that is set as the soft limit
+// of the Go runtime. The platform kills a process that exceeds its memory.
 const memoryLimitFraction = 0.6
 
 func limitMemory(bytes int64) {
@@ -107,11 +108,12 @@
 	}
 }
 
-// seeds returns the control replicas that the settings name now.
+// seeds returns the link addresses of the control replicas in the effective settings.
 func (n *node) seeds() []string { return n.current.Load().SeedLinks() }
 
-// reload takes new settings. Only the seeds take hold in a running process: the
-// addresses and limits of an instance do not change while it runs.
+// reload replaces the effective settings, or logs and ignores invalid ones. In a running
+// process only the seeds are applied; the addresses and resources of an instance do not
+// change while it runs.
 func (n *node) reload(content []byte) {
 	next, _, err := platform.DecodeSettings(content)
 	if err != nil {
@@ -169,7 +171,7 @@
 	})
 }
 
-// serve adds a server on address to the group, if there is one to serve.
+// serve adds an HTTP server on address to the group. It does nothing if address is empty.
 func serve(ctx context.Context, group *run.Group, log *slog.Logger, purpose, address string, h http.Handler) error {
 	if address == "" {
 		return nil
--- a/cmd/savoryreel/replica.go
+++ b/cmd/savoryreel/replica.go
@@ -56,7 +56,7 @@
 	return cmd
 }
 
-// promotePause is the wait between two tries to promote a learner.
+// promoteRetryDelay is the delay between two attempts to promote a learner.
 const promoteRetryDelay = 200 * time.Millisecond
 
 func replicaCommand(use, short string, args cobra.PositionalArgs, action api.ReplicaAction) *cobra.Command {
@@ -69,7 +69,8 @@
 	})
 }
 
-// replicaChange reads the arguments ID and, to add one, IP:PORT.
+// replicaChange parses the arguments: ID and, for ReplicaAdd, IP:PORT. Its errors are of type
+// *usageError.
 func replicaChange(action api.ReplicaAction, args []string) (api.ReplicaChange, error) {
 	id, err := strconv.ParseUint(args[0], 10, 64)
 	if err != nil || id == 0 {
@@ -86,6 +87,7 @@
 	return ch, nil
 }
 
+// changeReplicas sends the change and prints the resulting voters and learners.
 func (o *operatorSettings) changeReplicas(cmd *cobra.Command, c *operator.Client, ch api.ReplicaChange) error {
 	status, err := c.ChangeReplicas(cmd.Context(), ch)
 	if err != nil {
--- a/cmd/savoryreel/standin.go
+++ b/cmd/savoryreel/standin.go
@@ -14,7 +14,7 @@
 	"savoryreel.example/savoryreel/settings"
 )
 
-// standInConfig holds the settings that all stand-ins share.
+// standInConfig holds the settings that all stand-in backend servers share.
 type standInConfig struct {
 	id, listen, region, zone, class string
 	entries                         []string
@@ -91,14 +91,15 @@
 	})
 }
 
-// standIn is a stand-in that serves until its context ends.
+// standIn is a stand-in backend server. Run serves until its context ends; Leave announces
+// that the server leaves after notice.
 type standIn interface {
 	Run(ctx context.Context, l net.Listener) error
 	Leave(notice time.Duration)
 }
 
-// runStandIn serves until a signal comes; then the stand-in announces that it
-// leaves, goes on for the notice, and ends.
+// runStandIn runs the stand-in until SIGTERM or SIGINT. Then the stand-in announces that it
+// leaves, continues to serve for the notice, and ends.
 func runStandIn(ctx context.Context, log *slog.Logger, cfg *standInConfig, s standIn) error {
 	if ctx == nil {
 		ctx = context.Background()
--- a/cmd/savoryreel/status.go
+++ b/cmd/savoryreel/status.go
@@ -12,7 +12,7 @@
 	"savoryreel.example/savoryreel/operator"
 )
 
-// statusView is what status prints.
+// statusView is the output of the status command.
 type statusView struct {
 	Replicas []api.ReplicaStatus `json:"replicas"`
 	Entries  []entry.StatusView  `json:"entries,omitempty"`
