--- a/explain/reason.go
+++ b/explain/reason.go
@@ -59,7 +59,7 @@
 	switch {
 	case end.Status >= http.StatusInternalServerError:
 		return ServerFailed
-	case end.Retried:
+	case end.ObjectivePassed:
 		return LateRetried
 	case end.Objective <= 0 || end.FirstByte <= end.Objective:
 		return InTime
