--- a/explain/line.go
+++ b/explain/line.go
@@ -33,7 +33,7 @@
 	Objective time.Duration `json:"objective"`
 	Outcome   string        `json:"outcome"`
 	Status    int           `json:"status"`
-	ObjectivePassed   bool          `json:"cameBack"` // the caller retried after its objective had passed since its first attempt
+	ObjectivePassed   bool          `json:"cameBack"` // the caller retried, and its objective had passed since its first attempt
 
 	Lines int `json:"lines"` // attribute of event LinesSampled: the number of omitted lines
 }
