--- a/explain/line.go
+++ b/explain/line.go
@@ -25,15 +25,15 @@
 	LoadAge time.Duration `json:"loadAge"`
 
 	// Attributes of events RequestEnded and RequestRefused.
-	Workspace string        `json:"workspace"`
-	Route     string        `json:"route"`
-	Sends     int           `json:"sends"`
-	Took      time.Duration `json:"took"`
-	FirstByte time.Duration `json:"firstByte"`
-	Objective time.Duration `json:"objective"`
-	Outcome   string        `json:"outcome"`
-	Status    int           `json:"status"`
-	ObjectivePassed   bool          `json:"cameBack"` // the caller retried, and its objective had passed since its first attempt
+	Workspace       string        `json:"workspace"`
+	Route           string        `json:"route"`
+	Sends           int           `json:"sends"`
+	Took            time.Duration `json:"took"`
+	FirstByte       time.Duration `json:"firstByte"`
+	Objective       time.Duration `json:"objective"`
+	Outcome         string        `json:"outcome"`
+	Status          int           `json:"status"`
+	ObjectivePassed bool          `json:"cameBack"` // the caller retried, and its objective had passed since its first attempt
 
 	Lines int `json:"lines"` // attribute of event LinesSampled: the number of omitted lines
 }
