--- a/cmd/savoryreel/dev.go
+++ b/cmd/savoryreel/dev.go
@@ -20,8 +20,8 @@
 	"savoryreel.example/savoryreel/settings"
 )
 
-// Keys and addresses of the dev command. They are no secrets: dev listens on
-// loopback addresses only.
+// Keys, addresses and start times of the dev command. The keys need not be secret, because
+// dev listens on loopback addresses only.
 const (
 	devWorkspaceKey = "dev-key"
 	devOperatorKey  = "dev-operator"
@@ -32,10 +32,10 @@
 	devEngine       = "127.0.0.1:7201"
 	devPlain        = "127.0.0.1:7301"
 	devStartTimeout = 20 * time.Second
-	devStartPause   = 100 * time.Millisecond
+	devRetryDelay   = 100 * time.Millisecond
 )
 
-// devCatalogue is the catalogue built into dev.
+// devCatalogue returns the catalogue that dev applies.
 func devCatalogue() contract.Catalogue {
 	return contract.Catalogue{
 		Workspaces: []contract.Workspace{{
@@ -60,29 +60,31 @@
 		if dialect == dialectPlatform {
 			run = runDevPlatform
 		}
-		return inFolder(ctx, func(ctx context.Context, folder string) error { return run(ctx, log, folder) })
+		return withTempDir(ctx, func(ctx context.Context, dir string) error { return run(ctx, log, dir) })
 	})
 }
 
-// inFolder runs a system with a folder that is removed at its end.
-func inFolder(ctx context.Context, start func(ctx context.Context, folder string) error) error {
+// withTempDir calls start with a temporary directory and removes it afterwards. A nil ctx
+// stands for the background context.
+func withTempDir(ctx context.Context, start func(ctx context.Context, dir string) error) error {
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	folder, err := os.MkdirTemp("", "savoryreel-dev-")
+	dir, err := os.MkdirTemp("", "savoryreel-dev-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
-	return start(ctx, folder)
+	defer os.RemoveAll(dir)
+	return start(ctx, dir)
 }
 
-// runDev runs a system that speaks the product's own protocol.
-func runDev(ctx context.Context, log *slog.Logger, folder string) error {
+// runDev runs a system with the native dialect and its stand-in backend servers. It stores
+// data in dir.
+func runDev(ctx context.Context, log *slog.Logger, dir string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var g run.Group
-	if err := addDevDaemons(ctx, &g, log, folder); err != nil {
+	if err := addDevDaemons(ctx, &g, log, dir); err != nil {
 		return err
 	}
 	if err := addDevStandIns(ctx, &g, log); err != nil {
@@ -92,7 +94,7 @@
 		if err := applyDevCatalogue(c); err != nil {
 			return err
 		}
-		printDevTour()
+		printDevUsage()
 		<-c.Done()
 		return nil
 	})
@@ -100,10 +102,11 @@
 	return g.Run()
 }
 
-func addDevDaemons(ctx context.Context, g *run.Group, log *slog.Logger, folder string) error {
+// addDevDaemons adds a control replica and an entry to the group.
+func addDevDaemons(ctx context.Context, g *run.Group, log *slog.Logger, dir string) error {
 	c := control.Config{}
 	if err := devDefaults(c.Declare, map[string]string{
-		"cluster-key": devClusterKey, "operator-key": devOperatorKey, "data": filepath.Join(folder, "control-1"),
+		"cluster-key": devClusterKey, "operator-key": devOperatorKey, "data": filepath.Join(dir, "control-1"),
 	}); err != nil {
 		return err
 	}
@@ -117,21 +120,22 @@
 	}); err != nil {
 		return err
 	}
-	front, err := entry.New(e, entry.Deps{Log: log, Now: time.Now})
+	entryDaemon, err := entry.New(e, entry.Deps{Log: log, Now: time.Now})
 	if err != nil {
 		return err
 	}
 	daemon.Actor(g, replica.Run)
-	daemon.Actor(g, front.Run)
+	daemon.Actor(g, entryDaemon.Run)
 	return nil
 }
 
-// devDefaults loads a daemon's defaults with a few settings given.
-func devDefaults(declare func(*settings.Set), given map[string]string) error {
+// devDefaults loads the settings that declare declares from these flag values, the
+// environment and the defaults.
+func devDefaults(declare func(*settings.Set), overrides map[string]string) error {
 	flags := (&cobra.Command{}).Flags()
 	set := settings.New(flags)
 	declare(set)
-	for name, value := range given {
+	for name, value := range overrides {
 		if err := flags.Set(name, value); err != nil {
 			return err
 		}
@@ -139,6 +143,7 @@
 	return set.Load()
 }
 
+// addDevStandIns adds a model engine and a plain web service to the group.
 func addDevStandIns(ctx context.Context, g *run.Group, log *slog.Logger) error {
 	announcing := fake.Announcing{Entries: []string{"http://" + devCallers}, Key: devAnnounceKey}
 	engine := fake.NewEngine(fake.EngineConfig{
@@ -158,7 +163,8 @@
 	return nil
 }
 
-// applyDevCatalogue waits for the control replica and applies the catalogue.
+// applyDevCatalogue applies devCatalogue, and retries until the control replica is ready or
+// devStartTimeout has passed.
 func applyDevCatalogue(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
@@ -167,14 +173,15 @@
 		return err
 	}
 	c := operator.New([]string{devOperators}, devOperatorKey)
-	return untilDone(ctx, func() error {
+	return retryUntilDone(ctx, func() error {
 		_, err := c.Apply(ctx, doc, 0)
 		return err
 	})
 }
 
-// untilDone repeats a step until it succeeds, and returns its last error when ctx ends.
-func untilDone(ctx context.Context, step func() error) error {
+// retryUntilDone calls step until it succeeds. If ctx ends before, it returns the last error
+// of step.
+func retryUntilDone(ctx context.Context, step func() error) error {
 	for {
 		err := step()
 		if err == nil {
@@ -183,12 +190,12 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(devStartPause):
+		case <-time.After(devRetryDelay):
 		}
 	}
 }
 
-func printDevTour() {
+func printDevUsage() {
 	fmt.Printf(`savoryreel dev is up. Try, in another terminal:
 
   curl -s http://%[1]s/v1/entries
--- a/cmd/savoryreel/devplatform.go
+++ b/cmd/savoryreel/devplatform.go
@@ -16,7 +16,7 @@
 	"savoryreel.example/savoryreel/platform/standin"
 )
 
-// The protocols in which a system is spoken to.
+// The protocols between a system and its callers, operators and backend servers.
 const (
 	dialectNative   = "native"
 	dialectPlatform = "platform"
@@ -25,19 +25,19 @@
 
 const (
 	devIP = "127.0.0.1"
-	// devPort is the first of the ports between the processes.
-	devPort = 7600
-	// devServers is how many stand-in backend servers there are.
+	// devFirstPort is the first port for traffic between the processes.
+	devFirstPort = 7600
+	// devServers is the number of stand-in backend servers.
 	devServers = 2
 )
 
 func devAddress(port int) string { return net.JoinHostPort(devIP, strconv.Itoa(port)) }
 
-// runDevPlatform runs an entry and a control replica, as on the users' platform, with
-// stand-in backend servers.
-func runDevPlatform(ctx context.Context, log *slog.Logger, folder string) error {
+// runDevPlatform runs an entry and a control replica with the platform's dialect, and
+// stand-in backend servers. It stores settings files and data in dir.
+func runDevPlatform(ctx context.Context, log *slog.Logger, dir string) error {
 	var g run.Group
-	if err := addDevNodes(&g, log, folder); err != nil {
+	if err := addDevNodes(&g, log, dir); err != nil {
 		return err
 	}
 	for i := range devServers {
@@ -61,21 +61,22 @@
 	return g.Run()
 }
 
-// addDevNodes adds the two processes' programs, each with a settings file.
-func addDevNodes(g *run.Group, log *slog.Logger, folder string) error {
+// addDevNodes adds a control replica and an entry to the group, each with its own settings
+// file in dir.
+func addDevNodes(g *run.Group, log *slog.Logger, dir string) error {
 	nodes := []struct {
 		name    string
 		dataDir string
 		start   func(context.Context, *platformConfig, *slog.Logger) error
 	}{
-		{"control", filepath.Join(folder, "control"), runPlatformControl},
+		{"control", filepath.Join(dir, "control"), runPlatformControl},
 		{"entry", "", runPlatformEntry},
 	}
 	for _, n := range nodes {
 		s := standin.Settings{
-			IP: devIP, Zone: "z1", Seeds: []string{devAddress(standin.ControlPort)}, FirstStart: true, DataDir: n.dataDir, PortBase: devPort,
+			IP: devIP, Zone: "z1", Seeds: []string{devAddress(standin.ControlPort)}, FirstStart: true, DataDir: n.dataDir, PortBase: devFirstPort,
 		}
-		cfg := platformConfig{File: filepath.Join(folder, n.name+".settings"), ClusterKey: devClusterKey}
+		cfg := platformConfig{File: filepath.Join(dir, n.name+".settings"), ClusterKey: devClusterKey}
 		if err := os.WriteFile(cfg.File, []byte(s.File()), 0o600); err != nil {
 			return trace.ConvertSystemError(err)
 		}
@@ -84,16 +85,17 @@
 	return nil
 }
 
-// startDevPlatform brings the catalogue and waits until a request is answered.
+// startDevPlatform sends the catalogue and waits until a request is answered. It fails after
+// devStartTimeout.
 func startDevPlatform(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
 	catalogue := standin.Catalogue{Revision: 1, Service: "web", Keys: []string{devWorkspaceKey}}
-	err := untilDone(ctx, func() error { return standin.ReplaceCatalogue(ctx, devAddress(standin.ControlPort), catalogue) })
+	err := retryUntilDone(ctx, func() error { return standin.ReplaceCatalogue(ctx, devAddress(standin.ControlPort), catalogue) })
 	if err != nil {
 		return trace.Wrap(err, "step=bring the catalogue")
 	}
-	err = untilDone(ctx, func() error {
+	err = retryUntilDone(ctx, func() error {
 		a, err := standin.Call(ctx, devAddress(standin.CallerPort), devWorkspaceKey, "/get/ready", "")
 		if err == nil && a.Status/100 != 2 {
 			err = trace.ConnectionProblem(nil, "status %d", a.Status)
--- a/cmd/savoryreel/replica.go
+++ b/cmd/savoryreel/replica.go
@@ -41,14 +41,14 @@
 			for {
 				err := o.changeReplicas(cmd, c, ch)
 				var refused *operator.RefusedError
-				behind := errors.As(err, &refused) && refused.Status == http.StatusConflict
-				if !behind || time.Now().After(end) {
+				notCaughtUp := errors.As(err, &refused) && refused.Status == http.StatusConflict
+				if !notCaughtUp || time.Now().After(end) {
 					return err
 				}
 				select {
 				case <-cmd.Context().Done():
 					return err
-				case <-time.After(promotePause):
+				case <-time.After(promoteRetryDelay):
 				}
 			}
 		})
@@ -56,8 +56,8 @@
 	return cmd
 }
 
-// promotePause is the wait between two tries to promote a learner.
-const promotePause = 200 * time.Millisecond
+// promoteRetryDelay is the delay between two attempts to promote a learner.
+const promoteRetryDelay = 200 * time.Millisecond
 
 func replicaCommand(use, short string, args cobra.PositionalArgs, action api.ReplicaAction) *cobra.Command {
 	return operatorCommand(use, short, args, func(cmd *cobra.Command, o *operatorSettings, c *operator.Client, args []string) error {
@@ -69,7 +69,8 @@
 	})
 }
 
-// replicaChange reads the arguments ID and, to add one, IP:PORT.
+// replicaChange parses the arguments: ID and, for ReplicaAdd, IP:PORT. Its errors are of type
+// *usageError.
 func replicaChange(action api.ReplicaAction, args []string) (api.ReplicaChange, error) {
 	id, err := strconv.ParseUint(args[0], 10, 64)
 	if err != nil || id == 0 {
@@ -86,6 +87,7 @@
 	return ch, nil
 }
 
+// changeReplicas sends the change and prints the resulting voters and learners.
 func (o *operatorSettings) changeReplicas(cmd *cobra.Command, c *operator.Client, ch api.ReplicaChange) error {
 	status, err := c.ChangeReplicas(cmd.Context(), ch)
 	if err != nil {
--- a/event/writer_test.go
+++ b/event/writer_test.go
@@ -11,15 +11,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The reader of a process's log stalls. Requests must go on: lines are dropped and
-// counted, and the count is written when the reader goes on.
-//
-// It breaks if Write waits for the reader.
-func TestStalledLogReader(t *testing.T) {
+// Guards against a Write that blocks while the log's reader is stalled, which would block
+// requests, and against dropped lines that the log does not report afterwards.
+func TestStalledLogReaderDoesNotBlockWrites(t *testing.T) {
 	reader, pipe := io.Pipe()
 	w := NewWriter(pipe)
 	start := time.Now()
-	const lines = 3 * queuedLines
+	const lines = 3 * maxQueuedLines
 	for i := range lines {
 		_, err := fmt.Fprintf(w, "line %d\n", i)
 		require.NoError(t, err)
@@ -39,7 +37,8 @@
 	require.Less(t, strings.Count(text, "line "), lines)
 }
 
-func TestLinesAreWrittenAtTheEnd(t *testing.T) {
+// Guards against a process that ends without its last log lines.
+func TestCloseWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	_, _ = w.Write([]byte("a\n"))
--- a/explain/account.go
+++ b/explain/account.go
@@ -13,36 +13,36 @@
 	"savoryreel.example/savoryreel/event"
 )
 
-// Bounds of what is read and kept.
+// Limits on the input and the memory.
 const (
-	maxLine = 1 << 20 // bytes
-	// maxOpen bounds the requests whose end has not been read yet. Where a process is
-	// killed their ends never come.
-	maxOpen = 200_000
-	// Histograms hold microseconds up to a minute.
-	longest   = int64(time.Minute / time.Microsecond)
-	precision = 2 // significant figures
+	maxLineBytes = 1 << 20
+	// maxPending limits the requests whose end has not been read yet. The log of a process
+	// that was killed lacks the ends of its running requests.
+	maxPending = 200_000
+	// maxMicroseconds is the largest value of the histograms; larger ones count as this.
+	maxMicroseconds    = int64(time.Minute / time.Microsecond)
+	significantFigures = 2 // of the histograms
 )
 
-// Account adds up what logs tell. It is not safe for concurrent use.
+// Account accumulates the statistics of logs. It is not safe for concurrent use.
 type Account struct {
-	open map[string]*line // the last choice of requests that have not ended
+	pending map[string]*line // by request: its latest RouteChosen line
 
-	Requests int // that ended
-	Skipped  int // lines that could not be read, or are of no known kind
-	LeftOut  int // lines that processes left out for their number
-	Torn     int // lines longer than any that a process writes
+	Requests int // that ended and were owed an answer, see owedAnswer
+	Skipped  int // lines without JSON or without an event number
+	LeftOut  int // lines that processes omitted because of their rate, see event.Sampler
+	Torn     int // lines longer than maxLineBytes
 
-	By     map[Dimension]map[string]Tally
-	first  time.Time
-	ages   *hdrhistogram.Histogram // of the word that decided
-	engine *hdrhistogram.Histogram // from the arrival to the first byte
+	By             map[Dimension]map[string]Tally
+	firstEnd       time.Time
+	loadAges       *hdrhistogram.Histogram // age of the load report on which the choice was based
+	firstByteTimes *hdrhistogram.Histogram // from the request's arrival to the first byte of the answer
 }
 
-// Dimension is what requests are grouped by.
+// Dimension is an attribute by which requests are grouped.
 type Dimension string
 
-// The dimensions.
+// The dimensions. All has a single group with the empty key.
 const (
 	All       Dimension = "all"
 	Second    Dimension = "second"
@@ -52,13 +52,13 @@
 	Size      Dimension = "prompt tokens"
 )
 
-// Tally counts requests by what became of them.
+// Tally counts requests by Reason.
 type Tally map[Reason]int
 
-// Lost is how many were not answered in time.
+// Lost returns the number of requests that were not answered in time.
 func (t Tally) Lost() int { return t.Total() - t[InTime] }
 
-// Total is how many there were.
+// Total returns the number of requests.
 func (t Tally) Total() int {
 	n := 0
 	for _, c := range t {
@@ -67,24 +67,25 @@
 	return n
 }
 
-// NewAccount returns an empty account.
+// NewAccount returns an empty Account.
 func NewAccount() *Account {
 	return &Account{
-		open: make(map[string]*line), By: make(map[Dimension]map[string]Tally),
-		ages: hdrhistogram.New(1, longest, precision), engine: hdrhistogram.New(1, longest, precision),
+		pending: make(map[string]*line), By: make(map[Dimension]map[string]Tally),
+		loadAges: hdrhistogram.New(1, maxMicroseconds, significantFigures), firstByteTimes: hdrhistogram.New(1, maxMicroseconds, significantFigures),
 	}
 }
 
-// Read adds a log. Errors are those of reading; what was read before one stays.
+// Read adds the log r. It returns the error of r, if any, with source as the log's name; the
+// lines before the error are counted.
 func (a *Account) Read(source string, r io.Reader) error {
 	in := bufio.NewReaderSize(r, 64<<10)
 	for {
 		text, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			text, err = a.long(in, text)
+			text, err = a.readLongLine(in, text)
 		}
 		if len(bytes.TrimSpace(text)) > 0 {
-			a.add(text)
+			a.addLine(text)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -95,19 +96,20 @@
 	}
 }
 
-// long reads the rest of a line that is longer than the buffer. One beyond maxLine is
-// passed over: a torn log may join many.
-func (a *Account) long(in *bufio.Reader, begin []byte) ([]byte, error) {
-	text := bytes.Clone(begin)
+// readLongLine reads the rest of a line that is longer than the reader's buffer and returns
+// the whole line. It skips a line longer than maxLineBytes and counts it as torn: in a
+// damaged log many lines may have been joined.
+func (a *Account) readLongLine(in *bufio.Reader, prefix []byte) ([]byte, error) {
+	text := bytes.Clone(prefix)
 	for {
 		more, err := in.ReadSlice('\n')
-		if len(text) <= maxLine {
+		if len(text) <= maxLineBytes {
 			text = append(text, more...)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if len(text) > maxLine {
+		if len(text) > maxLineBytes {
 			a.Torn++
 			text = nil
 		}
@@ -115,7 +117,8 @@
 	}
 }
 
-func (a *Account) add(text []byte) {
+// addLine counts one line of a log.
+func (a *Account) addLine(text []byte) {
 	l, ok := parse(text)
 	if !ok {
 		a.Skipped++
@@ -123,47 +126,49 @@
 	}
 	switch l.Event {
 	case event.RouteChosen:
-		if len(a.open) < maxOpen {
-			a.open[l.Request] = &l
+		if len(a.pending) < maxPending {
+			a.pending[l.Request] = &l
 		}
 	case event.RequestEnded, event.RequestRefused:
-		a.end(&l)
-	case ordinary:
+		a.recordEnd(&l)
+	case linesSampled:
 		a.LeftOut += l.Lines
 	}
 }
 
-func (a *Account) end(l *line) {
-	chosen := a.open[l.Request]
-	delete(a.open, l.Request)
-	if !decided(l) {
+// recordEnd counts a request by its last line.
+func (a *Account) recordEnd(l *line) {
+	chosen := a.pending[l.Request]
+	delete(a.pending, l.Request)
+	if !owedAnswer(l) {
 		return
 	}
 	if chosen == nil {
 		chosen = &line{}
 	} else {
-		_ = a.ages.RecordValue(min(chosen.LoadAge.Microseconds(), longest)) // within bounds
+		_ = a.loadAges.RecordValue(min(chosen.LoadAge.Microseconds(), maxMicroseconds)) // no error: the value is limited to maxMicroseconds
 	}
 	if l.FirstByte > 0 {
-		_ = a.engine.RecordValue(min(l.FirstByte.Microseconds(), longest))
+		_ = a.firstByteTimes.RecordValue(min(l.FirstByte.Microseconds(), maxMicroseconds))
 	}
-	if a.first.IsZero() {
-		a.first = l.Time
+	if a.firstEnd.IsZero() {
+		a.firstEnd = l.Time
 	}
 	a.Requests++
 	reason := reasonOf(l, chosen)
 	a.count(All, "", reason)
-	a.count(Second, secondOf(l.Time.Add(-l.Took).Sub(a.first)), reason)
+	a.count(Second, secondKey(l.Time.Add(-l.Took).Sub(a.firstEnd)), reason)
 	a.count(Route, l.Route, reason)
 	a.count(Workspace, l.Workspace, reason)
 	if l.Server != "" {
 		a.count(Server, l.Server, reason)
 	}
 	if chosen.Prompt > 0 {
-		a.count(Size, sizeOf(chosen.Prompt), reason)
+		a.count(Size, sizeClass(chosen.Prompt), reason)
 	}
 }
 
+// count adds one request to the group key of dimension d.
 func (a *Account) count(d Dimension, key string, reason Reason) {
 	groups := a.By[d]
 	if groups == nil {
--- a/explain/table.go
+++ b/explain/table.go
@@ -14,14 +14,15 @@
 	"github.com/gravitational/trace"
 )
 
-// mostRows bounds the rows of a dimension with many keys: those that lose most.
-const mostRows = 12
+// maxRows is the number of rows that the table shows of a dimension with many keys; they are
+// those with the most lost requests.
+const maxRows = 12
 
-// secondOf names a second, so that names sort by time.
-func secondOf(since time.Duration) string { return fmt.Sprintf("%4d", int(since.Seconds())) }
+// secondKey returns the key of a second, padded so that keys sort by time.
+func secondKey(since time.Duration) string { return fmt.Sprintf("%4d", int(since.Seconds())) }
 
-// sizeOf names the class of a prompt by its length: powers of two.
-func sizeOf(tokens int) string {
+// sizeClass returns the key of a prompt's size class, whose upper bound is a power of two.
+func sizeClass(tokens int) string {
 	class := 1
 	for class < tokens {
 		class *= 2
@@ -29,14 +30,14 @@
 	return fmt.Sprintf("up to %6d", class)
 }
 
-// WriteTable writes the account for people to read.
+// WriteTable writes the account as text tables.
 func (a *Account) WriteTable(w io.Writer) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(out, "%d requests ended; lines: %d left out by processes, %d passed over, %d torn\n", a.Requests, a.LeftOut, a.Skipped, a.Torn)
 	fmt.Fprintf(out, "first byte: p50 %s, p95 %s, p99 %s; word on load that decided: p50 %s, p95 %s old\n\n",
-		quantile(a.engine, 50), quantile(a.engine, 95), quantile(a.engine, 99), quantile(a.ages, 50), quantile(a.ages, 95))
+		quantile(a.firstByteTimes, 50), quantile(a.firstByteTimes, 95), quantile(a.firstByteTimes, 99), quantile(a.loadAges, 50), quantile(a.loadAges, 95))
 	total := a.By[All][""]
-	for _, reason := range byCount(total) {
+	for _, reason := range reasonsByCount(total) {
 		fmt.Fprintf(out, "%s\t%d\t%.1f%%\n", reason, total[reason], 100*float64(total[reason])/float64(max(a.Requests, 1)))
 	}
 	for _, d := range []Dimension{Second, Route, Workspace, Size, Server} {
@@ -45,20 +46,22 @@
 	return trace.Wrap(out.Flush(), "step=write table")
 }
 
+// writeDimension writes the table of one dimension.
 func (a *Account) writeDimension(out io.Writer, d Dimension) {
 	groups := a.By[d]
 	fmt.Fprintf(out, "\n%s\trequests\tlost\tmostly\n", d)
 	for _, key := range a.rows(d) {
 		t := groups[key]
-		fmt.Fprintf(out, "%s\t%d\t%d\t%s\n", key, t.Total(), t.Lost(), mostly(t))
+		fmt.Fprintf(out, "%s\t%d\t%d\t%s\n", key, t.Total(), t.Lost(), topReasons(t))
 	}
-	if d != Second && len(groups) > mostRows {
-		fmt.Fprintf(out, "(%d more)\n", len(groups)-mostRows)
+	if d != Second && len(groups) > maxRows {
+		fmt.Fprintf(out, "(%d more)\n", len(groups)-maxRows)
 	}
 }
 
-// rows returns a dimension's keys: seconds and sizes in their order, others by what
-// they lose.
+// rows returns the keys of a dimension's rows: all seconds and size classes in ascending
+// order; for other dimensions the maxRows keys with the most lost requests, in descending
+// order of these.
 func (a *Account) rows(d Dimension) []string {
 	groups := a.By[d]
 	keys := slices.Sorted(maps.Keys(groups))
@@ -66,13 +69,13 @@
 		return keys
 	}
 	slices.SortStableFunc(keys, func(x, y string) int { return cmp.Compare(groups[y].Lost(), groups[x].Lost()) })
-	return keys[:min(len(keys), mostRows)]
+	return keys[:min(len(keys), maxRows)]
 }
 
-// mostly names the reasons that lose most.
-func mostly(t Tally) string {
+// topReasons lists the three most frequent reasons other than InTime, with their counts.
+func topReasons(t Tally) string {
 	var parts []string
-	for _, reason := range byCount(t) {
+	for _, reason := range reasonsByCount(t) {
 		if reason != InTime && len(parts) < 3 {
 			parts = append(parts, fmt.Sprintf("%d %s", t[reason], reason))
 		}
@@ -80,7 +83,8 @@
 	return strings.Join(parts, ", ")
 }
 
-func byCount(t Tally) []Reason {
+// reasonsByCount returns the reasons in descending order of their counts.
+func reasonsByCount(t Tally) []Reason {
 	reasons := slices.Sorted(maps.Keys(t))
 	slices.SortStableFunc(reasons, func(x, y Reason) int { return cmp.Compare(t[y], t[x]) })
 	return reasons
@@ -88,11 +92,12 @@
 
 type histogram interface{ ValueAtQuantile(q float64) int64 }
 
+// quantile returns a quantile (q from 0 to 100) of a histogram in microseconds.
 func quantile(h histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// report is the account as JSON.
+// report is the JSON form of an Account.
 type report struct {
 	Requests int                            `json:"requests"`
 	Skipped  int                            `json:"skippedLines"`
@@ -102,12 +107,12 @@
 	Seconds  map[string]float64             `json:"seconds"`
 }
 
-// WriteJSON writes the account for programs to read.
+// WriteJSON writes the account as JSON.
 func (a *Account) WriteJSON(w io.Writer) error {
 	seconds := make(map[string]float64)
 	for _, q := range []float64{50, 95, 99} {
-		seconds[fmt.Sprintf("firstByteP%.0f", q)] = quantile(a.engine, q).Seconds()
-		seconds[fmt.Sprintf("loadAgeP%.0f", q)] = quantile(a.ages, q).Seconds()
+		seconds[fmt.Sprintf("firstByteP%.0f", q)] = quantile(a.firstByteTimes, q).Seconds()
+		seconds[fmt.Sprintf("loadAgeP%.0f", q)] = quantile(a.loadAges, q).Seconds()
 	}
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
