--- a/internal/fake/announce.go
+++ b/internal/fake/announce.go
@@ -42,10 +42,10 @@
 	faults   *faultState
 	wake     chan struct{}
 
-	mu       sync.Mutex
-	current  int
-	sequence uint64
-	leaving  time.Time // end of the notice; zero: not leaving
+	mu            sync.Mutex
+	entryIndex    int
+	sequence      uint64
+	leaveDeadline time.Time // end of the notice; zero: not leaving
 }
 
 func newAnnouncer(cfg Announcing, deps Deps, faults *faultState, describe func() instance.Announcement) *announcer {
@@ -70,7 +70,7 @@
 	ticker := time.NewTicker(a.cfg.Heartbeat)
 	defer ticker.Stop()
 	for {
-		if a.faults.pass(ctx) == nil {
+		if a.faults.waitThawed(ctx) == nil {
 			a.announce(ctx, a.state())
 		}
 		select {
@@ -86,8 +86,8 @@
 // leave makes the server leaving, and says so at once.
 func (a *announcer) leave(notice time.Duration) {
 	a.mu.Lock()
-	if a.leaving.IsZero() {
-		a.leaving = time.Now().Add(notice)
+	if a.leaveDeadline.IsZero() {
+		a.leaveDeadline = time.Now().Add(notice)
 	}
 	a.mu.Unlock()
 	select {
@@ -99,7 +99,7 @@
 func (a *announcer) state() instance.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.leaving.IsZero() {
+	if a.leaveDeadline.IsZero() {
 		return instance.StateServing
 	}
 	return instance.StateLeaving
@@ -107,7 +107,7 @@
 
 // announceGone is skipped by a server that crashed or froze: those fall silent.
 func (a *announcer) announceGone() {
-	if a.faults.ended() != nil || a.faults.get().Freeze {
+	if a.faults.endCause() != nil || a.faults.get().Freeze {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
@@ -117,7 +117,7 @@
 
 // announce tries each entry once, from the current one on.
 func (a *announcer) announce(ctx context.Context, state instance.State) {
-	body, err := json.Marshal(a.next(state))
+	body, err := json.Marshal(a.nextAnnouncement(state))
 	if err != nil {
 		a.log.Error("announcement cannot be encoded", "error", err)
 		return
@@ -128,40 +128,40 @@
 			return
 		}
 		a.log.Debug("announcement failed", "error", err)
-		a.advance()
+		a.switchEntry()
 	}
 }
 
-func (a *announcer) next(state instance.State) instance.Announcement {
+func (a *announcer) nextAnnouncement(state instance.State) instance.Announcement {
 	msg := a.describe()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sequence++
 	msg.Sequence = a.sequence
 	msg.State = state
-	if !a.leaving.IsZero() {
-		msg.LeavingIn = int(max(0, time.Until(a.leaving).Milliseconds()))
+	if !a.leaveDeadline.IsZero() {
+		msg.LeavingIn = int(max(0, time.Until(a.leaveDeadline).Milliseconds()))
 	}
 	return msg
 }
 
-func (a *announcer) entry() string {
+func (a *announcer) currentEntry() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.cfg.Entries[a.current]
+	return a.cfg.Entries[a.entryIndex]
 }
 
-func (a *announcer) advance() {
+func (a *announcer) switchEntry() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.current = (a.current + 1) % len(a.cfg.Entries)
+	a.entryIndex = (a.entryIndex + 1) % len(a.cfg.Entries)
 }
 
 // post sends a JSON body to the current entry.
 func (a *announcer) post(ctx context.Context, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	url := a.entry() + path
+	url := a.currentEntry() + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return trace.Wrap(err)
@@ -173,7 +173,7 @@
 		return trace.Wrap(err)
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxSmallBody))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxSmallBodyBytes))
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		return trace.Wrap(fmt.Errorf("POST %s: status %d", url, resp.StatusCode))
 	}
--- a/internal/fake/announce_test.go
+++ b/internal/fake/announce_test.go
@@ -23,7 +23,7 @@
 )
 
 // listener is an entry that takes announcements and cache events in.
-type listener struct {
+type testEntry struct {
 	*httptest.Server
 	mu            sync.Mutex
 	refuse        bool
@@ -31,15 +31,15 @@
 	events        []instance.CacheEvent
 }
 
-func startListener(t *testing.T) *listener {
-	l := &listener{}
+func startTestEntry(t *testing.T) *testEntry {
+	l := &testEntry{}
 	l.Server = httptest.NewServer(l)
 	t.Cleanup(l.Close)
 	return l
 }
 
 // ServeHTTP implements http.Handler.
-func (l *listener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *testEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.refuse || r.Header.Get("Authorization") != "Bearer "+announceKey {
@@ -57,19 +57,19 @@
 	l.announcements = append(l.announcements, msg)
 }
 
-func (l *listener) setRefuse(refuse bool) {
+func (l *testEntry) setRefuse(refuse bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refuse = refuse
 }
 
 // heard reports whether an announcement like that came in.
-func (l *listener) heard(like func(instance.Announcement) bool) func() bool {
+func (l *testEntry) received(match func(instance.Announcement) bool) func() bool {
 	return func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for _, msg := range l.announcements {
-			if like(msg) {
+			if match(msg) {
 				return true
 			}
 		}
@@ -84,7 +84,7 @@
 // The entry that a server announces itself to refuses or dies. If the server
 // kept to it, the system would lose a healthy server with it.
 func TestAnnouncerMovesToTheNextEntry(t *testing.T) {
-	first, second := startListener(t), startListener(t)
+	first, second := startTestEntry(t), startTestEntry(t)
 	e := startEngine(t, fake.EngineConfig{ID: "e1", Zone: "z1", Announcing: fake.Announcing{
 		Entries:   []string{first.URL, second.URL},
 		Key:       announceKey,
@@ -93,28 +93,28 @@
 	isE1 := func(msg instance.Announcement) bool {
 		return msg.ID == "e1" && msg.Address == e.address && msg.Model == testModel
 	}
-	require.Eventually(t, first.heard(isE1), waitBound, pollEvery)
+	require.Eventually(t, first.received(isE1), waitTimeout, pollInterval)
 	first.setRefuse(true)
-	require.Eventually(t, second.heard(isE1), waitBound, pollEvery)
+	require.Eventually(t, second.received(isE1), waitTimeout, pollInterval)
 	first.setRefuse(false)
 	second.Close()
 	e.Leave(time.Minute)
-	require.Eventually(t, first.heard(func(msg instance.Announcement) bool {
+	require.Eventually(t, first.received(func(msg instance.Announcement) bool {
 		return msg.State == instance.StateLeaving && msg.LeavingIn > 0 && msg.LeavingIn <= 60_000
-	}), waitBound, pollEvery)
+	}), waitTimeout, pollInterval)
 }
 
 // A server that ends in good order says so; one that dies says nothing.
-func TestAnnouncerTellsTheEnd(t *testing.T) {
+func TestAnnouncerReportsGoneOnlyOnCleanShutdown(t *testing.T) {
 	for _, killed := range []bool{false, true} {
-		entry := startListener(t)
+		entry := startTestEntry(t)
 		p := fake.NewPlain(fake.PlainConfig{ID: "p1", Announcing: fake.Announcing{
 			Entries:   []string{entry.URL},
 			Key:       announceKey,
 			Heartbeat: testHeartbeat,
 		}}, fake.Deps{})
 		server, ended := startPlain(t, p)
-		require.Eventually(t, entry.heard(inState(instance.StateServing)), waitBound, pollEvery)
+		require.Eventually(t, entry.received(inState(instance.StateServing)), waitTimeout, pollInterval)
 		if killed {
 			p.Kill()
 			require.ErrorIs(t, <-ended, fake.ErrKilled)
@@ -122,12 +122,12 @@
 			server.cancel()
 			require.NoError(t, <-ended)
 		}
-		require.Equal(t, !killed, entry.heard(inState(instance.StateGone))())
+		require.Equal(t, !killed, entry.received(inState(instance.StateGone))())
 	}
 }
 
 func TestEnginePushesCacheEventsWithGaps(t *testing.T) {
-	entry := startListener(t)
+	entry := startTestEntry(t)
 	e := startEngine(t, fake.EngineConfig{
 		ID:          "e1",
 		CacheTokens: 1 << 20,
@@ -136,13 +136,13 @@
 		Announcing:  fake.Announcing{Entries: []string{entry.URL}, Key: announceKey},
 	})
 	for _, text := range []string{"one", "two", "three"} {
-		_, _ = take(e.chat(t, text, ask(text, 1)), -1)
+		_, _ = readTokens(e.chat(t, text, chatRequest(text, 1)), -1)
 	}
 	require.Eventually(t, func() bool {
 		entry.mu.Lock()
 		defer entry.mu.Unlock()
 		return len(entry.events) == 3
-	}, waitBound, pollEvery)
+	}, waitTimeout, pollInterval)
 	for i, event := range entry.events {
 		require.EqualValues(t, 2*i+1, event.Sequence)
 	}
@@ -183,7 +183,7 @@
 	_, err := client.Fetch(context.Background(), address, "other", "1")
 	require.NoError(t, err)
 
-	entry := startListener(t)
+	entry := startTestEntry(t)
 	e := startEngine(t, fake.EngineConfig{ID: "e1", Store: address, Announcing: fake.Announcing{
 		Entries:   []string{entry.URL},
 		Key:       announceKey,
@@ -191,8 +191,8 @@
 	}})
 	order := native.Order{Fence: 1, Kind: native.OrderLoadModel, Model: "m2", Version: "3"}
 	require.NoError(t, e.client.Order(context.Background(), e.address, order))
-	require.Eventually(t, entry.heard(func(msg instance.Announcement) bool {
+	require.Eventually(t, entry.received(func(msg instance.Announcement) bool {
 		return msg.Model == "m2" && msg.Version == "3"
-	}), waitBound, pollEvery)
+	}), waitTimeout, pollInterval)
 	require.Equal(t, fake.StoreStats{Served: 2, Refused: 1}, store.Stats())
 }
--- a/internal/fake/batch.go
+++ b/internal/fake/batch.go
@@ -31,7 +31,7 @@
 }
 
 // enter returns a ticket, or nil when the queue is full.
-func (b *batch) enter(priority int) *ticket {
+func (b *batch) reserve(priority int) *ticket {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.arrivals++
@@ -59,7 +59,7 @@
 }
 
 // leave gives the ticket back, whether it had a slot or still waited.
-func (b *batch) leave(t *ticket) {
+func (b *batch) release(t *ticket) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t.index >= 0 {
--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -12,27 +12,27 @@
 // recently used out first. A prefix is of use only with all shorter ones, so
 // the deepest prefix of a prompt counts as the least recently used of it.
 type cache struct {
-	mu       sync.Mutex
-	capacity int // tokens; 0: the engine has no cache
-	used     int
-	entries  map[uint64]*list.Element
-	recency  *list.List // of native.CacheEntry, most recent in front
-	sequence uint64
-	pending  []instance.CacheEvent
+	mu         sync.Mutex
+	capacity   int // tokens; 0: the engine has no cache
+	usedTokens int
+	entries    map[uint64]*list.Element
+	lru        *list.List // of native.CacheEntry, most recent in front
+	sequence   uint64
+	pending    []instance.CacheEvent
 }
 
 // prompt is a chat's messages as the cache sees them.
 type prompt struct {
-	hashes []uint64
-	tokens []int // per message
-	total  int
+	hashes      []uint64
+	tokens      []int // per message
+	totalTokens int
 }
 
 func newPrompt(messages []native.Message) prompt {
 	p := prompt{hashes: native.PrefixHashes(messages), tokens: make([]int, len(messages))}
 	for i, m := range messages {
 		p.tokens[i] = messageTokens(m)
-		p.total += p.tokens[i]
+		p.totalTokens += p.tokens[i]
 	}
 	return p
 }
@@ -41,18 +41,18 @@
 	return &cache{
 		capacity: capacity,
 		entries:  make(map[uint64]*list.Element),
-		recency:  list.New(),
+		lru:      list.New(),
 	}
 }
 
 // use returns how many tokens of p are cached and puts the whole of p in.
-func (c *cache) use(p prompt) int {
+func (c *cache) lookupAndStore(p prompt) int {
 	if c.capacity == 0 {
 		return 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cached := c.longest(p)
+	cached := c.cachedTokens(p)
 	for i := len(p.hashes) - 1; i >= 0; i-- {
 		c.touch(p.hashes[i], p.tokens[i])
 	}
@@ -60,7 +60,7 @@
 	return cached
 }
 
-func (c *cache) longest(p prompt) int {
+func (c *cache) cachedTokens(p prompt) int {
 	tokens := 0
 	for i, h := range p.hashes {
 		if c.entries[h] == nil {
@@ -73,25 +73,25 @@
 
 func (c *cache) touch(hash uint64, tokens int) {
 	if element := c.entries[hash]; element != nil {
-		c.recency.MoveToFront(element)
+		c.lru.MoveToFront(element)
 		return
 	}
-	c.entries[hash] = c.recency.PushFront(native.CacheEntry{Prefix: hash, Tokens: tokens})
-	c.used += tokens
-	c.note(hash, tokens, true)
+	c.entries[hash] = c.lru.PushFront(native.CacheEntry{Prefix: hash, Tokens: tokens})
+	c.usedTokens += tokens
+	c.recordEvent(hash, tokens, true)
 }
 
 func (c *cache) evict() {
-	for c.used > c.capacity {
-		element := c.recency.Back()
-		entry, _ := c.recency.Remove(element).(native.CacheEntry)
+	for c.usedTokens > c.capacity {
+		element := c.lru.Back()
+		entry, _ := c.lru.Remove(element).(native.CacheEntry)
 		delete(c.entries, entry.Prefix)
-		c.used -= entry.Tokens
-		c.note(entry.Prefix, entry.Tokens, false)
+		c.usedTokens -= entry.Tokens
+		c.recordEvent(entry.Prefix, entry.Tokens, false)
 	}
 }
 
-func (c *cache) note(hash uint64, tokens int, stored bool) {
+func (c *cache) recordEvent(hash uint64, tokens int, stored bool) {
 	c.sequence++
 	c.pending = append(c.pending, instance.CacheEvent{
 		Sequence: c.sequence,
@@ -110,20 +110,20 @@
 	return events
 }
 
-func (c *cache) share() float64 {
+func (c *cache) usedFraction() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.capacity == 0 {
 		return 0
 	}
-	return float64(c.used) / float64(c.capacity)
+	return float64(c.usedTokens) / float64(c.capacity)
 }
 
 func (c *cache) listing(incarnation uint64) native.CacheListing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	entries := make([]native.CacheEntry, 0, c.recency.Len())
-	for element := c.recency.Front(); element != nil; element = element.Next() {
+	entries := make([]native.CacheEntry, 0, c.lru.Len())
+	for element := c.lru.Front(); element != nil; element = element.Next() {
 		entry, _ := element.Value.(native.CacheEntry)
 		entries = append(entries, entry)
 	}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -56,13 +56,13 @@
 	cfg    CloudConfig
 	faults *faultState
 
-	mu        sync.Mutex
-	instances map[string]*cloudInstance
-	byToken   map[string]string // client token to id
-	refused   []string          // zones
-	notices   []native.Notice
-	changed   chan struct{} // closed and replaced with each notice
-	stats     CloudStats
+	mu           sync.Mutex
+	instances    map[string]*cloudInstance
+	byToken      map[string]string // client token to id
+	refusedZones []string          // zones
+	notices      []native.Notice
+	changed      chan struct{} // closed and replaced with each notice
+	stats        CloudStats
 }
 
 // cloudInstance is an instance and, once noticed, when it ends.
@@ -112,7 +112,7 @@
 func (c *Cloud) Refuse(zones ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refused = zones
+	c.refusedZones = zones
 }
 
 // Wave gives notice to every reclaimable instance of the zone that runs, and
@@ -121,8 +121,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	deadline := time.Now().Add(notice)
-	before := len(c.notices)
-	for _, i := range c.sorted() {
+	firstNew := len(c.notices)
+	for _, i := range c.sortedInstances() {
 		if i.Zone != zone || i.Kind != native.Reclaimable || !i.deadline.IsZero() || i.State != native.InstanceRunning {
 			continue
 		}
@@ -136,7 +136,7 @@
 	}
 	close(c.changed)
 	c.changed = make(chan struct{})
-	return slices.Clone(c.notices[before:])
+	return slices.Clone(c.notices[firstNew:])
 }
 
 // Stats returns what the cloud has done so far.
@@ -149,7 +149,7 @@
 }
 
 // sorted returns the instances by id. The lock is held.
-func (c *Cloud) sorted() []*cloudInstance {
+func (c *Cloud) sortedInstances() []*cloudInstance {
 	list := make([]*cloudInstance, 0, len(c.instances))
 	for _, i := range c.instances {
 		list = append(list, i)
@@ -159,7 +159,7 @@
 }
 
 // at returns the instance with its state at the time now.
-func (i *cloudInstance) at(now time.Time) native.CloudInstance {
+func (i *cloudInstance) snapshotAt(now time.Time) native.CloudInstance {
 	view := i.CloudInstance
 	if view.State != native.InstanceRunning || i.deadline.IsZero() {
 		return view
@@ -184,18 +184,18 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	list := make([]native.CloudInstance, 0, len(c.instances))
-	for _, i := range c.sorted() {
-		list = append(list, i.at(now))
+	for _, i := range c.sortedInstances() {
+		list = append(list, i.snapshotAt(now))
 	}
 	return list
 }
 
 func (c *Cloud) serveStart(w http.ResponseWriter, r *http.Request) {
 	var req native.StartRequest
-	if !readJSON(w, r, maxSmallBody, &req) {
+	if !readJSON(w, r, maxSmallBodyBytes, &req) {
 		return
 	}
-	if req.ClientToken == "" || !c.offered(req) {
+	if req.ClientToken == "" || !c.hasPrice(req) {
 		refuse(w, http.StatusBadRequest, 0, "bad_request", "no client token, or no price for zone, class and kind")
 		return
 	}
@@ -207,7 +207,7 @@
 	writeJSON(w, http.StatusOK, started)
 }
 
-func (c *Cloud) offered(req native.StartRequest) bool {
+func (c *Cloud) hasPrice(req native.StartRequest) bool {
 	return slices.ContainsFunc(c.cfg.Prices, func(p native.Price) bool {
 		return p.Zone == req.Zone && p.Class == req.Class && p.Kind == req.Kind
 	})
@@ -219,9 +219,9 @@
 	now := time.Now()
 	if id, ok := c.byToken[req.ClientToken]; ok {
 		c.stats.Repeated++
-		return c.instances[id].at(now), true
+		return c.instances[id].snapshotAt(now), true
 	}
-	if slices.Contains(c.refused, req.Zone) {
+	if slices.Contains(c.refusedZones, req.Zone) {
 		c.stats.Refused++
 		return native.CloudInstance{}, false
 	}
@@ -270,8 +270,8 @@
 		return
 	}
 	waitMS, _ := strconv.Atoi(query.Get("waitMs")) // absent: no wait
-	bound := min(time.Duration(waitMS)*time.Millisecond, maxNoticeWait)
-	timer := time.NewTimer(bound)
+	waitTime := min(time.Duration(waitMS)*time.Millisecond, maxNoticeWait)
+	timer := time.NewTimer(waitTime)
 	defer timer.Stop()
 	for {
 		notices, changed := c.noticesAfter(after)
@@ -299,7 +299,7 @@
 
 func (c *Cloud) serveWave(w http.ResponseWriter, r *http.Request) {
 	var wave Wave
-	if !readJSON(w, r, maxSmallBody, &wave) {
+	if !readJSON(w, r, maxSmallBodyBytes, &wave) {
 		return
 	}
 	notices := c.Wave(wave.Zone, time.Duration(wave.NoticeMS)*time.Millisecond)
@@ -308,7 +308,7 @@
 
 func (c *Cloud) serveRefusals(w http.ResponseWriter, r *http.Request) {
 	var refusals Refusals
-	if !readJSON(w, r, maxSmallBody, &refusals) {
+	if !readJSON(w, r, maxSmallBodyBytes, &refusals) {
 		return
 	}
 	c.Refuse(refusals.Zones...)
--- a/internal/fake/cloud_test.go
+++ b/internal/fake/cloud_test.go
@@ -36,9 +36,9 @@
 	req := native.StartRequest{ClientToken: "t1", Zone: "z1", Class: "gpu", Kind: native.Reclaimable}
 	first, err := client.Start(ctx, req)
 	require.NoError(t, err)
-	again, err := client.Start(ctx, req)
+	repeated, err := client.Start(ctx, req)
 	require.NoError(t, err)
-	require.Equal(t, first, again)
+	require.Equal(t, first, repeated)
 	require.Equal(t, fake.CloudStats{Started: 1, Repeated: 1}, cloud.Stats())
 	require.NoError(t, client.Stop(ctx, first.ID))
 	list, err := client.Instances(ctx)
@@ -62,7 +62,7 @@
 // and a client that was waiting hears of it at once.
 func TestCloudReclaimsAZoneInOneWave(t *testing.T) {
 	cloud, client := startCloud(t)
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for token, kind := range map[string]native.PurchaseKind{
 		"a": native.Reclaimable, "b": native.Reclaimable, "c": native.OnDemand,
@@ -72,7 +72,7 @@
 	}
 	pages := make(chan native.NoticePage, 1)
 	go func() {
-		page, _ := client.Notices(ctx, 0, waitBound)
+		page, _ := client.Notices(ctx, 0, waitTimeout)
 		pages <- page
 	}()
 	require.Len(t, cloud.Wave("z1", 0), 2)
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -21,7 +21,7 @@
 	DefaultKVPerToken   = 128 << 10
 	DefaultRetryAfter   = time.Second
 
-	maxQueuedLoads = 16
+	maxQueuedLoadOrders = 16
 )
 
 // EngineConfig describes a stand-in model engine. Times of zero cost no time,
@@ -74,19 +74,19 @@
 
 // Engine is a stand-in model engine. It is safe for concurrent use.
 type Engine struct {
-	cfg       EngineConfig
-	deps      Deps
-	faults    *faultState
-	batch     *batch
-	cache     *cache
-	kv        *kvStore
-	stats     *engineStats
-	orders    *orderBook
-	requests  *cancelTable
-	load      *loadHistory
-	loads     chan native.Order
-	store     *native.StoreClient
-	announcer *announcer
+	cfg         EngineConfig
+	deps        Deps
+	faults      *faultState
+	batch       *batch
+	cache       *cache
+	kv          *kvStore
+	stats       *engineStats
+	orders      *orderLog
+	requests    *cancelTable
+	loadHistory *loadHistory
+	loadOrders  chan native.Order
+	store       *native.StoreClient
+	announcer   *announcer
 
 	mu      sync.Mutex
 	address string
@@ -106,19 +106,19 @@
 	cfg = cfg.withDefaults()
 	deps = deps.withDefaults()
 	e := &Engine{
-		cfg:      cfg,
-		deps:     deps,
-		faults:   newFaultState(),
-		batch:    newBatch(cfg.Slots, cfg.MaxWaiting),
-		cache:    newCache(cfg.CacheTokens),
-		kv:       newKVStore(cfg.ID),
-		stats:    newEngineStats(),
-		orders:   newOrderBook(cfg.ChecksFences),
-		requests: newCancelTable(),
-		load:     newLoadHistory(cfg.LoadLag),
-		loads:    make(chan native.Order, maxQueuedLoads),
-		store:    native.NewStore(native.StoreConfig{}),
-		address:  cfg.Address,
+		cfg:         cfg,
+		deps:        deps,
+		faults:      newFaultState(),
+		batch:       newBatch(cfg.Slots, cfg.MaxWaiting),
+		cache:       newCache(cfg.CacheTokens),
+		kv:          newKVStore(cfg.ID),
+		stats:       newEngineStats(),
+		orders:      newOrderLog(cfg.ChecksFences),
+		requests:    newCancelTable(),
+		loadHistory: newLoadHistory(cfg.LoadLag),
+		loadOrders:  make(chan native.Order, maxQueuedLoadOrders),
+		store:       native.NewStore(native.StoreConfig{}),
+		address:     cfg.Address,
 		model: modelState{
 			name:     cfg.Model,
 			version:  cfg.Version,
@@ -176,7 +176,7 @@
 func (e *Engine) Stats() EngineStats {
 	s := e.stats.snapshot()
 	s.Running, s.Waiting = e.batch.counts()
-	s.Orders = e.orders.taken()
+	s.Orders = e.orders.accepted()
 	return s
 }
 
@@ -197,7 +197,7 @@
 		Role:         e.model.role,
 		Slots:        e.cfg.Slots,
 		ChecksFences: e.cfg.ChecksFences,
-		Load:         e.load.push(load),
+		Load:         e.loadHistory.push(load),
 	}
 }
 
@@ -208,7 +208,7 @@
 		Running:      running,
 		Waiting:      waiting,
 		TokensPerSec: e.stats.tokenRate(time.Now()),
-		CacheUsed:    e.cache.share(),
+		CacheUsed:    e.cache.usedFraction(),
 	}
 }
 
--- a/internal/fake/engine_chat.go
+++ b/internal/fake/engine_chat.go
@@ -24,14 +24,14 @@
 
 // chatRun is one request on its way through the engine.
 type chatRun struct {
-	id     string
-	req    native.ChatRequest
-	prompt prompt
-	seed   uint64
-	given  int // tokens of the answer that another engine made
-	length int // tokens of the whole answer
-	finish string
-	usage  native.Usage
+	id      string
+	req     native.ChatRequest
+	prompt  prompt
+	seed    uint64
+	resumed int // tokens of the answer that another engine made
+	length  int // tokens of the whole answer
+	finish  string
+	usage   native.Usage
 }
 
 func (e *Engine) newChatRun(id string, req native.ChatRequest) *chatRun {
@@ -48,22 +48,22 @@
 		c.finish = finishLength
 	}
 	if req.Resume != nil {
-		c.given = len(req.Resume.Tokens)
+		c.resumed = len(req.Resume.Tokens)
 	}
-	c.length = max(c.length, c.given)
-	c.usage.Prompt = c.prompt.total
+	c.length = max(c.length, c.resumed)
+	c.usage.Prompt = c.prompt.totalTokens
 	return c
 }
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	var req native.ChatRequest
-	if !readJSON(w, r, maxChatBody, &req) {
+	if !readJSON(w, r, maxChatBodyBytes, &req) {
 		return
 	}
-	if !e.accepts(w, req) {
+	if !e.validate(w, req) {
 		return
 	}
-	t := e.batch.enter(req.Priority)
+	t := e.batch.reserve(req.Priority)
 	if t == nil {
 		refuse(w, http.StatusTooManyRequests, DefaultRetryAfter, "queue_full", "no place in the engine's queue")
 		return
@@ -72,11 +72,11 @@
 	if id == "" {
 		id = uuid.NewString()
 	}
-	ctx, done := e.requests.enter(r.Context(), id)
+	ctx, done := e.requests.add(r.Context(), id)
 	defer done()
 	out := newChatWriter(w, e.newChatRun(id, req), e.faults)
 	if e.answerChat(ctx, t, out) != nil {
-		e.stats.cancel(id)
+		e.stats.recordCancel(id)
 		abort()
 	}
 	if out.stalled {
@@ -86,12 +86,12 @@
 
 // answerChat runs the request and writes its answer; the slot is free after it.
 func (e *Engine) answerChat(ctx context.Context, t *ticket, out *chatWriter) error {
-	defer e.batch.leave(t)
-	out.accept()
-	if err := e.runChat(ctx, t, out.c, out.token); err != nil {
+	defer e.batch.release(t)
+	out.writeHeader()
+	if err := e.runChat(ctx, t, out.run, out.writeToken); err != nil {
 		return err
 	}
-	e.stats.finish(out.c.id) // before the end is written, so that whoever reads it finds it counted
+	e.stats.recordFinish(out.run.id) // before the end is written, so that whoever reads it finds it counted
 	out.finish()
 	return nil
 }
@@ -101,14 +101,14 @@
 func (e *Engine) holdOpen(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-e.faults.dead:
+	case <-e.faults.done:
 	}
 	abort()
 }
 
 // accepts answers the request itself when the engine cannot run it.
-func (e *Engine) accepts(w http.ResponseWriter, req native.ChatRequest) bool {
-	if e.faults.refuses(w) {
+func (e *Engine) validate(w http.ResponseWriter, req native.ChatRequest) bool {
+	if e.faults.refusedByFault(w) {
 		return false
 	}
 	if len(req.Messages) == 0 {
@@ -130,11 +130,11 @@
 	if err := t.wait(ctx); err != nil {
 		return err
 	}
-	if err := e.faults.pass(ctx); err != nil {
+	if err := e.faults.waitThawed(ctx); err != nil {
 		return err
 	}
-	e.stats.start(c.id)
-	if err := e.faults.crashIfAsked(promptText(c.req.Messages)); err != nil {
+	e.stats.recordRun(c.id)
+	if err := e.faults.crashOnMatch(promptText(c.req.Messages)); err != nil {
 		return err
 	}
 	if err := e.prefill(ctx, c); err != nil {
@@ -151,18 +151,18 @@
 		kv, hasKV = e.kv.get(resume.Handle)
 		hasKV = hasKV && kv.Seed == c.seed
 	}
-	plan := planPrefill(c.prompt, e.cache.use(c.prompt), c.req.Resume, kv, hasKV)
+	plan := planPrefill(c.prompt, e.cache.lookupAndStore(c.prompt), c.req.Resume, kv, hasKV)
 	c.usage.Cached = plan.cached
 	c.usage.Recomputed = plan.recomputed
-	e.stats.prefilled(plan)
-	wait := e.cfg.FirstToken
+	e.stats.recordPrefill(plan)
+	prefillTime := e.cfg.FirstToken
 	if e.cfg.PrefillRate > 0 {
-		wait += time.Duration(float64(plan.prefill) / e.cfg.PrefillRate * float64(time.Second))
+		prefillTime += time.Duration(float64(plan.prefill) / e.cfg.PrefillRate * float64(time.Second))
 	}
-	if err := e.work(ctx, wait); err != nil {
+	if err := e.simulateWork(ctx, prefillTime); err != nil {
 		return err
 	}
-	e.noteKV(c, c.given)
+	e.recordKV(c, c.resumed)
 	return nil
 }
 
@@ -173,20 +173,20 @@
 	for i := 0; i < c.length; i++ {
 		token := answerToken(c.seed, i)
 		text.WriteString(token)
-		if i < c.given {
+		if i < c.resumed {
 			continue
 		}
-		if i > c.given {
-			if err := e.work(ctx, e.tokenTime()); err != nil {
+		if i > c.resumed {
+			if err := e.simulateWork(ctx, e.tokenTime()); err != nil {
 				return err
 			}
 		}
-		if err := e.faults.pass(ctx); err != nil {
+		if err := e.faults.waitThawed(ctx); err != nil {
 			return err
 		}
-		e.stats.token(time.Now())
+		e.stats.recordToken(time.Now())
 		c.usage.Completion++
-		e.noteKV(c, i+1)
+		e.recordKV(c, i+1)
 		emit(i, token)
 	}
 	e.cacheAnswer(c, text.String())
@@ -197,11 +197,11 @@
 // because the next turn of the chat begins with both.
 func (e *Engine) cacheAnswer(c *chatRun, text string) {
 	turn := native.Message{Role: "assistant", Content: text}
-	e.cache.use(newPrompt(append(slices.Clone(c.req.Messages), turn)))
+	e.cache.lookupAndStore(newPrompt(append(slices.Clone(c.req.Messages), turn)))
 }
 
-func (e *Engine) noteKV(c *chatRun, generated int) {
-	e.kv.note(c.id, kvRecord{Seed: c.seed, Prompt: c.prompt.total, Generated: generated})
+func (e *Engine) recordKV(c *chatRun, generated int) {
+	e.kv.record(c.id, kvRecord{Seed: c.seed, Prompt: c.prompt.totalTokens, Generated: generated})
 }
 
 // tokenTime grows with the batch: every step computes one token of each.
@@ -212,12 +212,12 @@
 }
 
 // work takes the time of some work, longer under the slow fault.
-func (e *Engine) work(ctx context.Context, d time.Duration) error {
-	return wait(ctx, e.faults, time.Duration(float64(d)*e.faults.slow()))
+func (e *Engine) simulateWork(ctx context.Context, d time.Duration) error {
+	return sleep(ctx, e.faults, time.Duration(float64(d)*e.faults.slowFactor()))
 }
 
 // wait takes d, and returns early with an error when ctx or the stand-in ends.
-func wait(ctx context.Context, faults *faultState, d time.Duration) error {
+func sleep(ctx context.Context, faults *faultState, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
 	}
@@ -228,8 +228,8 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-faults.dead:
-		return faults.ended()
+	case <-faults.done:
+		return faults.endCause()
 	}
 }
 
@@ -252,70 +252,70 @@
 
 // chatWriter writes an answer, streamed or whole.
 type chatWriter struct {
-	w       http.ResponseWriter
-	c       *chatRun
-	faults  *faultState
-	control *http.ResponseController
-	text    strings.Builder
-	written int // tokens
-	stalled bool
+	w             http.ResponseWriter
+	run           *chatRun
+	faults        *faultState
+	controller    *http.ResponseController
+	text          strings.Builder
+	writtenTokens int // tokens
+	stalled       bool
 }
 
 func newChatWriter(w http.ResponseWriter, c *chatRun, faults *faultState) *chatWriter {
-	return &chatWriter{w: w, c: c, faults: faults, control: http.NewResponseController(w)}
+	return &chatWriter{w: w, run: c, faults: faults, controller: http.NewResponseController(w)}
 }
 
 // accept sends the head of a stream: the request has a place in the queue.
-func (o *chatWriter) accept() {
-	o.w.Header().Set(native.HeaderRequestID, o.c.id)
-	if !o.c.req.Stream {
+func (o *chatWriter) writeHeader() {
+	o.w.Header().Set(native.HeaderRequestID, o.run.id)
+	if !o.run.req.Stream {
 		return
 	}
 	o.w.Header().Set("Content-Type", "text/event-stream")
 	o.w.Header().Set("Cache-Control", "no-store")
 	o.w.WriteHeader(http.StatusOK)
-	_ = o.control.Flush()
+	_ = o.controller.Flush()
 }
 
-func (o *chatWriter) token(i int, token string) {
-	if !o.c.req.Stream {
-		o.text.WriteString(token)
+func (o *chatWriter) writeToken(i int, writeToken string) {
+	if !o.run.req.Stream {
+		o.text.WriteString(writeToken)
 		return
 	}
-	delta := native.Delta{Content: token}
-	if i == o.c.given {
+	delta := native.Delta{Content: writeToken}
+	if i == o.run.resumed {
 		delta.Role = "assistant"
 	}
-	o.event(native.ChunkChoice{Delta: delta}, nil)
-	o.written++
+	o.writeEvent(native.ChunkChoice{Delta: delta}, nil)
+	o.writtenTokens++
 }
 
 // finish ends the answer.
 func (o *chatWriter) finish() {
-	if !o.c.req.Stream {
-		writeJSON(o.w, http.StatusOK, o.whole())
+	if !o.run.req.Stream {
+		writeJSON(o.w, http.StatusOK, o.response())
 		return
 	}
-	o.event(native.ChunkChoice{FinishReason: o.c.finish}, &o.c.usage)
+	o.writeEvent(native.ChunkChoice{FinishReason: o.run.finish}, &o.run.usage)
 	if o.stalled {
 		return
 	}
 	_, _ = o.w.Write([]byte("data: [DONE]\n\n"))
-	_ = o.control.Flush()
+	_ = o.controller.Flush()
 }
 
-func (o *chatWriter) event(choice native.ChunkChoice, usage *native.Usage) {
+func (o *chatWriter) writeEvent(choice native.ChunkChoice, usage *native.Usage) {
 	limit := o.faults.get().StallAfterTokens
-	if limit > 0 && o.written >= limit {
+	if limit > 0 && o.writtenTokens >= limit {
 		o.stalled = true
 	}
 	if o.stalled {
 		return
 	}
 	data, err := json.Marshal(native.ChatChunk{
-		ID:      o.c.id,
+		ID:      o.run.id,
 		Object:  "chat.completion.chunk",
-		Model:   o.c.req.Model,
+		Model:   o.run.req.Model,
 		Choices: []native.ChunkChoice{choice},
 		Usage:   usage,
 	})
@@ -327,18 +327,18 @@
 	event = append(event, data...)
 	event = append(event, "\n\n"...)
 	_, _ = o.w.Write(event) // a client that has gone ends the request's context
-	_ = o.control.Flush()
+	_ = o.controller.Flush()
 }
 
-func (o *chatWriter) whole() native.ChatResponse {
+func (o *chatWriter) response() native.ChatResponse {
 	return native.ChatResponse{
-		ID:     o.c.id,
+		ID:     o.run.id,
 		Object: "chat.completion",
-		Model:  o.c.req.Model,
+		Model:  o.run.req.Model,
 		Choices: []native.Choice{{
 			Message:      native.Message{Role: "assistant", Content: o.text.String()},
-			FinishReason: o.c.finish,
+			FinishReason: o.run.finish,
 		}},
-		Usage: o.c.usage,
+		Usage: o.run.usage,
 	}
 }
--- a/internal/fake/engine_kv.go
+++ b/internal/fake/engine_kv.go
@@ -45,12 +45,12 @@
 // The sender must live until the end of that time, as for real bytes.
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	var req native.ImportRequest
-	if !readJSON(w, r, maxSmallBody, &req) {
+	if !readJSON(w, r, maxSmallBodyBytes, &req) {
 		return
 	}
 	record, err := e.fetchKV(r.Context(), req)
 	if err == nil {
-		err = e.work(r.Context(), e.transferTime(record))
+		err = e.simulateWork(r.Context(), e.transferTime(record))
 	}
 	if err == nil {
 		record, err = e.fetchKV(r.Context(), req)
@@ -59,7 +59,7 @@
 		writeJSON(w, http.StatusBadGateway, native.Problem{Code: "import_failed", Detail: err.Error()})
 		return
 	}
-	writeJSON(w, http.StatusOK, e.exportReply(e.kv.imported(record), record))
+	writeJSON(w, http.StatusOK, e.exportReply(e.kv.addImported(record), record))
 }
 
 func (e *Engine) transferTime(r kvRecord) time.Duration {
@@ -82,7 +82,7 @@
 		return kvRecord{}, errNoHandle
 	}
 	var record kvRecord
-	err = json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxSmallBody)).Decode(&record)
+	err = json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxSmallBodyBytes)).Decode(&record)
 	return record, err
 }
 
@@ -102,14 +102,14 @@
 			return nil
 		case <-ticker.C:
 		}
-		events := withGaps(e.cache.drain(), e.cfg.EventGap)
-		if len(events) > 0 && e.faults.pass(ctx) == nil {
-			e.pushBatch(ctx, events)
+		events := dropEveryNth(e.cache.drain(), e.cfg.EventGap)
+		if len(events) > 0 && e.faults.waitThawed(ctx) == nil {
+			e.postEvents(ctx, events)
 		}
 	}
 }
 
-func (e *Engine) pushBatch(ctx context.Context, events []instance.CacheEvent) {
+func (e *Engine) postEvents(ctx context.Context, events []instance.CacheEvent) {
 	body, err := json.Marshal(native.CacheEventBatch{Incarnation: e.cfg.Incarnation, Events: events})
 	if err != nil {
 		e.deps.Log.Error("cache events cannot be encoded", "error", err)
@@ -122,15 +122,15 @@
 }
 
 // withGaps drops each event whose number is a multiple of every.
-func withGaps(events []instance.CacheEvent, every int) []instance.CacheEvent {
-	if every <= 0 {
+func dropEveryNth(events []instance.CacheEvent, n int) []instance.CacheEvent {
+	if n <= 0 {
 		return events
 	}
-	kept := events[:0]
+	remaining := events[:0]
 	for _, event := range events {
-		if event.Sequence%uint64(every) != 0 {
-			kept = append(kept, event)
+		if event.Sequence%uint64(n) != 0 {
+			remaining = append(remaining, event)
 		}
 	}
-	return kept
+	return remaining
 }
--- a/internal/fake/engine_orders.go
+++ b/internal/fake/engine_orders.go
@@ -10,30 +10,30 @@
 )
 
 // orderBook remembers the orders that an engine followed.
-type orderBook struct {
-	mu      sync.Mutex
-	checks  bool
-	highest uint64
-	orders  []native.Order
+type orderLog struct {
+	mu           sync.Mutex
+	checksFences bool
+	highestFence uint64
+	orders       []native.Order
 }
 
-func newOrderBook(checks bool) *orderBook { return &orderBook{checks: checks} }
+func newOrderLog(checksFences bool) *orderLog { return &orderLog{checksFences: checksFences} }
 
 // take reports whether the order is to be followed. An engine that checks
 // fences refuses one lower than it has seen: it comes from a leader that has
 // been replaced without knowing.
-func (b *orderBook) take(o native.Order) bool {
+func (b *orderLog) accept(o native.Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.checks && o.Fence < b.highest {
+	if b.checksFences && o.Fence < b.highestFence {
 		return false
 	}
-	b.highest = max(b.highest, o.Fence)
+	b.highestFence = max(b.highestFence, o.Fence)
 	b.orders = append(b.orders, o)
 	return true
 }
 
-func (b *orderBook) taken() []native.Order {
+func (b *orderLog) accepted() []native.Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.orders)
@@ -42,14 +42,14 @@
 // serveOrder answers 202 for an order that is followed, 409 for an old fence.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o native.Order
-	if !readJSON(w, r, maxSmallBody, &o) {
+	if !readJSON(w, r, maxSmallBodyBytes, &o) {
 		return
 	}
-	if !e.orders.take(o) {
+	if !e.orders.accept(o) {
 		refuse(w, http.StatusConflict, 0, "old_fence", "a higher fencing number was seen")
 		return
 	}
-	if !e.follow(o) {
+	if !e.execute(o) {
 		refuse(w, http.StatusBadRequest, 0, "unknown_order", string(o.Kind))
 		return
 	}
@@ -58,14 +58,14 @@
 
 // follow reports whether the order makes sense. A model takes its time to
 // load; the announcements show when it is there.
-func (e *Engine) follow(o native.Order) bool {
+func (e *Engine) execute(o native.Order) bool {
 	switch o.Kind {
 	case native.OrderLoadModel:
 		return e.enqueueLoad(o)
 	case native.OrderLoadAdapter:
-		e.change(func(m *modelState) { m.adapters = withAdapter(m.adapters, o.Adapter) })
+		e.updateModel(func(m *modelState) { m.adapters = withAdapter(m.adapters, o.Adapter) })
 	case native.OrderRole:
-		e.change(func(m *modelState) { m.role = o.Role })
+		e.updateModel(func(m *modelState) { m.role = o.Role })
 	case native.OrderLeave:
 		e.Leave(e.cfg.Notice)
 	default:
@@ -77,7 +77,7 @@
 // enqueueLoad leaves the loading to runLoads, one model after the other.
 func (e *Engine) enqueueLoad(o native.Order) bool {
 	select {
-	case e.loads <- o:
+	case e.loadOrders <- o:
 		return true
 	default:
 		return false
@@ -90,7 +90,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case o := <-e.loads:
+		case o := <-e.loadOrders:
 			e.loadModel(ctx, o)
 		}
 	}
@@ -101,7 +101,7 @@
 		e.deps.Log.Warn("model not loaded", "model", o.Model, "version", o.Version, "error", err)
 		return
 	}
-	e.change(func(m *modelState) {
+	e.updateModel(func(m *modelState) {
 		m.name = o.Model
 		m.version = o.Version
 	})
@@ -114,11 +114,11 @@
 	}
 	for {
 		_, err := e.store.Fetch(ctx, e.cfg.Store, o.Model, o.Version)
-		after, again := native.RetryAfter(err)
-		if !again {
+		delay, retryable := native.RetryAfter(err)
+		if !retryable {
 			return err
 		}
-		if err := wait(ctx, e.faults, after); err != nil {
+		if err := sleep(ctx, e.faults, delay); err != nil {
 			return err
 		}
 	}
@@ -132,7 +132,7 @@
 	return append(slices.Clone(adapters), name)
 }
 
-func (e *Engine) change(f func(*modelState)) {
+func (e *Engine) updateModel(f func(*modelState)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f(&e.model)
--- a/internal/fake/engine_state.go
+++ b/internal/fake/engine_state.go
@@ -27,11 +27,11 @@
 }
 
 type engineStats struct {
-	mu       sync.Mutex
-	s        EngineStats
-	bucket   time.Time // start of the running rate window
-	inBucket int
-	lastRate float64
+	mu           sync.Mutex
+	s            EngineStats
+	windowStart  time.Time // start of the running rate window
+	windowTokens int
+	lastRate     float64
 }
 
 func newEngineStats() *engineStats {
@@ -42,9 +42,9 @@
 	}}
 }
 
-func (e *engineStats) start(id string)  { e.count(e.s.Runs, id) }
-func (e *engineStats) finish(id string) { e.count(e.s.Finished, id) }
-func (e *engineStats) cancel(id string) { e.count(e.s.Cancelled, id) }
+func (e *engineStats) recordRun(id string)    { e.count(e.s.Runs, id) }
+func (e *engineStats) recordFinish(id string) { e.count(e.s.Finished, id) }
+func (e *engineStats) recordCancel(id string) { e.count(e.s.Cancelled, id) }
 
 func (e *engineStats) count(m map[string]int, id string) {
 	e.mu.Lock()
@@ -52,37 +52,37 @@
 	m[id]++
 }
 
-func (e *engineStats) prefilled(p resumePlan) {
+func (e *engineStats) recordPrefill(p prefillPlan) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.s.Cached += p.cached
 	e.s.Recomputed += p.recomputed
 }
 
-func (e *engineStats) token(now time.Time) {
+func (e *engineStats) recordToken(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.roll(now)
+	e.rollWindow(now)
 	e.s.Tokens++
-	e.inBucket++
+	e.windowTokens++
 }
 
 // tokenRate returns the tokens generated in the last full window.
 func (e *engineStats) tokenRate(now time.Time) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.roll(now)
+	e.rollWindow(now)
 	return e.lastRate
 }
 
-func (e *engineStats) roll(now time.Time) {
-	age := now.Sub(e.bucket)
+func (e *engineStats) rollWindow(now time.Time) {
+	age := now.Sub(e.windowStart)
 	if age < rateWindow {
 		return
 	}
-	e.lastRate = float64(e.inBucket) / age.Seconds()
-	e.inBucket = 0
-	e.bucket = now
+	e.lastRate = float64(e.windowTokens) / age.Seconds()
+	e.windowTokens = 0
+	e.windowStart = now
 }
 
 func (e *engineStats) snapshot() EngineStats {
@@ -110,8 +110,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.loads = append(h.loads, l)
-	due := l.At.Add(-h.lag)
-	for len(h.loads) > 1 && !h.loads[1].At.After(due) {
+	cutoff := l.At.Add(-h.lag)
+	for len(h.loads) > 1 && !h.loads[1].At.After(cutoff) {
 		h.loads = h.loads[1:]
 	}
 	return h.loads[0]
@@ -119,9 +119,9 @@
 
 // cancelTable finds the running requests by id.
 type cancelTable struct {
-	mu   sync.Mutex
-	next int
-	byID map[string]map[int]context.CancelCauseFunc
+	mu      sync.Mutex
+	lastKey int
+	byID    map[string]map[int]context.CancelCauseFunc
 }
 
 func newCancelTable() *cancelTable {
@@ -130,12 +130,12 @@
 
 // enter returns a context that cancel(id) ends, and the function to call when
 // the request is over.
-func (t *cancelTable) enter(parent context.Context, id string) (context.Context, func()) {
+func (t *cancelTable) add(parent context.Context, id string) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.next++
-	key := t.next
+	t.lastKey++
+	key := t.lastKey
 	if t.byID[id] == nil {
 		t.byID[id] = make(map[int]context.CancelCauseFunc)
 	}
--- a/internal/fake/engine_test.go
+++ b/internal/fake/engine_test.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	waitBound = 10 * time.Second
-	pollEvery = 5 * time.Millisecond
-	testModel = "m1"
+	waitTimeout  = 10 * time.Second
+	pollInterval = 5 * time.Millisecond
+	testModel    = "m1"
 )
 
 // propertySeed gives property tests one verdict; -rapid.seed=0 draws anew.
@@ -35,17 +35,17 @@
 }
 
 // running is a stand-in engine that serves on a loopback address.
-type running struct {
+type testEngine struct {
 	*fake.Engine
 	address string
 	client  *native.EngineClient
 	ended   chan error
 }
 
-func startEngine(t *testing.T, cfg fake.EngineConfig) *running {
+func startEngine(t *testing.T, cfg fake.EngineConfig) *testEngine {
 	t.Helper()
 	cfg.Model = testModel
-	r := &running{
+	r := &testEngine{
 		Engine: fake.NewEngine(cfg, fake.Deps{}),
 		client: native.NewEngine(native.EngineConfig{}),
 		ended:  make(chan error, 1),
@@ -67,9 +67,9 @@
 	return r
 }
 
-func (r *running) chat(t *testing.T, id string, req native.ChatRequest) *native.ChatStream {
+func (r *testEngine) chat(t *testing.T, id string, req native.ChatRequest) *native.ChatStream {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	stream, err := r.client.Chat(ctx, r.address, id, req)
 	t.Cleanup(cancel)
 	require.NoError(t, err)
@@ -77,7 +77,7 @@
 	return stream
 }
 
-func ask(text string, n int) native.ChatRequest {
+func chatRequest(text string, n int) native.ChatRequest {
 	return native.ChatRequest{
 		Model:     testModel,
 		Messages:  []native.Message{{Role: "user", Content: text}},
@@ -86,7 +86,7 @@
 }
 
 // take reads up to n tokens, and to the stream's end for a negative n.
-func take(s *native.ChatStream, n int) ([]string, error) {
+func readTokens(s *native.ChatStream, n int) ([]string, error) {
 	var tokens []string
 	for len(tokens) != n {
 		chunk, err := s.Next()
@@ -104,9 +104,9 @@
 
 func TestEngineStreamsItsAnswer(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{})
-	req := ask("how much ragweed is there", 20)
+	req := chatRequest("how much ragweed is there", 20)
 	stream := e.chat(t, "r1", req)
-	tokens, err := take(stream, -1)
+	tokens, err := readTokens(stream, -1)
 	require.Equal(t, io.EOF, err)
 	require.Equal(t, fake.Answer(testModel, req.Messages, 20), tokens)
 	require.Equal(t, 20, stream.Usage().Completion)
@@ -118,10 +118,10 @@
 // it. If the second began elsewhere than at the next token, the caller would
 // read a sentence with a hole or a stutter.
 func TestEngineResumesAnAnswer(t *testing.T) {
-	req := ask("briefing for the season", 30)
+	req := chatRequest("briefing for the season", 30)
 	want := fake.Answer(testModel, req.Messages, 30)
 	first := startEngine(t, fake.EngineConfig{ID: "a", TokenTime: time.Millisecond})
-	head, err := take(first.chat(t, "r1", req), 10)
+	head, err := readTokens(first.chat(t, "r1", req), 10)
 	require.NoError(t, err)
 	export, err := first.client.ExportKV(context.Background(), first.address, "r1")
 	require.NoError(t, err)
@@ -140,7 +140,7 @@
 		resumed := req
 		resumed.Resume = &native.Resume{Tokens: head, Handle: c.handle}
 		stream := second.chat(t, name, resumed)
-		rest, err := take(stream, -1)
+		rest, err := readTokens(stream, -1)
 		require.Equal(t, io.EOF, err, name)
 		require.Equal(t, want, append(head[:10:10], rest...), name)
 		require.Equal(t, c.recomputed, stream.Usage().Recomputed, name)
@@ -151,20 +151,20 @@
 // the others without use.
 func TestEngineCancels(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{Slots: 2, TokenTime: time.Millisecond})
-	closed := e.chat(t, "closed", ask("one", 1<<20))
-	deleted := e.chat(t, "deleted", ask("two", 1<<20))
-	_, err := take(closed, 3)
+	closed := e.chat(t, "closed", chatRequest("one", 1<<20))
+	deleted := e.chat(t, "deleted", chatRequest("two", 1<<20))
+	_, err := readTokens(closed, 3)
 	require.NoError(t, err)
-	_, err = take(deleted, 3)
+	_, err = readTokens(deleted, 3)
 	require.NoError(t, err)
 	require.NoError(t, closed.Close())
 	require.NoError(t, e.client.Cancel(context.Background(), e.address, "deleted"))
-	_, err = take(deleted, -1)
+	_, err = readTokens(deleted, -1)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.Eventually(t, func() bool {
 		s := e.Stats()
 		return s.Running == 0 && s.Cancelled["closed"] == 1 && s.Cancelled["deleted"] == 1
-	}, waitBound, pollEvery)
+	}, waitTimeout, pollInterval)
 }
 
 // A request kills the process that runs it. Its neighbours lose their streams
@@ -172,17 +172,17 @@
 func TestEngineCrashesOnARequest(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{TokenTime: time.Millisecond})
 	e.SetFaults(fake.Faults{CrashOn: "trigger"})
-	bystander := e.chat(t, "bystander", ask("harmless", 1<<20))
-	_, err := take(bystander, 1)
+	bystander := e.chat(t, "bystander", chatRequest("harmless", 1<<20))
+	_, err := readTokens(bystander, 1)
 	require.NoError(t, err)
-	crash := e.chat(t, "crash", ask("some trigger here", 5))
-	_, err = take(crash, -1)
+	crash := e.chat(t, "crash", chatRequest("some trigger here", 5))
+	_, err = readTokens(crash, -1)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.False(t, native.NotRun(err))
-	_, err = take(bystander, -1)
+	_, err = readTokens(bystander, -1)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.ErrorIs(t, <-e.ended, fake.ErrCrashed)
-	_, err = e.client.Chat(context.Background(), e.address, "later", ask("x", 1))
+	_, err = e.client.Chat(context.Background(), e.address, "later", chatRequest("x", 1))
 	require.True(t, native.NotRun(err), "%v", err)
 }
 
@@ -191,19 +191,19 @@
 func TestEngineStallsOpenStreams(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{})
 	e.SetFaults(fake.Faults{StallAfterTokens: 4})
-	stream := e.chat(t, "r1", ask("long story", 50))
-	_, err := take(stream, 4)
+	stream := e.chat(t, "r1", chatRequest("long story", 50))
+	_, err := readTokens(stream, 4)
 	require.NoError(t, err)
-	more := make(chan error, 1)
+	nextErr := make(chan error, 1)
 	go func() {
 		_, err := stream.Next()
-		more <- err
+		nextErr <- err
 	}()
-	require.Eventually(t, func() bool { return e.Stats().Finished["r1"] == 1 }, waitBound, pollEvery)
+	require.Eventually(t, func() bool { return e.Stats().Finished["r1"] == 1 }, waitTimeout, pollInterval)
 	require.NoError(t, e.client.Probe(context.Background(), e.address))
-	require.Empty(t, more, "the stream ended or went on, in place of being silent")
+	require.Empty(t, nextErr, "the stream ended or went on, in place of being silent")
 	require.NoError(t, stream.Close())
-	require.Error(t, <-more)
+	require.Error(t, <-nextErr)
 }
 
 // An engine that is overloaded or told to refuse must say so before it runs
@@ -211,13 +211,13 @@
 // the line that sets HeaderNotRun in refuse breaks this test.
 func TestEngineRefusesBeforeRunning(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{Slots: 1, MaxWaiting: -1, TokenTime: time.Millisecond})
-	holder := e.chat(t, "holder", ask("x", 1<<20))
-	_, err := take(holder, 1)
+	holder := e.chat(t, "holder", chatRequest("x", 1<<20))
+	_, err := readTokens(holder, 1)
 	require.NoError(t, err)
-	_, err = e.client.Chat(context.Background(), e.address, "full", ask("y", 1))
+	_, err = e.client.Chat(context.Background(), e.address, "full", chatRequest("y", 1))
 	requireRefused(t, err, 429)
 	e.SetFaults(fake.Faults{Refuse: true})
-	_, err = e.client.Chat(context.Background(), e.address, "refused", ask("y", 1))
+	_, err = e.client.Chat(context.Background(), e.address, "refused", chatRequest("y", 1))
 	requireRefused(t, err, 503)
 	require.Equal(t, map[string]int{"holder": 1}, e.Stats().Runs)
 }
@@ -234,32 +234,32 @@
 
 func TestEngineServesUrgentRequestsFirst(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{Slots: 1, TokenTime: time.Millisecond})
-	holder := e.chat(t, "holder", ask("x", 1<<20))
-	_, err := take(holder, 1)
+	holder := e.chat(t, "holder", chatRequest("x", 1<<20))
+	_, err := readTokens(holder, 1)
 	require.NoError(t, err)
-	low := ask("low", 1<<20)
+	low := chatRequest("low", 1<<20)
 	low.Priority = 2
 	e.chat(t, "low", low)
-	require.Eventually(t, func() bool { return e.Stats().Waiting == 1 }, waitBound, pollEvery)
-	high := e.chat(t, "high", ask("high", 5))
-	require.Eventually(t, func() bool { return e.Stats().Waiting == 2 }, waitBound, pollEvery)
+	require.Eventually(t, func() bool { return e.Stats().Waiting == 1 }, waitTimeout, pollInterval)
+	high := e.chat(t, "high", chatRequest("high", 5))
+	require.Eventually(t, func() bool { return e.Stats().Waiting == 2 }, waitTimeout, pollInterval)
 	require.NoError(t, holder.Close())
-	_, err = take(high, -1)
+	_, err = readTokens(high, -1)
 	require.Equal(t, io.EOF, err)
 	require.Equal(t, 1, e.Stats().Runs["high"])
-	require.Eventually(t, func() bool { return e.Stats().Runs["low"] == 1 }, waitBound, pollEvery)
+	require.Eventually(t, func() bool { return e.Stats().Runs["low"] == 1 }, waitTimeout, pollInterval)
 }
 
 func TestEngineCachesPrefixes(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{CacheTokens: 200})
-	req := ask(strings.Repeat("station history ", 20), 5)
-	_, err := take(e.chat(t, "r1", req), -1)
+	req := chatRequest(strings.Repeat("station history ", 20), 5)
+	_, err := readTokens(e.chat(t, "r1", req), -1)
 	require.Equal(t, io.EOF, err)
 	req.Messages = append(req.Messages, native.Message{Role: "user", Content: "and now?"})
-	again := e.chat(t, "r2", req)
-	_, err = take(again, -1)
+	second := e.chat(t, "r2", req)
+	_, err = readTokens(second, -1)
 	require.Equal(t, io.EOF, err)
-	require.Equal(t, fake.PromptTokens(req.Messages[:1]), again.Usage().Cached)
+	require.Equal(t, fake.PromptTokens(req.Messages[:1]), second.Usage().Cached)
 	listing, err := e.client.Listing(context.Background(), e.address)
 	require.NoError(t, err)
 	hashes := native.PrefixHashes(req.Messages)
@@ -274,9 +274,9 @@
 // Its callers must not read its silence as a refusal, nor as an end.
 func TestEngineFreezes(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{TokenTime: time.Millisecond})
-	req := ask("x", 200)
+	req := chatRequest("x", 200)
 	stream := e.chat(t, "r1", req)
-	head, err := take(stream, 3)
+	head, err := readTokens(stream, 3)
 	require.NoError(t, err)
 	e.SetFaults(fake.Faults{Freeze: true})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -284,7 +284,7 @@
 	require.ErrorIs(t, e.client.Probe(ctx, e.address), context.DeadlineExceeded)
 	require.Zero(t, e.Stats().Finished["r1"])
 	e.SetFaults(fake.Faults{})
-	rest, err := take(stream, -1)
+	rest, err := readTokens(stream, -1)
 	require.Equal(t, io.EOF, err)
 	require.Equal(t, fake.Answer(testModel, req.Messages, 200), append(head, rest...))
 	e.SetFaults(fake.Faults{Freeze: true}) // Run must end all the same
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -30,14 +30,14 @@
 	mu     sync.Mutex
 	faults Faults
 	thawed chan struct{} // closed while not frozen
-	dead   chan struct{} // closed at the end
+	done   chan struct{} // closed at the end
 	cause  error
 }
 
 func newFaultState() *faultState {
 	thawed := make(chan struct{})
 	close(thawed)
-	return &faultState{thawed: thawed, dead: make(chan struct{})}
+	return &faultState{thawed: thawed, done: make(chan struct{})}
 }
 
 func (s *faultState) set(f Faults) {
@@ -59,7 +59,7 @@
 }
 
 // slow returns the factor on all times of work.
-func (s *faultState) slow() float64 {
+func (s *faultState) slowFactor() float64 {
 	f := s.get().SlowFactor
 	if f == 0 {
 		return 1
@@ -75,44 +75,44 @@
 		return
 	}
 	s.cause = cause
-	close(s.dead)
+	close(s.done)
 }
 
-func (s *faultState) ended() error {
+func (s *faultState) endCause() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cause
 }
 
 // pass waits while frozen. It returns an error once ctx or the stand-in ends.
-func (s *faultState) pass(ctx context.Context) error {
+func (s *faultState) waitThawed(ctx context.Context) error {
 	s.mu.Lock()
 	thawed := s.thawed
 	s.mu.Unlock()
 	select {
 	case <-thawed:
-	case <-s.dead:
+	case <-s.done:
 	case <-ctx.Done():
 	}
-	if err := s.ended(); err != nil {
+	if err := s.endCause(); err != nil {
 		return err
 	}
 	return ctx.Err()
 }
 
 // crashIfAsked ends the stand-in when text holds the crash switch's text.
-func (s *faultState) crashIfAsked(text string) error {
+func (s *faultState) crashOnMatch(text string) error {
 	trigger := s.get().CrashOn
 	if trigger != "" && strings.Contains(text, trigger) {
 		s.end(ErrCrashed)
 	}
-	return s.ended()
+	return s.endCause()
 }
 
 // guard holds requests while frozen and cuts the connection once ended.
 func (s *faultState) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.pass(r.Context()) != nil {
+		if s.waitThawed(r.Context()) != nil {
 			abort()
 		}
 		next.ServeHTTP(w, r)
@@ -120,7 +120,7 @@
 }
 
 // refuses answers the request itself while the refuse fault is in force.
-func (s *faultState) refuses(w http.ResponseWriter) bool {
+func (s *faultState) refusedByFault(w http.ResponseWriter) bool {
 	if !s.get().Refuse {
 		return false
 	}
--- a/internal/fake/kv.go
+++ b/internal/fake/kv.go
@@ -8,7 +8,7 @@
 )
 
 // keptRecords bounds the KV records of ended requests and of handles, each.
-const keptRecords = 256
+const maxRecords = 256
 
 // kvRecord describes a KV cache; there are no bytes behind it.
 type kvRecord struct {
@@ -22,18 +22,18 @@
 // kvStore holds the KV records of an engine: by request id while it runs and
 // for a while after, and by handle once exported or imported.
 type kvStore struct {
-	mu        sync.Mutex
-	prefix    string
-	count     int
-	byRequest boundedRecords
-	byHandle  boundedRecords
+	mu           sync.Mutex
+	handlePrefix string
+	lastHandle   int
+	byRequest    boundedRecords
+	byHandle     boundedRecords
 }
 
-func newKVStore(prefix string) *kvStore {
-	return &kvStore{prefix: prefix, byRequest: newBoundedRecords(), byHandle: newBoundedRecords()}
+func newKVStore(handlePrefix string) *kvStore {
+	return &kvStore{handlePrefix: handlePrefix, byRequest: newBoundedRecords(), byHandle: newBoundedRecords()}
 }
 
-func (s *kvStore) note(requestID string, r kvRecord) {
+func (s *kvStore) record(requestID string, r kvRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.byRequest.put(requestID, r)
@@ -46,18 +46,18 @@
 	if !ok {
 		return "", kvRecord{}, false
 	}
-	return s.add(r), r, true
+	return s.addHandle(r), r, true
 }
 
-func (s *kvStore) imported(r kvRecord) string {
+func (s *kvStore) addImported(r kvRecord) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.add(r)
+	return s.addHandle(r)
 }
 
-func (s *kvStore) add(r kvRecord) string {
-	s.count++
-	handle := fmt.Sprintf("%s-kv-%d", s.prefix, s.count)
+func (s *kvStore) addHandle(r kvRecord) string {
+	s.lastHandle++
+	handle := fmt.Sprintf("%s-kv-%d", s.handlePrefix, s.lastHandle)
 	s.byHandle.put(handle, r)
 	return handle
 }
@@ -84,14 +84,14 @@
 		b.order = append(b.order, key)
 	}
 	b.records[key] = r
-	if len(b.order) > keptRecords {
+	if len(b.order) > maxRecords {
 		delete(b.records, b.order[0])
 		b.order = b.order[1:]
 	}
 }
 
 // resumePlan says what an engine prefills before it goes on with an answer.
-type resumePlan struct {
+type prefillPlan struct {
 	prefill    int // tokens to compute before the next token
 	cached     int
 	recomputed int
@@ -99,15 +99,15 @@
 
 // planPrefill weighs a request's prompt, its tokens so far and the KV cache
 // that it names, if any.
-func planPrefill(p prompt, cached int, resume *native.Resume, kv kvRecord, hasKV bool) resumePlan {
+func planPrefill(p prompt, cached int, resume *native.Resume, kv kvRecord, hasKV bool) prefillPlan {
 	if resume == nil {
-		return resumePlan{prefill: p.total - cached, cached: cached}
+		return prefillPlan{prefill: p.totalTokens - cached, cached: cached}
 	}
-	given := len(resume.Tokens)
+	resumed := len(resume.Tokens)
 	if hasKV {
-		missing := given - min(given, kv.Generated)
-		return resumePlan{prefill: missing, recomputed: missing}
+		missing := resumed - min(resumed, kv.Generated)
+		return prefillPlan{prefill: missing, recomputed: missing}
 	}
-	again := p.total - cached + given
-	return resumePlan{prefill: again, cached: cached, recomputed: again}
+	toCompute := p.totalTokens - cached + resumed
+	return prefillPlan{prefill: toCompute, cached: cached, recomputed: toCompute}
 }
--- a/internal/fake/plain.go
+++ b/internal/fake/plain.go
@@ -30,10 +30,10 @@
 )
 
 const (
-	streamChunk     = 32 << 10
-	streamAlphabet  = 251 // prime, so that a lost block of any power of two shows
-	maxCrashText    = 64 << 10
-	streamByteParam = "bytes"
+	streamChunkBytes  = 32 << 10
+	streamModulus     = 251 // prime, so that a lost block of any power of two shows
+	maxCrashTextBytes = 64 << 10
+	streamByteParam   = "bytes"
 )
 
 // PlainConfig describes a stand-in plain service.
@@ -164,7 +164,7 @@
 }
 
 func (p *Plain) serveCall(w http.ResponseWriter, r *http.Request) {
-	if p.faults.refuses(w) {
+	if p.faults.refusedByFault(w) {
 		return
 	}
 	p.addRunning(1)
@@ -177,14 +177,14 @@
 	if _, err := io.Copy(body, r.Body); err != nil {
 		abort()
 	}
-	if p.faults.crashIfAsked(body.head.String()) != nil {
+	if p.faults.crashOnMatch(body.firstBytes.String()) != nil {
 		abort()
 	}
-	if p.work(r.Context(), p.cfg.Work) != nil {
+	if p.simulateWork(r.Context(), p.cfg.Work) != nil {
 		abort()
 	}
 	executions := p.execute(r)
-	if p.work(r.Context(), p.cfg.AnswerDelay) != nil {
+	if p.simulateWork(r.Context(), p.cfg.AnswerDelay) != nil {
 		abort()
 	}
 	w.Header().Set(HeaderExecutions, strconv.Itoa(executions))
@@ -228,12 +228,12 @@
 	p.running += n
 }
 
-func (p *Plain) work(ctx context.Context, d time.Duration) error {
-	err := wait(ctx, p.faults, time.Duration(float64(d)*p.faults.slow()))
+func (p *Plain) simulateWork(ctx context.Context, d time.Duration) error {
+	err := sleep(ctx, p.faults, time.Duration(float64(d)*p.faults.slowFactor()))
 	if err != nil {
 		return err
 	}
-	return p.faults.pass(ctx)
+	return p.faults.waitThawed(ctx)
 }
 
 // serveStream answers a large body in chunks; byte i is StreamByte(i).
@@ -246,13 +246,13 @@
 	p.execute(r)
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.WriteHeader(http.StatusOK)
-	chunk := make([]byte, streamChunk)
+	chunk := make([]byte, streamChunkBytes)
 	for sent := int64(0); sent < total; {
 		n := min(int64(len(chunk)), total-sent)
 		for i := range chunk[:n] {
 			chunk[i] = StreamByte(sent + int64(i))
 		}
-		if p.faults.pass(r.Context()) != nil {
+		if p.faults.waitThawed(r.Context()) != nil {
 			abort()
 		}
 		if _, err := w.Write(chunk[:n]); err != nil {
@@ -263,22 +263,22 @@
 }
 
 // StreamByte returns byte i of every PathStream answer.
-func StreamByte(i int64) byte { return byte(i % streamAlphabet) }
+func StreamByte(i int64) byte { return byte(i % streamModulus) }
 
 // bodyDigest takes a body of any size in and keeps its hash and its start.
 type bodyDigest struct {
-	hash  hash.Hash64
-	bytes int64
-	head  strings.Builder
+	hash       hash.Hash64
+	bytes      int64
+	firstBytes strings.Builder
 }
 
 func newBodyDigest() *bodyDigest { return &bodyDigest{hash: xxhash.New()} }
 
 // Write implements io.Writer.
-func (b *bodyDigest) Write(part []byte) (int, error) {
-	b.bytes += int64(len(part))
-	if room := maxCrashText - b.head.Len(); room > 0 {
-		b.head.Write(part[:min(room, len(part))])
+func (b *bodyDigest) Write(chunk []byte) (int, error) {
+	b.bytes += int64(len(chunk))
+	if free := maxCrashTextBytes - b.firstBytes.Len(); free > 0 {
+		b.firstBytes.Write(chunk[:min(free, len(chunk))])
 	}
-	return b.hash.Write(part)
+	return b.hash.Write(chunk)
 }
--- a/internal/fake/plain_test.go
+++ b/internal/fake/plain_test.go
@@ -57,7 +57,7 @@
 	if key != "" {
 		req.Header.Set(fake.HeaderIdempotencyKey, key)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	resp, _, err := s.client.Do(ctx, s.address, req)
 	if err == nil {
@@ -135,7 +135,7 @@
 		_, _, err := s.client.DoOnce(ctx, s.address, req)
 		failed <- err
 	}()
-	require.Eventually(t, func() bool { return p.Stats().Counters["alerts"] == 1 }, waitBound, pollEvery)
+	require.Eventually(t, func() bool { return p.Stats().Counters["alerts"] == 1 }, waitTimeout, pollInterval)
 	cancel()
 	require.False(t, native.NotRun(<-failed))
 }
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -19,10 +19,10 @@
 
 // Bounds of the stand-ins' listeners.
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxSmallBody  = 1 << 20 // bytes of a JSON request
-	maxChatBody   = 16 << 20
+	headerTimeout     = 5 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxSmallBodyBytes = 1 << 20 // bytes of a JSON request
+	maxChatBodyBytes  = 16 << 20
 )
 
 // Paths that every stand-in has for tests.
@@ -65,12 +65,12 @@
 	}
 	var group run.Group
 	group.Add(func() error { return server.Serve(ln) }, func(error) { server.Close() })
-	group.Add(func() error { return awaitEnd(ctx, faults) }, func(error) { cancel() })
+	group.Add(func() error { return waitForEnd(ctx, faults) }, func(error) { cancel() })
 	for _, a := range actors {
 		group.Add(func() error { return a(ctx) }, func(error) { cancel() })
 	}
 	err := group.Run()
-	if cause := faults.ended(); cause != nil {
+	if cause := faults.endCause(); cause != nil {
 		return trace.Wrap(cause)
 	}
 	if err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, context.Canceled) {
@@ -79,12 +79,12 @@
 	return trace.Wrap(err)
 }
 
-func awaitEnd(ctx context.Context, faults *faultState) error {
+func waitForEnd(ctx context.Context, faults *faultState) error {
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-faults.dead:
-		return faults.ended()
+	case <-faults.done:
+		return faults.endCause()
 	}
 }
 
@@ -92,10 +92,10 @@
 func abort() { panic(http.ErrAbortHandler) }
 
 // refuse answers a request that has not run and will not run.
-func refuse(w http.ResponseWriter, status int, after time.Duration, code, detail string) {
+func refuse(w http.ResponseWriter, status int, retryAfter time.Duration, code, detail string) {
 	w.Header().Set(native.HeaderNotRun, "1")
-	if after > 0 {
-		seconds := int((after + time.Second - 1) / time.Second)
+	if retryAfter > 0 {
+		seconds := int((retryAfter + time.Second - 1) / time.Second)
 		w.Header().Set(native.HeaderRetryAfter, strconv.Itoa(seconds))
 	}
 	writeJSON(w, status, native.Problem{Code: code, Detail: detail})
@@ -125,7 +125,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			var f Faults
-			if !readJSON(w, r, maxSmallBody, &f) {
+			if !readJSON(w, r, maxSmallBodyBytes, &f) {
 				return
 			}
 			state.set(f)
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -14,7 +14,7 @@
 )
 
 // storeStep is the time between two writes of a paced body.
-const storeStep = 10 * time.Millisecond
+const writeInterval = 10 * time.Millisecond
 
 // StoreConfig describes a stand-in weight store.
 type StoreConfig struct {
@@ -84,12 +84,12 @@
 }
 
 func (s *Store) serveWeights(w http.ResponseWriter, r *http.Request) {
-	if s.faults.refuses(w) {
+	if s.faults.refusedByFault(w) {
 		return
 	}
-	if after := s.reserve(); after > 0 {
-		s.count(func(st *StoreStats) { st.Refused++ })
-		refuse(w, http.StatusTooManyRequests, after, "rate_limited", "too many reads")
+	if retryAfter := s.reserve(); retryAfter > 0 {
+		s.updateStats(func(st *StoreStats) { st.Refused++ })
+		refuse(w, http.StatusTooManyRequests, retryAfter, "rate_limited", "too many reads")
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -97,7 +97,7 @@
 	if s.writeBody(w, r) != nil {
 		abort()
 	}
-	s.count(func(st *StoreStats) { st.Served++ })
+	s.updateStats(func(st *StoreStats) { st.Served++ })
 }
 
 // reserve returns zero when the read may go on now, else when to come back.
@@ -111,28 +111,28 @@
 }
 
 func (s *Store) writeBody(w http.ResponseWriter, r *http.Request) error {
-	step := int64(streamChunk)
-	var pause time.Duration
+	chunkBytes := int64(streamChunkBytes)
+	var interval time.Duration
 	if s.cfg.BytesPerSecond > 0 {
-		step = max(1, s.cfg.BytesPerSecond*int64(storeStep)/int64(time.Second))
-		pause = storeStep
+		chunkBytes = max(1, s.cfg.BytesPerSecond*int64(writeInterval)/int64(time.Second))
+		interval = writeInterval
 	}
-	zeros := make([]byte, step)
-	for left := s.cfg.WeightBytes; left > 0; left -= step {
-		if err := wait(r.Context(), s.faults, time.Duration(float64(pause)*s.faults.slow())); err != nil {
+	zeros := make([]byte, chunkBytes)
+	for remaining := s.cfg.WeightBytes; remaining > 0; remaining -= chunkBytes {
+		if err := sleep(r.Context(), s.faults, time.Duration(float64(interval)*s.faults.slowFactor())); err != nil {
 			return err
 		}
-		if err := s.faults.pass(r.Context()); err != nil {
+		if err := s.faults.waitThawed(r.Context()); err != nil {
 			return err
 		}
-		if _, err := w.Write(zeros[:min(step, left)]); err != nil {
+		if _, err := w.Write(zeros[:min(chunkBytes, remaining)]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Store) count(f func(*StoreStats)) {
+func (s *Store) updateStats(f func(*StoreStats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.stats)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,17 +17,17 @@
 	listener net.Listener
 	target   string
 	delay    atomic.Int64 // nanoseconds before each forwarded chunk
-	work     sync.WaitGroup
+	wg       sync.WaitGroup
 
-	mu    sync.Mutex // guards pipes and done
-	pipes map[*pipe]struct{}
-	done  bool
+	mu     sync.Mutex // guards pipes and done
+	pipes  map[*pipe]struct{}
+	closed bool
 }
 
 // pipe is one relayed connection.
 type pipe struct {
-	near, far net.Conn
-	silent    atomic.Bool
+	client, upstream net.Conn
+	silent           atomic.Bool
 }
 
 // New starts a relay on a free loopback port towards target (host:port).
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	r := &Relay{listener: l, target: target, pipes: make(map[*pipe]struct{})}
-	r.work.Go(r.accept)
+	r.wg.Go(r.accept)
 	return r, nil
 }
 
@@ -77,39 +77,39 @@
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.mu.Lock()
-	r.done = true
+	r.closed = true
 	for p := range r.pipes {
 		p.close()
 	}
 	r.mu.Unlock()
-	r.work.Wait()
+	r.wg.Wait()
 }
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", r.target)
+		upstream, err := net.Dial("tcp", r.target)
 		if err != nil {
-			near.Close()
+			client.Close()
 			continue
 		}
-		r.serve(&pipe{near: near, far: far})
+		r.serve(&pipe{client: client, upstream: upstream})
 	}
 }
 
 func (r *Relay) serve(p *pipe) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done {
+	if r.closed {
 		p.close()
 		return
 	}
 	r.pipes[p] = struct{}{}
-	r.work.Go(func() { r.copy(p, p.far, p.near) })
-	r.work.Go(func() { r.copy(p, p.near, p.far) })
+	r.wg.Go(func() { r.copy(p, p.upstream, p.client) })
+	r.wg.Go(func() { r.copy(p, p.client, p.upstream) })
 }
 
 // copy forwards from src to dst until either ends. A silent pipe goes on
@@ -124,7 +124,7 @@
 			return
 		}
 		if err != nil {
-			r.forget(p)
+			r.remove(p)
 			return
 		}
 		if p.silent.Load() {
@@ -132,13 +132,13 @@
 		}
 		time.Sleep(time.Duration(r.delay.Load()))
 		if _, err := dst.Write(buf[:n]); err != nil {
-			r.forget(p)
+			r.remove(p)
 			return
 		}
 	}
 }
 
-func (r *Relay) forget(p *pipe) {
+func (r *Relay) remove(p *pipe) {
 	p.close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,6 +146,6 @@
 }
 
 func (p *pipe) close() {
-	p.near.Close()
-	p.far.Close()
+	p.client.Close()
+	p.upstream.Close()
 }
