--- a/internal/fake/announce.go
+++ b/internal/fake/announce.go
@@ -18,34 +18,34 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// DefaultHeartbeat is the time between two announcements.
+// DefaultHeartbeat is the default interval between announcements.
 const DefaultHeartbeat = time.Second
 
-// announceTimeout bounds one announcement at one entry. It is below the
-// heartbeat, so that a silent entry costs at most one of them.
+// announceTimeout bounds one announcement to one entry. It is below
+// DefaultHeartbeat, so that an unreachable entry delays at most one heartbeat.
 const announceTimeout = 700 * time.Millisecond
 
-// Announcing says to whom and how a stand-in announces itself.
+// Announcing configures a stand-in's announcements.
 type Announcing struct {
-	Entries   []string      // base URLs of entries, tried in this order; empty: announces nothing
-	Key       string        // bearer key of announcements
-	Heartbeat time.Duration // DefaultHeartbeat
+	Entries   []string      // base URLs of entries, tried in this order; empty: no announcements
+	Key       string        // bearer key sent with announcements
+	Heartbeat time.Duration // 0: DefaultHeartbeat
 }
 
-// announcer sends a backend server's announcements to one entry at a time and
-// goes on to the next one when that entry refuses or cannot be reached.
+// announcer sends a backend server's announcements to one entry at a time. It
+// switches to the next entry when the current one refuses or is unreachable.
 type announcer struct {
 	cfg      Announcing
 	client   *http.Client
 	log      *slog.Logger
-	describe func() instance.Announcement // without sequence
+	describe func() instance.Announcement // without sequence and state
 	faults   *faultState
 	wake     chan struct{}
 
 	mu            sync.Mutex
 	entryIndex    int
 	sequence      uint64
-	leaveDeadline time.Time // end of the notice; zero: not leaving
+	leaveDeadline time.Time // zero: not leaving
 }
 
 func newAnnouncer(cfg Announcing, deps Deps, faults *faultState, describe func() instance.Announcement) *announcer {
@@ -60,8 +60,8 @@
 	}
 }
 
-// run announces at once, then at each heartbeat, until ctx ends; the last
-// announcement then says that the server is gone.
+// run announces at once and then at each heartbeat until ctx ends. It then
+// announces StateGone, unless the server crashed, was killed or is frozen.
 func (a *announcer) run(ctx context.Context) error {
 	if len(a.cfg.Entries) == 0 {
 		<-ctx.Done()
@@ -83,7 +83,8 @@
 	}
 }
 
-// leave makes the server leaving, and says so at once.
+// leave switches to StateLeaving with a deadline after notice, and announces it
+// at once. Later calls don't change the deadline.
 func (a *announcer) leave(notice time.Duration) {
 	a.mu.Lock()
 	if a.leaveDeadline.IsZero() {
@@ -105,7 +106,8 @@
 	return instance.StateLeaving
 }
 
-// announceGone is skipped by a server that crashed or froze: those fall silent.
+// announceGone announces StateGone. A crashed, killed or frozen server sends
+// nothing.
 func (a *announcer) announceGone() {
 	if a.faults.endCause() != nil || a.faults.get().Freeze {
 		return
@@ -115,7 +117,8 @@
 	a.announce(ctx, instance.StateGone)
 }
 
-// announce tries each entry once, from the current one on.
+// announce tries each entry once, starting with the current one, until one
+// accepts.
 func (a *announcer) announce(ctx context.Context, state instance.State) {
 	body, err := json.Marshal(a.nextAnnouncement(state))
 	if err != nil {
--- a/internal/fake/answer.go
+++ b/internal/fake/answer.go
@@ -8,14 +8,14 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// bytesPerToken is how many bytes of prompt the engine counts as one token.
+// bytesPerToken is the number of prompt bytes that count as one token.
 const bytesPerToken = 4
 
-// Answer returns the first n tokens that every Engine gives for the prompt.
+// Answer returns the first n tokens with which every Engine answers the prompt.
 // Token i is a pure function of (model, messages, i), and the tokens of two
-// prompts differ nearly everywhere. A test that compares a caller's text with
-// the joined tokens therefore sees a missing token, a doubled one and one that
-// belongs to another request.
+// prompts differ at nearly every position. Comparing a caller's text with the
+// joined tokens therefore detects missing tokens, duplicates and tokens of
+// another request.
 func Answer(model string, messages []native.Message, n int) []string {
 	seed := answerSeed(model, messages)
 	tokens := make([]string, n)
@@ -42,7 +42,7 @@
 	return " " + strconv.FormatUint(z>>40, 36)
 }
 
-// PromptTokens is the engine's count of the tokens in messages.
+// PromptTokens returns the number of tokens that an Engine counts in messages.
 func PromptTokens(messages []native.Message) int {
 	total := 0
 	for _, m := range messages {
@@ -51,7 +51,8 @@
 	return total
 }
 
-// messageTokens counts one token for the role and the rest by length.
+// messageTokens counts one token for the role plus the content's length in
+// tokens, rounded up.
 func messageTokens(m native.Message) int {
 	return 1 + (len(m.Content)+bytesPerToken-1)/bytesPerToken
 }
--- a/internal/fake/batch.go
+++ b/internal/fake/batch.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// batch is the continuous batch of an engine: a fixed number of slots and a
-// queue before them that gives the next free slot to the most urgent request,
-// and among equals to the first that came.
+// batch is an engine's continuous batch: a fixed number of slots and a bounded
+// queue. A free slot goes to the waiting request with the lowest priority
+// number, and among equals to the one that arrived first.
 type batch struct {
 	mu         sync.Mutex
 	slots      int
@@ -18,19 +18,20 @@
 	waiting    ticketHeap
 }
 
-// ticket is one request's place in the batch.
+// ticket is one request's slot or place in the queue.
 type ticket struct {
 	priority int
 	arrival  uint64
-	index    int           // in the heap; -1 outside
-	granted  chan struct{} // closed when the slot is the request's
+	index    int           // in the heap; -1 if not waiting
+	granted  chan struct{} // closed when the request gets a slot
 }
 
 func newBatch(slots, maxWaiting int) *batch {
 	return &batch{slots: slots, maxWaiting: maxWaiting}
 }
 
-// enter returns a ticket, or nil when the queue is full.
+// reserve returns a ticket, or nil when the queue is full. Each ticket must be
+// passed to release.
 func (b *batch) reserve(priority int) *ticket {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +59,8 @@
 	}
 }
 
-// leave gives the ticket back, whether it had a slot or still waited.
+// release removes a ticket that has a slot or is still waiting. A slot that
+// becomes free goes to the next waiting ticket.
 func (b *batch) release(t *ticket) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,7 +83,7 @@
 	return b.running, len(b.waiting)
 }
 
-// ticketHeap implements heap.Interface: the most urgent ticket first.
+// ticketHeap implements heap.Interface, ordered by priority, then arrival.
 type ticketHeap []*ticket
 
 func (h ticketHeap) Len() int { return len(h) }
--- a/internal/fake/batch_test.go
+++ b/internal/fake/batch_test.go
@@ -6,10 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Requests enter and leave a batch in any order. A slot that got lost on the way
-// would make the engine smaller for good, one given twice would flatter it, and
-// one given to the wrong request would make priorities mean nothing. Comparing
-// no priorities in ticketHeap.Less breaks this test.
+// Guards against slots that leak, slots granted twice and a free slot granted to
+// a request that isn't next by priority and arrival.
 func TestBatchGrantsEverySlotByPriority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
@@ -23,7 +21,7 @@
 			},
 			"leave": func(t *rapid.T) {
 				if len(tickets) == 0 {
-					t.Skip("nobody is in")
+					t.Skip("no tickets")
 				}
 				i := rapid.IntRange(0, len(tickets)-1).Draw(t, "who")
 				hadSlot := isGranted(tickets[i])
@@ -31,7 +29,7 @@
 				b.release(tickets[i])
 				tickets = append(tickets[:i], tickets[i+1:]...)
 				if hadSlot && next != nil && !isGranted(next) {
-					t.Fatalf("request %d of priority %d was passed over", next.arrival, next.priority)
+					t.Fatalf("request %d of priority %d was not granted the free slot", next.arrival, next.priority)
 				}
 			},
 			"": func(t *rapid.T) { checkBatch(t, b, tickets) },
@@ -48,14 +46,14 @@
 	}
 	running, waiting := b.counts()
 	if granted != running || running+waiting != len(tickets) {
-		t.Fatalf("%d granted, %d running, %d waiting, %d in", granted, running, waiting, len(tickets))
+		t.Fatalf("%d granted, %d running, %d waiting, %d tickets", granted, running, waiting, len(tickets))
 	}
 	if running != min(b.slots, len(tickets)) {
-		t.Fatalf("%d of %d slots run for %d requests", running, b.slots, len(tickets))
+		t.Fatalf("%d of %d slots in use for %d requests", running, b.slots, len(tickets))
 	}
 }
 
-// mostUrgent returns the waiting ticket that is due next, nil if none waits.
+// nextWaiting returns the waiting ticket that must get the next free slot, or nil.
 func nextWaiting(tickets []*ticket) *ticket {
 	var next *ticket
 	for _, t := range tickets {
--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -8,9 +8,9 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// cache is an engine's prefix cache: prefixes by hash, bounded in tokens, least
-// recently used out first. A prefix is of use only with all shorter ones, so
-// the deepest prefix of a prompt counts as the least recently used of it.
+// cache is an engine's LRU prefix cache, keyed by prefix hash and bounded in
+// tokens. A prefix can be used only if all its shorter prefixes are cached, so
+// the longest prefix of a prompt is evicted first.
 type cache struct {
 	mu         sync.Mutex
 	capacity   int // tokens; 0: the engine has no cache
@@ -21,7 +21,7 @@
 	pending    []instance.CacheEvent
 }
 
-// prompt is a chat's messages as the cache sees them.
+// prompt holds the prefix hashes and token counts of a chat's messages.
 type prompt struct {
 	hashes      []uint64
 	tokens      []int // per message
@@ -45,7 +45,8 @@
 	}
 }
 
-// use returns how many tokens of p are cached and puts the whole of p in.
+// lookupAndStore returns the number of tokens of p that were cached, then stores
+// all of p.
 func (c *cache) lookupAndStore(p prompt) int {
 	if c.capacity == 0 {
 		return 0
@@ -101,7 +102,7 @@
 	})
 }
 
-// drain returns the events since the last drain.
+// drain returns and clears the events recorded since the last drain.
 func (c *cache) drain() []instance.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,5 @@
-// Package relay is a small TCP relay for tests. It stands between two ends and
-// can cut their connections, delay what they send, or go silent: forward
-// nothing more on the open connections while new ones work.
+// Package relay provides a TCP relay for tests. It can close connections, delay
+// data, or silently drop data on the open connections while new ones work.
 package relay
 
 import (
@@ -19,18 +18,18 @@
 	delay    atomic.Int64 // nanoseconds before each forwarded chunk
 	wg       sync.WaitGroup
 
-	mu     sync.Mutex // guards pipes and done
+	mu     sync.Mutex // guards pipes and closed
 	pipes  map[*pipe]struct{}
 	closed bool
 }
 
-// pipe is one relayed connection.
+// pipe is one relayed connection: the accepted one and the one to the target.
 type pipe struct {
 	client, upstream net.Conn
 	silent           atomic.Bool
 }
 
-// New starts a relay on a free loopback port towards target (host:port).
+// New starts a relay from a free loopback port to target (host:port).
 func New(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,11 +40,11 @@
 	return r, nil
 }
 
-// Addr is the address to connect to.
+// Addr returns the relay's listen address.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Silence makes the connections that are open now swallow all that either end
-// sends, without closing. Connections made later work.
+// Silence drops all further data on the connections that are open now, without
+// closing them. Connections made later are relayed as usual.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +53,7 @@
 	}
 }
 
-// Cut closes the connections that are open now.
+// Cut closes the connections that are open now. The relay still accepts new ones.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +62,7 @@
 	}
 }
 
-// Delay holds back each chunk forwarded from now on for d.
+// Delay delays each chunk forwarded from now on by d.
 func (r *Relay) Delay(d time.Duration) { r.delay.Store(int64(d)) }
 
 // Open returns the number of open connections.
@@ -73,7 +72,8 @@
 	return len(r.pipes)
 }
 
-// Close ends the relay and waits for its goroutines.
+// Close stops the listener, closes all connections and waits for the relay's
+// goroutines.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.mu.Lock()
@@ -112,10 +112,10 @@
 	r.wg.Go(func() { r.copy(p, p.client, p.upstream) })
 }
 
-// copy forwards from src to dst until either ends. A silent pipe goes on
-// reading, so that the sender's writes succeed, as they do when a device on the
-// way drops packets and the sender's kernel still buffers. It doesn't pass on
-// that an end has closed either: the other end must find out by itself.
+// copy forwards data from src to dst until either closes. A silenced pipe is
+// still read, so that the sender's writes succeed, as they do while a network
+// device drops packets and the sender's kernel buffers. A close isn't forwarded
+// on a silenced pipe: the other end has to detect it by a timeout.
 func (r *Relay) copy(p *pipe, dst, src net.Conn) {
 	buf := make([]byte, bufferSize)
 	for {
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,4 +1,4 @@
-// Package testutil holds what the tests of several packages share.
+// Package testutil provides TestMain helpers that several packages use.
 package testutil
 
 import (
@@ -9,19 +9,19 @@
 	"go.uber.org/goleak"
 )
 
-// seed is the seed of property tests where none is given.
+// defaultRapidSeed is used unless -rapid.seed is given.
 const defaultRapidSeed = "20261202"
 
-// Main runs a package's tests with a fixed seed for property tests, so that
-// every run gives the same verdict, and exits. Give -rapid.seed and
-// -rapid.checks for another or longer run. Call it from TestMain.
+// Main runs a package's tests and exits. Property tests get a fixed seed, so
+// that results are reproducible; -rapid.seed and -rapid.checks override the
+// seed and the number of checks. Call it from TestMain.
 func Main(m *testing.M) {
 	setRapidSeed()
 	os.Exit(m.Run())
 }
 
-// MainNoLeaks is Main for a package whose tests must end every goroutine that
-// they start: one that is left fails the run.
+// MainNoLeaks is like Main, but also fails the run if a goroutine is still
+// running after the tests.
 func MainNoLeaks(m *testing.M) {
 	setRapidSeed()
 	goleak.VerifyTestMain(m)
