--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -14,58 +14,58 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// Paths of a Cloud for tests.
+// Control paths of a Cloud, for tests.
 const (
 	PathWave     = "/fake/wave"     // POST Wave
 	PathRefusals = "/fake/refusals" // POST Refusals
 )
 
-// maxNoticeWait bounds a long poll.
+// maxNoticeWait bounds a long poll for notices.
 const maxNoticeWait = 30 * time.Second
 
-// CloudConfig describes a stand-in cloud API.
+// CloudConfig configures a Cloud.
 type CloudConfig struct {
-	Prices []native.Price // an instance starts only where its zone, class and kind have a price
+	Prices []native.Price // starts are refused for a zone, class and kind without a price
 }
 
-// Wave is the body of POST /fake/wave: every reclaimable instance of the zone is
-// to be reclaimed together.
+// Wave is the body of POST /fake/wave: all running reclaimable instances of the
+// zone are reclaimed together.
 type Wave struct {
 	Zone     string `json:"zone"`
-	NoticeMS int    `json:"noticeMs"` // milliseconds from the notice to the end
+	NoticeMS int    `json:"noticeMs"` // from the notice to the end, in milliseconds
 }
 
-// Refusals is the body of POST /fake/refusals: the zones where starts are
-// refused from now on.
+// Refusals is the body of POST /fake/refusals: starts are refused in exactly
+// these zones from now on.
 type Refusals struct {
 	Zones []string `json:"zones"`
 }
 
-// CloudStats is what a Cloud did: the body of GET /fake/stats.
+// CloudStats holds a Cloud's counters. It is the body of GET /fake/stats.
 type CloudStats struct {
 	Started  int `json:"started"`
-	Repeated int `json:"repeated"` // starts with a token that was known
+	Repeated int `json:"repeated"` // starts with a client token already used
 	Refused  int `json:"refused"`
 	Stopped  int `json:"stopped"`
 	Notices  int `json:"notices"`
 }
 
-// Cloud is a stand-in cloud API. Its instances are entries in a list: nothing
-// runs. It is safe for concurrent use.
+// Cloud is a stand-in cloud API. Its instances are list entries only: no process
+// or machine is started. It is safe for concurrent use.
 type Cloud struct {
 	cfg    CloudConfig
 	faults *faultState
 
 	mu           sync.Mutex
 	instances    map[string]*cloudInstance
-	byToken      map[string]string // client token to id
-	refusedZones []string          // zones
+	byToken      map[string]string // client token to instance id
+	refusedZones []string
 	notices      []native.Notice
 	changed      chan struct{} // closed and replaced with each notice
 	stats        CloudStats
 }
 
-// cloudInstance is an instance and, once noticed, when it ends.
+// cloudInstance is an instance and its reclaim deadline, zero before a notice.
 type cloudInstance struct {
 	native.CloudInstance
 	deadline time.Time
@@ -104,19 +104,20 @@
 	return serve(ctx, ln, c.Handler(), c.faults)
 }
 
-// SetFaults replaces the faults in force: of them only Freeze means anything
-// here. For refused starts there is Refuse.
+// SetFaults replaces the active faults. Only Freeze has an effect on a Cloud; use
+// Refuse to make starts fail.
 func (c *Cloud) SetFaults(f Faults) { c.faults.set(f) }
 
-// Refuse makes starts fail for want of capacity in just these zones.
+// Refuse makes starts fail with a no-capacity error in exactly these zones.
 func (c *Cloud) Refuse(zones ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refusedZones = zones
 }
 
-// Wave gives notice to every reclaimable instance of the zone that runs, and
-// returns the notices. The instances end when the notice has passed.
+// Wave sends a reclaim notice to every running reclaimable instance of the zone
+// that has none yet, and returns the new notices. The instances are reclaimed
+// when notice has passed.
 func (c *Cloud) Wave(zone string, notice time.Duration) []native.Notice {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +140,7 @@
 	return slices.Clone(c.notices[firstNew:])
 }
 
-// Stats returns what the cloud has done so far.
+// Stats returns the counters since the start.
 func (c *Cloud) Stats() CloudStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +149,7 @@
 	return s
 }
 
-// sorted returns the instances by id. The lock is held.
+// sortedInstances returns the instances sorted by id. The caller holds c.mu.
 func (c *Cloud) sortedInstances() []*cloudInstance {
 	list := make([]*cloudInstance, 0, len(c.instances))
 	for _, i := range c.instances {
@@ -158,7 +159,7 @@
 	return list
 }
 
-// at returns the instance with its state at the time now.
+// snapshotAt returns the instance with its state at time now.
 func (i *cloudInstance) snapshotAt(now time.Time) native.CloudInstance {
 	view := i.CloudInstance
 	if view.State != native.InstanceRunning || i.deadline.IsZero() {
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -17,19 +17,19 @@
 	DefaultSlots        = 8
 	DefaultMaxWaiting   = 64
 	DefaultAnswerTokens = 16
-	DefaultKVRate       = 1 << 30 // bytes a second between two engines
+	DefaultKVRate       = 1 << 30 // bytes per second between two engines
 	DefaultKVPerToken   = 128 << 10
 	DefaultRetryAfter   = time.Second
 
 	maxQueuedLoadOrders = 16
 )
 
-// EngineConfig describes a stand-in model engine. Times of zero cost no time,
-// so that tests of content run as fast as the machine.
+// EngineConfig configures an Engine. Where the comment names a default, zero
+// means that default. Zero times and rates simulate no delay.
 type EngineConfig struct {
 	ID          string
-	Incarnation uint64 // 0: the clock at NewEngine, in milliseconds
-	Address     string // as announced; empty: the listener's
+	Incarnation uint64 // 0: Unix time of NewEngine in milliseconds
+	Address     string // announced address; empty: the listener's
 	Region      string
 	Zone        string
 	Class       string // machine class
@@ -39,23 +39,23 @@
 	Role        string
 
 	Slots         int           // DefaultSlots
-	MaxWaiting    int           // DefaultMaxWaiting; beyond it 429, not run
-	FirstToken    time.Duration // from the slot to the first token, beside the prefill
-	TokenTime     time.Duration // per token when alone in the batch
-	BatchSlowdown float64       // share of TokenTime added per further running request
-	PrefillRate   float64       // prompt tokens a second; 0: no time
-	AnswerTokens  int           // DefaultAnswerTokens; length of an answer where the request sets no bound
-
-	CacheTokens int           // capacity of the prefix cache; 0: none
-	EventDelay  time.Duration // between two pushes of cache events; 0: the heartbeat
-	EventGap    int           // every so many events, one is lost; 0: none
-	LoadLag     time.Duration // age of the load in announcements, in steps of the heartbeat
+	MaxWaiting    int           // DefaultMaxWaiting; requests above it get 429 without running
+	FirstToken    time.Duration // from the slot to the first token, in addition to the prefill
+	TokenTime     time.Duration // per token of the only request in the batch
+	BatchSlowdown float64       // fraction of TokenTime added per other running request
+	PrefillRate   float64       // prompt tokens per second; 0: no delay
+	AnswerTokens  int           // DefaultAnswerTokens; answer length if the request sets no maximum
+
+	CacheTokens int           // capacity of the prefix cache; 0: no cache
+	EventDelay  time.Duration // interval between pushes of cache events; 0: the heartbeat
+	EventGap    int           // one event in EventGap is lost; 0: none
+	LoadLag     time.Duration // minimum age of the load in announcements, rounded up to heartbeats
 
 	KVPerToken   int64         // DefaultKVPerToken; bytes
-	KVRate       int64         // DefaultKVRate; bytes a second
-	ChecksFences bool          // refuses orders with a lower fence than seen
+	KVRate       int64         // DefaultKVRate; bytes per second
+	ChecksFences bool          // refuses orders with a lower fencing number than the highest received
 	Store        string        // host:port of the weight store; empty: models load at once
-	Notice       time.Duration // notice in force when ordered to leave
+	Notice       time.Duration // notice period when ordered to leave
 
 	Announcing Announcing
 }
@@ -93,7 +93,7 @@
 	model   modelState
 }
 
-// modelState is what an engine holds; orders change it.
+// modelState is the engine's model, adapters and role, which orders change.
 type modelState struct {
 	name     string
 	version  string
@@ -101,7 +101,7 @@
 	role     string
 }
 
-// NewEngine returns an engine that serves once Run or Handler is used.
+// NewEngine returns an engine. It serves once Run is called or its Handler used.
 func NewEngine(cfg EngineConfig, deps Deps) *Engine {
 	cfg = cfg.withDefaults()
 	deps = deps.withDefaults()
@@ -148,9 +148,9 @@
 	return outer
 }
 
-// Run serves on ln and announces the engine until ctx ends; it then says that
-// the engine is gone, closes all connections and returns nil. It returns
-// ErrCrashed or ErrKilled, wrapped, when the engine ends in silence.
+// Run serves on ln and announces the engine until ctx ends. It then announces
+// that the engine is gone, closes all connections and returns nil. After a crash
+// or Kill it sends no announcement and returns ErrCrashed or ErrKilled, wrapped.
 func (e *Engine) Run(ctx context.Context, ln net.Listener) error {
 	e.mu.Lock()
 	if e.address == "" {
@@ -162,17 +162,17 @@
 	return serve(ctx, ln, e.Handler(), e.faults, e.announcer.run, e.pushEvents, e.runLoads)
 }
 
-// Leave announces that the engine leaves in notice. It goes on serving what it
-// is given: whether it is given anything new is the system's affair.
+// Leave announces that the engine leaves after notice. The engine still serves
+// every request that it receives.
 func (e *Engine) Leave(notice time.Duration) { e.announcer.leave(notice) }
 
-// Kill ends Run in silence, as the death of the process would.
+// Kill ends Run without an announcement, like a killed process.
 func (e *Engine) Kill() { e.faults.end(ErrKilled) }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (e *Engine) SetFaults(f Faults) { e.faults.set(f) }
 
-// Stats returns what the engine has done so far.
+// Stats returns the counters since the start.
 func (e *Engine) Stats() EngineStats {
 	s := e.stats.snapshot()
 	s.Running, s.Waiting = e.batch.counts()
--- a/internal/fake/engine_kv.go
+++ b/internal/fake/engine_kv.go
@@ -13,7 +13,7 @@
 
 var errNoHandle = errors.New("the other engine holds no such handle")
 
-// serveExport gives a handle to the KV cache of a request that runs or ran.
+// serveExport returns a handle to the KV cache of a running or ended request.
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
 	handle, record, ok := e.kv.export(r.URL.Query().Get("request"))
 	if !ok {
@@ -31,7 +31,7 @@
 	}
 }
 
-// serveFetch gives the record behind a handle to another engine.
+// serveFetch returns the record of a handle to another engine.
 func (e *Engine) serveFetch(w http.ResponseWriter, r *http.Request) {
 	record, ok := e.kv.get(r.PathValue("handle"))
 	if !ok {
@@ -41,8 +41,9 @@
 	writeJSON(w, http.StatusOK, record)
 }
 
-// serveImport fetches a record and takes the time that its bytes would take.
-// The sender must live until the end of that time, as for real bytes.
+// serveImport fetches a record and sleeps for the simulated transfer time. It
+// fetches the record again afterwards, so that the import fails if the sender
+// ends during the transfer.
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	var req native.ImportRequest
 	if !readJSON(w, r, maxSmallBodyBytes, &req) {
@@ -86,9 +87,9 @@
 	return record, err
 }
 
-// pushEvents sends the cache's events to the entry that the announcements go
-// to, late and with gaps as configured. Events that no entry takes are lost:
-// whoever sees the gap asks for the listing.
+// pushEvents sends the cache events to the announcer's current entry every
+// EventDelay until ctx ends, with gaps as configured. Events are not resent after
+// an error: a receiver that detects the gap fetches the listing.
 func (e *Engine) pushEvents(ctx context.Context) error {
 	if len(e.cfg.Announcing.Entries) == 0 {
 		<-ctx.Done()
@@ -117,11 +118,12 @@
 	}
 	path := native.PathAnnounce + "/" + e.cfg.ID + native.PathCacheEvents
 	if err := e.announcer.post(ctx, path, body); err != nil {
-		e.deps.Log.Debug("cache events lost", "error", err)
+		e.deps.Log.Debug("cache events not delivered", "error", err)
 	}
 }
 
-// withGaps drops each event whose number is a multiple of every.
+// dropEveryNth drops the events whose sequence number is a multiple of n, in
+// place; none if n is 0 or less.
 func dropEveryNth(events []instance.CacheEvent, n int) []instance.CacheEvent {
 	if n <= 0 {
 		return events
--- a/internal/fake/engine_orders.go
+++ b/internal/fake/engine_orders.go
@@ -9,7 +9,7 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// orderBook remembers the orders that an engine followed.
+// orderLog records the accepted orders and the highest fencing number.
 type orderLog struct {
 	mu           sync.Mutex
 	checksFences bool
@@ -19,9 +19,9 @@
 
 func newOrderLog(checksFences bool) *orderLog { return &orderLog{checksFences: checksFences} }
 
-// take reports whether the order is to be followed. An engine that checks
-// fences refuses one lower than it has seen: it comes from a leader that has
-// been replaced without knowing.
+// accept records the order and reports whether it may be executed. An engine that
+// checks fences rejects a lower fencing number than the highest received: the
+// order comes from a leader that has been replaced.
 func (b *orderLog) accept(o native.Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,7 +39,8 @@
 	return slices.Clone(b.orders)
 }
 
-// serveOrder answers 202 for an order that is followed, 409 for an old fence.
+// serveOrder answers 202 for an accepted order, 409 for an old fencing number and
+// 400 for an order that can't be executed.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o native.Order
 	if !readJSON(w, r, maxSmallBodyBytes, &o) {
@@ -56,8 +57,9 @@
 	writeJSON(w, http.StatusAccepted, o)
 }
 
-// follow reports whether the order makes sense. A model takes its time to
-// load; the announcements show when it is there.
+// execute executes an order. It returns false if the kind is unknown or the queue
+// of model loads is full. Models load asynchronously; announcements show the new
+// model once it is loaded.
 func (e *Engine) execute(o native.Order) bool {
 	switch o.Kind {
 	case native.OrderLoadModel:
@@ -74,7 +76,7 @@
 	return true
 }
 
-// enqueueLoad leaves the loading to runLoads, one model after the other.
+// enqueueLoad queues a model for runLoads and reports whether there was room.
 func (e *Engine) enqueueLoad(o native.Order) bool {
 	select {
 	case e.loadOrders <- o:
@@ -84,7 +86,7 @@
 	}
 }
 
-// runLoads follows the orders to load a model until ctx ends.
+// runLoads loads the queued models one at a time until ctx ends.
 func (e *Engine) runLoads(ctx context.Context) error {
 	for {
 		select {
@@ -107,7 +109,8 @@
 	})
 }
 
-// fetchWeights reads the weights and, as the store asks for it, waits and asks again.
+// fetchWeights reads the weights, and retries after the delay that the store
+// requests by Retry-After.
 func (e *Engine) fetchWeights(ctx context.Context, o native.Order) error {
 	if e.cfg.Store == "" {
 		return nil
@@ -124,7 +127,8 @@
 	}
 }
 
-// withAdapter returns a new slice: announcements share the old one.
+// withAdapter returns adapters with name added. It never modifies adapters, which
+// announcements still refer to.
 func withAdapter(adapters []string, name string) []string {
 	if slices.Contains(adapters, name) {
 		return adapters
--- a/internal/fake/engine_state.go
+++ b/internal/fake/engine_state.go
@@ -10,26 +10,26 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// rateWindow is the time over which the generated tokens a second are counted.
+// rateWindow is the window over which generated tokens per second are measured.
 const rateWindow = time.Second
 
-// EngineStats is what an Engine did: the body of GET /fake/stats.
+// EngineStats holds an Engine's counters. It is the body of GET /fake/stats.
 type EngineStats struct {
-	Runs       map[string]int `json:"runs"`      // times that each request id got a slot and ran
-	Finished   map[string]int `json:"finished"`  // times that each request id made its last token
-	Cancelled  map[string]int `json:"cancelled"` // times that each request id ended before that
+	Runs       map[string]int `json:"runs"`      // by request id: times it got a slot and ran
+	Finished   map[string]int `json:"finished"`  // by request id: times its last token was generated
+	Cancelled  map[string]int `json:"cancelled"` // by request id: times it ended earlier
 	Tokens     int            `json:"tokens"`    // generated
 	Cached     int            `json:"cachedTokens"`
 	Recomputed int            `json:"recomputedTokens"`
 	Running    int            `json:"running"`
 	Waiting    int            `json:"waiting"`
-	Orders     []native.Order `json:"orders"` // followed, in their order
+	Orders     []native.Order `json:"orders"` // accepted, oldest first
 }
 
 type engineStats struct {
 	mu           sync.Mutex
 	s            EngineStats
-	windowStart  time.Time // start of the running rate window
+	windowStart  time.Time
 	windowTokens int
 	lastRate     float64
 }
@@ -67,7 +67,7 @@
 	e.windowTokens++
 }
 
-// tokenRate returns the tokens generated in the last full window.
+// tokenRate returns the tokens per second generated in the last full window.
 func (e *engineStats) tokenRate(now time.Time) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,7 +95,7 @@
 	return s
 }
 
-// loadHistory delays load reports.
+// loadHistory delays load reports by lag.
 type loadHistory struct {
 	mu    sync.Mutex
 	lag   time.Duration
@@ -104,8 +104,8 @@
 
 func newLoadHistory(lag time.Duration) *loadHistory { return &loadHistory{lag: lag} }
 
-// push takes the newest load in and returns the one to report: the youngest
-// that is at least lag old, else the oldest there is.
+// push adds the current load and returns the one to report: the newest that is at
+// least lag old, or else the oldest.
 func (h *loadHistory) push(l instance.Load) instance.Load {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -117,7 +117,8 @@
 	return h.loads[0]
 }
 
-// cancelTable finds the running requests by id.
+// cancelTable holds the cancel functions of running requests by request id. Several
+// requests may have the same id.
 type cancelTable struct {
 	mu      sync.Mutex
 	lastKey int
@@ -128,8 +129,8 @@
 	return &cancelTable{byID: make(map[string]map[int]context.CancelCauseFunc)}
 }
 
-// enter returns a context that cancel(id) ends, and the function to call when
-// the request is over.
+// add registers a request. It returns a context that cancel(id) cancels, and a
+// function to call when the request has ended.
 func (t *cancelTable) add(parent context.Context, id string) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	t.mu.Lock()
@@ -155,7 +156,8 @@
 	}
 }
 
-// cancel ends every running request with the id and reports whether there was any.
+// cancel cancels every running request with the id and reports whether there was
+// any.
 func (t *cancelTable) cancel(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
