--- a/internal/fake/announce_test.go
+++ b/internal/fake/announce_test.go
@@ -22,7 +22,7 @@
 	testHeartbeat = 10 * time.Millisecond
 )
 
-// listener is an entry that takes announcements and cache events in.
+// testEntry is an entry that records announcements and cache events.
 type testEntry struct {
 	*httptest.Server
 	mu            sync.Mutex
@@ -63,7 +63,7 @@
 	l.refuse = refuse
 }
 
-// heard reports whether an announcement like that came in.
+// received returns a condition: whether a matching announcement was received.
 func (l *testEntry) received(match func(instance.Announcement) bool) func() bool {
 	return func() bool {
 		l.mu.Lock()
@@ -81,8 +81,8 @@
 	return func(msg instance.Announcement) bool { return msg.State == s }
 }
 
-// The entry that a server announces itself to refuses or dies. If the server
-// kept to it, the system would lose a healthy server with it.
+// Guards against a server that doesn't switch to another entry when its entry
+// refuses announcements or dies: a healthy server would become unreachable.
 func TestAnnouncerMovesToTheNextEntry(t *testing.T) {
 	first, second := startTestEntry(t), startTestEntry(t)
 	e := startEngine(t, fake.EngineConfig{ID: "e1", Zone: "z1", Announcing: fake.Announcing{
@@ -104,7 +104,8 @@
 	}), waitTimeout, pollInterval)
 }
 
-// A server that ends in good order says so; one that dies says nothing.
+// Guards against a killed server that announces its end, and a cleanly stopped
+// one that doesn't.
 func TestAnnouncerReportsGoneOnlyOnCleanShutdown(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		entry := startTestEntry(t)
@@ -126,6 +127,8 @@
 	}
 }
 
+// Guards against a configured EventGap that drops other events, or affects the
+// listing.
 func TestEnginePushesCacheEventsWithGaps(t *testing.T) {
 	entry := startTestEntry(t)
 	e := startEngine(t, fake.EngineConfig{
@@ -152,8 +155,8 @@
 	require.Len(t, listing.Entries, 6)
 }
 
-// A leader that has been replaced without knowing gives an order. A server that
-// checks fences must refuse it; one that does not check follows it.
+// Guards against a server with ChecksFences that executes an order of a replaced
+// leader. A server without it must execute the order.
 func TestEngineChecksFences(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		e := startEngine(t, fake.EngineConfig{ChecksFences: checks})
@@ -171,8 +174,8 @@
 	}
 }
 
-// Many servers load a model at once and the store turns some away for a while.
-// The order must still end with the model loaded.
+// Guards against a load order that is abandoned when the weight store answers 429
+// with Retry-After.
 func TestEngineLoadsAModelFromABusyStore(t *testing.T) {
 	store := fake.NewStore(fake.StoreConfig{WeightBytes: 1 << 16, ReadsPerSecond: 5, Burst: 1}, fake.Deps{})
 	server := httptest.NewServer(store.Handler())
--- a/internal/fake/cloud_test.go
+++ b/internal/fake/cloud_test.go
@@ -28,8 +28,8 @@
 	return cloud, client
 }
 
-// The answer to a start is lost and the leader asks again, or its successor
-// does. Without the token the fleet would pay for two instances.
+// Guards against a retried start, after a lost answer, that starts and bills a
+// second instance.
 func TestCloudStartsOncePerToken(t *testing.T) {
 	cloud, client := startCloud(t)
 	ctx := context.Background()
@@ -47,6 +47,7 @@
 	require.Equal(t, native.InstanceStopped, list[0].State)
 }
 
+// Guards against a refused zone that starts instances or affects other zones.
 func TestCloudRefusesStartsByZone(t *testing.T) {
 	cloud, client := startCloud(t)
 	cloud.Refuse("z1")
@@ -58,8 +59,8 @@
 	require.NoError(t, err)
 }
 
-// A whole zone is reclaimed. Its reclaimable instances are noticed together,
-// and a client that was waiting hears of it at once.
+// Guards against a wave that misses reclaimable instances, affects on-demand ones
+// or doesn't wake a waiting long poll.
 func TestCloudReclaimsAZoneInOneWave(t *testing.T) {
 	cloud, client := startCloud(t)
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
--- a/internal/fake/engine_test.go
+++ b/internal/fake/engine_test.go
@@ -24,7 +24,7 @@
 	testModel    = "m1"
 )
 
-// propertySeed gives property tests one verdict; -rapid.seed=0 draws anew.
+// propertySeed makes the results of property tests reproducible.
 const propertySeed = "20261202"
 
 func TestMain(m *testing.M) {
@@ -34,7 +34,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// running is a stand-in engine that serves on a loopback address.
+// testEngine is an Engine that serves on a loopback address.
 type testEngine struct {
 	*fake.Engine
 	address string
@@ -85,7 +85,7 @@
 	}
 }
 
-// take reads up to n tokens, and to the stream's end for a negative n.
+// readTokens reads up to n tokens, or to the end of the stream if n is negative.
 func readTokens(s *native.ChatStream, n int) ([]string, error) {
 	var tokens []string
 	for len(tokens) != n {
@@ -102,6 +102,7 @@
 	return tokens, nil
 }
 
+// Guards against a stream with missing or wrong tokens or usage counts.
 func TestEngineStreamsItsAnswer(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{})
 	req := chatRequest("how much ragweed is there", 20)
@@ -114,9 +115,8 @@
 	require.Equal(t, map[string]int{"r1": 1}, e.Stats().Finished)
 }
 
-// An engine is reclaimed in the middle of an answer, and another goes on with
-// it. If the second began elsewhere than at the next token, the caller would
-// read a sentence with a hole or a stutter.
+// Guards against a resumed answer that doesn't continue with the next token: the
+// caller would see missing or repeated text.
 func TestEngineResumesAnAnswer(t *testing.T) {
 	req := chatRequest("briefing for the season", 30)
 	want := fake.Answer(testModel, req.Messages, 30)
@@ -147,8 +147,8 @@
 	}
 }
 
-// A caller leaves, or the link to it goes: work for it would take a slot from
-// the others without use.
+// Guards against a request that keeps its slot after it was cancelled or its
+// client disconnected.
 func TestEngineCancels(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{Slots: 2, TokenTime: time.Millisecond})
 	closed := e.chat(t, "closed", chatRequest("one", 1<<20))
@@ -167,8 +167,8 @@
 	}, waitTimeout, pollInterval)
 }
 
-// A request kills the process that runs it. Its neighbours lose their streams
-// with it, and nothing answers at that address any more.
+// Guards against a simulated crash that leaves other streams or the listener open,
+// or that reports a request that ran as not run.
 func TestEngineCrashesOnARequest(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{TokenTime: time.Millisecond})
 	e.SetFaults(fake.Faults{CrashOn: "trigger"})
@@ -186,8 +186,8 @@
 	require.True(t, native.NotRun(err), "%v", err)
 }
 
-// Something between the two ends loses track of an open connection: the stream
-// goes silent for good while a new connection to the same engine works.
+// Guards against a simulated stall that closes the stream or affects new
+// connections, as a network device that drops a connection's state would not.
 func TestEngineStallsOpenStreams(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{})
 	e.SetFaults(fake.Faults{StallAfterTokens: 4})
@@ -201,14 +201,13 @@
 	}()
 	require.Eventually(t, func() bool { return e.Stats().Finished["r1"] == 1 }, waitTimeout, pollInterval)
 	require.NoError(t, e.client.Probe(context.Background(), e.address))
-	require.Empty(t, nextErr, "the stream ended or went on, in place of being silent")
+	require.Empty(t, nextErr, "the stalled stream ended or sent more")
 	require.NoError(t, stream.Close())
 	require.Error(t, <-nextErr)
 }
 
-// An engine that is overloaded or told to refuse must say so before it runs
-// anything, and the client must pass on that the request did not run. Removing
-// the line that sets HeaderNotRun in refuse breaks this test.
+// Guards against a refused request that ran, and against a refusal without
+// HeaderNotRun, which the client must report as not run.
 func TestEngineRefusesBeforeRunning(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{Slots: 1, MaxWaiting: -1, TokenTime: time.Millisecond})
 	holder := e.chat(t, "holder", chatRequest("x", 1<<20))
@@ -232,6 +231,7 @@
 	require.True(t, native.NotRun(err))
 }
 
+// Guards against a free slot that goes to a less urgent request.
 func TestEngineServesUrgentRequestsFirst(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{Slots: 1, TokenTime: time.Millisecond})
 	holder := e.chat(t, "holder", chatRequest("x", 1<<20))
@@ -250,6 +250,8 @@
 	require.Eventually(t, func() bool { return e.Stats().Runs["low"] == 1 }, waitTimeout, pollInterval)
 }
 
+// Guards against a prefix cache that doesn't reuse or list the prefixes of the
+// previous turn.
 func TestEngineCachesPrefixes(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{CacheTokens: 200})
 	req := chatRequest(strings.Repeat("station history ", 20), 5)
@@ -270,8 +272,8 @@
 	require.Subset(t, listed, hashes)
 }
 
-// A process is stopped by the kernel: it takes connections and nothing more.
-// Its callers must not read its silence as a refusal, nor as an end.
+// Guards against a frozen engine that answers, fails its streams or loses tokens:
+// callers must see only a timeout, and the whole answer after the thaw.
 func TestEngineFreezes(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{TokenTime: time.Millisecond})
 	req := chatRequest("x", 200)
@@ -287,5 +289,5 @@
 	rest, err := readTokens(stream, -1)
 	require.Equal(t, io.EOF, err)
 	require.Equal(t, fake.Answer(testModel, req.Messages, 200), append(head, rest...))
-	e.SetFaults(fake.Faults{Freeze: true}) // Run must end all the same
+	e.SetFaults(fake.Faults{Freeze: true}) // Run must end while frozen too
 }
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -8,29 +8,28 @@
 	"sync"
 )
 
-// Errors with which Run ends other than by its context.
+// Errors that Run returns, wrapped, when the stand-in ends before its context.
 var (
 	ErrCrashed = errors.New("stand-in crashed on a request")
 	ErrKilled  = errors.New("stand-in was killed")
 )
 
-// Faults are the ways in which a test can make a stand-in fail. The zero value
-// is a healthy one. As JSON it is the body of POST /fake/faults, which
-// replaces all of them.
+// Faults configures how a stand-in fails. The zero value is a healthy stand-in.
+// As JSON it is the body of POST /fake/faults, which replaces all faults.
 type Faults struct {
-	CrashOn          string  `json:"crashOn,omitempty"`          // a request whose prompt (plain: body) holds this ends the stand-in
-	Freeze           bool    `json:"freeze,omitempty"`           // takes connections, does nothing, announces nothing
-	SlowFactor       float64 `json:"slowFactor,omitempty"`       // multiplies all times of work; 0 means 1
-	StallAfterTokens int     `json:"stallAfterTokens,omitempty"` // a stream's bytes after so many tokens are lost, its connection stays open; 0: never
-	Refuse           bool    `json:"refuse,omitempty"`           // 503 with Retry-After, before running
+	CrashOn          string  `json:"crashOn,omitempty"`          // a request whose prompt (Plain: body) contains this text ends the stand-in
+	Freeze           bool    `json:"freeze,omitempty"`           // accepts connections, but processes and announces nothing
+	SlowFactor       float64 `json:"slowFactor,omitempty"`       // multiplies all simulated work times; 0 means 1
+	StallAfterTokens int     `json:"stallAfterTokens,omitempty"` // after this many tokens a stream sends nothing more and stays open; 0: never
+	Refuse           bool    `json:"refuse,omitempty"`           // answers 503 with Retry-After without running the request
 }
 
-// faultState holds the faults in force, and whether the stand-in still lives.
+// faultState holds the active faults, and why the stand-in ended if it did.
 type faultState struct {
 	mu     sync.Mutex
 	faults Faults
 	thawed chan struct{} // closed while not frozen
-	done   chan struct{} // closed at the end
+	done   chan struct{} // closed when the stand-in ends
 	cause  error
 }
 
@@ -58,7 +57,7 @@
 	return s.faults
 }
 
-// slow returns the factor on all times of work.
+// slowFactor returns the factor for all simulated work times.
 func (s *faultState) slowFactor() float64 {
 	f := s.get().SlowFactor
 	if f == 0 {
@@ -67,7 +66,7 @@
 	return f
 }
 
-// end stops the stand-in for good; only the first cause counts.
+// end ends the stand-in with cause. Later calls have no effect.
 func (s *faultState) end(cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +83,8 @@
 	return s.cause
 }
 
-// pass waits while frozen. It returns an error once ctx or the stand-in ends.
+// waitThawed blocks while frozen. It returns an error if ctx or the stand-in has
+// ended.
 func (s *faultState) waitThawed(ctx context.Context) error {
 	s.mu.Lock()
 	thawed := s.thawed
@@ -100,7 +100,8 @@
 	return ctx.Err()
 }
 
-// crashIfAsked ends the stand-in when text holds the crash switch's text.
+// crashOnMatch ends the stand-in with ErrCrashed if text contains CrashOn. It
+// returns the cause if the stand-in has ended.
 func (s *faultState) crashOnMatch(text string) error {
 	trigger := s.get().CrashOn
 	if trigger != "" && strings.Contains(text, trigger) {
@@ -109,7 +110,8 @@
 	return s.endCause()
 }
 
-// guard holds requests while frozen and cuts the connection once ended.
+// guard blocks requests while frozen, and closes their connections without an
+// answer once the stand-in has ended.
 func (s *faultState) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.waitThawed(r.Context()) != nil {
@@ -119,7 +121,8 @@
 	})
 }
 
-// refuses answers the request itself while the refuse fault is in force.
+// refusedByFault reports whether the Refuse fault is set; if so, it has answered
+// the request with 503.
 func (s *faultState) refusedByFault(w http.ResponseWriter) bool {
 	if !s.get().Refuse {
 		return false
--- a/internal/fake/kv.go
+++ b/internal/fake/kv.go
@@ -7,20 +7,20 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// keptRecords bounds the KV records of ended requests and of handles, each.
+// maxRecords bounds the KV records by request id, and those by handle.
 const maxRecords = 256
 
-// kvRecord describes a KV cache; there are no bytes behind it.
+// kvRecord describes a KV cache. No cache data is stored.
 type kvRecord struct {
-	Seed      uint64 `json:"seed,string"` // of model and prompt: which answer it belongs to
+	Seed      uint64 `json:"seed,string"` // answerSeed of model and prompt
 	Prompt    int    `json:"prompt"`      // tokens
 	Generated int    `json:"generated"`   // tokens
 }
 
 func (r kvRecord) total() int { return r.Prompt + r.Generated }
 
-// kvStore holds the KV records of an engine: by request id while it runs and
-// for a while after, and by handle once exported or imported.
+// kvStore holds an engine's KV records by request id, and by handle once exported
+// or imported. Each holds the newest maxRecords.
 type kvStore struct {
 	mu           sync.Mutex
 	handlePrefix string
@@ -69,7 +69,7 @@
 	return r, ok
 }
 
-// boundedRecords forgets the oldest key beyond keptRecords.
+// boundedRecords holds up to maxRecords records and drops the oldest key beyond.
 type boundedRecords struct {
 	records map[string]kvRecord
 	order   []string
@@ -90,15 +90,16 @@
 	}
 }
 
-// resumePlan says what an engine prefills before it goes on with an answer.
+// prefillPlan counts the tokens that an engine prefills before it generates.
 type prefillPlan struct {
 	prefill    int // tokens to compute before the next token
 	cached     int
 	recomputed int
 }
 
-// planPrefill weighs a request's prompt, its tokens so far and the KV cache
-// that it names, if any.
+// planPrefill returns the plan for prompt p with cached tokens in the prefix cache.
+// resume is nil for a new answer; kv is the KV cache that it refers to, valid if
+// hasKV.
 func planPrefill(p prompt, cached int, resume *native.Resume, kv kvRecord, hasKV bool) prefillPlan {
 	if resume == nil {
 		return prefillPlan{prefill: p.totalTokens - cached, cached: cached}
--- a/internal/fake/plain.go
+++ b/internal/fake/plain.go
@@ -20,38 +20,38 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// Paths and headers of a Plain that tests use.
+// Paths and headers of a Plain.
 const (
-	PathCounter = "/counter" // a suffix: POST adds one to the counter named by ?name=
-	PathStream  = "/stream"  // a suffix: GET answers ?bytes= bytes of StreamByte
+	PathCounter = "/counter" // path suffix: POST increments the counter named by ?name=
+	PathStream  = "/stream"  // path suffix: returns ?bytes= bytes of StreamByte
 
-	HeaderExecutions     = "X-Executions" // how often the Idempotency-Key has run, this time included
+	HeaderExecutions     = "X-Executions" // executions of the Idempotency-Key, including this one
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const (
 	streamChunkBytes  = 32 << 10
-	streamModulus     = 251 // prime, so that a lost block of any power of two shows
+	streamModulus     = 251 // prime, so that a lost block of a power-of-two size is detected
 	maxCrashTextBytes = 64 << 10
 	streamByteParam   = "bytes"
 )
 
-// PlainConfig describes a stand-in plain service.
+// PlainConfig configures a Plain.
 type PlainConfig struct {
 	ID          string
-	Incarnation uint64 // 0: the clock at NewPlain, in milliseconds
-	Address     string // as announced; empty: the listener's
+	Incarnation uint64 // 0: Unix time of NewPlain in milliseconds
+	Address     string // announced address; empty: the listener's
 	Region      string
 	Zone        string
 	Class       string // machine class
 	Services    []string
-	Slots       int           // DefaultSlots, as announced; not enforced
-	Work        time.Duration // between the body's end and the effect
-	AnswerDelay time.Duration // between the effect and the answer
+	Slots       int           // announced, not enforced; 0: DefaultSlots
+	Work        time.Duration // from the end of the body to the effect
+	AnswerDelay time.Duration // from the effect to the answer
 	Announcing  Announcing
 }
 
-// PlainAnswer is the JSON answer to every path that has no meaning of its own.
+// PlainAnswer is the JSON answer to every path except PathStream and /fake/ paths.
 type PlainAnswer struct {
 	Server     string `json:"server"` // the server's id
 	Method     string `json:"method"`
@@ -60,12 +60,12 @@
 	BodyBytes  int64  `json:"bodyBytes"`
 	BodyHash   string `json:"bodyHash"`             // xxhash64 of the body, hex
 	Key        string `json:"key,omitempty"`        // the request's Idempotency-Key
-	Executions int    `json:"executions,omitempty"` // of that key at this server
+	Executions int    `json:"executions,omitempty"` // executions of Key at this server
 }
 
-// PlainStats is what a Plain did: the body of GET /fake/stats.
+// PlainStats holds a Plain's counters. It is the body of GET /fake/stats.
 type PlainStats struct {
-	Calls      int            `json:"calls"`      // whose effect happened
+	Calls      int            `json:"calls"`      // calls that had their effect
 	Executions map[string]int `json:"executions"` // by Idempotency-Key
 	Counters   map[string]int `json:"counters"`   // by name
 	Requests   map[string]int `json:"requests"`   // by X-Request-Id
@@ -83,7 +83,8 @@
 	stats   PlainStats
 }
 
-// NewPlain returns a plain service that serves once Run or Handler is used.
+// NewPlain returns a plain service. It serves once Run is called or its Handler
+// used.
 func NewPlain(cfg PlainConfig, deps Deps) *Plain {
 	cfg.Incarnation = cmp.Or(cfg.Incarnation, uint64(time.Now().UnixMilli()))
 	cfg.Slots = cmp.Or(cfg.Slots, DefaultSlots)
@@ -122,17 +123,18 @@
 	return serve(ctx, ln, p.Handler(), p.faults, p.announcer.run)
 }
 
-// Leave announces that the service leaves in notice.
+// Leave announces that the service leaves after notice.
 func (p *Plain) Leave(notice time.Duration) { p.announcer.leave(notice) }
 
-// Kill ends Run in silence, as the death of the process would.
+// Kill ends Run without an announcement, like a killed process.
 func (p *Plain) Kill() { p.faults.end(ErrKilled) }
 
-// SetFaults replaces the faults in force. CrashOn looks at the body, after it
-// was read and before its effect; StallAfterTokens means nothing here.
+// SetFaults replaces the active faults. CrashOn is matched with the start of the
+// body, after the whole body was read and before the effect. StallAfterTokens has
+// no effect on a Plain.
 func (p *Plain) SetFaults(f Faults) { p.faults.set(f) }
 
-// Stats returns what the service has done so far.
+// Stats returns the counters since the start.
 func (p *Plain) Stats() PlainStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,8 +206,8 @@
 	}
 }
 
-// execute is the effect of a call, which must not happen twice for one that is
-// not idempotent. It returns how often the call's key has had its effect.
+// execute performs the effect of a call: it increments the counters. It returns
+// the executions of the call's Idempotency-Key, or 0 without a key.
 func (p *Plain) execute(r *http.Request) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -236,7 +238,8 @@
 	return p.faults.waitThawed(ctx)
 }
 
-// serveStream answers a large body in chunks; byte i is StreamByte(i).
+// serveStream answers the requested number of bytes in chunks; byte i is
+// StreamByte(i).
 func (p *Plain) serveStream(w http.ResponseWriter, r *http.Request) {
 	total, err := strconv.ParseInt(r.URL.Query().Get(streamByteParam), 10, 64)
 	if err != nil || total < 0 {
@@ -265,7 +268,8 @@
 // StreamByte returns byte i of every PathStream answer.
 func StreamByte(i int64) byte { return byte(i % streamModulus) }
 
-// bodyDigest takes a body of any size in and keeps its hash and its start.
+// bodyDigest computes the hash and size of a body and stores its first
+// maxCrashTextBytes.
 type bodyDigest struct {
 	hash       hash.Hash64
 	bytes      int64
--- a/internal/fake/plain_test.go
+++ b/internal/fake/plain_test.go
@@ -19,7 +19,7 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// plainServer is where a stand-in plain service serves.
+// plainServer is the address of a running Plain and a client for it.
 type plainServer struct {
 	address string
 	client  *native.PlainClient
@@ -66,6 +66,8 @@
 	return resp, err
 }
 
+// Guards against an answer that doesn't describe the request, and executions or
+// counters that are miscounted.
 func TestPlainEchoesAndCounts(t *testing.T) {
 	p := fake.NewPlain(fake.PlainConfig{ID: "p1"}, fake.Deps{})
 	s, _ := startPlain(t, p)
@@ -93,6 +95,7 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
+// Guards against lost or wrong bytes in a large streamed answer.
 func TestPlainStreamsALargeAnswer(t *testing.T) {
 	s, _ := startPlain(t, fake.NewPlain(fake.PlainConfig{}, fake.Deps{}))
 	const size = 3<<20 + 17
@@ -108,8 +111,8 @@
 	}
 }
 
-// A server dies after it has read the whole call and before its effect. To the
-// caller that is the same as one that dies after the effect: unknown.
+// Guards against a crash between body and effect that has the effect, or that the
+// client reports as not run: the caller can't know whether the effect happened.
 func TestPlainCrashesAfterTheBody(t *testing.T) {
 	p := fake.NewPlain(fake.PlainConfig{}, fake.Deps{})
 	s, ended := startPlain(t, p)
@@ -121,8 +124,8 @@
 	require.Zero(t, p.Stats().Calls)
 }
 
-// The effect has happened and the answer comes too late for its caller, who
-// gives up. The count shows the effect that a second try would double.
+// Guards against a call that the caller cancels after its effect and that the
+// client reports as not run: a retry would have the effect twice.
 func TestPlainAnswersLate(t *testing.T) {
 	p := fake.NewPlain(fake.PlainConfig{AnswerDelay: time.Hour}, fake.Deps{})
 	s, _ := startPlain(t, p)
@@ -140,9 +143,8 @@
 	require.False(t, native.NotRun(<-failed))
 }
 
-// A test in another process sets the faults over HTTP. A call that the service
-// refuses as not run must have had no effect, or a caller that sends it again
-// doubles it.
+// Guards against faults set over HTTP that don't apply, and against a call that is
+// refused as not run but had its effect.
 func TestPlainRefusesWithoutEffect(t *testing.T) {
 	s, _ := startPlain(t, fake.NewPlain(fake.PlainConfig{}, fake.Deps{}))
 	resp, err := s.do(t, http.MethodPost, fake.PathFaults, "", strings.NewReader(`{"refuse":true}`))
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -17,24 +17,24 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// Bounds of the stand-ins' listeners.
+// Limits of the stand-ins' HTTP servers.
 const (
 	headerTimeout     = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
-	maxSmallBodyBytes = 1 << 20 // bytes of a JSON request
+	maxSmallBodyBytes = 1 << 20 // any JSON body except a chat
 	maxChatBodyBytes  = 16 << 20
 )
 
-// Paths that every stand-in has for tests.
+// Control paths of every stand-in, for tests.
 const (
 	PathFaults = "/fake/faults"
 	PathStats  = "/fake/stats"
 )
 
-// Deps are what a stand-in needs from its process.
+// Deps holds the dependencies of a stand-in.
 type Deps struct {
-	Log    *slog.Logger // nil: logs nothing
-	Client *http.Client // for announcements and weights; nil: one of its own
+	Log    *slog.Logger // nil: no logging
+	Client *http.Client // for announcements and KV fetches; nil: a new client
 }
 
 func (d Deps) withDefaults() Deps {
@@ -47,12 +47,12 @@
 	return d
 }
 
-// actor is one of the things that a stand-in does beside serving.
+// actor is a background task of a stand-in. It returns when ctx ends.
 type actor func(ctx context.Context) error
 
 // serve runs the HTTP server on ln and the actors until ctx ends (returns nil)
-// or the faults end the stand-in (returns their cause). At the end it closes
-// every connection at once, as the end of a process does.
+// or the stand-in crashes or is killed (returns the cause, wrapped). It then
+// closes all connections immediately, as a process that exits does.
 func serve(ctx context.Context, ln net.Listener, h http.Handler, faults *faultState, actors ...actor) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -60,7 +60,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		BaseContext:       func(net.Listener) context.Context { return ctx }, // ends handlers that wait while frozen
+		BaseContext:       func(net.Listener) context.Context { return ctx }, // ctx unblocks the handlers of a frozen stand-in
 		ErrorLog:          slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 	}
 	var group run.Group
@@ -91,7 +91,9 @@
 // abort closes the connection of the request being served, without an answer.
 func abort() { panic(http.ErrAbortHandler) }
 
-// refuse answers a request that has not run and will not run.
+// refuse answers with a Problem and HeaderNotRun, which states that the request
+// has not run. Retry-After is set if retryAfter is positive, in whole seconds
+// rounded up.
 func refuse(w http.ResponseWriter, status int, retryAfter time.Duration, code, detail string) {
 	w.Header().Set(native.HeaderNotRun, "1")
 	if retryAfter > 0 {
@@ -104,10 +106,11 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a caller that has gone gets no answer
+	_ = json.NewEncoder(w).Encode(v) // ignored: the client has disconnected
 }
 
-// readJSON decodes a bounded body; on failure it has answered 400.
+// readJSON decodes a body of up to limit bytes into v. It returns false after an
+// error, which it has answered with 400.
 func readJSON(w http.ResponseWriter, r *http.Request, limit int64, v any) bool {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
@@ -120,7 +123,7 @@
 	return true
 }
 
-// faultHandler serves PathFaults: POST replaces the faults, GET shows them.
+// faultHandler serves PathFaults: POST replaces the faults, GET returns them.
 func faultHandler(state *faultState) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -13,20 +13,20 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// storeStep is the time between two writes of a paced body.
+// writeInterval is the interval between writes of a bandwidth-limited body.
 const writeInterval = 10 * time.Millisecond
 
-// StoreConfig describes a stand-in weight store.
+// StoreConfig configures a Store.
 type StoreConfig struct {
 	WeightBytes    int64   // size of every model's weights
-	BytesPerSecond int64   // of each reader; 0: as fast as it goes
-	ReadsPerSecond float64 // over all readers; beyond it 429 with Retry-After; 0: no limit
-	Burst          int     // reads at once; at least 1
+	BytesPerSecond int64   // per reader; 0: no limit
+	ReadsPerSecond float64 // over all readers; reads above it get 429 with Retry-After; 0: no limit
+	Burst          int     // burst of ReadsPerSecond; at least 1
 }
 
-// StoreStats is what a Store did: the body of GET /fake/stats.
+// StoreStats holds a Store's counters. It is the body of GET /fake/stats.
 type StoreStats struct {
-	Served  int `json:"served"`  // whole bodies
+	Served  int `json:"served"`  // bodies written to the end
 	Refused int `json:"refused"` // by the rate limit
 }
 
@@ -69,10 +69,11 @@
 	return serve(ctx, ln, s.Handler(), s.faults)
 }
 
-// SetFaults replaces the faults in force: Freeze, SlowFactor and Refuse.
+// SetFaults replaces the active faults. Freeze, SlowFactor and Refuse have an
+// effect on a Store.
 func (s *Store) SetFaults(f Faults) { s.faults.set(f) }
 
-// Stats returns what the store has done so far.
+// Stats returns the counters since the start.
 func (s *Store) Stats() StoreStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +101,8 @@
 	s.updateStats(func(st *StoreStats) { st.Served++ })
 }
 
-// reserve returns zero when the read may go on now, else when to come back.
+// reserve returns 0 if the read is admitted now, or else the delay after which to
+// retry.
 func (s *Store) reserve() time.Duration {
 	reservation := s.limiter.Reserve()
 	delay := reservation.Delay()
