--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,6 +1,6 @@
 // Package fake provides in-process stand-ins for the external systems that the
 // instances talk to, for tests, the dev command and benchmarks on one machine.
-// They start no processes and use no network except their listener.
+// They start no processes and need no network beyond their listener.
 //
 // Engine is a model engine. It batches continuously over a fixed number of
 // slots, has a bounded prefix cache, honours priorities, resumes and cancels
--- a/internal/fake/engine_orders.go
+++ b/internal/fake/engine_orders.go
@@ -39,8 +39,8 @@
 	return slices.Clone(b.orders)
 }
 
-// serveOrder answers 202 for an accepted order, 409 for an old fencing number and
-// 400 for an order that can't be executed.
+// serveOrder answers 202 for an order that is executed or queued, 409 for an old
+// fencing number and 400 for an order that can't be executed.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o native.Order
 	if !readJSON(w, r, maxSmallBodyBytes, &o) {
--- a/internal/fake/engine_test.go
+++ b/internal/fake/engine_test.go
@@ -187,7 +187,8 @@
 }
 
 // Guards against a simulated stall that closes the stream or affects new
-// connections, as a network device that drops a connection's state would not.
+// connections. It must look like a network device that drops the packets of one
+// connection.
 func TestEngineStallsOpenStreams(t *testing.T) {
 	e := startEngine(t, fake.EngineConfig{})
 	e.SetFaults(fake.Faults{StallAfterTokens: 4})
--- a/internal/fake/plain.go
+++ b/internal/fake/plain.go
@@ -51,7 +51,8 @@
 	Announcing  Announcing
 }
 
-// PlainAnswer is the JSON answer to every path except PathStream and /fake/ paths.
+// PlainAnswer is the JSON answer to every path except PathStream, the health path
+// and the /fake/ paths.
 type PlainAnswer struct {
 	Server     string `json:"server"` // the server's id
 	Method     string `json:"method"`
