--- a/internal/fake/announce.go
+++ b/internal/fake/announce.go
@@ -18,34 +18,34 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// DefaultHeartbeat is the time between two announcements.
+// DefaultHeartbeat is the default interval between announcements.
 const DefaultHeartbeat = time.Second
 
-// announceTimeout bounds one announcement at one entry. It is below the
-// heartbeat, so that a silent entry costs at most one of them.
+// announceTimeout bounds one announcement to one entry. It is below
+// DefaultHeartbeat, so that an unreachable entry delays at most one heartbeat.
 const announceTimeout = 700 * time.Millisecond
 
-// Announcing says to whom and how a stand-in announces itself.
+// Announcing configures a stand-in's announcements.
 type Announcing struct {
-	Entries   []string      // base URLs of entries, tried in this order; empty: announces nothing
-	Key       string        // bearer key of announcements
-	Heartbeat time.Duration // DefaultHeartbeat
+	Entries   []string      // base URLs of entries, tried in this order; empty: no announcements
+	Key       string        // bearer key sent with announcements
+	Heartbeat time.Duration // 0: DefaultHeartbeat
 }
 
-// announcer sends a backend server's announcements to one entry at a time and
-// goes on to the next one when that entry refuses or cannot be reached.
+// announcer sends a backend server's announcements to one entry at a time. It
+// switches to the next entry when the current one refuses or is unreachable.
 type announcer struct {
 	cfg      Announcing
 	client   *http.Client
 	log      *slog.Logger
-	describe func() instance.Announcement // without sequence
+	describe func() instance.Announcement // without sequence and state
 	faults   *faultState
 	wake     chan struct{}
 
-	mu       sync.Mutex
-	current  int
-	sequence uint64
-	leaving  time.Time // end of the notice; zero: not leaving
+	mu            sync.Mutex
+	entryIndex    int
+	sequence      uint64
+	leaveDeadline time.Time // zero: not leaving
 }
 
 func newAnnouncer(cfg Announcing, deps Deps, faults *faultState, describe func() instance.Announcement) *announcer {
@@ -60,8 +60,8 @@
 	}
 }
 
-// run announces at once, then at each heartbeat, until ctx ends; the last
-// announcement then says that the server is gone.
+// run announces at once and then at each heartbeat until ctx ends. It then
+// announces StateGone, unless the server crashed, was killed or is frozen.
 func (a *announcer) run(ctx context.Context) error {
 	if len(a.cfg.Entries) == 0 {
 		<-ctx.Done()
@@ -70,7 +70,7 @@
 	ticker := time.NewTicker(a.cfg.Heartbeat)
 	defer ticker.Stop()
 	for {
-		if a.faults.pass(ctx) == nil {
+		if a.faults.waitThawed(ctx) == nil {
 			a.announce(ctx, a.state())
 		}
 		select {
@@ -83,11 +83,12 @@
 	}
 }
 
-// leave makes the server leaving, and says so at once.
+// leave switches to StateLeaving with a deadline after notice, and announces it
+// at once. Later calls don't change the deadline.
 func (a *announcer) leave(notice time.Duration) {
 	a.mu.Lock()
-	if a.leaving.IsZero() {
-		a.leaving = time.Now().Add(notice)
+	if a.leaveDeadline.IsZero() {
+		a.leaveDeadline = time.Now().Add(notice)
 	}
 	a.mu.Unlock()
 	select {
@@ -99,15 +100,16 @@
 func (a *announcer) state() instance.State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.leaving.IsZero() {
+	if a.leaveDeadline.IsZero() {
 		return instance.StateServing
 	}
 	return instance.StateLeaving
 }
 
-// announceGone is skipped by a server that crashed or froze: those fall silent.
+// announceGone announces StateGone. A crashed, killed or frozen server sends
+// nothing.
 func (a *announcer) announceGone() {
-	if a.faults.ended() != nil || a.faults.get().Freeze {
+	if a.faults.endCause() != nil || a.faults.get().Freeze {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
@@ -115,9 +117,10 @@
 	a.announce(ctx, instance.StateGone)
 }
 
-// announce tries each entry once, from the current one on.
+// announce tries each entry once, starting with the current one, until one
+// accepts.
 func (a *announcer) announce(ctx context.Context, state instance.State) {
-	body, err := json.Marshal(a.next(state))
+	body, err := json.Marshal(a.nextAnnouncement(state))
 	if err != nil {
 		a.log.Error("announcement cannot be encoded", "error", err)
 		return
@@ -128,40 +131,40 @@
 			return
 		}
 		a.log.Debug("announcement failed", "error", err)
-		a.advance()
+		a.switchEntry()
 	}
 }
 
-func (a *announcer) next(state instance.State) instance.Announcement {
+func (a *announcer) nextAnnouncement(state instance.State) instance.Announcement {
 	msg := a.describe()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sequence++
 	msg.Sequence = a.sequence
 	msg.State = state
-	if !a.leaving.IsZero() {
-		msg.LeavingIn = int(max(0, time.Until(a.leaving).Milliseconds()))
+	if !a.leaveDeadline.IsZero() {
+		msg.LeavingIn = int(max(0, time.Until(a.leaveDeadline).Milliseconds()))
 	}
 	return msg
 }
 
-func (a *announcer) entry() string {
+func (a *announcer) currentEntry() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.cfg.Entries[a.current]
+	return a.cfg.Entries[a.entryIndex]
 }
 
-func (a *announcer) advance() {
+func (a *announcer) switchEntry() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.current = (a.current + 1) % len(a.cfg.Entries)
+	a.entryIndex = (a.entryIndex + 1) % len(a.cfg.Entries)
 }
 
 // post sends a JSON body to the current entry.
 func (a *announcer) post(ctx context.Context, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	url := a.entry() + path
+	url := a.currentEntry() + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return trace.Wrap(err)
@@ -173,7 +176,7 @@
 		return trace.Wrap(err)
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxSmallBody))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxSmallBodyBytes))
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		return trace.Wrap(fmt.Errorf("POST %s: status %d", url, resp.StatusCode))
 	}
--- a/internal/fake/cloud_test.go
+++ b/internal/fake/cloud_test.go
@@ -28,17 +28,17 @@
 	return cloud, client
 }
 
-// The answer to a start is lost and the leader asks again, or its successor
-// does. Without the token the fleet would pay for two instances.
+// Guards against a retried start, after a lost answer, that starts and bills a
+// second instance.
 func TestCloudStartsOncePerToken(t *testing.T) {
 	cloud, client := startCloud(t)
 	ctx := context.Background()
 	req := native.StartRequest{ClientToken: "t1", Zone: "z1", Class: "gpu", Kind: native.Reclaimable}
 	first, err := client.Start(ctx, req)
 	require.NoError(t, err)
-	again, err := client.Start(ctx, req)
+	repeated, err := client.Start(ctx, req)
 	require.NoError(t, err)
-	require.Equal(t, first, again)
+	require.Equal(t, first, repeated)
 	require.Equal(t, fake.CloudStats{Started: 1, Repeated: 1}, cloud.Stats())
 	require.NoError(t, client.Stop(ctx, first.ID))
 	list, err := client.Instances(ctx)
@@ -47,6 +47,7 @@
 	require.Equal(t, native.InstanceStopped, list[0].State)
 }
 
+// Guards against a refused zone that starts instances or affects other zones.
 func TestCloudRefusesStartsByZone(t *testing.T) {
 	cloud, client := startCloud(t)
 	cloud.Refuse("z1")
@@ -58,11 +59,11 @@
 	require.NoError(t, err)
 }
 
-// A whole zone is reclaimed. Its reclaimable instances are noticed together,
-// and a client that was waiting hears of it at once.
+// Guards against a wave that misses reclaimable instances, affects on-demand ones
+// or doesn't wake a waiting long poll.
 func TestCloudReclaimsAZoneInOneWave(t *testing.T) {
 	cloud, client := startCloud(t)
-	ctx, cancel := context.WithTimeout(context.Background(), waitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for token, kind := range map[string]native.PurchaseKind{
 		"a": native.Reclaimable, "b": native.Reclaimable, "c": native.OnDemand,
@@ -72,7 +73,7 @@
 	}
 	pages := make(chan native.NoticePage, 1)
 	go func() {
-		page, _ := client.Notices(ctx, 0, waitBound)
+		page, _ := client.Notices(ctx, 0, waitTimeout)
 		pages <- page
 	}()
 	require.Len(t, cloud.Wave("z1", 0), 2)
--- a/internal/fake/engine_kv.go
+++ b/internal/fake/engine_kv.go
@@ -13,7 +13,7 @@
 
 var errNoHandle = errors.New("the other engine holds no such handle")
 
-// serveExport gives a handle to the KV cache of a request that runs or ran.
+// serveExport returns a handle to the KV cache of a running or ended request.
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
 	handle, record, ok := e.kv.export(r.URL.Query().Get("request"))
 	if !ok {
@@ -31,7 +31,7 @@
 	}
 }
 
-// serveFetch gives the record behind a handle to another engine.
+// serveFetch returns the record of a handle to another engine.
 func (e *Engine) serveFetch(w http.ResponseWriter, r *http.Request) {
 	record, ok := e.kv.get(r.PathValue("handle"))
 	if !ok {
@@ -41,16 +41,17 @@
 	writeJSON(w, http.StatusOK, record)
 }
 
-// serveImport fetches a record and takes the time that its bytes would take.
-// The sender must live until the end of that time, as for real bytes.
+// serveImport fetches a record and sleeps for the simulated transfer time. It
+// fetches the record again afterwards, so that the import fails if the sender
+// ends during the transfer.
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	var req native.ImportRequest
-	if !readJSON(w, r, maxSmallBody, &req) {
+	if !readJSON(w, r, maxSmallBodyBytes, &req) {
 		return
 	}
 	record, err := e.fetchKV(r.Context(), req)
 	if err == nil {
-		err = e.work(r.Context(), e.transferTime(record))
+		err = e.simulateWork(r.Context(), e.transferTime(record))
 	}
 	if err == nil {
 		record, err = e.fetchKV(r.Context(), req)
@@ -59,7 +60,7 @@
 		writeJSON(w, http.StatusBadGateway, native.Problem{Code: "import_failed", Detail: err.Error()})
 		return
 	}
-	writeJSON(w, http.StatusOK, e.exportReply(e.kv.imported(record), record))
+	writeJSON(w, http.StatusOK, e.exportReply(e.kv.addImported(record), record))
 }
 
 func (e *Engine) transferTime(r kvRecord) time.Duration {
@@ -82,13 +83,13 @@
 		return kvRecord{}, errNoHandle
 	}
 	var record kvRecord
-	err = json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxSmallBody)).Decode(&record)
+	err = json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxSmallBodyBytes)).Decode(&record)
 	return record, err
 }
 
-// pushEvents sends the cache's events to the entry that the announcements go
-// to, late and with gaps as configured. Events that no entry takes are lost:
-// whoever sees the gap asks for the listing.
+// pushEvents sends the cache events to the announcer's current entry every
+// EventDelay until ctx ends, with gaps as configured. Events are not resent after
+// an error: a receiver that detects the gap fetches the listing.
 func (e *Engine) pushEvents(ctx context.Context) error {
 	if len(e.cfg.Announcing.Entries) == 0 {
 		<-ctx.Done()
@@ -102,14 +103,14 @@
 			return nil
 		case <-ticker.C:
 		}
-		events := withGaps(e.cache.drain(), e.cfg.EventGap)
-		if len(events) > 0 && e.faults.pass(ctx) == nil {
-			e.pushBatch(ctx, events)
+		events := dropEveryNth(e.cache.drain(), e.cfg.EventGap)
+		if len(events) > 0 && e.faults.waitThawed(ctx) == nil {
+			e.postEvents(ctx, events)
 		}
 	}
 }
 
-func (e *Engine) pushBatch(ctx context.Context, events []instance.CacheEvent) {
+func (e *Engine) postEvents(ctx context.Context, events []instance.CacheEvent) {
 	body, err := json.Marshal(native.CacheEventBatch{Incarnation: e.cfg.Incarnation, Events: events})
 	if err != nil {
 		e.deps.Log.Error("cache events cannot be encoded", "error", err)
@@ -117,20 +118,21 @@
 	}
 	path := native.PathAnnounce + "/" + e.cfg.ID + native.PathCacheEvents
 	if err := e.announcer.post(ctx, path, body); err != nil {
-		e.deps.Log.Debug("cache events lost", "error", err)
+		e.deps.Log.Debug("cache events not delivered", "error", err)
 	}
 }
 
-// withGaps drops each event whose number is a multiple of every.
-func withGaps(events []instance.CacheEvent, every int) []instance.CacheEvent {
-	if every <= 0 {
+// dropEveryNth drops the events whose sequence number is a multiple of n, in
+// place; none if n is 0 or less.
+func dropEveryNth(events []instance.CacheEvent, n int) []instance.CacheEvent {
+	if n <= 0 {
 		return events
 	}
-	kept := events[:0]
+	remaining := events[:0]
 	for _, event := range events {
-		if event.Sequence%uint64(every) != 0 {
-			kept = append(kept, event)
+		if event.Sequence%uint64(n) != 0 {
+			remaining = append(remaining, event)
 		}
 	}
-	return kept
+	return remaining
 }
--- a/internal/fake/engine_orders.go
+++ b/internal/fake/engine_orders.go
@@ -9,63 +9,65 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// orderBook remembers the orders that an engine followed.
-type orderBook struct {
-	mu      sync.Mutex
-	checks  bool
-	highest uint64
-	orders  []native.Order
+// orderLog records the accepted orders and the highest fencing number.
+type orderLog struct {
+	mu           sync.Mutex
+	checksFences bool
+	highestFence uint64
+	orders       []native.Order
 }
 
-func newOrderBook(checks bool) *orderBook { return &orderBook{checks: checks} }
+func newOrderLog(checksFences bool) *orderLog { return &orderLog{checksFences: checksFences} }
 
-// take reports whether the order is to be followed. An engine that checks
-// fences refuses one lower than it has seen: it comes from a leader that has
-// been replaced without knowing.
-func (b *orderBook) take(o native.Order) bool {
+// accept records the order and reports whether it may be executed. An engine that
+// checks fences rejects a lower fencing number than the highest received: the
+// order comes from a leader that has been replaced.
+func (b *orderLog) accept(o native.Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.checks && o.Fence < b.highest {
+	if b.checksFences && o.Fence < b.highestFence {
 		return false
 	}
-	b.highest = max(b.highest, o.Fence)
+	b.highestFence = max(b.highestFence, o.Fence)
 	b.orders = append(b.orders, o)
 	return true
 }
 
-func (b *orderBook) taken() []native.Order {
+func (b *orderLog) accepted() []native.Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.orders)
 }
 
-// serveOrder answers 202 for an order that is followed, 409 for an old fence.
+// serveOrder answers 202 for an order that is executed or queued, 409 for an old
+// fencing number and 400 for an order that can't be executed.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o native.Order
-	if !readJSON(w, r, maxSmallBody, &o) {
+	if !readJSON(w, r, maxSmallBodyBytes, &o) {
 		return
 	}
-	if !e.orders.take(o) {
+	if !e.orders.accept(o) {
 		refuse(w, http.StatusConflict, 0, "old_fence", "a higher fencing number was seen")
 		return
 	}
-	if !e.follow(o) {
+	if !e.execute(o) {
 		refuse(w, http.StatusBadRequest, 0, "unknown_order", string(o.Kind))
 		return
 	}
 	writeJSON(w, http.StatusAccepted, o)
 }
 
-// follow reports whether the order makes sense. A model takes its time to
-// load; the announcements show when it is there.
-func (e *Engine) follow(o native.Order) bool {
+// execute executes an order. It returns false if the kind is unknown or the queue
+// of model loads is full. Models load asynchronously; announcements show the new
+// model once it is loaded.
+func (e *Engine) execute(o native.Order) bool {
 	switch o.Kind {
 	case native.OrderLoadModel:
 		return e.enqueueLoad(o)
 	case native.OrderLoadAdapter:
-		e.change(func(m *modelState) { m.adapters = withAdapter(m.adapters, o.Adapter) })
+		e.updateModel(func(m *modelState) { m.adapters = withAdapter(m.adapters, o.Adapter) })
 	case native.OrderRole:
-		e.change(func(m *modelState) { m.role = o.Role })
+		e.updateModel(func(m *modelState) { m.role = o.Role })
 	case native.OrderLeave:
 		e.Leave(e.cfg.Notice)
 	default:
@@ -74,23 +76,23 @@
 	return true
 }
 
-// enqueueLoad leaves the loading to runLoads, one model after the other.
+// enqueueLoad queues a model for runLoads and reports whether there was room.
 func (e *Engine) enqueueLoad(o native.Order) bool {
 	select {
-	case e.loads <- o:
+	case e.loadOrders <- o:
 		return true
 	default:
 		return false
 	}
 }
 
-// runLoads follows the orders to load a model until ctx ends.
+// runLoads loads the queued models one at a time until ctx ends.
 func (e *Engine) runLoads(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case o := <-e.loads:
+		case o := <-e.loadOrders:
 			e.loadModel(ctx, o)
 		}
 	}
@@ -101,30 +103,32 @@
 		e.deps.Log.Warn("model not loaded", "model", o.Model, "version", o.Version, "error", err)
 		return
 	}
-	e.change(func(m *modelState) {
+	e.updateModel(func(m *modelState) {
 		m.name = o.Model
 		m.version = o.Version
 	})
 }
 
-// fetchWeights reads the weights and, as the store asks for it, waits and asks again.
+// fetchWeights reads the weights, and retries after the delay that the store
+// requests by Retry-After.
 func (e *Engine) fetchWeights(ctx context.Context, o native.Order) error {
 	if e.cfg.Store == "" {
 		return nil
 	}
 	for {
 		_, err := e.store.Fetch(ctx, e.cfg.Store, o.Model, o.Version)
-		after, again := native.RetryAfter(err)
-		if !again {
+		delay, retryable := native.RetryAfter(err)
+		if !retryable {
 			return err
 		}
-		if err := wait(ctx, e.faults, after); err != nil {
+		if err := sleep(ctx, e.faults, delay); err != nil {
 			return err
 		}
 	}
 }
 
-// withAdapter returns a new slice: announcements share the old one.
+// withAdapter returns adapters with name added. It never modifies adapters, which
+// announcements still refer to.
 func withAdapter(adapters []string, name string) []string {
 	if slices.Contains(adapters, name) {
 		return adapters
@@ -132,7 +136,7 @@
 	return append(slices.Clone(adapters), name)
 }
 
-func (e *Engine) change(f func(*modelState)) {
+func (e *Engine) updateModel(f func(*modelState)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f(&e.model)
--- a/internal/fake/plain.go
+++ b/internal/fake/plain.go
@@ -20,38 +20,39 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// Paths and headers of a Plain that tests use.
+// Paths and headers of a Plain.
 const (
-	PathCounter = "/counter" // a suffix: POST adds one to the counter named by ?name=
-	PathStream  = "/stream"  // a suffix: GET answers ?bytes= bytes of StreamByte
+	PathCounter = "/counter" // path suffix: POST increments the counter named by ?name=
+	PathStream  = "/stream"  // path suffix: returns ?bytes= bytes of StreamByte
 
-	HeaderExecutions     = "X-Executions" // how often the Idempotency-Key has run, this time included
+	HeaderExecutions     = "X-Executions" // executions of the Idempotency-Key, including this one
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const (
-	streamChunk     = 32 << 10
-	streamAlphabet  = 251 // prime, so that a lost block of any power of two shows
-	maxCrashText    = 64 << 10
-	streamByteParam = "bytes"
+	streamChunkBytes  = 32 << 10
+	streamModulus     = 251 // prime, so that a lost block of a power-of-two size is detected
+	maxCrashTextBytes = 64 << 10
+	streamByteParam   = "bytes"
 )
 
-// PlainConfig describes a stand-in plain service.
+// PlainConfig configures a Plain.
 type PlainConfig struct {
 	ID          string
-	Incarnation uint64 // 0: the clock at NewPlain, in milliseconds
-	Address     string // as announced; empty: the listener's
+	Incarnation uint64 // 0: Unix time of NewPlain in milliseconds
+	Address     string // announced address; empty: the listener's
 	Region      string
 	Zone        string
 	Class       string // machine class
 	Services    []string
-	Slots       int           // DefaultSlots, as announced; not enforced
-	Work        time.Duration // between the body's end and the effect
-	AnswerDelay time.Duration // between the effect and the answer
+	Slots       int           // announced, not enforced; 0: DefaultSlots
+	Work        time.Duration // from the end of the body to the effect
+	AnswerDelay time.Duration // from the effect to the answer
 	Announcing  Announcing
 }
 
-// PlainAnswer is the JSON answer to every path that has no meaning of its own.
+// PlainAnswer is the JSON answer to every path except PathStream, the health path
+// and the /fake/ paths.
 type PlainAnswer struct {
 	Server     string `json:"server"` // the server's id
 	Method     string `json:"method"`
@@ -60,12 +61,12 @@
 	BodyBytes  int64  `json:"bodyBytes"`
 	BodyHash   string `json:"bodyHash"`             // xxhash64 of the body, hex
 	Key        string `json:"key,omitempty"`        // the request's Idempotency-Key
-	Executions int    `json:"executions,omitempty"` // of that key at this server
+	Executions int    `json:"executions,omitempty"` // executions of Key at this server
 }
 
-// PlainStats is what a Plain did: the body of GET /fake/stats.
+// PlainStats holds a Plain's counters. It is the body of GET /fake/stats.
 type PlainStats struct {
-	Calls      int            `json:"calls"`      // whose effect happened
+	Calls      int            `json:"calls"`      // calls that had their effect
 	Executions map[string]int `json:"executions"` // by Idempotency-Key
 	Counters   map[string]int `json:"counters"`   // by name
 	Requests   map[string]int `json:"requests"`   // by X-Request-Id
@@ -83,7 +84,8 @@
 	stats   PlainStats
 }
 
-// NewPlain returns a plain service that serves once Run or Handler is used.
+// NewPlain returns a plain service. It serves once Run is called or its Handler
+// used.
 func NewPlain(cfg PlainConfig, deps Deps) *Plain {
 	cfg.Incarnation = cmp.Or(cfg.Incarnation, uint64(time.Now().UnixMilli()))
 	cfg.Slots = cmp.Or(cfg.Slots, DefaultSlots)
@@ -122,17 +124,18 @@
 	return serve(ctx, ln, p.Handler(), p.faults, p.announcer.run)
 }
 
-// Leave announces that the service leaves in notice.
+// Leave announces that the service leaves after notice.
 func (p *Plain) Leave(notice time.Duration) { p.announcer.leave(notice) }
 
-// Kill ends Run in silence, as the death of the process would.
+// Kill ends Run without an announcement, like a killed process.
 func (p *Plain) Kill() { p.faults.end(ErrKilled) }
 
-// SetFaults replaces the faults in force. CrashOn looks at the body, after it
-// was read and before its effect; StallAfterTokens means nothing here.
+// SetFaults replaces the active faults. CrashOn is matched with the start of the
+// body, after the whole body was read and before the effect. StallAfterTokens has
+// no effect on a Plain.
 func (p *Plain) SetFaults(f Faults) { p.faults.set(f) }
 
-// Stats returns what the service has done so far.
+// Stats returns the counters since the start.
 func (p *Plain) Stats() PlainStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +167,7 @@
 }
 
 func (p *Plain) serveCall(w http.ResponseWriter, r *http.Request) {
-	if p.faults.refuses(w) {
+	if p.faults.refusedByFault(w) {
 		return
 	}
 	p.addRunning(1)
@@ -177,14 +180,14 @@
 	if _, err := io.Copy(body, r.Body); err != nil {
 		abort()
 	}
-	if p.faults.crashIfAsked(body.head.String()) != nil {
+	if p.faults.crashOnMatch(body.firstBytes.String()) != nil {
 		abort()
 	}
-	if p.work(r.Context(), p.cfg.Work) != nil {
+	if p.simulateWork(r.Context(), p.cfg.Work) != nil {
 		abort()
 	}
 	executions := p.execute(r)
-	if p.work(r.Context(), p.cfg.AnswerDelay) != nil {
+	if p.simulateWork(r.Context(), p.cfg.AnswerDelay) != nil {
 		abort()
 	}
 	w.Header().Set(HeaderExecutions, strconv.Itoa(executions))
@@ -204,8 +207,8 @@
 	}
 }
 
-// execute is the effect of a call, which must not happen twice for one that is
-// not idempotent. It returns how often the call's key has had its effect.
+// execute performs the effect of a call: it increments the counters. It returns
+// the executions of the call's Idempotency-Key, or 0 without a key.
 func (p *Plain) execute(r *http.Request) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,15 +231,16 @@
 	p.running += n
 }
 
-func (p *Plain) work(ctx context.Context, d time.Duration) error {
-	err := wait(ctx, p.faults, time.Duration(float64(d)*p.faults.slow()))
+func (p *Plain) simulateWork(ctx context.Context, d time.Duration) error {
+	err := sleep(ctx, p.faults, time.Duration(float64(d)*p.faults.slowFactor()))
 	if err != nil {
 		return err
 	}
-	return p.faults.pass(ctx)
+	return p.faults.waitThawed(ctx)
 }
 
-// serveStream answers a large body in chunks; byte i is StreamByte(i).
+// serveStream answers the requested number of bytes in chunks; byte i is
+// StreamByte(i).
 func (p *Plain) serveStream(w http.ResponseWriter, r *http.Request) {
 	total, err := strconv.ParseInt(r.URL.Query().Get(streamByteParam), 10, 64)
 	if err != nil || total < 0 {
@@ -246,13 +250,13 @@
 	p.execute(r)
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.WriteHeader(http.StatusOK)
-	chunk := make([]byte, streamChunk)
+	chunk := make([]byte, streamChunkBytes)
 	for sent := int64(0); sent < total; {
 		n := min(int64(len(chunk)), total-sent)
 		for i := range chunk[:n] {
 			chunk[i] = StreamByte(sent + int64(i))
 		}
-		if p.faults.pass(r.Context()) != nil {
+		if p.faults.waitThawed(r.Context()) != nil {
 			abort()
 		}
 		if _, err := w.Write(chunk[:n]); err != nil {
@@ -263,22 +267,23 @@
 }
 
 // StreamByte returns byte i of every PathStream answer.
-func StreamByte(i int64) byte { return byte(i % streamAlphabet) }
+func StreamByte(i int64) byte { return byte(i % streamModulus) }
 
-// bodyDigest takes a body of any size in and keeps its hash and its start.
+// bodyDigest computes the hash and size of a body and stores its first
+// maxCrashTextBytes.
 type bodyDigest struct {
-	hash  hash.Hash64
-	bytes int64
-	head  strings.Builder
+	hash       hash.Hash64
+	bytes      int64
+	firstBytes strings.Builder
 }
 
 func newBodyDigest() *bodyDigest { return &bodyDigest{hash: xxhash.New()} }
 
 // Write implements io.Writer.
-func (b *bodyDigest) Write(part []byte) (int, error) {
-	b.bytes += int64(len(part))
-	if room := maxCrashText - b.head.Len(); room > 0 {
-		b.head.Write(part[:min(room, len(part))])
+func (b *bodyDigest) Write(chunk []byte) (int, error) {
+	b.bytes += int64(len(chunk))
+	if free := maxCrashTextBytes - b.firstBytes.Len(); free > 0 {
+		b.firstBytes.Write(chunk[:min(free, len(chunk))])
 	}
-	return b.hash.Write(part)
+	return b.hash.Write(chunk)
 }
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -13,20 +13,20 @@
 	"savoryreel.example/savoryreel/native"
 )
 
-// storeStep is the time between two writes of a paced body.
-const storeStep = 10 * time.Millisecond
+// writeInterval is the interval between writes of a bandwidth-limited body.
+const writeInterval = 10 * time.Millisecond
 
-// StoreConfig describes a stand-in weight store.
+// StoreConfig configures a Store.
 type StoreConfig struct {
 	WeightBytes    int64   // size of every model's weights
-	BytesPerSecond int64   // of each reader; 0: as fast as it goes
-	ReadsPerSecond float64 // over all readers; beyond it 429 with Retry-After; 0: no limit
-	Burst          int     // reads at once; at least 1
+	BytesPerSecond int64   // per reader; 0: no limit
+	ReadsPerSecond float64 // over all readers; reads above it get 429 with Retry-After; 0: no limit
+	Burst          int     // burst of ReadsPerSecond; at least 1
 }
 
-// StoreStats is what a Store did: the body of GET /fake/stats.
+// StoreStats holds a Store's counters. It is the body of GET /fake/stats.
 type StoreStats struct {
-	Served  int `json:"served"`  // whole bodies
+	Served  int `json:"served"`  // bodies written to the end
 	Refused int `json:"refused"` // by the rate limit
 }
 
@@ -69,10 +69,11 @@
 	return serve(ctx, ln, s.Handler(), s.faults)
 }
 
-// SetFaults replaces the faults in force: Freeze, SlowFactor and Refuse.
+// SetFaults replaces the active faults. Freeze, SlowFactor and Refuse have an
+// effect on a Store.
 func (s *Store) SetFaults(f Faults) { s.faults.set(f) }
 
-// Stats returns what the store has done so far.
+// Stats returns the counters since the start.
 func (s *Store) Stats() StoreStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,12 +85,12 @@
 }
 
 func (s *Store) serveWeights(w http.ResponseWriter, r *http.Request) {
-	if s.faults.refuses(w) {
+	if s.faults.refusedByFault(w) {
 		return
 	}
-	if after := s.reserve(); after > 0 {
-		s.count(func(st *StoreStats) { st.Refused++ })
-		refuse(w, http.StatusTooManyRequests, after, "rate_limited", "too many reads")
+	if retryAfter := s.reserve(); retryAfter > 0 {
+		s.updateStats(func(st *StoreStats) { st.Refused++ })
+		refuse(w, http.StatusTooManyRequests, retryAfter, "rate_limited", "too many reads")
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -97,10 +98,11 @@
 	if s.writeBody(w, r) != nil {
 		abort()
 	}
-	s.count(func(st *StoreStats) { st.Served++ })
+	s.updateStats(func(st *StoreStats) { st.Served++ })
 }
 
-// reserve returns zero when the read may go on now, else when to come back.
+// reserve returns 0 if the read is admitted now, or else the delay after which to
+// retry.
 func (s *Store) reserve() time.Duration {
 	reservation := s.limiter.Reserve()
 	delay := reservation.Delay()
@@ -111,28 +113,28 @@
 }
 
 func (s *Store) writeBody(w http.ResponseWriter, r *http.Request) error {
-	step := int64(streamChunk)
-	var pause time.Duration
+	chunkBytes := int64(streamChunkBytes)
+	var interval time.Duration
 	if s.cfg.BytesPerSecond > 0 {
-		step = max(1, s.cfg.BytesPerSecond*int64(storeStep)/int64(time.Second))
-		pause = storeStep
+		chunkBytes = max(1, s.cfg.BytesPerSecond*int64(writeInterval)/int64(time.Second))
+		interval = writeInterval
 	}
-	zeros := make([]byte, step)
-	for left := s.cfg.WeightBytes; left > 0; left -= step {
-		if err := wait(r.Context(), s.faults, time.Duration(float64(pause)*s.faults.slow())); err != nil {
+	zeros := make([]byte, chunkBytes)
+	for remaining := s.cfg.WeightBytes; remaining > 0; remaining -= chunkBytes {
+		if err := sleep(r.Context(), s.faults, time.Duration(float64(interval)*s.faults.slowFactor())); err != nil {
 			return err
 		}
-		if err := s.faults.pass(r.Context()); err != nil {
+		if err := s.faults.waitThawed(r.Context()); err != nil {
 			return err
 		}
-		if _, err := w.Write(zeros[:min(step, left)]); err != nil {
+		if _, err := w.Write(zeros[:min(chunkBytes, remaining)]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Store) count(f func(*StoreStats)) {
+func (s *Store) updateStats(f func(*StoreStats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.stats)
