--- a/coordinator/fleet.go
+++ b/coordinator/fleet.go
@@ -44,14 +44,14 @@
 
 // fleet orders backend servers while this replica leads.
 type fleet struct {
-	log           *slog.Logger
-	now           func() time.Time
-	servers       func(now time.Time) []directory.Server
-	announceEvery time.Duration // heartbeat interval of the servers
-	routeTable    func() *routes.Table
-	sendOrder     func(ctx context.Context, w DesiredServers) error
-	running       func(servers []string) int // running requests at the servers
-	work          *workTable
+	log              *slog.Logger
+	now              func() time.Time
+	servers          func(now time.Time) []directory.Server
+	announceInterval time.Duration // heartbeat interval of the servers
+	routeTable       func() *routes.Table
+	sendOrder        func(ctx context.Context, w DesiredServers) error
+	running          func(servers []string) int // running requests at the servers
+	work             *workTable
 
 	orders      map[orderKey]*orderState // of this lead
 	lastPlanned time.Time
@@ -100,7 +100,7 @@
 	count := serverCount{serving: make(map[supply.CapacityPool]int), present: make(map[supply.CapacityPool]int)}
 	for i := range servers {
 		if rec := &servers[i]; slices.Contains(rec.Services, s.Name) {
-			count.add(rec, f.announceEvery+maxRelayDelay)
+			count.add(rec, f.announceInterval+maxRelayDelay)
 		}
 	}
 	initial := m.state.initialSize(s.Name)
--- a/coordinator/fleet_test.go
+++ b/coordinator/fleet_test.go
@@ -39,7 +39,7 @@
 	}}})
 	m.fleet = &fleet{
 		log: slog.New(slog.DiscardHandler), now: func() time.Time { return m.now }, routeTable: func() *routes.Table { return table },
-		servers: func(time.Time) []directory.Server { return m.servers }, announceEvery: time.Second, running: func([]string) int { return m.runningRequests },
+		servers: func(time.Time) []directory.Server { return m.servers }, announceInterval: time.Second, running: func([]string) int { return m.runningRequests },
 		work: newWorkTable(), discoveries: make(map[string]*discovery), demands: make(map[string]*demand),
 		sendOrder: func(_ context.Context, w DesiredServers) error {
 			m.orders = append(m.orders, w)
--- a/coordinator/observe.go
+++ b/coordinator/observe.go
@@ -97,6 +97,6 @@
 		return false
 	}
 	now := f.now()
-	settleTime := time.Duration(settleHeartbeats * float64(f.announceEvery))
+	settleTime := time.Duration(settleHeartbeats * float64(f.announceInterval))
 	return now.Sub(j.lastSeen) >= settleTime || now.Sub(j.firstSeen) >= maxSettleTime
 }
