--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -380,7 +380,7 @@
 		proc.signal(t, syscall.SIGHUP)
 	}
 	for _, proc := range append(p.controls, p.entries...) {
-		p.eventually(func() bool { return strings.Contains(proc.log.String(), "settings read again") }, "the log has the event")
+		p.eventually(func() bool { return strings.Contains(proc.log.String(), "settings reloaded") }, "the log has the event")
 	}
 	a, err := standin.Call(p.ctx(), p.entryAddr(0), platformKey, "/get/x", "")
 	require.NoError(t, err)
