--- a/cmd/savoryreel/daemons.go
+++ b/cmd/savoryreel/daemons.go
@@ -25,7 +25,7 @@
 
 func newControl() *cobra.Command {
 	var cfg control.Config
-	return daemonCommand("control", "Run a control replica: keep the catalogue, the planned stops and the ledger", cfg.Declare, &cfg.LogLevel,
+	return daemonCommand("control", "Run a control replica: store the catalogue, the planned stops and the ledger", cfg.Declare, &cfg.LogLevel,
 		func(ctx context.Context, log *slog.Logger) error {
 			c, err := control.New(cfg, control.Deps{Log: log, Now: time.Now})
 			if err != nil {
--- a/cmd/savoryreel/devplatform.go
+++ b/cmd/savoryreel/devplatform.go
@@ -93,7 +93,7 @@
 	catalogue := standin.Catalogue{Revision: 1, Service: "web", Keys: []string{devWorkspaceKey}}
 	err := retryUntilDone(ctx, func() error { return standin.ReplaceCatalogue(ctx, devAddress(standin.ControlPort), catalogue) })
 	if err != nil {
-		return trace.Wrap(err, "step=bring the catalogue")
+		return trace.Wrap(err, "step=send the catalogue")
 	}
 	err = retryUntilDone(ctx, func() error {
 		a, err := standin.Call(ctx, devAddress(standin.CallerPort), devWorkspaceKey, "/get/ready", "")
--- a/cmd/savoryreel/explain.go
+++ b/cmd/savoryreel/explain.go
@@ -13,7 +13,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "explain LOG...",
-		Short: "Say from the logs of entries where service was lost: when, whose, and for which reason",
+		Short: "Analyse the logs of entries for lost service: when, for which workspaces and why",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			account := explain.NewAccount()
--- a/cmd/savoryreel/load.go
+++ b/cmd/savoryreel/load.go
@@ -46,7 +46,7 @@
 	s.Duration(&c.duration, "duration", 10*time.Second, "length of the run", settings.Between(100*time.Millisecond, time.Hour))
 	s.Duration(&c.deadline, "deadline", 30*time.Second, "deadline of each request", settings.Between(time.Millisecond, time.Hour))
 	s.Duration(&c.target, "target", 720*time.Millisecond, "first-token target", settings.Between(time.Millisecond, time.Hour))
-	s.String(&c.direct, "direct", "", "address of a model engine to call directly beside, for comparison", settings.Optional(settings.HostPort))
+	s.String(&c.direct, "direct", "", "address of a model engine that is also called directly, for comparison", settings.Optional(settings.HostPort))
 	s.String(&c.model, "model", "demo", "model of that engine")
 	s.String(&c.jsonFile, "json", "", "file for the result as JSON")
 	s.String(&c.htmlFile, "html", "", "file for the report as HTML")
--- a/cmd/savoryreel/platform.go
+++ b/cmd/savoryreel/platform.go
@@ -44,7 +44,7 @@
 	cmd := &cobra.Command{Use: "platform", Short: "Run the system's processes on the users' platform"}
 	cmd.AddCommand(
 		platformCommand("entry", "Run an entry: take callers' requests and pass them on to backend servers", runPlatformEntry),
-		platformCommand("control", "Run a control replica: keep the catalogue of routes and hear the backend servers", runPlatformControl),
+		platformCommand("control", "Run a control replica: store the catalogue of routes and track the backend servers", runPlatformControl),
 	)
 	return cmd
 }
--- a/cmd/savoryreel/standin.go
+++ b/cmd/savoryreel/standin.go
@@ -61,7 +61,7 @@
 		s.Int(&answer, "answer-tokens", 16, "length of an answer where the request sets no bound", settings.Between(1, 100_000))
 		s.Int(&cache, "cache-tokens", 100_000, "capacity of the prefix cache in tokens", settings.Between(0, 1_000_000_000))
 		s.Int(&prefill, "prefill-rate", 8000, "prompt tokens that it prefills a second; 0: no time", settings.Between(0, 1_000_000_000))
-		s.Duration(&first, "first-token", 20*time.Millisecond, "time to the first token beside the prefill", settings.Between(0, time.Minute))
+		s.Duration(&first, "first-token", 20*time.Millisecond, "time to the first token in addition to the prefill", settings.Between(0, time.Minute))
 		s.Duration(&token, "token-time", 20*time.Millisecond, "time between two tokens", settings.Between(0, time.Minute))
 	}
 	return daemonCommand("engine", "A model engine", declare, &c.logLevel, func(ctx context.Context, log *slog.Logger) error {
--- a/coordinator/state.go
+++ b/coordinator/state.go
@@ -237,7 +237,7 @@
 
 func (s *state) notifyMembers() { s.onMembers(s.members()) }
 
-// members returns the registrations in the form that the address book takes.
+// members returns the registrations in the form that package roster uses.
 func (s *state) members() []roster.Member {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -10,7 +10,7 @@
 	"savoryreel.example/savoryreel/policy/scale"
 )
 
-// MaxStateBytes bounds an encoded State, in bytes.
+// MaxStateBytes is the maximum size of an encoded Command, which contains a State.
 const MaxStateBytes = 128 << 10
 
 // State is the fleet state that a leader passes on to its successors. It is stored
@@ -61,7 +61,7 @@
 func (c Command) Encode() ([]byte, error) {
 	b, err := msgpack.Marshal(&c)
 	if err == nil && len(b) > MaxStateBytes {
-		err = trace.LimitExceeded("fleet state of %d bytes, at most %d", len(b), MaxStateBytes)
+		err = trace.LimitExceeded("fleet command of %d bytes, at most %d", len(b), MaxStateBytes)
 	}
 	return b, trace.Wrap(err, "step=encode fleet command")
 }
